--- a/crates/lines/tests/reached.rs
+++ b/crates/connections/tests/reached.rs
@@ -1,7 +1,7 @@
 //! Whether a connection that was broken off was ever made.
 
 use calloop::EventLoop;
-use pulleystair_lines::{Key, Lines, Owner};
+use pulleystair_connections::{Key, Lines, Owner};
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
 
--- a/crates/desk/tests/cold_fleet.rs
+++ b/crates/dispatcher/tests/cold_fleet.rs
@@ -3,7 +3,7 @@
 //! `src/logic/pace.rs`: in no window is a server sent more than its budget N and 2 root N + 2.
 
 use pulleystair::{CallSheet, Figure, Listing, Outcome, Standing, Value};
-use pulleystair_desk::{Desk, Hands, Wish};
+use pulleystair_dispatcher::{Desk, Hands, Wish};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use test_case::test_case;
--- a/crates/desk/tests/giving_up.rs
+++ b/crates/dispatcher/tests/giving_up.rs
@@ -4,7 +4,7 @@
 
 use notebook::{Deed, Notebook};
 use pulleystair::{CallSheet, Figure, Listing, Outcome, Standing, Value};
-use pulleystair_desk::{Desk, Wish};
+use pulleystair_dispatcher::{Desk, Wish};
 use test_case::test_case;
 
 /// The second of two fronts, a product, and one holder that starts cold: a play waits for its turn there.
--- a/crates/desk/tests/memory.rs
+++ b/crates/dispatcher/tests/memory.rs
@@ -2,7 +2,7 @@
 //! around everything that the desk and the decisions hold.
 
 use pulleystair::{CallSheet, Figure, Listing, Standing, Value};
-use pulleystair_desk::{Desk, Hands, Wish};
+use pulleystair_dispatcher::{Desk, Hands, Wish};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicIsize, Ordering};
 use std::sync::{Mutex, PoisonError};
--- a/crates/desk/tests/notebook/mod.rs
+++ b/crates/dispatcher/tests/notebook/mod.rs
@@ -1,6 +1,6 @@
 //! Hands that write down what they are asked to do.
 
-use pulleystair_desk::Hands;
+use pulleystair_dispatcher::Hands;
 use std::collections::VecDeque;
 
 /// What the hands were asked to do.
--- a/crates/desk/tests/simulated.rs
+++ b/crates/dispatcher/tests/simulated.rs
@@ -5,10 +5,10 @@
 
 use notebook::{Deed, Notebook};
 use pulleystair::{CallSheet, Figure, Listing, Outcome, Standing, Value};
-use pulleystair_desk::{Desk, Wish};
-use pulleystair_witness::history::History;
-use pulleystair_witness::rules::{Budget, Effect, Group, Product, Terms};
-use pulleystair_witness::{Seen, What};
+use pulleystair_dispatcher::{Desk, Wish};
+use pulleystair_rule_checker::history::History;
+use pulleystair_rule_checker::rules::{Budget, Effect, Group, Product, Terms};
+use pulleystair_rule_checker::{Seen, What};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use test_case::test_case;
--- a/crates/names/tests/known.rs
+++ b/crates/dns-discovery/tests/known.rs
@@ -1,7 +1,7 @@
 //! The events of a start as the one list that they come to.
 
 use pulleystair::Standing;
-use pulleystair_names::Known;
+use pulleystair_dns_discovery::Known;
 
 fn known(notices: &str) -> Known {
     serde_json::from_str(&format!(r#"{{"rev":9,"notices":[{notices}]}}"#)).expect("events")
--- a/crates/edge/src/company.rs
+++ b/crates/edge/src/company.rs
@@ -9,8 +9,8 @@
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction};
 use pulleystair::{Given, Outcome};
-use pulleystair_fellow::{Candidate, Exchange, Fellow, Listed, Terms, number_of, told};
-use pulleystair_shared::Server;
+use pulleystair_fleet_member::{Candidate, Exchange, Fellow, Listed, Terms, number_of, told};
+use pulleystair_shared_state::Server;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::ErrorKind;
@@ -117,7 +117,7 @@
         })))
     }
 
-    fn send(&self, out: Vec<pulleystair_fellow::Out>) {
+    fn send(&self, out: Vec<pulleystair_fleet_member::Out>) {
         for it in out {
             if let Some(at) = self.at.get(self.fellow.name(it.to)) {
                 // What can't be sent now is lost as any other is.
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -22,9 +22,9 @@
 use pulleystair_admission::queue::Queue;
 use pulleystair_admission::reads::Fault;
 use pulleystair_admission::wall::Wall;
-use pulleystair_desk::Desk;
-use pulleystair_lines::Owner;
-use pulleystair_lines::clocks::Clocks;
+use pulleystair_connections::Owner;
+use pulleystair_connections::clocks::Clocks;
+use pulleystair_dispatcher::Desk;
 use std::collections::{HashMap, VecDeque};
 use std::net::TcpListener;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -53,7 +53,7 @@
 }
 
 /// Reads the list that a rundown names.
-pub fn read_list(rundown: &Rundown) -> Result<List, pulleystair_templates::Fault> {
+pub fn read_list(rundown: &Rundown) -> Result<List, pulleystair_jsonnet::Fault> {
     List::read(&rundown.list, &known(rundown))
 }
 
--- a/crates/edge/src/errands.rs
+++ b/crates/edge/src/errands.rs
@@ -25,7 +25,7 @@
 
     pub(crate) fn dial(&mut self, server: u32, role: Role) -> io::Result<Key> {
         let address = self.servers[server as usize].address;
-        let stream = pulleystair_lines::connect(address)?;
+        let stream = pulleystair_connections::connect(address)?;
         let seal = match &self.seals.servers {
             Some(sealed) => {
                 let name =
--- a/crates/edge/src/hands.rs
+++ b/crates/edge/src/hands.rs
@@ -2,7 +2,7 @@
 
 use crate::lines::{Errand, Role, Stage, What};
 use pulleystair::{Figure, Outcome};
-use pulleystair_desk::Hands;
+use pulleystair_dispatcher::Hands;
 use std::collections::HashMap;
 use tracing::{debug, error};
 
--- a/crates/edge/src/lines.rs
+++ b/crates/edge/src/lines.rs
@@ -1,11 +1,11 @@
-//! What the connections of this front are for; the connections themselves are those of [`pulleystair_lines`].
+//! What the connections of this front are for; the connections themselves are those of [`pulleystair_connections`].
 
 use crate::edge::Edge;
 use crate::http::Chunks;
 use crate::reading::Reading;
-pub use pulleystair_lines::Key;
+pub use pulleystair_connections::Key;
 
-pub type Lines = pulleystair_lines::Lines<Edge, Role, Manner>;
+pub type Lines = pulleystair_connections::Lines<Edge, Role, Manner>;
 
 /// How a player's request wants to be answered.
 #[derive(Default)]
--- a/crates/edge/src/listing.rs
+++ b/crates/edge/src/listing.rs
@@ -4,7 +4,7 @@
 use pulleystair::{Listing, Standing};
 use pulleystair_dash::address;
 use pulleystair_dash::mpd::{self, Presentation};
-use pulleystair_templates::{Fault, load, refused};
+use pulleystair_jsonnet::{Fault, load, refused};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/edge/src/players.rs
+++ b/crates/edge/src/players.rs
@@ -10,7 +10,7 @@
 use pulleystair::Outcome;
 use pulleystair_admission::homes::home;
 use pulleystair_dash::address::{self, Address, Which};
-use pulleystair_desk::Wish;
+use pulleystair_dispatcher::Wish;
 use std::io;
 use std::net::TcpListener;
 use tracing::warn;
--- a/crates/edge/src/rundown/keys.rs
+++ b/crates/edge/src/rundown/keys.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use pulleystair_dash::token::Ring;
-use pulleystair_templates::{Fault, load, refused};
+use pulleystair_jsonnet::{Fault, load, refused};
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 
--- a/crates/edge/src/rundown/mod.rs
+++ b/crates/edge/src/rundown/mod.rs
@@ -10,7 +10,7 @@
 
 pub use keys::{KeyFile, Keys, homes};
 pub use limits::{Admission, Limits, Reads};
-use pulleystair_templates::{Fault, load, refused};
+use pulleystair_jsonnet::{Fault, load, refused};
 use serde::{Deserialize, Serialize};
 pub use sharing::{Peer, Sharing};
 use std::net::SocketAddr;
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -7,7 +7,7 @@
 use crate::listing::{List, Watched};
 use crate::rundown::{Keys, homes};
 use pulleystair_admission::reads::Budget;
-use pulleystair_templates::Fault;
+use pulleystair_jsonnet::Fault;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use tracing::{error, info};
@@ -46,7 +46,7 @@
                 servers.push(Server {
                     name: server.name.clone(),
                     address: server.address,
-                    id: pulleystair_fellow::number_of(&server.name),
+                    id: pulleystair_fleet_member::number_of(&server.name),
                     zone: server.zone.clone(),
                     born: server.started_ms as u64,
                     idle: Vec::new(),
--- a/crates/edge/tests/bounds.rs
+++ b/crates/edge/tests/bounds.rs
@@ -4,7 +4,7 @@
 
 use house::{House, day, get, patient, text};
 use pulleystair_lab::stage::Listed;
-use pulleystair_witness::What;
+use pulleystair_rule_checker::What;
 use serde_json::json;
 use test_case::test_case;
 use tokio::net::TcpStream;
--- a/crates/edge/tests/broken.rs
+++ b/crates/edge/tests/broken.rs
@@ -6,7 +6,7 @@
 
 use house::{House, day};
 use pulleystair_lab::stage::Listed;
-use pulleystair_witness::What;
+use pulleystair_rule_checker::What;
 use serde_json::{Value, json};
 use std::time::Duration;
 use test_case::test_case;
@@ -103,8 +103,8 @@
     keep(&history, &format!("broken-{rule}"));
 }
 
-/// With `PULLEYSTAIR_HISTORIES` set to a folder, the history is written there, to be kept in `crates/witness/histories`.
-fn keep(history: &pulleystair_witness::history::History, name: &str) {
+/// With `PULLEYSTAIR_HISTORIES` set to a folder, the history is written there, to be kept in `crates/rule-checker/histories`.
+fn keep(history: &pulleystair_rule_checker::history::History, name: &str) {
     if let Some(folder) = std::env::var_os("PULLEYSTAIR_HISTORIES") {
         let file = std::path::Path::new(&folder).join(format!("{name}.jsonl"));
         std::fs::write(file, history.text().expect("a history is plain")).expect("it is written");
--- a/crates/edge/tests/company/mod.rs
+++ b/crates/edge/tests/company/mod.rs
@@ -4,7 +4,7 @@
 use crate::house::{self, House};
 use pulleystair_edge::ask::ask;
 use pulleystair_edge::rundown::Rundown;
-use pulleystair_fellow::{Exchange, Fellow, Met, Terms, number_of};
+use pulleystair_fleet_member::{Exchange, Fellow, Met, Terms, number_of};
 use pulleystair_lab::fronts::name;
 use pulleystair_lab::set::Set;
 use serde_json::{Value, json};
@@ -113,7 +113,7 @@
     let mut it: Value =
         serde_json::from_slice(&std::fs::read(file).expect("it is there")).expect("it is JSON");
     change(&mut it);
-    pulleystair_boxes::files::put(file, it.to_string()).expect("it is written");
+    pulleystair_fake_servers::files::put(file, it.to_string()).expect("it is written");
 }
 
 pub fn change_rundown(folder: &Path, front: usize, change: impl FnOnce(&mut Value)) {
@@ -136,7 +136,8 @@
 /// That list is as all others again.
 pub fn mend(house: &House, front: usize) {
     let text = std::fs::read(house.folder().join("list.json")).expect("it is there");
-    pulleystair_boxes::files::put(&house.folder().join(format!("list-{front}.json")), text).expect("written");
+    pulleystair_fake_servers::files::put(&house.folder().join(format!("list-{front}.json")), text)
+        .expect("written");
 }
 
 /// A front that the test plays: a real fellow behind a socket of its own, without plays.
--- a/crates/edge/tests/crowds.rs
+++ b/crates/edge/tests/crowds.rs
@@ -5,12 +5,12 @@
 
 use house::{House, base, day, get, set_ups, text};
 use pulleystair_admission::homes::home;
-use pulleystair_boxes::content;
-use pulleystair_boxes::wire::Peer;
 use pulleystair_dash::address;
 use pulleystair_dash::token::Entry;
+use pulleystair_fake_servers::content;
+use pulleystair_fake_servers::wire::Peer;
 use pulleystair_lab::fronts::portal;
-use pulleystair_witness::What;
+use pulleystair_rule_checker::What;
 use serde_json::json;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/edge/tests/dash.rs
+++ b/crates/edge/tests/dash.rs
@@ -4,10 +4,10 @@
 mod house;
 
 use house::{House, base, day, get, set_ups, text};
-use pulleystair_boxes::content;
-use pulleystair_boxes::files::put;
-use pulleystair_boxes::wire::Message;
-use pulleystair_witness::What;
+use pulleystair_fake_servers::content;
+use pulleystair_fake_servers::files::put;
+use pulleystair_fake_servers::wire::Message;
+use pulleystair_rule_checker::What;
 use serde_json::{Value, json};
 
 const FREE: usize = 0;
--- a/crates/edge/tests/days.rs
+++ b/crates/edge/tests/days.rs
@@ -4,8 +4,8 @@
 use pulleystair_lab::day::{Outcome, play};
 use pulleystair_lab::fronts::Program;
 use pulleystair_lab::script::Day;
-use pulleystair_witness::What;
-use pulleystair_witness::history::History;
+use pulleystair_rule_checker::What;
+use pulleystair_rule_checker::history::History;
 use serde_json::json;
 use std::path::Path;
 use test_case::test_case;
@@ -61,7 +61,7 @@
     assert!(asked > 50 && set_up > 30 && fetched > 50, "{asked} asked, {set_up} set-ups, {fetched} fetched");
     assert!(outcome.breaches.is_empty(), "{:.0} ms late: {:?}", outcome.lateness_ms, outcome.breaches);
     assert!(outcome.covered.further > 0 && outcome.covered.drains > 0, "{:?}", outcome.covered);
-    // With a folder named, the history is written there, to be kept in `crates/witness/histories`.
+    // With a folder named, the history is written there, to be kept in `crates/rule-checker/histories`.
     if let Some(folder) = std::env::var_os("PULLEYSTAIR_HISTORIES") {
         let what = format!("a short bad day under TLS, two fronts, seed {seed}");
         let text = History::new(&what, &[], day.terms(), outcome.seen).text().expect("a history is plain");
--- a/crates/edge/tests/house/mod.rs
+++ b/crates/edge/tests/house/mod.rs
@@ -2,17 +2,17 @@
 //! the sockets is checked by the rules at the end of every story.
 #![allow(dead_code)] // Each file of stories uses a part of it.
 
-use pulleystair_boxes::log::Log;
-use pulleystair_boxes::wire::{Message, Peer};
-use pulleystair_boxes::world::Ails;
 use pulleystair_dash::address;
 use pulleystair_dash::token::Entry;
+use pulleystair_fake_servers::log::Log;
+use pulleystair_fake_servers::wire::{Message, Peer};
+use pulleystair_fake_servers::world::Ails;
 use pulleystair_lab::fronts::{FRONT, Program};
 use pulleystair_lab::script::Day;
 use pulleystair_lab::set::Set;
-use pulleystair_witness::history::History;
-use pulleystair_witness::rules::check;
-use pulleystair_witness::{Seen, What};
+use pulleystair_rule_checker::history::History;
+use pulleystair_rule_checker::rules::check;
+use pulleystair_rule_checker::{Seen, What};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::ops::Deref;
--- a/crates/edge/tests/keys.rs
+++ b/crates/edge/tests/keys.rs
@@ -3,8 +3,8 @@
 mod house;
 
 use house::{House, base, closed, day};
-use pulleystair_boxes::files::put;
 use pulleystair_dash::token::{Entry, Ring};
+use pulleystair_fake_servers::files::put;
 use pulleystair_lab::fronts::portal;
 use serde_json::json;
 use std::time::Duration;
--- a/crates/edge/tests/many.rs
+++ b/crates/edge/tests/many.rs
@@ -8,7 +8,7 @@
 use company::{Fake, at_fronts, from_title, plays, sharing, stalls, told, until};
 use house::House;
 use pulleystair_lab::fronts::Program;
-use pulleystair_witness::What;
+use pulleystair_rule_checker::What;
 use serde_json::{Value, json};
 use std::path::Path;
 use std::time::Duration;
--- a/crates/edge/tests/repeats.rs
+++ b/crates/edge/tests/repeats.rs
@@ -5,7 +5,7 @@
 mod house;
 
 use house::{House, base, day};
-use pulleystair_witness::What;
+use pulleystair_rule_checker::What;
 use serde_json::json;
 
 const FREE: usize = 0;
@@ -102,7 +102,7 @@
             .expect("it was set up");
         for asked in 0..2 {
             let segment = house.get(&format!("{}{asked}/1.m4s", base(&manifest))).await;
-            let got = pulleystair_boxes::content::read(&segment.body).expect("a segment");
+            let got = pulleystair_fake_servers::content::read(&segment.body).expect("a segment");
             assert!(got.intact && got.title == house.titles[product].name);
             assert_eq!(got.rung, asked.min(rung));
         }
--- a/crates/edge/tests/sealed.rs
+++ b/crates/edge/tests/sealed.rs
@@ -4,11 +4,11 @@
 mod house;
 
 use house::{House, base, day, get, set_ups, text};
-use pulleystair_boxes::files::put;
-use pulleystair_boxes::papers::Authority;
-use pulleystair_boxes::wire::{Peer, Wire};
+use pulleystair_fake_servers::files::put;
+use pulleystair_fake_servers::papers::Authority;
+use pulleystair_fake_servers::wire::{Peer, Wire};
 use pulleystair_lab::fronts::FRONT;
-use pulleystair_witness::What;
+use pulleystair_rule_checker::What;
 use serde_json::{Value, json};
 use std::time::{Duration, SystemTime};
 use tokio::io::AsyncReadExt;
@@ -43,7 +43,8 @@
     for number in 1..=4 {
         let segment = house.get(&format!("{}1/{number}.m4s", base(&manifest))).await;
         assert!(
-            pulleystair_boxes::content::read(&segment.body).is_some_and(|c| c.intact && c.number == number)
+            pulleystair_fake_servers::content::read(&segment.body)
+                .is_some_and(|c| c.intact && c.number == number)
         );
     }
     house.until("the server's end", |seen| seen.iter().any(|s| matches!(s.what, What::Closed { .. }))).await;
--- a/crates/edge/tests/shared.rs
+++ b/crates/edge/tests/shared.rs
@@ -4,11 +4,11 @@
 mod house;
 
 use house::{House, base, day, get, one_server};
-use pulleystair_boxes::files::put;
-use pulleystair_boxes::wire::Peer;
 use pulleystair_dash::token::{Entry, Ring};
+use pulleystair_fake_servers::files::put;
+use pulleystair_fake_servers::wire::Peer;
 use pulleystair_lab::stage::Listed;
-use pulleystair_witness::{Seen, What};
+use pulleystair_rule_checker::{Seen, What};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/edge/tests/stops.rs
+++ b/crates/edge/tests/stops.rs
@@ -4,11 +4,11 @@
 mod house;
 
 use house::{House, base, day, get, set_ups, text};
-use pulleystair_boxes::content;
-use pulleystair_boxes::files::put;
-use pulleystair_boxes::wire::Peer;
+use pulleystair_fake_servers::content;
+use pulleystair_fake_servers::files::put;
+use pulleystair_fake_servers::wire::Peer;
 use pulleystair_lab::stage::Listed;
-use pulleystair_witness::{Seen, What};
+use pulleystair_rule_checker::{Seen, What};
 use serde_json::{Value, json};
 use std::process::Stdio;
 use test_case::test_case;
--- a/crates/boxes/src/content.rs
+++ b/crates/fake-servers/src/content.rs
@@ -1,6 +1,6 @@
 //! Segments made on the fly: a line that says what the segment is, then bytes that only this one has.
 
-use pulleystair_witness::Content;
+use pulleystair_rule_checker::Content;
 
 const MARK: &str = "pulleystair-segment";
 
--- a/crates/boxes/src/log.rs
+++ b/crates/fake-servers/src/log.rs
@@ -1,6 +1,6 @@
 //! The log of what was seen, on one clock for all of a process's witnesses.
 
-use pulleystair_witness::{Seen, What};
+use pulleystair_rule_checker::{Seen, What};
 use std::sync::{Arc, Mutex};
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
--- a/crates/boxes/src/server.rs
+++ b/crates/fake-servers/src/server.rs
@@ -4,7 +4,7 @@
 use crate::log::Log;
 use crate::wire::{Message, Peer};
 use crate::world::{Build, Ground, Load, Play, World};
-use pulleystair_witness::What;
+use pulleystair_rule_checker::What;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
--- a/crates/fellow/src/lib.rs
+++ b/crates/fleet-member/src/lib.rs
@@ -16,16 +16,16 @@
 use pulleystair_drift::{Active, Sections, differences};
 use pulleystair_gossip::message::Origin;
 use pulleystair_gossip::{Gossip, Unfit, View};
-use pulleystair_shared::budgets::{Budgets, Kind, OWN};
-use pulleystair_shared::counts::Counts;
-use pulleystair_shared::judgements::{Belief, Judgements};
-use pulleystair_shared::{Given, Heard, Server};
+use pulleystair_shared_state::budgets::{Budgets, Kind, OWN};
+use pulleystair_shared_state::counts::Counts;
+use pulleystair_shared_state::judgements::{Belief, Judgements};
+use pulleystair_shared_state::{Given, Heard, Server};
 use pulleystair_whatif::Ledger;
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
 
 pub use pulleystair_gossip::{Out, Terms as Exchange};
-pub use pulleystair_shared::judgements::Met;
+pub use pulleystair_shared_state::judgements::Met;
 pub use pulleystair_whatif::{Candidate, Ended};
 
 /// So often its row is written anew, and others' are read, ms; what changes seldom or costs more, every so many times.
--- a/crates/fellow/src/row.rs
+++ b/crates/fleet-member/src/row.rs
@@ -2,7 +2,7 @@
 
 use crate::{Fellow, SELDOM};
 use pulleystair_gossip::{Gossip, View};
-use pulleystair_shared::Heard;
+use pulleystair_shared_state::Heard;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::ops::Range;
--- a/crates/fellow/src/said.rs
+++ b/crates/fleet-member/src/said.rs
@@ -5,7 +5,7 @@
 use pulleystair_drift::Active;
 use pulleystair_drift::verdict::Word;
 use pulleystair_gossip::{Gossip, Silence};
-use pulleystair_shared::counts::{Bounds, Interval};
+use pulleystair_shared_state::counts::{Bounds, Interval};
 use pulleystair_whatif::report::{Over, Report, report};
 use pulleystair_whatif::sums::{Key, Sums};
 use serde_json::{Value, json};
--- a/crates/fuzzed/src/lib.rs
+++ b/crates/fuzz-checks/src/lib.rs
@@ -5,11 +5,11 @@
 use pulleystair_dash::address::{self, Address};
 use pulleystair_dash::mpd;
 use pulleystair_dash::token::{Fault, LONGEST, Ring};
+use pulleystair_dns_discovery as names;
 use pulleystair_edge::http::{self, Body, Chunks};
 use pulleystair_gossip as gossip;
-use pulleystair_names as names;
 use pulleystair_rtsp as rtsp;
-use pulleystair_signal as signal;
+use pulleystair_viewer_protocol as signal;
 
 /// An MPD that reads is written so that it reads as the same, and its segments can be asked for.
 pub fn mpd(bytes: &[u8]) {
--- a/crates/fuzzed/tests/codecs.rs
+++ b/crates/fuzz-checks/tests/codecs.rs
@@ -30,29 +30,29 @@
 proptest! {
     #[test]
     fn drawn_bytes(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        pulleystair_fuzzed::signal(&bytes);
-        pulleystair_fuzzed::rtsp(&bytes);
-        pulleystair_fuzzed::names(&bytes);
-        pulleystair_fuzzed::row(&bytes);
+        pulleystair_fuzz_checks::signal(&bytes);
+        pulleystair_fuzz_checks::rtsp(&bytes);
+        pulleystair_fuzz_checks::names(&bytes);
+        pulleystair_fuzz_checks::row(&bytes);
     }
 
     #[test]
     fn spoilt_datagrams_between_fronts(bytes in spoilt("row")) {
-        pulleystair_fuzzed::row(&bytes);
+        pulleystair_fuzz_checks::row(&bytes);
     }
 
     #[test]
     fn spoilt_viewers_messages(bytes in spoilt("signal")) {
-        pulleystair_fuzzed::signal(&bytes);
+        pulleystair_fuzz_checks::signal(&bytes);
     }
 
     #[test]
     fn spoilt_media_servers_messages(bytes in spoilt("rtsp")) {
-        pulleystair_fuzzed::rtsp(&bytes);
+        pulleystair_fuzz_checks::rtsp(&bytes);
     }
 
     #[test]
     fn spoilt_answers_of_the_name_service(bytes in spoilt("names")) {
-        pulleystair_fuzzed::names(&bytes);
+        pulleystair_fuzz_checks::names(&bytes);
     }
 }
--- /dev/null
+++ b/crates/fuzz-checks/tests/corpora.rs
@@ -0,0 +1,22 @@
+//! The corpora of the fuzz targets, each entry once.
+
+use std::path::Path;
+use test_case::test_case;
+
+#[test_case("mpd", pulleystair_fuzz_checks::mpd; "MPDs")]
+#[test_case("token", pulleystair_fuzz_checks::token; "tokens")]
+#[test_case("request", pulleystair_fuzz_checks::request; "requests, targets, ranges and answers")]
+#[test_case("orca", pulleystair_fuzz_checks::orca; "load reports")]
+#[test_case("signal", pulleystair_fuzz_checks::signal; "viewers' messages")]
+#[test_case("rtsp", pulleystair_fuzz_checks::rtsp; "media servers' messages")]
+#[test_case("names", pulleystair_fuzz_checks::names; "the name service's answers")]
+#[test_case("row", pulleystair_fuzz_checks::row; "datagrams between fronts")]
+fn nothing_kept_in_a_corpus_breaks_anything(name: &str, holds: fn(&[u8])) {
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../fuzz/corpus").join(name);
+    let mut count = 0;
+    for file in std::fs::read_dir(&folder).expect("the corpus is there") {
+        holds(&std::fs::read(file.expect("an entry").path()).expect("an entry reads"));
+        count += 1;
+    }
+    assert!(count >= 10, "{count} entries");
+}
--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -4,10 +4,10 @@
 
 use crate::stage::ms;
 use anyhow::{Context, Result};
-use pulleystair_boxes::wire::{Message, Peer};
 use pulleystair_dash::address::{self, Address, Which};
 use pulleystair_dash::mpd::Presentation;
 use pulleystair_dash::token::{Pass, Ring};
+use pulleystair_fake_servers::wire::{Message, Peer};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
--- a/crates/lab/src/fronts.rs
+++ b/crates/lab/src/fronts.rs
@@ -3,11 +3,11 @@
 use crate::between::Between;
 use crate::script::Day;
 use anyhow::{Context, Result, bail, ensure};
-use pulleystair_boxes::files::put;
-use pulleystair_boxes::log::Log;
-use pulleystair_boxes::papers::{Authority, Paper};
 use pulleystair_dash::token::{Entry, Ring};
-use pulleystair_witness::What;
+use pulleystair_fake_servers::files::put;
+use pulleystair_fake_servers::log::Log;
+use pulleystair_fake_servers::papers::{Authority, Paper};
+use pulleystair_rule_checker::What;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -6,7 +6,7 @@
 use pulleystair_lab::fronts::{Program, portal};
 use pulleystair_lab::set::Set;
 use pulleystair_lab::{baseline, day, load, report, script::Day};
-use pulleystair_witness::history::History;
+use pulleystair_rule_checker::history::History;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/stage.rs
@@ -3,11 +3,11 @@
 use crate::fronts::Fronts;
 use crate::script::{Day, Kind, Trouble};
 use anyhow::Result;
-use pulleystair_boxes::files::put;
-use pulleystair_boxes::log::Log;
-use pulleystair_boxes::server::Boxes;
-use pulleystair_boxes::world::Ails;
-use pulleystair_witness::What;
+use pulleystair_fake_servers::files::put;
+use pulleystair_fake_servers::log::Log;
+use pulleystair_fake_servers::server::Boxes;
+use pulleystair_fake_servers::world::Ails;
+use pulleystair_rule_checker::What;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
--- a/crates/mutated/src/fields.rs
+++ b/crates/message-mutation/src/fields.rs
@@ -3,7 +3,7 @@
 
 use crate::{Kind, To};
 use pulleystair_gossip::message::Message as Row;
-use pulleystair_signal::{self as signal, Message};
+use pulleystair_viewer_protocol::{self as signal, Message};
 use simple_dns::Packet;
 use simple_dns::rdata::RData;
 use std::ops::Range;
--- a/crates/mutated/src/front.rs
+++ b/crates/message-mutation/src/front.rs
@@ -1,11 +1,11 @@
 //! One front of the small world: what it is told, what it holds, and what its desk wants done.
 
 use pulleystair::{CallSheet, Value};
-use pulleystair_desk::{Desk, Hands};
+use pulleystair_dispatcher::{Desk, Hands};
 use pulleystair_drift::Sections;
 use pulleystair_drift::approved::{Chain, Document, Stage};
-use pulleystair_fellow::{Exchange, Fellow, Terms as Share};
-use pulleystair_witness::rules::{Budget, Effect, Group, Product, Terms};
+use pulleystair_fleet_member::{Exchange, Fellow, Terms as Share};
+use pulleystair_rule_checker::rules::{Budget, Effect, Group, Product, Terms};
 use serde_json::json;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/mutated/src/inbox.rs
+++ b/crates/message-mutation/src/inbox.rs
@@ -2,7 +2,7 @@
 
 use pulleystair::{Figure, Listing, Standing};
 use pulleystair_rtsp as rtsp;
-use pulleystair_signal::{Message, code, kind, write};
+use pulleystair_viewer_protocol::{Message, code, kind, write};
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
 use simple_dns::{CLASS, Name, Packet, PacketFlag, ResourceRecord};
 
@@ -96,8 +96,8 @@
 
 /// An answer of the name service: its id, its serial, the servers by number.
 pub fn read_names(bytes: &[u8]) -> Option<(u16, u32, Lines)> {
-    let (serial, list) = pulleystair_names::answer(bytes).ok()?;
-    let line = |it: &pulleystair_names::Entry| {
+    let (serial, list) = pulleystair_dns_discovery::answer(bytes).ok()?;
+    let line = |it: &pulleystair_dns_discovery::Entry| {
         let server = it.id.strip_prefix('m')?.parse::<usize>().ok().filter(|s| *s < 1_000)?;
         let zone = it.zone.strip_prefix('z')?.parse().ok()?;
         let standing = it.standing;
@@ -105,7 +105,7 @@
             Listing { server, zone, kind: 0, cell: it.cell, standing, weight: it.weight, born: it.started };
         Some((server as u32, listing))
     };
-    Some((pulleystair_names::id_of(bytes)?, serial, list.iter().filter_map(line).collect()))
+    Some((pulleystair_dns_discovery::id_of(bytes)?, serial, list.iter().filter_map(line).collect()))
 }
 
 /// A media server's answer to a set-up, or the end of a session that stood.
--- a/crates/mutated/src/post.rs
+++ b/crates/message-mutation/src/post.rs
@@ -4,14 +4,14 @@
 use crate::inbox::{self, SetUp};
 use crate::{How, Kind, fields};
 use pulleystair::{Figure, Listing, Outcome as End, Standing};
-use pulleystair_desk::{Desk, Wish};
+use pulleystair_dispatcher::{Desk, Wish};
 use pulleystair_edge::http;
-use pulleystair_fellow::{Candidate, Listed, number_of};
+use pulleystair_fleet_member::{Candidate, Listed, number_of};
 use pulleystair_gossip::message::Origin;
 use pulleystair_gossip::origin_of;
 use pulleystair_rtsp as rtsp;
-use pulleystair_shared::Server;
-use pulleystair_witness::What;
+use pulleystair_rule_checker::What;
+use pulleystair_shared_state::Server;
 
 use crate::front::{Deed, Deeds, Session, name};
 use crate::world::{BY_HTTP, COLD, Event, FRONTS, LIMIT, Mail, RECORDED, SERVERS, STREAMS, World};
@@ -81,7 +81,7 @@
         }
     }
 
-    pub(crate) fn datagrams(&mut self, from: usize, out: Vec<pulleystair_fellow::Out>) {
+    pub(crate) fn datagrams(&mut self, from: usize, out: Vec<pulleystair_fleet_member::Out>) {
         for it in out {
             let to = (0..FRONTS).find(|f| origin_of(&name(*f)) as Origin == it.to);
             let Some(to) = to else { continue };
@@ -118,7 +118,7 @@
     pub(crate) fn names(&mut self, f: usize, bytes: &[u8]) {
         let Some((id, serial, lines)) = inbox::read_names(bytes) else { return };
         let front = &mut self.fronts[f];
-        if !front.asked.contains(&id) || !pulleystair_names::follows(front.rev, serial) {
+        if !front.asked.contains(&id) || !pulleystair_dns_discovery::follows(front.rev, serial) {
             return;
         }
         front.rev = Some(serial);
--- a/crates/mutated/src/world.rs
+++ b/crates/message-mutation/src/world.rs
@@ -5,10 +5,10 @@
 use crate::{Change, Kind};
 use oorandom::Rand64;
 use pulleystair::{Given, Listing, Outcome as End, Standing};
-use pulleystair_fellow::{number_of, told};
-use pulleystair_shared::budgets::OWN;
-use pulleystair_witness::rules::check;
-use pulleystair_witness::{Seen, What};
+use pulleystair_fleet_member::{number_of, told};
+use pulleystair_rule_checker::rules::check;
+use pulleystair_rule_checker::{Seen, What};
+use pulleystair_shared_state::budgets::OWN;
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::front::{Front, Session, front, terms};
--- a/crates/mutated/tests/each.rs
+++ b/crates/message-mutation/tests/each.rs
@@ -1,8 +1,8 @@
 //! Every message of a recorded run times every change of it: after each, nobody panics, the six rules hold, no budget is
 //! more than the whole, and what was told wrongly is over by the end.
 
-use pulleystair_mutated::world::{FRONTS, Outcome, World};
-use pulleystair_mutated::{Change, How, Kind, changes};
+use pulleystair_message_mutation::world::{FRONTS, Outcome, World};
+use pulleystair_message_mutation::{Change, How, Kind, changes};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/node/src/asked.rs
+++ b/crates/node/src/asked.rs
@@ -2,9 +2,9 @@
 
 use crate::floor::{Session, WITHDRAWN};
 use crate::node::Node;
-use pulleystair_desk::Wish;
-use pulleystair_lines::Key;
-use pulleystair_signal::{Message, code};
+use pulleystair_connections::Key;
+use pulleystair_dispatcher::Wish;
+use pulleystair_viewer_protocol::{Message, code};
 
 /// The longest time that a viewer may say that it waits, ms.
 const LONGEST: f64 = 600_000.0;
--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -8,7 +8,7 @@
 use crate::floor::{Attempt, News};
 use crate::node::Node;
 use pulleystair::{Figure, Outcome, Standing};
-use pulleystair_lines::Key;
+use pulleystair_connections::Key;
 use tracing::debug;
 
 impl Node {
--- a/crates/node/src/floor.rs
+++ b/crates/node/src/floor.rs
@@ -7,14 +7,14 @@
 use crate::shares::Shares;
 use calloop::{LoopHandle, RegistrationToken};
 use pulleystair::{Listing, Outcome, Standing};
-use pulleystair_lines::Key;
-use pulleystair_lines::clocks::Clocks;
+use pulleystair_connections::Key;
+use pulleystair_connections::clocks::Clocks;
 use std::collections::{HashMap, VecDeque};
 use std::net::{IpAddr, SocketAddr, TcpListener};
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-pub(crate) type Lines = pulleystair_lines::Lines<Node, Role>;
+pub(crate) type Lines = pulleystair_connections::Lines<Node, Role>;
 
 /// Causes that viewers are given: refused, trying again is harmless; failed; the session is over.
 pub(crate) const REFUSED: u8 = 34;
--- a/crates/node/src/hands.rs
+++ b/crates/node/src/hands.rs
@@ -2,7 +2,7 @@
 
 use crate::floor::{ASK, Attempt, Clock, FAILED, Floor, News, REFUSED};
 use pulleystair::Outcome;
-use pulleystair_desk::Hands;
+use pulleystair_dispatcher::Hands;
 use pulleystair_rtsp as rtsp;
 
 impl Hands for Floor {
--- a/crates/node/src/listing.rs
+++ b/crates/node/src/listing.rs
@@ -8,7 +8,7 @@
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
 use pulleystair::{Listing, Outcome, Standing};
-use pulleystair_names::{self as names, Entry};
+use pulleystair_dns_discovery::{self as names, Entry};
 use std::collections::VecDeque;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
--- a/crates/node/src/posting.rs
+++ b/crates/node/src/posting.rs
@@ -2,8 +2,8 @@
 
 use anyhow::{Context, anyhow};
 use pulleystair::{CallSheet, number};
-use pulleystair_names::Known;
-use pulleystair_sheet::{sheet_of, texts};
+use pulleystair_dns_discovery::Known;
+use pulleystair_settings::{sheet_of, texts};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -5,9 +5,9 @@
 use crate::floor::{ASK, ENDED, FAILED, GIVE_UP, OWED, READ, Role, Server, Session, WITHDRAWN};
 use crate::node::{LOOK, Node};
 use pulleystair::{Figure, Outcome};
-use pulleystair_lines::Key;
+use pulleystair_connections::Key;
 use pulleystair_rtsp::{Message, Start};
-use pulleystair_signal::{self as signal, code, kind};
+use pulleystair_viewer_protocol::{self as signal, code, kind};
 use tracing::{debug, info};
 
 /// Reads of a line in one turn.
@@ -101,7 +101,7 @@
         let now = self.floor.now();
         let play = message.session;
         let load: Vec<Figure> =
-            message.report().filter_map(|(name, value)| pulleystair_sheet::figure(name, value)).collect();
+            message.report().filter_map(|(name, value)| pulleystair_settings::figure(name, value)).collect();
         // An answer for a viewer that has gone by now is not for it any more.
         let waits = |s: &&Session| !s.playing && message.cseq() != Some(ASK);
         if let (Start::Answer(200), Some(session)) =
--- a/crates/node/src/to_servers.rs
+++ b/crates/node/src/to_servers.rs
@@ -4,7 +4,7 @@
     Attempt, Clock, Cut, Floor, GIVE_UP, OTHER, OWED, OWED_MOST, Open, Role, SET_UP, Server, Wire,
 };
 use crate::node::LOOK;
-use pulleystair_lines::Key;
+use pulleystair_connections::Key;
 use pulleystair_rtsp as rtsp;
 use tracing::debug;
 
@@ -32,7 +32,7 @@
             return None;
         }
         let server = self.servers.get(&number)?;
-        let stream = pulleystair_lines::connect(address)
+        let stream = pulleystair_connections::connect(address)
             .inspect_err(|e| debug!(target: "server", id = server.id, "dial: {e}"))
             .ok()?;
         let now = self.now();
--- a/crates/node/src/to_viewers.rs
+++ b/crates/node/src/to_viewers.rs
@@ -1,8 +1,8 @@
 //! What is written to viewers: final answers, and the ends of sessions that stood.
 
 use crate::floor::{Floor, OWED, OWED_MOST, Role, Told, UNREAD};
-use pulleystair_lines::Key;
-use pulleystair_signal::{self as signal, code, kind};
+use pulleystair_connections::Key;
+use pulleystair_viewer_protocol::{self as signal, code, kind};
 use std::net::IpAddr;
 use tracing::debug;
 
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -5,8 +5,8 @@
 use crate::floor::{BUSY, Clock, READ, Role, UNUSABLE, Viewer, WITHDRAWN};
 use crate::node::Node;
 use crate::shares::{SOON, lacks};
-use pulleystair_lines::Key;
-use pulleystair_signal::{Message, code, kind};
+use pulleystair_connections::Key;
+use pulleystair_viewer_protocol::{Message, code, kind};
 use std::collections::HashSet;
 use tracing::debug;
 
@@ -230,7 +230,8 @@
             }
             kind::TEST => {
                 let passed = u8::from(self.floor.stopping.is_none());
-                let bytes = pulleystair_signal::write(kind::TESTED, play, &[(code::CAUSE, &[passed])]);
+                let bytes =
+                    pulleystair_viewer_protocol::write(kind::TESTED, play, &[(code::CAUSE, &[passed])]);
                 self.floor.write_viewer(key, &bytes.unwrap_or_default());
                 if let Some(viewer) = self.floor.viewer(key) {
                     viewer.came = f64::INFINITY;
--- a/crates/witness/tests/doctored.rs
+++ b/crates/rule-checker/tests/doctored.rs
@@ -1,8 +1,8 @@
 //! For each rule, a clean log on which it passes and doctored ones on which it fails: a check counts only
 //! once it was seen to fail.
 
-use pulleystair_witness::rules::{Budget, Effect, Group, Product, Terms, check};
-use pulleystair_witness::{Content, Seen, What};
+use pulleystair_rule_checker::rules::{Budget, Effect, Group, Product, Terms, check};
+use pulleystair_rule_checker::{Content, Seen, What};
 use test_case::test_case;
 
 fn terms(effect: Effect) -> Terms {
--- a/crates/witness/tests/histories.rs
+++ b/crates/rule-checker/tests/histories.rs
@@ -2,8 +2,8 @@
 //! front broken on purpose for each rule, which must be rejected for that rule and no other. They were written by
 //! `crates/edge/tests/broken.rs` and `days.rs` with `PULLEYSTAIR_HISTORIES` set to that folder.
 
-use pulleystair_witness::What;
-use pulleystair_witness::history::{Fault, History};
+use pulleystair_rule_checker::What;
+use pulleystair_rule_checker::history::{Fault, History};
 use std::collections::BTreeSet;
 use std::path::Path;
 use test_case::test_case;
@@ -56,7 +56,7 @@
     let at = history.seen.iter().position(|s| which(&s.what)).expect("there is such a thing");
     let one = history.seen.remove(at);
     if let Some(what) = change(one.what) {
-        history.seen.insert(at, pulleystair_witness::Seen { at: one.at, what });
+        history.seen.insert(at, pulleystair_rule_checker::Seen { at: one.at, what });
     }
     assert_eq!(history.verdict().rules().into_iter().collect::<Vec<u8>>(), [rule]);
 }
--- a/crates/shared/tests/beliefs.rs
+++ b/crates/shared-state/tests/beliefs.rs
@@ -1,9 +1,9 @@
 //! What a front believes of servers and counts, from the words of others: few that lie, zones that are cut off, rows that
 //! are old.
 
-use pulleystair_shared::counts::{Bounds, Counts};
-use pulleystair_shared::judgements::{Belief, Judgements, Met, WINDOW};
-use pulleystair_shared::{Heard, Server};
+use pulleystair_shared_state::counts::{Bounds, Counts};
+use pulleystair_shared_state::judgements::{Belief, Judgements, Met, WINDOW};
+use pulleystair_shared_state::{Heard, Server};
 use std::collections::BTreeMap;
 use test_case::test_case;
 
--- a/crates/shared/tests/budgets.rs
+++ b/crates/shared-state/tests/budgets.rs
@@ -2,8 +2,8 @@
 //! at no moment do all together hold more than the whole.
 
 use oorandom::Rand64;
-use pulleystair_shared::Heard;
-use pulleystair_shared::budgets::{Budgets, DRIFT, KEPT, Kind, MARGIN, OWN};
+use pulleystair_shared_state::Heard;
+use pulleystair_shared_state::budgets::{Budgets, DRIFT, KEPT, Kind, MARGIN, OWN};
 use test_case::test_case;
 
 const SPAN: f64 = 1_000.0;
--- a/crates/drill/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -2,8 +2,8 @@
 
 use crate::frame::{Fields, Reply, records, us};
 use pulleystair::{CallSheet, Figure, Listing, Outcome, Standing};
-use pulleystair_desk::{Desk, Hands, Wish};
-use pulleystair_sheet::{Columns, call_sheet};
+use pulleystair_dispatcher::{Desk, Hands, Wish};
+use pulleystair_settings::{Columns, call_sheet};
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Instance {
--- a/crates/drill/tests/tape.rs
+++ b/crates/sim-adapter/tests/tape.rs
@@ -1,7 +1,7 @@
 //! The adapter's replies to a recorded tape of batches stay the same to the byte.
 //!
 //! `tape.bin` holds batch and reply in turn. It was recorded by `record` below, which plays a small made-up
-//! deployment against the adapter; run it again (`cargo test -p pulleystair-drill -- --ignored record`) only
+//! deployment against the adapter; run it again (`cargo test -p pulleystair-sim-adapter -- --ignored record`) only
 //! for a change of the decisions that is meant.
 
 use std::io::{Read, Write};
--- a/fuzz/fuzz_targets/names.rs
+++ b/fuzz/fuzz_targets/names.rs
@@ -1,3 +1,3 @@
 #![no_main]
 
-libfuzzer_sys::fuzz_target!(|bytes: &[u8]| pulleystair_fuzzed::names(bytes));
+libfuzzer_sys::fuzz_target!(|bytes: &[u8]| pulleystair_fuzz_checks::names(bytes));
--- a/fuzz/fuzz_targets/signal.rs
+++ b/fuzz/fuzz_targets/signal.rs
@@ -1,3 +1,3 @@
 #![no_main]
 
-libfuzzer_sys::fuzz_target!(|bytes: &[u8]| pulleystair_fuzzed::signal(bytes));
+libfuzzer_sys::fuzz_target!(|bytes: &[u8]| pulleystair_fuzz_checks::signal(bytes));
