--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -4,7 +4,7 @@
 //! A line may be sealed by TLS. Then it counts as connected only once the handshake is done, so nothing of a request
 //! has gone to a server whose handshake failed; and what waits in the seal counts as waiting to be written.
 
-pub mod clocks;
+pub mod timers;
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
--- a/crates/connections/tests/clocks.rs
+++ b/crates/connections/tests/timers.rs
@@ -1,6 +1,6 @@
 //! When clocks ring.
 
-use pulleystair_connections::clocks::Clocks;
+use pulleystair_connections::timers::Clocks;
 
 /// A desk passes over a timer that rings before its time, and waits for ever if that was its only one.
 #[test]
--- a/crates/edge/src/figures.rs
+++ b/crates/edge/src/active_config.rs
@@ -1,9 +1,9 @@
 //! What this front goes by, read back from what runs: the decisions, the limits, the list. Never from the files that it
 //! was to be read from.
 
+use crate::config::{Budget, Rundown, Rung};
 use crate::edge::Edge;
-use crate::listing::{List, State};
-use crate::rundown::{Budget, Rundown, Rung};
+use crate::server_list::{List, State};
 use pulleystair::{CallSheet, POLICY, number};
 use pulleystair_drift::{Sections, digest, hex};
 use serde_json::{Value, json};
@@ -56,10 +56,10 @@
 /// The sections of a rundown, in its own words.
 pub fn sections(it: &Rundown, list: Value) -> Sections {
     let plain = |value: serde_json::Result<Value>| value.unwrap_or(Value::Null);
-    let by_name = |of: &dyn Fn(&crate::rundown::Product) -> Value| -> Value {
+    let by_name = |of: &dyn Fn(&crate::config::Product) -> Value| -> Value {
         it.products.iter().map(|p| (p.name.clone(), of(p))).collect::<serde_json::Map<_, _>>().into()
     };
-    let product = |p: &crate::rundown::Product| {
+    let product = |p: &crate::config::Product| {
         let mut value = plain(serde_json::to_value(p));
         if let Some(value) = value.as_object_mut() {
             ["name", "floor", "seats"].iter().for_each(|part| {
--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/answers.rs
@@ -1,8 +1,8 @@
 //! Answers written to players, and what their connections do meanwhile.
 
+use crate::config::Rung;
+use crate::connections::{Doing, Key, Role};
 use crate::http;
-use crate::lines::{Doing, Key, Role};
-use crate::rundown::Rung;
 use crate::sessions::{Final, Life};
 use pulleystair_dash::address;
 use pulleystair_dash::mpd::Presentation;
--- a/crates/edge/src/versions.rs
+++ b/crates/edge/src/approved_versions.rs
@@ -1,8 +1,8 @@
 //! The approved versions: a file that is read at start and looked at while the front runs. One that is no chain, goes not
 //! on from the one in hand, or approves what can't be meant is not taken.
 
+use crate::config::Rundown;
 use crate::edge::Edge;
-use crate::rundown::Rundown;
 use pulleystair_drift::Sections;
 use pulleystair_drift::approved::Chain;
 use serde_json::Value;
--- a/crates/edge/src/company.rs
+++ b/crates/edge/src/company.rs
@@ -1,11 +1,11 @@
 //! The company of other fronts: this front's fellow, its socket, and what they are told of and tell. All that is decided
 //! is decided by the fellow's packages and the module; without peers in the rundown none of it is there.
 
+use crate::config::Rundown;
 use crate::edge::Edge;
 use crate::floor::{Clock, Floor};
-use crate::listing::{List, State, Watched};
-use crate::rundown::Rundown;
-use crate::{figures, versions};
+use crate::server_list::{List, State, Watched};
+use crate::{active_config, approved_versions};
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction};
 use pulleystair::{Given, Outcome};
@@ -89,7 +89,7 @@
             watched
         });
         if let Some(file) = &it.approved {
-            let chain = versions::read(file, rundown)?;
+            let chain = approved_versions::read(file, rundown)?;
             fellow.approved(chain).map_err(|e| anyhow::anyhow!("sharing.approved: {e}"))?;
         }
         let socket = UdpSocket::bind(listen)
@@ -136,7 +136,7 @@
     pub(crate) fn company_listed(&mut self, list: &List) {
         let rundown = &self.rundown;
         let zone = |name: &str| rundown.zones.iter().position(|z| z == name).unwrap_or(0);
-        let listed = |s: &&crate::listing::Server| s.state == State::Ready;
+        let listed = |s: &&crate::server_list::Server| s.state == State::Ready;
         let servers: Vec<Listed> = list
             .servers
             .iter()
@@ -163,7 +163,7 @@
         let titles = rows.into_iter().map(holders).collect();
         let Some(company) = self.company.as_mut() else { return };
         company.names = list.servers.iter().map(|s| (number_of(&s.name), s.name.clone())).collect();
-        company.list = figures::revision(list);
+        company.list = active_config::revision(list);
         company.fellow.list(&servers, titles);
     }
 
--- a/crates/edge/src/rundown/limits.rs
+++ b/crates/edge/src/config/limits.rs
@@ -1,6 +1,6 @@
 //! How much a front takes on, holds and waits for.
 
-use pulleystair_admission::{limit, queue, reads};
+use pulleystair_admission::{concurrency, queue, read_retries};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -114,8 +114,8 @@
 }
 
 impl Reads {
-    pub fn terms(&self) -> reads::Terms {
-        reads::Terms { tries: self.tries, span: self.span_ms, share: self.share, free: self.free }
+    pub fn terms(&self) -> read_retries::Terms {
+        read_retries::Terms { tries: self.tries, span: self.span_ms, share: self.share, free: self.free }
     }
 }
 
@@ -158,9 +158,9 @@
 }
 
 impl Admission {
-    pub fn limit(&self) -> limit::Terms {
+    pub fn limit(&self) -> concurrency::Terms {
         let Admission { least, most, tolerance, slack_ms: slack, sample, work_ms: work, .. } = *self;
-        limit::Terms { least, most, tolerance, slack, sample, work }
+        concurrency::Terms { least, most, tolerance, slack, sample, work }
     }
 
     pub fn queue(&self) -> queue::Terms {
--- a/crates/edge/src/rundown/mod.rs
+++ b/crates/edge/src/config/mod.rs
@@ -5,8 +5,8 @@
 mod check;
 mod keys;
 mod limits;
+mod settings;
 mod sharing;
-mod sheet;
 
 pub use keys::{KeyFile, Keys, homes};
 pub use limits::{Admission, Limits, Reads};
--- a/crates/edge/src/lines.rs
+++ b/crates/edge/src/connections.rs
@@ -2,7 +2,7 @@
 
 use crate::edge::Edge;
 use crate::http::Chunks;
-use crate::reading::Reading;
+use crate::segment_read::Reading;
 pub use pulleystair_connections::Key;
 
 pub type Lines = pulleystair_connections::Lines<Edge, Role, Manner>;
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -6,24 +6,24 @@
 //! ([`Floor::answer`]). Segments go by [`Edge::segment`] and [`Edge::errand`]. Files are looked at in `watch`.
 
 use crate::company::Company;
+use crate::config::Rundown;
+use crate::connections::{Doing, Key, Lines, Role, Stage};
 use crate::floor::{Clock, Floor, News, words};
-use crate::lines::{Doing, Key, Lines, Role, Stage};
-use crate::listing::{Known, List, Watched};
-use crate::rundown::Rundown;
 use crate::seals::Seals;
+use crate::server_list::{Known, List, Watched};
 use crate::sessions::{Book, Bounds, Life};
 use crate::tally::Tally;
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction};
 use pulleystair::Outcome;
-use pulleystair_admission::lag::Lag;
-use pulleystair_admission::limit::Limit;
+use pulleystair_admission::concurrency::Limit;
+use pulleystair_admission::loop_lag::Lag;
 use pulleystair_admission::queue::Queue;
-use pulleystair_admission::reads::Fault;
-use pulleystair_admission::wall::Wall;
+use pulleystair_admission::read_retries::Fault;
+use pulleystair_admission::wall_clock::Wall;
 use pulleystair_connections::Owner;
-use pulleystair_connections::clocks::Clocks;
+use pulleystair_connections::timers::Clocks;
 use pulleystair_dispatcher::Desk;
 use std::collections::{HashMap, VecDeque};
 use std::net::TcpListener;
--- a/crates/edge/src/errands.rs
+++ b/crates/edge/src/errands.rs
@@ -1,10 +1,10 @@
 //! Requests to media servers on pooled connections: segments, steps of rung and probes.
 
+use crate::connections::{Errand, Key, Role, What};
 use crate::http;
-use crate::lines::{Errand, Key, Role, What};
-use crate::reading::Head;
+use crate::segment_read::Head;
 use crate::sessions::{Final, Life};
-use pulleystair_admission::reads::{self, Next};
+use pulleystair_admission::read_retries::{self, Next};
 use std::io;
 use tracing::debug;
 
@@ -131,7 +131,7 @@
 
     /// The errand got no answer, or not all of it. A segment's read may go on, on a new connection; a word or a
     /// probe only if it was sent on a connection that the server had closed meanwhile.
-    pub(crate) fn errand_failed(&mut self, key: Key, fault: reads::Fault) {
+    pub(crate) fn errand_failed(&mut self, key: Key, fault: read_retries::Fault) {
         let Some(Role::Errands { server, errand, fresh }) = self.lines.close(key) else { return };
         let now = self.now();
         let at = &mut self.servers[server as usize];
@@ -139,8 +139,10 @@
         at.idle.retain(|k| *k != key);
         let Some(mut errand) = errand else { return };
         let begun = errand.left.is_some();
-        let stale = !fresh && !begun && matches!(fault, reads::Fault::Broken | reads::Fault::Unreachable);
-        let fault = if stale { reads::Fault::Stale } else { fault };
+        let stale = !fresh
+            && !begun
+            && matches!(fault, read_retries::Fault::Broken | read_retries::Fault::Unreachable);
+        let fault = if stale { read_retries::Fault::Stale } else { fault };
         let next = match &errand.reading {
             Some(reading) => at.budget.after(now, &self.rundown.reads.terms(), &reading.so_far(), fault),
             None if stale => Next::Again { from: 0 },
--- a/crates/edge/src/floor.rs
+++ b/crates/edge/src/floor.rs
@@ -2,20 +2,20 @@
 //! and the answers written to players. It never calls the desk; what it finds while the desk is busy goes to
 //! [`Floor::news`], which [`crate::edge`] tells afterwards.
 
-use crate::lines::{Errand, Key, Lines, Role};
-use crate::listing::{Title, Watched};
-use crate::rundown::Rundown;
+use crate::config::Rundown;
+use crate::connections::{Errand, Key, Lines, Role};
 use crate::seals::Seals;
+use crate::server_list::{Title, Watched};
 use crate::sessions::{Book, Final};
 use crate::tally::Tally;
 use calloop::{LoopHandle, RegistrationToken};
 use pulleystair::Outcome;
-use pulleystair_admission::lag::Lag;
-use pulleystair_admission::limit::Limit;
+use pulleystair_admission::concurrency::Limit;
+use pulleystair_admission::loop_lag::Lag;
 use pulleystair_admission::queue::Queue;
-use pulleystair_admission::reads::Budget;
-use pulleystair_admission::wall::Wall;
-use pulleystair_connections::clocks::Clocks;
+use pulleystair_admission::read_retries::Budget;
+use pulleystair_admission::wall_clock::Wall;
+use pulleystair_connections::timers::Clocks;
 use pulleystair_dash::token::Ring;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
--- a/crates/edge/src/hands.rs
+++ b/crates/edge/src/hands.rs
@@ -1,6 +1,6 @@
 //! What the desk has done: allocations, withdrawals, steps, probes and final answers; and servers' figures as it reads them.
 
-use crate::lines::{Errand, Role, Stage, What};
+use crate::connections::{Errand, Role, Stage, What};
 use pulleystair::{Figure, Outcome};
 use pulleystair_dispatcher::Hands;
 use std::collections::HashMap;
--- a/crates/edge/src/main.rs
+++ b/crates/edge/src/main.rs
@@ -2,10 +2,10 @@
 
 use anyhow::Context;
 use clap::{Parser, Subcommand, ValueEnum};
-use pulleystair_edge::ask;
+use pulleystair_edge::approved_versions;
+use pulleystair_edge::config::Rundown;
 use pulleystair_edge::edge::{self, read_list, stop_signals};
-use pulleystair_edge::rundown::Rundown;
-use pulleystair_edge::versions;
+use pulleystair_edge::status;
 use pulleystair_node::Posting;
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -79,10 +79,10 @@
     let (_guard, dropped) = logs(&command)?;
     match command.job {
         Job::Drift { rundown, json } => {
-            let told = ask::ask(&Rundown::read(&rundown)?)?;
-            let text = if json { serde_json::to_string_pretty(&told)? + "\n" } else { ask::table(&told) };
+            let told = status::ask(&Rundown::read(&rundown)?)?;
+            let text = if json { serde_json::to_string_pretty(&told)? + "\n" } else { status::table(&told) };
             std::io::stdout().write_all(text.as_bytes())?;
-            return Ok(ExitCode::from(ask::status(&told)));
+            return Ok(ExitCode::from(status::status(&told)));
         }
         Job::Run { rundown } => edge::run(Rundown::read(&rundown)?, stop, dropped)?,
         Job::Node => {
@@ -93,7 +93,7 @@
             let it = Rundown::read(&rundown)?;
             let list = read_list(&it)?;
             if let Some(file) = &it.sharing.approved {
-                versions::read(file, &it)?;
+                approved_versions::read(file, &it)?;
             }
             println!(
                 "{}: good; {} products, {} rungs, {} servers, {} titles",
--- a/crates/edge/src/players.rs
+++ b/crates/edge/src/players.rs
@@ -1,11 +1,11 @@
 //! What players ask for: manifests, segments and the end of a play, from the first byte to the desk and back.
 
+use crate::config::Effect;
+use crate::connections::{Doing, Errand, Key, Manner, Role, What};
 use crate::edge::Edge;
 use crate::floor::{Clock, words};
 use crate::http;
-use crate::lines::{Doing, Errand, Key, Manner, Role, What};
-use crate::reading::Reading;
-use crate::rundown::Effect;
+use crate::segment_read::Reading;
 use crate::sessions::{Asked, Final, Life, Request};
 use pulleystair::Outcome;
 use pulleystair_admission::homes::home;
--- a/crates/edge/src/seals.rs
+++ b/crates/edge/src/seals.rs
@@ -2,8 +2,8 @@
 //! folder has changed. A bad set is refused whole and the one in service stays; connections that were made under
 //! an old set live on.
 
-use crate::listing::Watched;
-use crate::rundown::Tls;
+use crate::config::Tls;
+use crate::server_list::Watched;
 use pulleystair_tls::{Fault, Sealed};
 use rustls::{ClientConfig, ServerConfig};
 use std::path::Path;
--- a/crates/edge/src/reading.rs
+++ b/crates/edge/src/segment_read.rs
@@ -1,8 +1,8 @@
 //! A segment's read through all its tries: what is asked for, and whether an answer fits what was already given
-//! to the player. What becomes of one that failed is decided by [`pulleystair_admission::reads`].
+//! to the player. What becomes of one that failed is decided by [`pulleystair_admission::read_retries`].
 
 use crate::http::{Answer, Body};
-use pulleystair_admission::reads::{Fault, Read};
+use pulleystair_admission::read_retries::{Fault, Read};
 
 #[derive(Clone, Debug)]
 pub struct Reading {
--- a/crates/edge/src/servers.rs
+++ b/crates/edge/src/servers.rs
@@ -1,14 +1,14 @@
 //! What comes from media servers: set-ups' answers, the notes on plays that run, and the answers to errands.
 
+use crate::connections::{Doing, Key, Role, Stage, What};
 use crate::edge::Edge;
 use crate::floor::words;
 use crate::hands::{figures, note_figures};
 use crate::http::{self, Body};
-use crate::lines::{Doing, Key, Role, Stage, What};
 use crate::sessions::Life;
 use crate::tally::LOST;
 use pulleystair::{Figure, Outcome};
-use pulleystair_admission::reads::Fault;
+use pulleystair_admission::read_retries::Fault;
 use tracing::{debug, warn};
 
 /// A line of a server's notes at most, bytes.
--- a/crates/edge/src/sessions.rs
+++ b/crates/edge/src/sessions.rs
@@ -5,7 +5,7 @@
 //! the same session within `remember` gets that same answer. [`LIVES`] is the whole of it: a step that is not in
 //! that table does not happen.
 
-use crate::listing::Title;
+use crate::server_list::Title;
 use std::collections::{HashMap, HashSet};
 use std::net::IpAddr;
 use std::rc::Rc;
--- a/crates/edge/src/ask.rs
+++ b/crates/edge/src/status.rs
@@ -1,7 +1,7 @@
 //! Asks a front that runs what it knows of the fleet, for `pulleystair-edge drift`.
 
+use crate::config::Rundown;
 use crate::http::{self, Body};
-use crate::rundown::Rundown;
 use anyhow::{Context, bail, ensure};
 use serde_json::Value;
 use std::fmt::Write as _;
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -1,12 +1,12 @@
 //! Files that are looked at while the front runs: the list, token keys, certificates and homes. Each is read and checked
 //! whole; of a bad one nothing is taken, and what is in hand stays.
 
+use crate::config::{Keys, homes};
+use crate::connections::Key;
 use crate::edge::{Edge, known, read_list};
 use crate::floor::Server;
-use crate::lines::Key;
-use crate::listing::{List, Watched};
-use crate::rundown::{Keys, homes};
-use pulleystair_admission::reads::Budget;
+use crate::server_list::{List, Watched};
+use pulleystair_admission::read_retries::Budget;
 use pulleystair_jsonnet::Fault;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -78,7 +78,7 @@
             floor.titles.retain(|_, number| shows.contains_key(number));
         }
         floor.company_listed(&list);
-        let draining = list.servers.iter().filter(|s| s.state == crate::listing::State::Draining).count();
+        let draining = list.servers.iter().filter(|s| s.state == crate::server_list::State::Draining).count();
         info!(target: "list", servers = list.servers.len(), draining, titles = list.titles.len(), "list taken");
         self.desk.list(now, true, old, &lines);
     }
--- a/crates/edge/tests/bounds.rs
+++ b/crates/edge/tests/bounds.rs
@@ -3,7 +3,7 @@
 mod house;
 
 use house::{House, day, get, patient, text};
-use pulleystair_lab::stage::Listed;
+use pulleystair_lab::environment::Listed;
 use pulleystair_rule_checker::What;
 use serde_json::json;
 use test_case::test_case;
--- a/crates/edge/tests/broken.rs
+++ b/crates/edge/tests/broken.rs
@@ -5,7 +5,7 @@
 mod house;
 
 use house::{House, day};
-use pulleystair_lab::stage::Listed;
+use pulleystair_lab::environment::Listed;
 use pulleystair_rule_checker::What;
 use serde_json::{Value, json};
 use std::time::Duration;
--- a/crates/edge/tests/company/mod.rs
+++ b/crates/edge/tests/company/mod.rs
@@ -2,11 +2,11 @@
 #![allow(dead_code)] // Each file of stories uses a part of it.
 
 use crate::house::{self, House};
-use pulleystair_edge::ask::ask;
-use pulleystair_edge::rundown::Rundown;
+use pulleystair_edge::config::Rundown;
+use pulleystair_edge::status::ask;
 use pulleystair_fleet_member::{Exchange, Fellow, Met, Terms, number_of};
 use pulleystair_lab::fronts::name;
-use pulleystair_lab::set::Set;
+use pulleystair_lab::testbed::Set;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
--- a/crates/edge/tests/rundown.rs
+++ b/crates/edge/tests/config.rs
@@ -1,8 +1,8 @@
 //! Rundowns and lists, good and bad: a fault names the file, the path, what was found and what is allowed.
 
 use pulleystair::Value;
+use pulleystair_edge::config::Rundown;
 use pulleystair_edge::edge::read_list;
-use pulleystair_edge::rundown::Rundown;
 use std::path::PathBuf;
 use std::process::Command;
 use test_case::test_case;
--- a/crates/edge/tests/crowds.rs
+++ b/crates/edge/tests/crowds.rs
@@ -8,7 +8,7 @@
 use pulleystair_dash::address;
 use pulleystair_dash::token::Entry;
 use pulleystair_fake_servers::content;
-use pulleystair_fake_servers::wire::Peer;
+use pulleystair_fake_servers::http::Peer;
 use pulleystair_lab::fronts::portal;
 use pulleystair_rule_checker::What;
 use serde_json::json;
--- a/crates/edge/tests/dash.rs
+++ b/crates/edge/tests/dash.rs
@@ -6,7 +6,7 @@
 use house::{House, base, day, get, set_ups, text};
 use pulleystair_fake_servers::content;
 use pulleystair_fake_servers::files::put;
-use pulleystair_fake_servers::wire::Message;
+use pulleystair_fake_servers::http::Message;
 use pulleystair_rule_checker::What;
 use serde_json::{Value, json};
 
--- a/crates/edge/tests/days.rs
+++ b/crates/edge/tests/days.rs
@@ -1,9 +1,9 @@
 //! Short days with all kinds of trouble over each other, under TLS: each request is answered once and in time, no play
 //! ever holds two allocations, and every segment is the one asked for, whatever the seed.
 
-use pulleystair_lab::day::{Outcome, play};
 use pulleystair_lab::fronts::Program;
-use pulleystair_lab::script::Day;
+use pulleystair_lab::scenario::Day;
+use pulleystair_lab::scenario_run::{Outcome, play};
 use pulleystair_rule_checker::What;
 use pulleystair_rule_checker::history::History;
 use serde_json::json;
--- a/crates/edge/tests/failures.rs
+++ b/crates/edge/tests/failures.rs
@@ -5,8 +5,8 @@
 
 use house::{House, base, closed, day, get, patient, set_ups, text};
 use pulleystair_fake_servers::content;
-use pulleystair_fake_servers::wire::Peer;
-use pulleystair_lab::stage::Listed;
+use pulleystair_fake_servers::http::Peer;
+use pulleystair_lab::environment::Listed;
 use serde_json::json;
 use test_case::test_case;
 use tokio::io::AsyncReadExt;
@@ -203,7 +203,7 @@
 #[test_case(|a| a.stall = 1.0; "stalled")]
 #[tokio::test]
 async fn a_segment_that_breaks_off_is_taken_up_where_it_broke(
-    ill: fn(&mut pulleystair_fake_servers::world::Ails),
+    ill: fn(&mut pulleystair_fake_servers::model::Ails),
 ) {
     // Each try brings half of what is left; ten of them leave a 200th, which comes once the server is well.
     let (house, target) = with_segments(json!({ "tries": 50, "free": 100 })).await;
@@ -224,7 +224,7 @@
 #[tokio::test]
 async fn a_segment_that_can_not_go_on_ends_short_and_is_never_patched_up(
     reads: serde_json::Value,
-    ill: fn(&mut pulleystair_fake_servers::world::Ails),
+    ill: fn(&mut pulleystair_fake_servers::model::Ails),
 ) {
     let (house, target) = with_segments(reads).await;
     house.ail(ill);
--- a/crates/edge/tests/house/mod.rs
+++ b/crates/edge/tests/house/mod.rs
@@ -4,12 +4,12 @@
 
 use pulleystair_dash::address;
 use pulleystair_dash::token::Entry;
-use pulleystair_fake_servers::log::Log;
-use pulleystair_fake_servers::wire::{Message, Peer};
-use pulleystair_fake_servers::world::Ails;
+use pulleystair_fake_servers::http::{Message, Peer};
+use pulleystair_fake_servers::model::Ails;
+use pulleystair_fake_servers::recorder::Log;
 use pulleystair_lab::fronts::{FRONT, Program};
-use pulleystair_lab::script::Day;
-use pulleystair_lab::set::Set;
+use pulleystair_lab::scenario::Day;
+use pulleystair_lab::testbed::Set;
 use pulleystair_rule_checker::history::History;
 use pulleystair_rule_checker::rules::check;
 use pulleystair_rule_checker::{Seen, What};
--- a/crates/edge/tests/rollout.rs
+++ b/crates/edge/tests/rollout.rs
@@ -8,8 +8,8 @@
 use house::House;
 use pulleystair_drift::Sections;
 use pulleystair_drift::approved::{Chain, Document, Stage};
-use pulleystair_edge::figures;
-use pulleystair_edge::rundown::Rundown;
+use pulleystair_edge::active_config;
+use pulleystair_edge::config::Rundown;
 use pulleystair_lab::fronts::Program;
 use serde_json::{Value, json};
 use std::path::Path;
@@ -26,7 +26,7 @@
 /// What a rundown comes to, less the list, which changes by itself.
 fn sections(folder: &Path, front: usize) -> Sections {
     let rundown = Rundown::read(&folder.join(format!("front-{front}.json"))).expect("it reads");
-    let mut it = figures::sections(&rundown, Value::Null);
+    let mut it = active_config::sections(&rundown, Value::Null);
     it.remove("list");
     it
 }
--- a/crates/edge/tests/sealed.rs
+++ b/crates/edge/tests/sealed.rs
@@ -4,9 +4,9 @@
 mod house;
 
 use house::{House, base, day, get, set_ups, text};
+use pulleystair_fake_servers::certificates::Authority;
 use pulleystair_fake_servers::files::put;
-use pulleystair_fake_servers::papers::Authority;
-use pulleystair_fake_servers::wire::{Peer, Wire};
+use pulleystair_fake_servers::http::{Peer, Wire};
 use pulleystair_lab::fronts::FRONT;
 use pulleystair_rule_checker::What;
 use serde_json::{Value, json};
--- a/crates/fake-servers/src/lib.rs
+++ b/crates/fake-servers/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-in media servers on loopback. [`world`] is the model of links, racks, streams and cold starts, free
+//! Stand-in media servers on loopback. [`model`] is the model of links, racks, streams and cold starts, free
 //! of I/O; [`server`] speaks the front's side of HTTP over it and breaks it on purpose; [`content`] makes
-//! segments whose bytes can be checked; [`wire`] is the little HTTP that stand-ins and players need. None of
-//! it shares code with the front. What the servers see goes to a [`log::Log`].
+//! segments whose bytes can be checked; [`http`] is the little HTTP that stand-ins and players need. None of
+//! it shares code with the front. What the servers see goes to a [`recorder::Log`].
 //!
 //! The protocol of a media server, as the front uses it:
 //!
@@ -12,10 +12,10 @@
 //! - `GET /load` does nothing. Every answer has an `endpoint-load-metrics` header.
 //! - A play whose connection breaks is freed after a short lease.
 
+pub mod certificates;
 pub mod content;
 pub mod files;
-pub mod log;
-pub mod papers;
+pub mod http;
+pub mod model;
+pub mod recorder;
 pub mod server;
-pub mod wire;
-pub mod world;
--- a/crates/fake-servers/src/server.rs
+++ b/crates/fake-servers/src/server.rs
@@ -1,9 +1,9 @@
 //! The stand-ins' sockets: one listener a server, all over one [`World`].
 
 use crate::content;
-use crate::log::Log;
-use crate::wire::{Message, Peer};
-use crate::world::{Build, Ground, Load, Play, World};
+use crate::http::{Message, Peer};
+use crate::model::{Build, Ground, Load, Play, World};
+use crate::recorder::Log;
 use pulleystair_rule_checker::What;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/crates/fake-servers/tests/stops.rs
+++ b/crates/fake-servers/tests/stops.rs
@@ -2,10 +2,10 @@
 //! servers hangs on that. On one thread the tasks run in a fixed order, so the end can be put after each of their
 //! turns; sockets are looked at every sixty-odd turns.
 
-use pulleystair_fake_servers::log::Log;
+use pulleystair_fake_servers::http::Peer;
+use pulleystair_fake_servers::model::{Build, Ground};
+use pulleystair_fake_servers::recorder::Log;
 use pulleystair_fake_servers::server::Boxes;
-use pulleystair_fake_servers::wire::Peer;
-use pulleystair_fake_servers::world::{Build, Ground};
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::net::TcpStream;
--- a/crates/fleet-member/src/lib.rs
+++ b/crates/fleet-member/src/lib.rs
@@ -18,14 +18,14 @@
 use pulleystair_gossip::{Gossip, Unfit, View};
 use pulleystair_shared_state::budgets::{Budgets, Kind, OWN};
 use pulleystair_shared_state::counts::Counts;
-use pulleystair_shared_state::judgements::{Belief, Judgements};
+use pulleystair_shared_state::server_health::{Belief, Judgements};
 use pulleystair_shared_state::{Given, Heard, Server};
 use pulleystair_whatif::Ledger;
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
 
 pub use pulleystair_gossip::{Out, Terms as Exchange};
-pub use pulleystair_shared_state::judgements::Met;
+pub use pulleystair_shared_state::server_health::Met;
 pub use pulleystair_whatif::{Candidate, Ended};
 
 /// So often its row is written anew, and others' are read, ms; what changes seldom or costs more, every so many times.
--- a/crates/fleet-member/src/said.rs
+++ b/crates/fleet-member/src/said.rs
@@ -6,8 +6,8 @@
 use pulleystair_drift::verdict::Word;
 use pulleystair_gossip::{Gossip, Silence};
 use pulleystair_shared_state::counts::{Bounds, Interval};
+use pulleystair_whatif::aggregates::{Key, Sums};
 use pulleystair_whatif::report::{Over, Report, report};
-use pulleystair_whatif::sums::{Key, Sums};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/fuzz-checks/src/lib.rs
+++ b/crates/fuzz-checks/src/lib.rs
@@ -5,11 +5,11 @@
 use pulleystair_dash::address::{self, Address};
 use pulleystair_dash::mpd;
 use pulleystair_dash::token::{Fault, LONGEST, Ring};
-use pulleystair_dns_discovery as names;
+use pulleystair_dns_discovery as dns;
 use pulleystair_edge::http::{self, Body, Chunks};
 use pulleystair_gossip as gossip;
 use pulleystair_rtsp as rtsp;
-use pulleystair_viewer_protocol as signal;
+use pulleystair_viewer_protocol as protocol;
 
 /// An MPD that reads is written so that it reads as the same, and its segments can be asked for.
 pub fn mpd(bytes: &[u8]) {
@@ -170,11 +170,11 @@
 /// Viewers' messages, what a message reads as when it is written again, and its parameters within its bounds.
 pub fn signal(bytes: &[u8]) {
     cut_anyhow(bytes, |input| {
-        let read = signal::Message::read(input).map_err(|e| e.to_string())?;
+        let read = protocol::Message::read(input).map_err(|e| e.to_string())?;
         Ok(read.map(|(message, used)| {
             let parameters: Vec<_> = message.parameters().map_while(Result::ok).collect();
             if message.parameters().all(|p| p.is_ok()) {
-                let again = signal::write(message.kind, message.session, &parameters);
+                let again = protocol::write(message.kind, message.session, &parameters);
                 assert_eq!(again.as_deref(), Some(&input[..used]), "it is written as it was read");
             }
             let parameters: Vec<_> =
@@ -198,7 +198,7 @@
 
 /// Answers of the name service: read or refused, and never a list that is not whole.
 pub fn names(bytes: &[u8]) {
-    let Ok((_, list)) = names::answer(bytes) else { return };
+    let Ok((_, list)) = dns::answer(bytes) else { return };
     for entry in list {
         assert!(!entry.id.is_empty() && entry.weight.is_finite() && entry.started.is_finite(), "{entry:?}");
     }
--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -2,12 +2,12 @@
 //! plays on the lowest rung that the product allows, and tries again elsewhere as the product permits. It reads
 //! the list once a play, and knows nothing of drains since, of room, cold servers, seats or budgets.
 
-use crate::stage::ms;
+use crate::environment::ms;
 use anyhow::{Context, Result};
 use pulleystair_dash::address::{self, Address, Which};
 use pulleystair_dash::mpd::Presentation;
 use pulleystair_dash::token::{Pass, Ring};
-use pulleystair_fake_servers::wire::{Message, Peer};
+use pulleystair_fake_servers::http::{Message, Peer};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/environment.rs
@@ -1,12 +1,12 @@
 //! The list of servers as fronts are given it, and the troubles of a day.
 
 use crate::fronts::Fronts;
-use crate::script::{Day, Kind, Trouble};
+use crate::scenario::{Day, Kind, Trouble};
 use anyhow::Result;
 use pulleystair_fake_servers::files::put;
-use pulleystair_fake_servers::log::Log;
+use pulleystair_fake_servers::model::Ails;
+use pulleystair_fake_servers::recorder::Log;
 use pulleystair_fake_servers::server::Boxes;
-use pulleystair_fake_servers::world::Ails;
 use pulleystair_rule_checker::What;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
--- a/crates/lab/src/fronts.rs
+++ b/crates/lab/src/fronts.rs
@@ -1,12 +1,12 @@
 //! Real fronts as processes: writes what they are given at start, starts, kills and stops them.
 
-use crate::between::Between;
-use crate::script::Day;
+use crate::relays::Between;
+use crate::scenario::Day;
 use anyhow::{Context, Result, bail, ensure};
 use pulleystair_dash::token::{Entry, Ring};
+use pulleystair_fake_servers::certificates::{Authority, Paper};
 use pulleystair_fake_servers::files::put;
-use pulleystair_fake_servers::log::Log;
-use pulleystair_fake_servers::papers::{Authority, Paper};
+use pulleystair_fake_servers::recorder::Log;
 use pulleystair_rule_checker::What;
 use serde_json::json;
 use std::net::SocketAddr;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -2,16 +2,16 @@
 //! bytes against a direct read. Arrivals are open-loop and latency counts from the intended time, so a front
 //! that falls behind shows; a generator that falls behind says so.
 
+use crate::environment::{Title, ms};
 use crate::fronts::{FRONT, Fronts, Program, portal};
 use crate::report::{Quantiles, quantiles};
-use crate::script::Day;
-use crate::set::Set;
-use crate::stage::{Title, ms};
+use crate::scenario::Day;
+use crate::testbed::Set;
 use anyhow::{Context, Result, ensure};
 use pulleystair_dash::address;
 use pulleystair_dash::token::{Entry, Ring};
+use pulleystair_fake_servers::http::Peer;
 use pulleystair_fake_servers::server::Boxes;
-use pulleystair_fake_servers::wire::Peer;
 use serde::Serialize;
 use serde_json::json;
 use std::net::SocketAddr;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -4,8 +4,8 @@
 use clap::{Parser, Subcommand};
 use pulleystair_dash::{address, token::Entry};
 use pulleystair_lab::fronts::{Program, portal};
-use pulleystair_lab::set::Set;
-use pulleystair_lab::{baseline, day, load, report, script::Day};
+use pulleystair_lab::testbed::Set;
+use pulleystair_lab::{baseline, load, report, scenario::Day, scenario_run};
 use pulleystair_rule_checker::history::History;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -101,7 +101,7 @@
                 Program::edge(edge.map_or_else(beside, Ok)?)
             };
             let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-            let outcome = runtime.block_on(day::play(day.clone(), program, &out))?;
+            let outcome = runtime.block_on(scenario_run::play(day.clone(), program, &out))?;
             let it = report::report(&day, &outcome)?;
             print!("{}", it.text());
             std::fs::write(out.join("report.json"), serde_json::to_string_pretty(&it)?)?;
--- a/crates/lab/src/players.rs
+++ b/crates/lab/src/players.rs
@@ -1,15 +1,15 @@
 //! Players that come by a schedule, open-loop: each asks for a manifest, fetches segments as it plays, retries,
 //! leaves and comes back. They speak to fronts over sockets alone, and log what they see.
 
+use crate::environment::{Title, ms};
 use crate::fronts::{FRONT, Fronts};
-use crate::script::{Day, Kind};
-use crate::stage::{Title, ms};
+use crate::scenario::{Day, Kind};
 use anyhow::Result;
 use pulleystair_dash::address;
 use pulleystair_dash::token::Entry;
 use pulleystair_fake_servers::content;
-use pulleystair_fake_servers::log::Log;
-use pulleystair_fake_servers::wire::{Message, Peer};
+use pulleystair_fake_servers::http::{Message, Peer};
+use pulleystair_fake_servers::recorder::Log;
 use pulleystair_rule_checker::What;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,8 +1,8 @@
 //! What a day came to: lines for a person, a JSON report, and a plot of the plays over time.
 
-use crate::day::Outcome;
 use crate::players::Watched;
-use crate::script::Day;
+use crate::scenario::Day;
+use crate::scenario_run::Outcome;
 use anyhow::{Result, anyhow};
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,7 +1,7 @@
 //! A day's script: the fleet, the products, the players who come and what goes wrong when. Times in the
 //! script are ms or, where the name says so, s; rates are kB a second.
 
-use pulleystair_fake_servers::world::{Build, Ground};
+use pulleystair_fake_servers::model::{Build, Ground};
 use pulleystair_jsonnet::{Fault, load, refused};
 use pulleystair_rule_checker::rules::{self, Terms};
 use rand::rngs::StdRng;
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/scenario_run.rs
@@ -2,10 +2,10 @@
 //! the rules checked.
 
 use crate::fronts::Program;
-use crate::machine::Machine;
+use crate::host_load::Machine;
 use crate::players::{Room, Watched, arrivals, let_come};
-use crate::script::Day;
-use crate::set::Set;
+use crate::scenario::Day;
+use crate::testbed::Set;
 use anyhow::Result;
 use pulleystair_rule_checker::Seen;
 use pulleystair_rule_checker::rules::{Breach, Covered, check};
--- a/crates/lab/src/set.rs
+++ b/crates/lab/src/testbed.rs
@@ -1,10 +1,10 @@
 //! The set of a day: its stand-in servers, its list and its fronts, built but not yet started.
 
+use crate::environment::{Stage, Title, titles};
 use crate::fronts::{Fronts, Program};
-use crate::script::Day;
-use crate::stage::{Stage, Title, titles};
+use crate::scenario::Day;
 use anyhow::{Context, Result};
-use pulleystair_fake_servers::log::Log;
+use pulleystair_fake_servers::recorder::Log;
 use pulleystair_fake_servers::server::{self, Boxes};
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/message-mutation/src/fields.rs
+++ b/crates/message-mutation/src/fields.rs
@@ -3,7 +3,7 @@
 
 use crate::{Kind, To};
 use pulleystair_gossip::message::Message as Row;
-use pulleystair_viewer_protocol::{self as signal, Message};
+use pulleystair_viewer_protocol::{self as protocol, Message};
 use simple_dns::Packet;
 use simple_dns::rdata::RData;
 use std::ops::Range;
@@ -92,7 +92,7 @@
             *value = pick(to, &b"0"[..], GREATEST.as_bytes(), other.and_then(|o| o.get(*code)))?;
         }
     }
-    signal::write(kind, session, &parameters)
+    protocol::write(kind, session, &parameters)
 }
 
 fn set_text(bytes: &[u8], field: usize, to: To, before: Option<&[u8]>) -> Option<Vec<u8>> {
--- a/crates/node/src/floor.rs
+++ b/crates/node/src/floor.rs
@@ -8,7 +8,7 @@
 use calloop::{LoopHandle, RegistrationToken};
 use pulleystair::{Listing, Outcome, Standing};
 use pulleystair_connections::Key;
-use pulleystair_connections::clocks::Clocks;
+use pulleystair_connections::timers::Clocks;
 use std::collections::{HashMap, VecDeque};
 use std::net::{IpAddr, SocketAddr, TcpListener};
 use std::sync::Arc;
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -7,7 +7,7 @@
 use pulleystair::{Figure, Outcome};
 use pulleystair_connections::Key;
 use pulleystair_rtsp::{Message, Start};
-use pulleystair_viewer_protocol::{self as signal, code, kind};
+use pulleystair_viewer_protocol::{self as protocol, code, kind};
 use tracing::{debug, info};
 
 /// Reads of a line in one turn.
@@ -179,7 +179,7 @@
     /// The set-up was answered: its viewer gets the description as it came.
     fn plays(&mut self, now: f64, key: Key, server: u32, play: u64, description: &[u8], load: &[Figure]) {
         self.floor.no_more_open(key, play);
-        let Some(bytes) = signal::write(kind::ANSWER, play, &[(code::DESCRIPTION, description)]) else {
+        let Some(bytes) = protocol::write(kind::ANSWER, play, &[(code::DESCRIPTION, description)]) else {
             self.floor.cut(server, Some(key), play, WITHDRAWN);
             return self.attempt_ended(play, server, Outcome::Error, load);
         };
--- a/crates/node/src/to_viewers.rs
+++ b/crates/node/src/to_viewers.rs
@@ -2,7 +2,7 @@
 
 use crate::floor::{Floor, OWED, OWED_MOST, Role, Told, UNREAD};
 use pulleystair_connections::Key;
-use pulleystair_viewer_protocol::{self as signal, code, kind};
+use pulleystair_viewer_protocol::{self as protocol, code, kind};
 use std::net::IpAddr;
 use tracing::debug;
 
@@ -32,7 +32,7 @@
         if pause != "0" {
             parameters.push((code::STAY_AWAY, pause.as_bytes()));
         }
-        if let Some(bytes) = signal::write(kind::RELEASE, play, &parameters) {
+        if let Some(bytes) = protocol::write(kind::RELEASE, play, &parameters) {
             self.write_viewer(key, &bytes);
         }
     }
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -1,5 +1,5 @@
 //! What the fronts of a fleet share, as one of them sees it: [`budgets`] by parts that are lent for a span, [`counts`] of
-//! plays as intervals, and [`judgements`] on media servers. No I/O: what is heard of other fronts comes in as [`Heard`],
+//! plays as intervals, and [`server_health`] on media servers. No I/O: what is heard of other fronts comes in as [`Heard`],
 //! what this front says of itself goes out as bytes for its own row, and what the decisions are told is a plain [`Given`].
 //!
 //! Nothing here is agreed on: each front reads all rows and works out for itself what to believe. Without a word from
@@ -7,7 +7,7 @@
 
 pub mod budgets;
 pub mod counts;
-pub mod judgements;
+pub mod server_health;
 
 use serde::Serialize;
 
--- a/crates/shared-state/tests/beliefs.rs
+++ b/crates/shared-state/tests/beliefs.rs
@@ -2,7 +2,7 @@
 //! are old.
 
 use pulleystair_shared_state::counts::{Bounds, Counts};
-use pulleystair_shared_state::judgements::{Belief, Judgements, Met, WINDOW};
+use pulleystair_shared_state::server_health::{Belief, Judgements, Met, WINDOW};
 use pulleystair_shared_state::{Heard, Server};
 use std::collections::BTreeMap;
 use test_case::test_case;
--- a/crates/whatif/src/lib.rs
+++ b/crates/whatif/src/lib.rs
@@ -1,7 +1,7 @@
 //! What would set-ups have taken, had plays gone to other holders than those drawn? The mechanism draws at random, so the
 //! chance of each choice is known exactly, and outcomes can be weighed by it; no request is ever sent for this.
 //!
-//! [`Ledger`] is one front's own: the choices that are out, and bounded [`sums`] of those that ended. [`report`] is what
+//! [`Ledger`] is one front's own: the choices that are out, and bounded [`aggregates`] of those that ended. [`report`] is what
 //! the sums of all fronts that are heard say: set-up times under a few policies, by class of title and by title, the
 //! servers that are slower than the others, and what the routing lost. No I/O.
 //!
@@ -11,13 +11,13 @@
 //!   often a row comes, and whichever way two parts of a fleet meet again, nothing counts twice.
 //! - A server that restarted is another server.
 
+pub mod aggregates;
 pub mod censored;
 pub mod report;
-pub mod sums;
 
+use aggregates::{Key, POLICIES, Policy, ServerSums, Stratum};
 use censored::Times;
 use std::collections::{BTreeMap, VecDeque};
-use sums::{Key, POLICIES, Policy, ServerSums, Stratum};
 
 /// Choices that are out at a time, strata of a bucket and servers, at most; what is beyond is not counted, or goes to
 /// the class as a whole.
@@ -199,6 +199,6 @@
 
     /// This front's sums as cells.
     pub fn cells(&self) -> Vec<Vec<u8>> {
-        sums::cells(&self.strata, &self.servers)
+        aggregates::cells(&self.strata, &self.servers)
     }
 }
--- a/crates/whatif/src/report.rs
+++ b/crates/whatif/src/report.rs
@@ -1,6 +1,6 @@
 //! What the sums say, with how surely, and where they may not say.
 
-use crate::sums::{POLICIES, Plain, Policy, ServerSums, Stratum, Sums};
+use crate::aggregates::{POLICIES, Plain, Policy, ServerSums, Stratum, Sums};
 use serde::Serialize;
 
 /// Standard errors to either side of a 90% interval.
@@ -91,7 +91,7 @@
 pub fn policies(over: &Over, it: &Stratum) -> Vec<OfPolicy> {
     let n = f64::from(it.n);
     let quiet = !silent(over, n, f64::from(it.given_up)).is_empty();
-    let of = |(policy, sums): (&Policy, &crate::sums::PolicySums)| {
+    let of = |(policy, sums): (&Policy, &crate::aggregates::PolicySums)| {
         let effective = sums.inverse.effective();
         let say = |it: Option<(f64, f64)>| {
             it.filter(|_| !quiet && effective >= LEAST).map(|it| widened(over, it, NINETY))
@@ -142,7 +142,7 @@
 }
 
 /// What all of it says, or what is said of one class or title.
-pub fn report(over: Over, sums: &Sums, of: impl Fn(&crate::sums::Key) -> bool) -> Report {
+pub fn report(over: Over, sums: &Sums, of: impl Fn(&crate::aggregates::Key) -> bool) -> Report {
     let whole = sums.whole(of);
     let because = silent(&over, f64::from(whole.n), f64::from(whole.given_up));
     let policies = policies(&over, &whole);
--- a/crates/whatif/tests/estimates.rs
+++ b/crates/whatif/tests/estimates.rs
@@ -1,8 +1,8 @@
 //! Estimates against days whose truth is known.
 
 use oorandom::Rand64;
+use pulleystair_whatif::aggregates::{Policy, Sums};
 use pulleystair_whatif::report::{Over, Report, report};
-use pulleystair_whatif::sums::{Policy, Sums};
 use pulleystair_whatif::{Candidate, Ended, Ledger};
 use test_case::test_case;
 
