--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -8,7 +8,7 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
-use rustls::Connection as Seal;
+use rustls::Connection as TlsConnection;
 use slab::Slab;
 use socket2::{Domain, Socket, Type};
 use std::io::{self, Read, Write};
@@ -26,15 +26,15 @@
 /// Bytes that are handed to a seal at a time.
 const SEALED: usize = 64 << 10;
 
-pub struct Line<R, M = ()> {
+pub struct Line<R, O = ()> {
     stream: Rc<TcpStream>,
-    seal: Option<Box<Seal>>,
+    seal: Option<Box<TlsConnection>>,
     /// Why the handshake, or what came under the seal, was not taken.
     pub unsealed: Option<rustls::Error>,
     source: RegistrationToken,
     pub role: R,
     /// How the owner is to go about what it now does on it.
-    pub manner: M,
+    pub manner: O,
     pub input: Vec<u8>,
     output: Vec<u8>,
     sent: usize,
@@ -51,7 +51,7 @@
     shaken: bool,
 }
 
-impl<R, M> Line<R, M> {
+impl<R, O> Line<R, O> {
     /// Reads what is there until `input` holds `most` bytes; true if anything came.
     pub fn read(&mut self, most: usize) -> bool {
         let before = self.input.len();
@@ -215,7 +215,7 @@
 
 /// Reads what came under a seal, as from a stream.
 fn unseal(
-    seal: &mut Seal,
+    seal: &mut TlsConnection,
     stream: &TcpStream,
     part: &mut [u8],
     unsealed: &mut Option<rustls::Error>,
@@ -264,18 +264,18 @@
     fn line_ready(&mut self, key: Key);
 }
 
-pub struct Lines<O: Owner, R, M = ()> {
-    lines: Slab<(u32, Line<R, M>)>,
+pub struct Lines<H: Owner, R, O = ()> {
+    lines: Slab<(u32, Line<R, O>)>,
     generation: u32,
-    handle: LoopHandle<'static, O>,
+    handle: LoopHandle<'static, H>,
 }
 
-impl<O: Owner, R, M: Default> Lines<O, R, M> {
-    pub fn new(handle: LoopHandle<'static, O>) -> Lines<O, R, M> {
+impl<H: Owner, R, O: Default> Lines<H, R, O> {
+    pub fn new(handle: LoopHandle<'static, H>) -> Lines<H, R, O> {
         Lines { lines: Slab::new(), generation: 0, handle }
     }
 
-    pub fn open(&mut self, stream: TcpStream, seal: Option<Seal>, role: R) -> io::Result<Key> {
+    pub fn open(&mut self, stream: TcpStream, seal: Option<TlsConnection>, role: R) -> io::Result<Key> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         self.generation = self.generation.wrapping_add(1);
@@ -296,7 +296,7 @@
             unsealed: None,
             source,
             role,
-            manner: M::default(),
+            manner: O::default(),
             input: Vec::new(),
             output: Vec::new(),
             sent: 0,
@@ -313,7 +313,7 @@
         Ok(key)
     }
 
-    pub fn get(&mut self, key: Key) -> Option<&mut Line<R, M>> {
+    pub fn get(&mut self, key: Key) -> Option<&mut Line<R, O>> {
         let (generation, line) = self.lines.get_mut(key as u32 as usize)?;
         (*generation == (key >> 32) as u32).then_some(line)
     }
--- a/crates/dispatcher/src/hands.rs
+++ b/crates/dispatcher/src/hands.rs
@@ -15,8 +15,8 @@
     fn declined(&mut self, play: u64, pause: f64);
     /// The final answer: never, and an allocation may have run.
     fn failed(&mut self, play: u64);
-    /// Ring with this mark once `wait` ms have passed. A timer is never taken back: stale ones do no harm.
-    fn wake(&mut self, mark: u32, wait: f64);
+    /// Ring with this `timer` once `delay` ms have passed. A timer is never taken back: stale ones do no harm.
+    fn wake(&mut self, timer: u32, delay: f64);
     /// Ask for changes of the list.
     fn follow(&mut self);
 }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -74,10 +74,10 @@
     }
 
     /// Asks discovery for changes, now or later, where the front says that it must be asked.
-    pub fn follow(&mut self, failed: bool, hands: &mut impl Hands) {
+    pub fn follow(&mut self, failed: bool, actions: &mut impl Hands) {
         match self.front.follow(failed) {
-            Some(0.0) => hands.follow(),
-            Some(pause) => hands.wake(FOLLOW, pause),
+            Some(0.0) => actions.follow(),
+            Some(pause) => actions.wake(FOLLOW, pause),
             None => {}
         }
     }
@@ -148,27 +148,27 @@
     }
 
     /// A viewer asks for a play that has not been in hand before.
-    pub fn take(&mut self, now: f64, id: u64, wish: &Wish, hands: &mut impl Hands) {
+    pub fn take(&mut self, now: f64, id: u64, wish: &Wish, actions: &mut impl Hands) {
         let ply = self.keep(id, wish);
         self.front.take(now, &mut self.plays[ply]);
-        self.ask(now, ply, hands);
+        self.ask(now, ply, actions);
     }
 
     /// A play that ran at this server before this front started.
-    pub fn adopt(&mut self, now: f64, id: u64, wish: &Wish, server: u32, hands: &mut impl Hands) {
+    pub fn adopt(&mut self, now: f64, id: u64, wish: &Wish, server: u32, actions: &mut impl Hands) {
         let server = self.servers.of(server);
         let ply = self.keep(id, wish);
         self.plays[ply].server = Some(server);
         self.front.adopt(now, &mut self.plays, ply);
-        self.set_timer(now, ply, hands);
+        self.set_timer(now, ply, actions);
     }
 
     /// The allocation that was out plays.
-    pub fn playing(&mut self, now: f64, id: u64, hands: &mut impl Hands) {
+    pub fn playing(&mut self, now: f64, id: u64, actions: &mut impl Hands) {
         if let Some(&ply) = self.by_id.get(&id) {
             self.front.after(now, &mut self.plays, ply, Outcome::Playing, false);
             self.told = true;
-            self.set_timer(now, ply, hands);
+            self.set_timer(now, ply, actions);
         }
     }
 
@@ -182,63 +182,63 @@
         outcome: Outcome,
         closed: bool,
         load: &[Figure],
-        hands: &mut impl Hands,
+        actions: &mut impl Hands,
     ) {
         let at = self.servers.of(server);
         let ply = self.by_id.get(&id).copied();
         let next = ply.map(|ply| (ply, self.front.after(now, &mut self.plays, ply, outcome, closed)));
         self.told = true;
-        self.figures(now, at, None, load, hands);
+        self.figures(now, at, None, load, actions);
         match next {
-            Some((ply, Next::Ask)) => self.ask(now, ply, hands),
+            Some((ply, Next::Ask)) => self.ask(now, ply, actions),
             Some((ply, Next::Nothing)) => self.release(ply),
             None => {}
         }
     }
 
     /// The viewer left, or the play's end was reported from elsewhere.
-    pub fn left(&mut self, id: u64, hands: &mut impl Hands) {
+    pub fn left(&mut self, id: u64, actions: &mut impl Hands) {
         if let Some(&ply) = self.by_id.get(&id) {
             self.front.left(&mut self.plays, ply);
             if self.plays[ply].server.is_some() {
-                hands.withdraw(id);
+                actions.withdraw(id);
             }
             self.release(ply);
         }
     }
 
     /// The host stops and can hold nothing any longer: for all that has no answer yet, the time is up.
-    pub fn time_is_up(&mut self, now: f64, hands: &mut impl Hands) {
+    pub fn time_is_up(&mut self, now: f64, actions: &mut impl Hands) {
         let mut open: Vec<usize> =
             self.by_id.values().copied().filter(|ply| !self.plays[*ply].playing).collect();
         open.sort_unstable();
         for ply in open {
             self.plays[ply].limit = now;
             if self.plays[ply].server.is_some() {
-                hands.withdraw(self.slots[ply].0);
+                actions.withdraw(self.slots[ply].0);
             } else {
-                self.ask(now, ply, hands);
+                self.ask(now, ply, actions);
             }
         }
     }
 
     /// A timer rings.
-    pub fn rings(&mut self, now: f64, mark: u32, hands: &mut impl Hands) {
+    pub fn rings(&mut self, now: f64, mark: u32, actions: &mut impl Hands) {
         let ply = mark as usize;
         if mark == ROUND {
             self.runs = false;
         } else if mark == FOLLOW {
-            self.follow(false, hands);
+            self.follow(false, actions);
         } else if self.slots.get(ply).and_then(|s| s.1).is_some_and(|due| due <= now) {
             self.slots[ply].1 = None;
-            self.ask(now, ply, hands);
+            self.ask(now, ply, actions);
         }
     }
 
     /// To be called at the end of each turn of the host's. Facts that were told in it may have taken a waiting play's last hope, or
     /// brought its turn: all that wait are asked about anew, once for all facts of the turn; a crowd over several turns. True if
     /// any were.
-    pub fn turn_ends(&mut self, now: f64, hands: &mut impl Hands) -> bool {
+    pub fn turn_ends(&mut self, now: f64, actions: &mut impl Hands) -> bool {
         if self.round.is_empty() && std::mem::take(&mut self.told) {
             self.round.extend(&self.waiting);
         }
@@ -248,28 +248,28 @@
             let Some(ply) = self.round.pop_front() else { break };
             if self.waiting.contains(&ply) {
                 self.may_ask.0 -= 1.0;
-                self.ask(now, ply, hands);
+                self.ask(now, ply, actions);
                 asked = true;
             }
         }
         if !self.round.is_empty() && !self.runs {
             self.runs = true;
-            hands.wake(ROUND, 1.0);
+            actions.wake(ROUND, 1.0);
         }
         asked
     }
 
     /// What a server tells of its load, in an answer or a probe's.
-    pub fn report(&mut self, now: f64, server: u32, load: &[Figure], hands: &mut impl Hands) {
+    pub fn report(&mut self, now: f64, server: u32, load: &[Figure], actions: &mut impl Hands) {
         let server = self.servers.of(server);
-        self.figures(now, server, None, load, hands);
+        self.figures(now, server, None, load, actions);
     }
 
     /// What a server tells on one of its plays.
-    pub fn note(&mut self, now: f64, id: u64, server: u32, figure: Figure, hands: &mut impl Hands) {
+    pub fn note(&mut self, now: f64, id: u64, server: u32, figure: Figure, actions: &mut impl Hands) {
         let server = self.servers.of(server);
         if let Some(&ply) = self.by_id.get(&id) {
-            self.figures(now, server, Some(ply), &[figure], hands);
+            self.figures(now, server, Some(ply), &[figure], actions);
         }
     }
 
@@ -297,27 +297,27 @@
     }
 
     /// Asks where a play goes, and has it carried out.
-    fn ask(&mut self, now: f64, ply: usize, hands: &mut impl Hands) {
+    fn ask(&mut self, now: f64, ply: usize, actions: &mut impl Hands) {
         let id = self.slots[ply].0;
         let was = self.plays[ply].rung;
         let (place, steps) = self.front.place(now, &mut self.plays, ply);
-        self.steps(now, &steps, hands);
+        self.steps(now, &steps, actions);
         match place {
             Place::Send { server, rung, time_out, odds } => {
                 let odds: Vec<_> =
                     odds.iter().map(|o| (self.servers.ids[o.server], o.chance, o.room)).collect();
-                hands.chose(id, &odds);
-                hands.send(id, self.servers.ids[server], rung, time_out);
+                actions.chose(id, &odds);
+                actions.send(id, self.servers.ids[server], rung, time_out);
             }
-            Place::Stays { rung } if rung != was => hands.step(id, rung),
+            Place::Stays { rung } if rung != was => actions.step(id, rung),
             Place::Stays { .. } => {}
             Place::NotYet { sound_out } => {
-                sound_out.iter().for_each(|server| hands.probe(self.servers.ids[*server]));
+                sound_out.iter().for_each(|server| actions.probe(self.servers.ids[*server]));
             }
-            Place::Declined { pause } => hands.declined(id, pause),
-            Place::Failed => hands.failed(id),
+            Place::Declined { pause } => actions.declined(id, pause),
+            Place::Failed => actions.failed(id),
         }
-        self.set_timer(now, ply, hands);
+        self.set_timer(now, ply, actions);
         let play = &self.plays[ply];
         if play.over || play.playing || play.server.is_some() {
             self.waiting.remove(&ply);
@@ -334,29 +334,29 @@
         server: usize,
         of: Option<usize>,
         load: &[Figure],
-        hands: &mut impl Hands,
+        actions: &mut impl Hands,
     ) {
         self.told |= !load.is_empty();
         for figure in load {
             let steps = self.front.figure(now, &mut self.plays, server, of, *figure);
-            self.steps(now, &steps, hands);
+            self.steps(now, &steps, actions);
         }
     }
 
-    fn steps(&mut self, now: f64, steps: &Steps, hands: &mut impl Hands) {
+    fn steps(&mut self, now: f64, steps: &Steps, actions: &mut impl Hands) {
         for (ply, rung) in steps {
-            hands.step(self.slots[*ply].0, *rung);
-            self.set_timer(now, *ply, hands);
+            actions.step(self.slots[*ply].0, *rung);
+            self.set_timer(now, *ply, actions);
         }
     }
 
     /// Sets the play's timer anew where the wait has changed; stale ones are passed over when they ring.
-    fn set_timer(&mut self, now: f64, ply: usize, hands: &mut impl Hands) {
+    fn set_timer(&mut self, now: f64, ply: usize, actions: &mut impl Hands) {
         let due = self.front.wait(now, &self.plays[ply]).map(|wait| (wait, now + wait));
         if due.map(|d| d.1) != self.slots[ply].1 {
             self.slots[ply].1 = due.map(|d| d.1);
             if let Some((wait, _)) = due {
-                hands.wake(ply as u32, wait);
+                actions.wake(ply as u32, wait);
             }
         }
     }
--- a/crates/edge/src/main.rs
+++ b/crates/edge/src/main.rs
@@ -6,7 +6,7 @@
 use pulleystair_edge::config::Rundown;
 use pulleystair_edge::edge::{self, read_list, stop_signals};
 use pulleystair_edge::status;
-use pulleystair_node::Posting;
+use pulleystair_node::Posting as NodeConfig;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -87,7 +87,7 @@
         Job::Run { rundown } => edge::run(Rundown::read(&rundown)?, stop, dropped)?,
         Job::Node => {
             let path = std::env::var_os("PROXY_CONFIG").context("PROXY_CONFIG names no file")?;
-            pulleystair_node::run(Posting::read(Path::new(&path))?, stop)?;
+            pulleystair_node::run(NodeConfig::read(Path::new(&path))?, stop)?;
         }
         Job::Check { rundown } => {
             let it = Rundown::read(&rundown)?;
--- a/crates/node/src/floor.rs
+++ b/crates/node/src/floor.rs
@@ -1,9 +1,9 @@
 //! What a node keeps: the lines, the sessions that viewers asked for, the media servers, and the clocks. What is written to either
 //! side is in `to_viewers` and `to_servers`, what the desk has done in `hands`.
 
+use crate::config::{Posting, Terms};
 use crate::ended::Ended;
 use crate::node::Node;
-use crate::posting::{Posting, Terms};
 use crate::shares::Shares;
 use calloop::{LoopHandle, RegistrationToken};
 use pulleystair::{Listing, Outcome, Standing};
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! The front on the platform's protocol: viewers' binary messages, media servers' RTSP, the list by DNS. `posting` is what a
+//! The front on the platform's protocol: viewers' binary messages, media servers' RTSP, the list by DNS. `config` is what a
 //! node is given at start, `node` its loop, `stopping` its end, `viewers` and `servers` what comes from either, `asked` a set-up as it
 //! is read, `attempts` those on their way, `listing` the list of servers, `floor` what is kept of all that, `hands` what the desk has
 //! done, `to_viewers` and `to_servers` what is written, `ended` what has ended lately, `shares` how the descriptors are shared out. It
@@ -6,12 +6,12 @@
 
 mod asked;
 mod attempts;
+mod config;
 mod ended;
 mod floor;
 mod hands;
 mod listing;
 mod node;
-mod posting;
 mod servers;
 mod shares;
 mod stopping;
@@ -19,5 +19,5 @@
 mod to_viewers;
 mod viewers;
 
+pub use config::Posting;
 pub use node::run;
-pub use posting::Posting;
--- a/crates/node/src/listing.rs
+++ b/crates/node/src/listing.rs
@@ -1,8 +1,8 @@
 //! The list of media servers: what is known at the start, and the name service asked for the rest, again and again.
 
+use crate::config::Posting;
 use crate::floor::{Clock, Floor, News};
 use crate::node::Node;
-use crate::posting::Posting;
 use crate::shares::{SOON, lacks};
 use anyhow::Context;
 use calloop::generic::Generic;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -3,9 +3,9 @@
 //!
 //! A play's way: `viewers` takes the set-up, the desk sends it ([`Floor::send`]), `servers` takes the answer and hands it on.
 
+use crate::config::Posting;
 use crate::floor::{Clock, FAILED, Floor, Role, Server};
 use crate::listing::Asking;
-use crate::posting::Posting;
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, Mode, PostAction};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -28,8 +28,8 @@
 }
 
 /// A number of the call sheet, or this one where it has none of that name.
-pub fn number(sheet: &CallSheet, name: &str, otherwise: f64) -> f64 {
-    if let Some(Value::Number(n)) = sheet.get(name) { *n } else { otherwise }
+pub fn number(settings: &CallSheet, name: &str, default: f64) -> f64 {
+    if let Some(Value::Number(n)) = settings.get(name) { *n } else { default }
 }
 
 /// A viewer's session, kept by the caller in a slice and named by its index there.
