--- a/crates/dispatcher/tests/cold_fleet.rs
+++ b/crates/dispatcher/tests/cold_fleet.rs
@@ -2,8 +2,8 @@
 //! title, lists told late, fronts that restart and do not know what they sent. What is asserted is the bound at the head of
 //! `src/logic/pace.rs`: in no window is a server sent more than its budget N and 2 root N + 2.
 
-use pulleystair::{CallSheet, Figure, Listing, Outcome, Standing, Value};
-use pulleystair_dispatcher::{Desk, Hands, Wish};
+use pulleystair::{Listing, LoadMetric, Outcome, Settings, Standing, Value};
+use pulleystair_dispatcher::{Actions, Dispatcher, PlayRequest};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use test_case::test_case;
@@ -38,21 +38,21 @@
     wakes: Vec<(u32, f64)>,
 }
 
-impl Hands for Noted {
+impl Actions for Noted {
     fn send(&mut self, play: u64, server: u32, _: usize, _: f64) {
         self.sends.push((play, server));
     }
     fn withdraw(&mut self, _: u64) {}
-    fn step(&mut self, _: u64, _: usize) {}
+    fn set_rung(&mut self, _: u64, _: usize) {}
     fn probe(&mut self, server: u32) {
         self.probes.push(server);
     }
-    fn declined(&mut self, _: u64, _: f64) {}
-    fn failed(&mut self, _: u64) {}
-    fn wake(&mut self, mark: u32, wait: f64) {
+    fn decline(&mut self, _: u64, _: f64) {}
+    fn fail(&mut self, _: u64) {}
+    fn set_timer(&mut self, mark: u32, wait: f64) {
         self.wakes.push((mark, wait));
     }
-    fn follow(&mut self) {}
+    fn watch_list(&mut self) {}
 }
 
 /// A fleet: how many fronts and cells, how many set-ups a second for each cell, how much later than its fellows a front is told of a
@@ -79,7 +79,7 @@
     next: u64,
     events: BinaryHeap<Reverse<(u64, u64)>>,
     what: BTreeMap<u64, Event>,
-    desks: Vec<Desk>,
+    desks: Vec<Dispatcher>,
     /// How often each front was started, so that what concerns an earlier start is passed over.
     starts: Vec<u64>,
     weights: Vec<f64>,
@@ -90,7 +90,7 @@
     plays: u64,
 }
 
-fn sheet(fleet: &Fleet, rank: usize) -> CallSheet {
+fn sheet(fleet: &Fleet, rank: usize) -> Settings {
     let numbers = [
         ("balancers", fleet.fronts as f64),
         ("rank", rank as f64),
@@ -118,7 +118,7 @@
         ("rules.cold_from", FROM),
         ("rules.overload_factor", FACTOR),
     ];
-    let mut sheet: CallSheet =
+    let mut sheet: Settings =
         numbers.iter().map(|(name, value)| ((*name).to_string(), Value::Number(*value))).collect();
     sheet.insert("products.0.effect".into(), Value::Text("read_like".into()));
     sheet
@@ -144,7 +144,9 @@
             next: 0,
             events: BinaryHeap::new(),
             what: BTreeMap::new(),
-            desks: (0..fleet.fronts).map(|f| Desk::new(sheet(&fleet, f), seed * 1_000 + f as u64)).collect(),
+            desks: (0..fleet.fronts)
+                .map(|f| Dispatcher::new(sheet(&fleet, f), seed * 1_000 + f as u64))
+                .collect(),
             starts: vec![0; fleet.fronts],
             weights,
             listings: (0..fleet.cells).map(line).collect(),
@@ -174,18 +176,18 @@
 
     fn tell(&mut self, front: usize, cached: bool) {
         let lines: Vec<(u32, Listing)> = self.listings.iter().map(|l| (l.server as u32, *l)).collect();
-        self.call(front, &mut |desk, now, _| desk.list(now, true, cached, &lines));
+        self.call(front, &mut |desk, now, _| desk.update_list(now, true, cached, &lines));
     }
 
-    fn load(&self, server: u32) -> Vec<Figure> {
+    fn load(&self, server: u32) -> Vec<LoadMetric> {
         let there = *self.playing.get(&server).unwrap_or(&0) as f64;
-        vec![Figure::Link(there * 800.0 / LINK), Figure::Streams(there)]
+        vec![LoadMetric::Link(there * 800.0 / LINK), LoadMetric::Streams(there)]
     }
 
-    fn call(&mut self, front: usize, what: &mut dyn FnMut(&mut Desk, f64, &mut Noted)) {
+    fn call(&mut self, front: usize, what: &mut dyn FnMut(&mut Dispatcher, f64, &mut Noted)) {
         let mut noted = Noted::default();
         what(&mut self.desks[front], self.now, &mut noted);
-        while self.desks[front].turn_ends(self.now, &mut noted) {}
+        while self.desks[front].end_turn(self.now, &mut noted) {}
         let start = self.starts[front];
         for (mark, wait) in std::mem::take(&mut noted.wakes) {
             self.after(wait, Event::Wake(front, mark, start));
@@ -198,7 +200,7 @@
         }
         for server in std::mem::take(&mut noted.probes) {
             let load = self.load(server);
-            self.call(front, &mut |desk, now, noted| desk.report(now, server, &load, noted));
+            self.call(front, &mut |desk, now, noted| desk.on_load_report(now, server, &load, noted));
         }
     }
 
@@ -206,8 +208,16 @@
         self.plays += 1;
         let (play, first_cell) = (self.plays, title as usize % self.fleet.cells);
         let (came, limit) = (self.now, self.now + 3_000.0);
-        let wish = Wish { product: 0, title, first_cell, holders: self.fleet.holders, top: 2, came, limit };
-        self.call(front, &mut |desk, now, noted| desk.take(now, play, &wish, noted));
+        let wish = PlayRequest {
+            product: 0,
+            title,
+            first_cell,
+            holders: self.fleet.holders,
+            max_rung: 2,
+            arrived_at: came,
+            deadline: limit,
+        };
+        self.call(front, &mut |desk, now, noted| desk.add_play(now, play, &wish, noted));
     }
 
     /// A front, the busier the likelier.
@@ -232,7 +242,7 @@
             }
             Event::Crowd(front, cell) => self.comes(front, cell as u64),
             Event::Wake(front, mark, start) if self.starts[front] == start => {
-                self.call(front, &mut |desk, now, noted| desk.rings(now, mark, noted));
+                self.call(front, &mut |desk, now, noted| desk.on_timer(now, mark, noted));
             }
             Event::Answered(front, play, server) => {
                 if self.desks[front].play(play).is_none() {
@@ -240,15 +250,15 @@
                 }
                 if self.listings.iter().all(|l| l.server as u32 != server) {
                     self.call(front, &mut |desk, now, noted| {
-                        desk.ended(now, play, server, Outcome::NeverSent, false, &[], noted);
+                        desk.on_allocation_ended(now, play, server, Outcome::NeverSent, false, &[], noted);
                     });
                     return true;
                 }
                 *self.playing.entry(server).or_default() += 1;
                 let load = self.load(server);
                 self.call(front, &mut |desk, now, noted| {
-                    desk.playing(now, play, noted);
-                    desk.report(now, server, &load, noted);
+                    desk.on_playing(now, play, noted);
+                    desk.on_load_report(now, server, &load, noted);
                 });
                 let life = -(1.0 - self.rnd.rand_float()).ln() * LIFE;
                 self.after(life, Event::Ends(front, play, server));
@@ -259,7 +269,7 @@
                 }
                 let load = self.load(server);
                 self.call(front, &mut |desk, now, noted| {
-                    desk.ended(now, play, server, Outcome::Finished, true, &load, noted);
+                    desk.on_allocation_ended(now, play, server, Outcome::Finished, true, &load, noted);
                 });
             }
             Event::Replaced(new) => {
@@ -269,7 +279,7 @@
                     cell,
                     standing: Standing::Ready,
                     weight: 1.0,
-                    born: self.now,
+                    started_at: self.now,
                     ..Listing::default()
                 };
                 let old = self.listings.iter_mut().find(|l| l.cell == cell).expect("one a cell");
@@ -293,7 +303,7 @@
             Event::Restarts(front) => {
                 self.starts[front] += 1;
                 let seed = self.seed * 1_000 + front as u64 + 7_777 * self.starts[front];
-                self.desks[front] = Desk::new(sheet(&self.fleet, front), seed);
+                self.desks[front] = Dispatcher::new(sheet(&self.fleet, front), seed);
                 self.tell(front, true);
                 self.after(200.0, Event::Told(front));
             }
@@ -325,7 +335,8 @@
     while day.now < end && day.step() {}
     let (mut broken, mut used, mut may) = (0, 0.0, 0.0);
     for (server, sends) in &day.cold {
-        let Some(born) = day.listings.iter().find(|l| l.server as u32 == *server).map(|l| l.born) else {
+        let Some(born) = day.listings.iter().find(|l| l.server as u32 == *server).map(|l| l.started_at)
+        else {
             continue;
         };
         let over = |at: &f64| {
--- a/crates/dispatcher/tests/giving_up.rs
+++ b/crates/dispatcher/tests/giving_up.rs
@@ -3,12 +3,12 @@
 mod notebook;
 
 use notebook::{Deed, Notebook};
-use pulleystair::{CallSheet, Figure, Listing, Outcome, Standing, Value};
-use pulleystair_dispatcher::{Desk, Wish};
+use pulleystair::{Listing, LoadMetric, Outcome, Settings, Standing, Value};
+use pulleystair_dispatcher::{Dispatcher, PlayRequest};
 use test_case::test_case;
 
 /// The second of two fronts, a product, and one holder that starts cold: a play waits for its turn there.
-fn sheet() -> CallSheet {
+fn sheet() -> Settings {
     let numbers = [
         ("balancers", 2.0),
         ("rank", 1.0),
@@ -36,33 +36,41 @@
 const COLD: u32 = 7;
 
 struct House {
-    desk: Desk,
+    desk: Dispatcher,
     notes: Notebook,
     now: f64,
 }
 
 impl House {
     /// The server has been listed, and no play has come.
-    fn of(sheet: CallSheet) -> House {
-        let mut house = House { desk: Desk::new(sheet, 1), notes: Notebook::default(), now: 12_000.0 };
+    fn of(sheet: Settings) -> House {
+        let mut house = House { desk: Dispatcher::new(sheet, 1), notes: Notebook::default(), now: 12_000.0 };
         house.list(Standing::Ready);
         house
     }
 
     fn list(&mut self, standing: Standing) {
-        let line = Listing { standing, weight: 1.0, born: 10_000.0, ..Listing::default() };
-        self.desk.list(self.now, true, false, &[(COLD, line)]);
+        let line = Listing { standing, weight: 1.0, started_at: 10_000.0, ..Listing::default() };
+        self.desk.update_list(self.now, true, false, &[(COLD, line)]);
     }
 
     fn take(&mut self, id: u64) {
         let (now, limit) = (self.now, self.now + 4000.0);
-        let wish = Wish { product: 0, title: id, first_cell: 0, holders: 1, top: 0, came: now, limit };
-        self.desk.take(now, id, &wish, &mut self.notes);
+        let wish = PlayRequest {
+            product: 0,
+            title: id,
+            first_cell: 0,
+            holders: 1,
+            max_rung: 0,
+            arrived_at: now,
+            deadline: limit,
+        };
+        self.desk.add_play(now, id, &wish, &mut self.notes);
     }
 
     /// What was asked of the hands in this turn, but for timers.
     fn look(&mut self) -> Vec<Deed> {
-        self.desk.turn_ends(self.now, &mut self.notes);
+        self.desk.end_turn(self.now, &mut self.notes);
         std::mem::take(&mut self.notes.0).into_iter().filter(|deed| !matches!(deed, Deed::Wake(..))).collect()
     }
 }
@@ -72,7 +80,7 @@
     let mut house = House::of(sheet());
     house.take(1);
     assert!(matches!(house.look()[..], [Deed::Send { play: 1, server: COLD, .. }]));
-    house.desk.playing(house.now, 1, &mut house.notes);
+    house.desk.on_playing(house.now, 1, &mut house.notes);
     house.now += 10.0;
     house.take(2);
     assert_eq!(house.look(), [], "it waits");
@@ -85,21 +93,21 @@
 }
 
 fn goes(house: &mut House) {
-    house.desk.list(house.now, true, false, &[]);
+    house.desk.update_list(house.now, true, false, &[]);
 }
 
 /// What plays there is worth more than the one that waits, and gets short shares already.
 fn fills(house: &mut House) {
     for _ in 0..2 {
         house.now += 600.0;
-        house.desk.report(house.now, COLD, &[Figure::Link(1.3)], &mut house.notes);
+        house.desk.on_load_report(house.now, COLD, &[LoadMetric::Link(1.3)], &mut house.notes);
     }
 }
 
 /// What played there is cut, so the process may have been lost and be colder than it was.
 fn breaks(house: &mut House) {
     house.now = 15_000.0;
-    house.desk.ended(house.now, 1, COLD, Outcome::Broken, true, &[], &mut house.notes);
+    house.desk.on_allocation_ended(house.now, 1, COLD, Outcome::Broken, true, &[], &mut house.notes);
 }
 
 #[test_case(drains)]
@@ -116,14 +124,14 @@
 #[test]
 fn a_host_that_stops_has_all_answered_and_what_is_out_withdrawn() {
     let mut house = one_waits();
-    house.desk.time_is_up(house.now, &mut house.notes);
+    house.desk.expire_pending(house.now, &mut house.notes);
     assert_eq!(house.look(), [Deed::Declined(2, 500.0)], "what plays goes on");
     let mut house = House::of(sheet());
     house.take(1);
     house.look();
-    house.desk.time_is_up(house.now, &mut house.notes);
+    house.desk.expire_pending(house.now, &mut house.notes);
     assert_eq!(house.look(), [Deed::Withdraw(1)]);
-    house.desk.ended(house.now, 1, COLD, Outcome::Withdrawn, false, &[], &mut house.notes);
+    house.desk.on_allocation_ended(house.now, 1, COLD, Outcome::Withdrawn, false, &[], &mut house.notes);
     assert_eq!(house.look(), [Deed::Declined(1, 500.0)], "and not sent again");
 }
 
@@ -131,7 +139,7 @@
 fn a_turn_that_comes_early_is_taken_at_once() {
     let mut house = one_waits();
     let beside = Listing { standing: Standing::Ready, weight: 1.0, ..Listing::default() };
-    house.desk.list(house.now, false, false, &[(8, beside)]);
+    house.desk.update_list(house.now, false, false, &[(8, beside)]);
     assert!(matches!(house.look()[..], [Deed::Send { play: 2, server: 8, .. }]));
 }
 
@@ -161,8 +169,8 @@
     house.notes.0.clear();
     for _ in 0..50 {
         house.now += 1.1;
-        house.desk.report(house.now, COLD, &[Figure::Link(0.2)], &mut house.notes);
-        house.desk.turn_ends(house.now, &mut house.notes);
+        house.desk.on_load_report(house.now, COLD, &[LoadMetric::Link(0.2)], &mut house.notes);
+        house.desk.end_turn(house.now, &mut house.notes);
     }
     assert_eq!(house.notes.0.len(), 0, "{:?}", house.notes.0);
 }
--- a/crates/dispatcher/tests/memory.rs
+++ b/crates/dispatcher/tests/memory.rs
@@ -1,8 +1,8 @@
 //! What a front keeps in mind is bounded by what is under way, not by how long it has run: counted by an allocator
 //! around everything that the desk and the decisions hold.
 
-use pulleystair::{CallSheet, Figure, Listing, Standing, Value};
-use pulleystair_dispatcher::{Desk, Hands, Wish};
+use pulleystair::{Listing, LoadMetric, Settings, Standing, Value};
+use pulleystair_dispatcher::{Actions, Dispatcher, PlayRequest};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicIsize, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -35,21 +35,21 @@
     sent: Option<u32>,
 }
 
-impl Hands for Host {
+impl Actions for Host {
     fn send(&mut self, _play: u64, server: u32, _rung: usize, _time_out: f64) {
         self.sent = Some(server);
     }
     fn withdraw(&mut self, _play: u64) {}
-    fn step(&mut self, _play: u64, _rung: usize) {}
+    fn set_rung(&mut self, _play: u64, _rung: usize) {}
     fn probe(&mut self, _server: u32) {}
-    fn declined(&mut self, _play: u64, _pause: f64) {}
-    fn failed(&mut self, _play: u64) {}
-    fn wake(&mut self, _mark: u32, _wait: f64) {}
-    fn follow(&mut self) {}
+    fn decline(&mut self, _play: u64, _pause: f64) {}
+    fn fail(&mut self, _play: u64) {}
+    fn set_timer(&mut self, _mark: u32, _wait: f64) {}
+    fn watch_list(&mut self) {}
 }
 
 /// A budget of allocations, four servers, and an uplink that none of them ever reports.
-fn sheet() -> CallSheet {
+fn sheet() -> Settings {
     let numbers = [
         ("balancers", 2.0),
         ("products.0.importance", 1.0),
@@ -78,33 +78,33 @@
     (0..4).map(|s| (from + s, line(s as usize))).collect()
 }
 
-fn listed() -> Desk {
-    let mut desk = Desk::new(sheet(), 1);
-    desk.list(0.0, true, false, &lines(0));
+fn listed() -> Dispatcher {
+    let mut desk = Dispatcher::new(sheet(), 1);
+    desk.update_list(0.0, true, false, &lines(0));
     desk
 }
 
 /// Plays that come, run for a second and end well, so many of them, of so many titles in turn.
-fn run(desk: &mut Desk, from: u64, plays: u64, titles: u64, reports: bool) {
+fn run(desk: &mut Dispatcher, from: u64, plays: u64, titles: u64, reports: bool) {
     let mut host = Host::default();
     for id in from..from + plays {
         let now = 10_000.0 + id as f64 * 20.0;
-        let wish = Wish {
+        let wish = PlayRequest {
             product: 0,
             title: id % titles,
             first_cell: 0,
             holders: 4,
-            top: 0,
-            came: now,
-            limit: now + 2000.0,
+            max_rung: 0,
+            arrived_at: now,
+            deadline: now + 2000.0,
         };
-        desk.take(now, id, &wish, &mut host);
+        desk.add_play(now, id, &wish, &mut host);
         let server = host.sent.take().expect("a healthy fleet takes it");
-        desk.playing(now + 1.0, id, &mut host);
+        desk.on_playing(now + 1.0, id, &mut host);
         if reports {
-            desk.report(now + 1.0, server, &[Figure::Link(0.1)], &mut host);
+            desk.on_load_report(now + 1.0, server, &[LoadMetric::Link(0.1)], &mut host);
         }
-        desk.ended(now + 2.0, id, server, pulleystair::Outcome::Finished, true, &[], &mut host);
+        desk.on_allocation_ended(now + 2.0, id, server, pulleystair::Outcome::Finished, true, &[], &mut host);
     }
 }
 
@@ -135,10 +135,10 @@
 #[test]
 fn servers_that_are_gone_for_good_are_forgotten() {
     let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let mut desk = Desk::new(sheet(), 1);
-    let replace = |desk: &mut Desk, from: u32, lists: u32| {
+    let mut desk = Dispatcher::new(sheet(), 1);
+    let replace = |desk: &mut Dispatcher, from: u32, lists: u32| {
         for list in from..from + lists {
-            desk.list(f64::from(list), true, false, &lines(list * 4));
+            desk.update_list(f64::from(list), true, false, &lines(list * 4));
             run(desk, u64::from(list) * 50, 50, 5, true);
             assert!(
                 list == 0 || (0..4).all(|s| desk.forget_server((list - 1) * 4 + s)),
@@ -156,18 +156,26 @@
 #[test]
 fn a_server_is_not_forgotten_while_a_play_goes_by_it() {
     let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let (mut desk, mut host) = (Desk::new(sheet(), 1), Host::default());
+    let (mut desk, mut host) = (Dispatcher::new(sheet(), 1), Host::default());
     let line = lines(0)[0].1;
-    desk.list(0.0, true, false, &[(7, line)]);
-    let wish = Wish { product: 0, title: 1, first_cell: 0, holders: 1, top: 0, came: 1.0, limit: 3000.0 };
-    desk.take(1.0, 1, &wish, &mut host);
-    desk.playing(2.0, 1, &mut host);
-    desk.list(3.0, true, false, &[]);
-    assert!(!desk.forget_server(7) && desk.held_at(7) == 1);
-    desk.ended(4.0, 1, 7, pulleystair::Outcome::Finished, true, &[], &mut host);
-    assert!(desk.forget_server(7) && desk.held_at(7) == 0);
+    desk.update_list(0.0, true, false, &[(7, line)]);
+    let wish = PlayRequest {
+        product: 0,
+        title: 1,
+        first_cell: 0,
+        holders: 1,
+        max_rung: 0,
+        arrived_at: 1.0,
+        deadline: 3000.0,
+    };
+    desk.add_play(1.0, 1, &wish, &mut host);
+    desk.on_playing(2.0, 1, &mut host);
+    desk.update_list(3.0, true, false, &[]);
+    assert!(!desk.forget_server(7) && desk.play_count_at(7) == 1);
+    desk.on_allocation_ended(4.0, 1, 7, pulleystair::Outcome::Finished, true, &[], &mut host);
+    assert!(desk.forget_server(7) && desk.play_count_at(7) == 0);
     // Its index is another's now: that one is no worse for it.
-    desk.list(5.0, true, false, &[(8, line)]);
-    desk.take(6.0, 2, &Wish { came: 6.0, ..wish }, &mut host);
+    desk.update_list(5.0, true, false, &[(8, line)]);
+    desk.add_play(6.0, 2, &PlayRequest { arrived_at: 6.0, ..wish }, &mut host);
     assert_eq!(host.sent, Some(8));
 }
--- a/crates/dispatcher/tests/notebook/mod.rs
+++ b/crates/dispatcher/tests/notebook/mod.rs
@@ -1,6 +1,6 @@
 //! Hands that write down what they are asked to do.
 
-use pulleystair_dispatcher::Hands;
+use pulleystair_dispatcher::Actions;
 use std::collections::VecDeque;
 
 /// What the hands were asked to do.
@@ -18,27 +18,27 @@
 #[derive(Default)]
 pub struct Notebook(pub VecDeque<Deed>);
 
-impl Hands for Notebook {
+impl Actions for Notebook {
     fn send(&mut self, play: u64, server: u32, rung: usize, time_out: f64) {
         self.0.push_back(Deed::Send { play, server, rung, time_out });
     }
     fn withdraw(&mut self, play: u64) {
         self.0.push_back(Deed::Withdraw(play));
     }
-    fn step(&mut self, play: u64, rung: usize) {
+    fn set_rung(&mut self, play: u64, rung: usize) {
         self.0.push_back(Deed::Step(play, rung));
     }
     fn probe(&mut self, server: u32) {
         self.0.push_back(Deed::Probe(server));
     }
-    fn declined(&mut self, play: u64, pause: f64) {
+    fn decline(&mut self, play: u64, pause: f64) {
         self.0.push_back(Deed::Declined(play, pause));
     }
-    fn failed(&mut self, play: u64) {
+    fn fail(&mut self, play: u64) {
         self.0.push_back(Deed::Failed(play));
     }
-    fn wake(&mut self, mark: u32, wait: f64) {
+    fn set_timer(&mut self, mark: u32, wait: f64) {
         self.0.push_back(Deed::Wake(mark, wait));
     }
-    fn follow(&mut self) {}
+    fn watch_list(&mut self) {}
 }
--- a/crates/dispatcher/tests/simulated.rs
+++ b/crates/dispatcher/tests/simulated.rs
@@ -4,8 +4,8 @@
 mod notebook;
 
 use notebook::{Deed, Notebook};
-use pulleystair::{CallSheet, Figure, Listing, Outcome, Standing, Value};
-use pulleystair_dispatcher::{Desk, Wish};
+use pulleystair::{Listing, LoadMetric, Outcome, Settings, Standing, Value};
+use pulleystair_dispatcher::{Dispatcher, PlayRequest};
 use pulleystair_rule_checker::history::History;
 use pulleystair_rule_checker::rules::{Budget, Effect, Group, Product, Terms};
 use pulleystair_rule_checker::{Seen, What};
@@ -51,7 +51,7 @@
     events: BinaryHeap<Reverse<(u64, u64)>>,
     what: BTreeMap<u64, Event>,
     next: u64,
-    desks: Vec<Desk>,
+    desks: Vec<Dispatcher>,
     plays: Vec<BTreeMap<u64, Play>>,
     listings: Vec<Listing>,
     up: Vec<bool>,
@@ -61,7 +61,7 @@
     requests: u64,
 }
 
-fn sheet(rank: usize) -> CallSheet {
+fn sheet(rank: usize) -> Settings {
     let numbers = [
         ("balancers", FRONTS as f64),
         ("rank", rank as f64),
@@ -92,7 +92,7 @@
         ("rules.budget_span", 5_000.0),
         ("rules.free_resends", 2.0),
     ];
-    let mut sheet: CallSheet =
+    let mut sheet: Settings =
         numbers.iter().map(|(name, value)| ((*name).to_string(), Value::Number(*value))).collect();
     for (product, effect) in ["read_like", "non_idempotent", "idempotency_key"].iter().enumerate() {
         sheet.insert(format!("products.{product}.importance"), Value::Number(1.0 + product as f64));
@@ -147,7 +147,7 @@
             events: BinaryHeap::new(),
             what: BTreeMap::new(),
             next: 0,
-            desks: (0..FRONTS).map(|front| Desk::new(sheet(front), seed * 10 + front as u64)).collect(),
+            desks: (0..FRONTS).map(|front| Dispatcher::new(sheet(front), seed * 10 + front as u64)).collect(),
             plays: (0..FRONTS).map(|_| BTreeMap::new()).collect(),
             listings: (0..SERVERS).map(line).collect(),
             up: vec![true; SERVERS],
@@ -190,20 +190,20 @@
             .filter(|l| l.standing != Standing::Gone)
             .map(|l| (l.server as u32, *l))
             .collect();
-        self.call(front, |desk, now, _| desk.list(now, true, false, &lines));
+        self.call(front, |desk, now, _| desk.update_list(now, true, false, &lines));
     }
 
-    fn load(&mut self, server: usize) -> Vec<Figure> {
+    fn load(&mut self, server: usize) -> Vec<LoadMetric> {
         let at = |p: &&Play| p.at.is_some_and(|(s, _)| s == server);
         let there = self.plays.iter().flat_map(BTreeMap::values).filter(at).count() as f64;
-        vec![Figure::Link(there * 200.0 / 4_000.0), Figure::Streams(there)]
+        vec![LoadMetric::Link(there * 200.0 / 4_000.0), LoadMetric::Streams(there)]
     }
 
     /// Has a desk called, and does what it wants done, in order.
-    fn call(&mut self, front: usize, call: impl FnOnce(&mut Desk, f64, &mut Notebook)) {
+    fn call(&mut self, front: usize, call: impl FnOnce(&mut Dispatcher, f64, &mut Notebook)) {
         let mut notes = Notebook::default();
         call(&mut self.desks[front], self.now, &mut notes);
-        self.desks[front].turn_ends(self.now, &mut notes);
+        self.desks[front].end_turn(self.now, &mut notes);
         while let Some(deed) = notes.0.pop_front() {
             match deed {
                 Deed::Send { play, server, rung, time_out } => {
@@ -244,7 +244,7 @@
         let (allocation, title) = (Day::name(front, play, n), format!("t{}", product));
         self.saw(What::SetUp { server, allocation, session, product, title, rung });
         let dice = self.draw();
-        let streams = self.load(server)[1].amount();
+        let streams = self.load(server)[1].value();
         let (wait, outcome) = match dice {
             _ if self.silent[server] => return,
             _ if streams > STREAMS => (2.0, Outcome::Full),
@@ -273,7 +273,7 @@
         let load =
             if self.up[server] && outcome != Outcome::TimedOut { self.load(server) } else { Vec::new() };
         self.call(front, |desk, now, hands| {
-            desk.ended(now, play, server as u32, outcome, playing, &load, hands)
+            desk.on_allocation_ended(now, play, server as u32, outcome, playing, &load, hands)
         });
     }
 
@@ -288,29 +288,29 @@
                 self.saw(What::Asked { request, session: session.clone(), front, product, title, top: 2 });
                 let play = Play { session, product, request, allocations: 0, at: None, answered: false };
                 self.plays[front].insert(request, play);
-                let wish = Wish {
+                let wish = PlayRequest {
                     product,
                     title: product as u64,
                     first_cell: product,
                     holders: 4,
-                    top: 2,
-                    came: self.now,
-                    limit: self.now + LIMIT,
+                    max_rung: 2,
+                    arrived_at: self.now,
+                    deadline: self.now + LIMIT,
                 };
                 if self.draw() < 0.05 {
                     let wait = 400.0 * self.draw();
                     self.after(self.now, wait, Event::Leave(front, request));
                 }
-                self.call(front, |desk, now, hands| desk.take(now, request, &wish, hands));
+                self.call(front, |desk, now, hands| desk.add_play(now, request, &wish, hands));
             }
             Event::Leave(front, play) => {
                 if self.plays[front].get(&play).is_some_and(|it| !it.answered) {
                     self.plays[front].get_mut(&play).expect("it is there").answered = true;
                     self.saw(What::Left { request: play });
-                    self.call(front, |desk, _, hands| desk.left(play, hands));
+                    self.call(front, |desk, _, hands| desk.on_viewer_left(play, hands));
                 }
             }
-            Event::Wake(front, mark) => self.call(front, |desk, now, hands| desk.rings(now, mark, hands)),
+            Event::Wake(front, mark) => self.call(front, |desk, now, hands| desk.on_timer(now, mark, hands)),
             Event::Ends(front, play, n, outcome) => {
                 let Some(it) = self.plays[front].get(&play) else { return };
                 let Some((server, playing)) = it.at.filter(|_| it.allocations == n) else { return };
@@ -323,8 +323,8 @@
                     self.after(self.now, lasts / 3.0, Event::Note(front, play));
                     let load = self.load(server);
                     self.call(front, |desk, now, hands| {
-                        desk.playing(now, play, hands);
-                        desk.report(now, server as u32, &load, hands);
+                        desk.on_playing(now, play, hands);
+                        desk.on_load_report(now, server as u32, &load, hands);
                     });
                 } else if playing == (outcome == Outcome::Finished) {
                     self.over(front, play, outcome);
@@ -333,17 +333,19 @@
             Event::Probed(front, server) => {
                 if self.up[server as usize] && !self.silent[server as usize] {
                     let load = self.load(server as usize);
-                    self.call(front, |desk, now, hands| desk.report(now, server, &load, hands));
+                    self.call(front, |desk, now, hands| desk.on_load_report(now, server, &load, hands));
                 }
             }
             Event::Note(front, play) => {
                 let Some((server, true)) = self.plays[front].get(&play).and_then(|it| it.at) else { return };
                 let figure = match (self.draw() * 4.0) as usize {
-                    0 => Figure::Delivered(0.5 + self.draw()),
-                    1 => Figure::Uplink(self.draw() * 1.6),
-                    _ => Figure::Link(self.draw() * 1.6),
+                    0 => LoadMetric::Delivered(0.5 + self.draw()),
+                    1 => LoadMetric::Uplink(self.draw() * 1.6),
+                    _ => LoadMetric::Link(self.draw() * 1.6),
                 };
-                self.call(front, |desk, now, hands| desk.note(now, play, server as u32, figure, hands));
+                self.call(front, |desk, now, hands| {
+                    desk.on_play_note(now, play, server as u32, figure, hands)
+                });
                 self.after(self.now, 700.0, Event::Note(front, play));
             }
             Event::Told(front) => self.tell(front),
@@ -382,7 +384,7 @@
             }
             Event::Recovers(server) => {
                 (self.up[server], self.silent[server], self.errors[server]) = (true, false, 0.0);
-                self.listings[server].born = self.now;
+                self.listings[server].started_at = self.now;
                 self.saw(What::Started { server, cold: true });
                 self.after(self.now, 0.0, Event::Listed(server, Standing::Ready));
             }
--- a/crates/edge/src/active_config.rs
+++ b/crates/edge/src/active_config.rs
@@ -4,7 +4,7 @@
 use crate::config::{Budget, Rundown, Rung};
 use crate::edge::Edge;
 use crate::server_list::{List, State};
-use pulleystair::{CallSheet, POLICY, number};
+use pulleystair::{POLICY, Settings, number};
 use pulleystair_drift::{Sections, digest, hex};
 use serde_json::{Value, json};
 
@@ -20,7 +20,7 @@
 }
 
 /// The decisions' sheet, as far as it says what the rundown says, in the rundown's words.
-fn as_rundown(was: &Rundown, sheet: &CallSheet) -> Rundown {
+fn as_rundown(was: &Rundown, sheet: &Settings) -> Rundown {
     let mut it = was.clone();
     let of = |name: &str, otherwise: f64| number(sheet, name, otherwise);
     it.ladder = (0..was.ladder.len())
@@ -115,7 +115,7 @@
 impl Edge {
     /// What runs, less what this front holds itself to for being adrift.
     pub(crate) fn goes_by(&self) -> Sections {
-        let mut sheet = self.desk.goes_by();
+        let mut sheet = self.desk.active_settings();
         let mut rundown = self.floor.rundown.clone();
         let Some(company) = &self.floor.company else { return Sections::new() };
         for (path, (own, held)) in &company.held {
@@ -143,7 +143,7 @@
         }
         for (path, figure) in stricter {
             let own = match on_the_sheet(&self.floor.rundown, path) {
-                Some(name) => number(&self.desk.goes_by(), &name, f64::NAN),
+                Some(name) => number(&self.desk.active_settings(), &name, f64::NAN),
                 None => self.floor.rundown.rules.drain_grace_ms,
             };
             if own == *figure || held.get(path).is_some_and(|held| held.1 == *figure) {
@@ -160,7 +160,7 @@
 
     fn go_by(&mut self, path: &str, figure: f64) {
         match on_the_sheet(&self.floor.rundown, path) {
-            Some(name) => self.desk.go_by(&name, figure),
+            Some(name) => self.desk.override_setting(&name, figure),
             // A drain is heard of by a look at the list; those are no further apart than the grace.
             None => {
                 let limits = &mut self.floor.rundown.limits;
--- a/crates/edge/src/company.rs
+++ b/crates/edge/src/company.rs
@@ -8,7 +8,7 @@
 use crate::{active_config, approved_versions};
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction};
-use pulleystair::{Given, Outcome};
+use pulleystair::{Outcome, ServerHint};
 use pulleystair_fleet_member::{Candidate, Exchange, Fellow, Listed, Terms, number_of, told};
 use pulleystair_shared_state::Server;
 use serde_json::Value;
@@ -251,18 +251,18 @@
             let numbers: BTreeMap<u64, u32> =
                 (0..).zip(&floor.servers).map(|(n, server)| (server.id, n)).collect();
             let id = |n: &u32| floor.servers.get(*n as usize).map(|s| s.id);
-            company.fellow.waits(now, self.desk.waited_for().iter().filter_map(id));
-            let counts = self.desk.counts();
+            company.fellow.waits(now, self.desk.awaited_servers().iter().filter_map(id));
+            let counts = self.desk.play_counts();
             let counts = counts.iter().filter_map(|((n, product), c)| Some(((id(n)?, *product as u16), *c)));
             company.fellow.counts(counts.collect());
             let (given, out) = company.fellow.look(now, wall);
             company.send(out);
-            let given: Vec<(u32, Given)> =
+            let given: Vec<(u32, ServerHint)> =
                 given.iter().filter_map(|it| Some((*numbers.get(&it.server)?, told(it)))).collect();
             company.log_beliefs();
             if !given.is_empty() {
                 debug!(target: "fleet", servers = given.len(), "told of servers");
-                self.desk.given(now, &given);
+                self.desk.apply_hints(now, &given);
             }
         }
         if self.floor.company.as_ref().is_some_and(|it| now >= it.verdicts) {
--- a/crates/edge/src/config/settings.rs
+++ b/crates/edge/src/config/settings.rs
@@ -1,12 +1,12 @@
 //! The decisions' call sheet.
 
 use super::*;
-use pulleystair::{CallSheet, Value};
+use pulleystair::{Settings, Value};
 
 impl Rundown {
     /// The decisions' plain map. The only place where what is given here gets the names used there.
-    pub fn call_sheet(&self) -> CallSheet {
-        let mut sheet = CallSheet::new();
+    pub fn call_sheet(&self) -> Settings {
+        let mut sheet = Settings::new();
         let mut number = |name: &str, x: f64| {
             sheet.insert(name.to_string(), Value::Number(x));
         };
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -24,7 +24,7 @@
 use pulleystair_admission::wall_clock::Wall;
 use pulleystair_connections::Owner;
 use pulleystair_connections::timers::Clocks;
-use pulleystair_dispatcher::Desk;
+use pulleystair_dispatcher::Dispatcher;
 use std::collections::{HashMap, VecDeque};
 use std::net::TcpListener;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -38,7 +38,7 @@
 const LAST_WORD: Duration = Duration::from_millis(20);
 
 pub struct Edge {
-    pub(crate) desk: Desk,
+    pub(crate) desk: Dispatcher,
     pub(crate) floor: Floor,
 }
 
@@ -109,7 +109,7 @@
         let wait = edge.floor.clocks.wait();
         event_loop.dispatch(wait, &mut edge)?;
         edge.ring();
-        while edge.desk.turn_ends(edge.floor.now(), &mut edge.floor) {
+        while edge.desk.end_turn(edge.floor.now(), &mut edge.floor) {
             edge.settle();
         }
         let now = edge.floor.now();
@@ -210,7 +210,7 @@
             halted: false,
             rundown,
         };
-        let mut edge = Edge { desk: Desk::new(floor.rundown.call_sheet(), seed), floor };
+        let mut edge = Edge { desk: Dispatcher::new(floor.rundown.call_sheet(), seed), floor };
         let list = read_list(&edge.floor.rundown)?;
         // It may be older than what it tells of: a server that started anew since may not be listed so yet.
         edge.take_list(list, true);
@@ -247,7 +247,7 @@
             let Some((due, clock)) = self.floor.clocks.pop(now) else { return };
             self.floor.lag.rang(now, due);
             match clock {
-                Clock::Desk(mark) => self.desk.rings(now, mark, &mut self.floor),
+                Clock::Desk(mark) => self.desk.on_timer(now, mark, &mut self.floor),
                 Clock::TimeOut(play, n) => self.time_out(now, play, n),
                 Clock::Line(key) => self.line_due(now, key),
                 Clock::Rung(play) => self.floor.rung_due(play),
@@ -369,7 +369,7 @@
                 self.floor.over(play, "front stopped", answer);
             }
         }
-        self.desk.time_is_up(self.floor.now(), &mut self.floor);
+        self.desk.expire_pending(self.floor.now(), &mut self.floor);
         self.settle();
         for play in self.floor.book.held() {
             self.finish(play, "front stopped");
--- a/crates/edge/src/hands.rs
+++ b/crates/edge/src/hands.rs
@@ -1,15 +1,15 @@
 //! What the desk has done: allocations, withdrawals, steps, probes and final answers; and servers' figures as it reads them.
 
 use crate::connections::{Errand, Role, Stage, What};
-use pulleystair::{Figure, Outcome};
-use pulleystair_dispatcher::Hands;
+use pulleystair::{LoadMetric, Outcome};
+use pulleystair_dispatcher::Actions;
 use std::collections::HashMap;
 use tracing::{debug, error};
 
 use crate::floor::{Clock, Floor, News, words};
 
-impl Hands for Floor {
-    fn chose(&mut self, _play: u64, odds: &[(u32, f64, f64)]) {
+impl Actions for Floor {
+    fn record_candidates(&mut self, _play: u64, odds: &[(u32, f64, f64)]) {
         self.company_drew(odds);
     }
 
@@ -57,7 +57,7 @@
         self.news.push_back(News { play, server, outcome: Outcome::Withdrawn });
     }
 
-    fn step(&mut self, play: u64, rung: usize) {
+    fn set_rung(&mut self, play: u64, rung: usize) {
         let Some(session) = self.book.get_mut(play) else { return };
         session.rung = rung;
         self.tell_rung(play);
@@ -69,7 +69,7 @@
         self.run_errand(server, Errand::new(What::Probe, request));
     }
 
-    fn declined(&mut self, play: u64, pause: f64) {
+    fn decline(&mut self, play: u64, pause: f64) {
         let mut answer = words(503, "no room for this play now");
         if pause > 0.0 {
             answer.retry_after = Some((pause / 1000.0).ceil() as u64);
@@ -77,7 +77,7 @@
         self.over(play, "declined", answer);
     }
 
-    fn failed(&mut self, play: u64) {
+    fn fail(&mut self, play: u64) {
         let late = self.book.get(play).is_some_and(|s| self.now() >= s.limit - 5.0);
         let answer = if late {
             words(504, "the play could not be set up in time")
@@ -87,17 +87,17 @@
         self.over(play, "failed", answer);
     }
 
-    fn wake(&mut self, mark: u32, wait: f64) {
+    fn set_timer(&mut self, mark: u32, wait: f64) {
         self.clock(self.now() + wait, Clock::Desk(mark));
     }
 
     /// The list comes unasked, from its file.
-    fn follow(&mut self) {}
+    fn watch_list(&mut self) {}
 }
 
 /// The figures of a load report that the decisions know: `named_metrics` link, uplink and streams, or the
 /// capped `utilization.link`.
-pub(crate) fn figures(load: Option<&str>) -> Vec<Figure> {
+pub(crate) fn figures(load: Option<&str>) -> Vec<LoadMetric> {
     let Some(load) = load else { return Vec::new() };
     let report = match pulleystair_orca::read(load) {
         Ok(report) => report,
@@ -108,18 +108,22 @@
     };
     let named = |name: &str| report.named_metrics.get(name).copied();
     let link = match (named("link"), report.utilization.get("link")) {
-        (Some(x), _) => Some(Figure::Link(x)),
-        (None, Some(x)) => Some(Figure::LinkCapped(*x)),
+        (Some(x), _) => Some(LoadMetric::Link(x)),
+        (None, Some(x)) => Some(LoadMetric::LinkCapped(*x)),
         (None, None) => None,
     };
-    let others = [named("uplink").map(Figure::Uplink), named("streams").map(Figure::Streams)];
+    let others = [named("uplink").map(LoadMetric::Uplink), named("streams").map(LoadMetric::Streams)];
     link.into_iter().chain(others.into_iter().flatten()).collect()
 }
 
 /// A line of notes: a JSON object with `delivered`, `link` and `uplink`, each where the server has it.
-pub(crate) fn note_figures(line: &[u8]) -> Option<Vec<Figure>> {
+pub(crate) fn note_figures(line: &[u8]) -> Option<Vec<LoadMetric>> {
     let note: HashMap<String, f64> = serde_json::from_slice(line).ok()?;
-    let of = |name: &str, figure: fn(f64) -> Figure| note.get(name).copied().map(figure);
-    let all = [of("delivered", Figure::Delivered), of("link", Figure::Link), of("uplink", Figure::Uplink)];
+    let of = |name: &str, figure: fn(f64) -> LoadMetric| note.get(name).copied().map(figure);
+    let all = [
+        of("delivered", LoadMetric::Delivered),
+        of("link", LoadMetric::Link),
+        of("uplink", LoadMetric::Uplink),
+    ];
     Some(all.into_iter().flatten().collect())
 }
--- a/crates/edge/src/players.rs
+++ b/crates/edge/src/players.rs
@@ -10,7 +10,7 @@
 use pulleystair::Outcome;
 use pulleystair_admission::homes::home;
 use pulleystair_dash::address::{self, Address, Which};
-use pulleystair_dispatcher::Wish;
+use pulleystair_dispatcher::PlayRequest;
 use std::io;
 use std::net::TcpListener;
 use tracing::warn;
@@ -279,16 +279,16 @@
     pub(crate) fn admit(&mut self, play: u64) {
         let now = self.floor.now();
         let Some(session) = self.floor.book.get(play) else { return };
-        let wish = Wish {
+        let wish = PlayRequest {
             product: session.product,
             title: session.title as u64,
             first_cell: session.show.first_cell,
             holders: session.show.holders,
-            top: session.top.min(self.floor.rundown.ladder.len() - 1),
-            came: session.came,
-            limit: session.limit,
+            max_rung: session.top.min(self.floor.rundown.ladder.len() - 1),
+            arrived_at: session.came,
+            deadline: session.limit,
         };
-        self.desk.take(now, play, &wish, &mut self.floor);
+        self.desk.add_play(now, play, &wish, &mut self.floor);
         self.floor.limit.decided(self.floor.now() - now);
     }
 
@@ -375,14 +375,14 @@
         let request = floor.request_to(server, "DELETE", &target, "");
         floor.run_errand(server, Errand::new(What::Word, request));
         floor.over(play, cause, words(410, "this play has ended"));
-        self.desk.ended(now, play, server, Outcome::Finished, true, &[], &mut self.floor);
+        self.desk.on_allocation_ended(now, play, server, Outcome::Finished, true, &[], &mut self.floor);
     }
 
     /// Gives up a play that is not decided: it waits for its turn, or is in the desk's hands.
     pub(crate) fn give_up_on(&mut self, play: u64, cause: &'static str, answer: Final) {
         self.floor.over(play, cause, answer);
         if !self.floor.queue.left(play) {
-            self.desk.left(play, &mut self.floor);
+            self.desk.on_viewer_left(play, &mut self.floor);
         }
     }
 
--- a/crates/edge/src/server_list.rs
+++ b/crates/edge/src/server_list.rs
@@ -252,7 +252,7 @@
                     State::Draining => Standing::Draining,
                 },
                 weight: server.weight,
-                born: server.started_ms,
+                started_at: server.started_ms,
             };
             (index(server), listing)
         };
--- a/crates/edge/src/servers.rs
+++ b/crates/edge/src/servers.rs
@@ -7,7 +7,7 @@
 use crate::http::{self, Body};
 use crate::sessions::Life;
 use crate::tally::LOST;
-use pulleystair::{Figure, Outcome};
+use pulleystair::{LoadMetric, Outcome};
 use pulleystair_admission::read_retries::Fault;
 use tracing::{debug, warn};
 
@@ -70,7 +70,7 @@
     }
 
     /// The first frame is at hand: whoever waits is answered.
-    pub(crate) fn plays(&mut self, now: f64, play: u64, server: u32, load: &[Figure]) {
+    pub(crate) fn plays(&mut self, now: f64, play: u64, server: u32, load: &[LoadMetric]) {
         let floor = &mut self.floor;
         floor.company_met(now, play, server, Outcome::Playing);
         let asked = floor.book.get(play).map_or(now, |s| s.sent);
@@ -84,11 +84,11 @@
             floor.session_clock(play);
             floor.tell_rung(play);
         }
-        self.desk.playing(now, play, &mut self.floor);
+        self.desk.on_playing(now, play, &mut self.floor);
         for figure in load {
             match figure {
-                Figure::Streams(_) => self.desk.report(now, server, &[*figure], &mut self.floor),
-                _ => self.desk.note(now, play, server, *figure, &mut self.floor),
+                LoadMetric::Streams(_) => self.desk.on_load_report(now, server, &[*figure], &mut self.floor),
+                _ => self.desk.on_play_note(now, play, server, *figure, &mut self.floor),
             }
         }
     }
@@ -112,7 +112,7 @@
             for note in &found {
                 match note_figures(note) {
                     Some(figures) => figures.into_iter().for_each(|figure| {
-                        self.desk.note(now, play, server, figure, &mut self.floor);
+                        self.desk.on_play_note(now, play, server, figure, &mut self.floor);
                     }),
                     None => debug!(target: "server", server = self.floor.name(server), "note not read"),
                 }
@@ -132,7 +132,7 @@
     }
 
     /// An allocation is out no more: its connection is closed before the desk may send the play again.
-    pub(crate) fn allocation_ended(&mut self, play: u64, server: u32, outcome: Outcome, load: &[Figure]) {
+    pub(crate) fn allocation_ended(&mut self, play: u64, server: u32, outcome: Outcome, load: &[LoadMetric]) {
         let now = self.floor.now();
         let mut closed = false;
         let out = self.floor.book.get(play).is_some_and(|s| s.life() == Life::Out);
@@ -161,7 +161,7 @@
             floor.out = floor.out.saturating_sub(1);
             floor.session_clock(play);
         }
-        self.desk.ended(now, play, server, outcome, closed, load, &mut self.floor);
+        self.desk.on_allocation_ended(now, play, server, outcome, closed, load, &mut self.floor);
         self.floor.limit.decided(self.floor.now() - now);
     }
 
@@ -223,7 +223,7 @@
                     (_, Some(Err(fault))) => floor.errand_failed(key, fault),
                     _ => {}
                 }
-                self.desk.report(now, server, &load, &mut self.floor);
+                self.desk.on_load_report(now, server, &load, &mut self.floor);
                 continue;
             }
             let left = it.left.unwrap_or(0);
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -80,7 +80,7 @@
         floor.company_listed(&list);
         let draining = list.servers.iter().filter(|s| s.state == crate::server_list::State::Draining).count();
         info!(target: "list", servers = list.servers.len(), draining, titles = list.titles.len(), "list taken");
-        self.desk.list(now, true, old, &lines);
+        self.desk.update_list(now, true, old, &lines);
     }
 
     /// Puts replaced certificates in service. Connections of players live on; idle ones to servers are closed, for
--- a/crates/fleet-member/src/lib.rs
+++ b/crates/fleet-member/src/lib.rs
@@ -40,9 +40,9 @@
 }
 
 /// What the decisions are told of a server; which one, its host says beside it.
-pub fn told(it: &Given) -> pulleystair::Given {
+pub fn told(it: &Given) -> pulleystair::ServerHint {
     let Given { doubted, pace, further_gap, probe_gap, .. } = *it;
-    pulleystair::Given { server: 0, doubted, pace, further_gap, probe_gap }
+    pulleystair::ServerHint { server: 0, doubted, pace, further_gap, probe_gap }
 }
 
 #[derive(Clone, Debug)]
--- a/crates/message-mutation/src/front.rs
+++ b/crates/message-mutation/src/front.rs
@@ -1,7 +1,7 @@
 //! One front of the small world: what it is told, what it holds, and what its desk wants done.
 
-use pulleystair::{CallSheet, Value};
-use pulleystair_dispatcher::{Desk, Hands};
+use pulleystair::{Settings, Value};
+use pulleystair_dispatcher::{Actions, Dispatcher};
 use pulleystair_drift::Sections;
 use pulleystair_drift::approved::{Chain, Document, Stage};
 use pulleystair_fleet_member::{Exchange, Fellow, Terms as Share};
@@ -24,8 +24,8 @@
 #[derive(Default)]
 pub(crate) struct Deeds(pub(crate) VecDeque<Deed>);
 
-impl Hands for Deeds {
-    fn chose(&mut self, _: u64, odds: &[(u32, f64, f64)]) {
+impl Actions for Deeds {
+    fn record_candidates(&mut self, _: u64, odds: &[(u32, f64, f64)]) {
         self.0.push_back(Deed::Chose(odds.to_vec()));
     }
     fn send(&mut self, play: u64, server: u32, rung: usize, time_out: f64) {
@@ -34,22 +34,22 @@
     fn withdraw(&mut self, play: u64) {
         self.0.push_back(Deed::Withdraw(play));
     }
-    fn step(&mut self, play: u64, rung: usize) {
+    fn set_rung(&mut self, play: u64, rung: usize) {
         self.0.push_back(Deed::Step(play, rung));
     }
     fn probe(&mut self, server: u32) {
         self.0.push_back(Deed::Probe(server));
     }
-    fn declined(&mut self, play: u64, _: f64) {
+    fn decline(&mut self, play: u64, _: f64) {
         self.0.push_back(Deed::Answer(play, 503));
     }
-    fn failed(&mut self, play: u64) {
+    fn fail(&mut self, play: u64) {
         self.0.push_back(Deed::Answer(play, 504));
     }
-    fn wake(&mut self, mark: u32, wait: f64) {
+    fn set_timer(&mut self, mark: u32, wait: f64) {
         self.0.push_back(Deed::Wake(mark, wait));
     }
-    fn follow(&mut self) {}
+    fn watch_list(&mut self) {}
 }
 
 pub(crate) struct Session {
@@ -63,7 +63,7 @@
 }
 
 pub(crate) struct Front {
-    pub(crate) desk: Desk,
+    pub(crate) desk: Dispatcher,
     pub(crate) fellow: Fellow,
     pub(crate) sessions: BTreeMap<u64, Session>,
     pub(crate) rev: Option<u32>,
@@ -77,7 +77,7 @@
     format!("f{front}")
 }
 
-pub(crate) fn sheet(rank: usize) -> CallSheet {
+pub(crate) fn sheet(rank: usize) -> Settings {
     let numbers = [
         ("balancers", FRONTS as f64),
         ("rank", rank as f64),
@@ -102,7 +102,7 @@
         ("rules.budget_span", 5_000.0),
         ("rules.free_resends", 3.0),
     ];
-    let mut sheet: CallSheet = numbers.iter().map(|(n, x)| ((*n).to_string(), Value::Number(*x))).collect();
+    let mut sheet: Settings = numbers.iter().map(|(n, x)| ((*n).to_string(), Value::Number(*x))).collect();
     for (i, effect) in ["read_like", "non_idempotent", "idempotency_key"].iter().enumerate() {
         let texts = [("effect", *effect), ("key_scope", "zone")];
         let numbers = [("importance", 1.0), ("first_frame_target", 500.0), ("repeat_window", 900.0)];
@@ -174,7 +174,7 @@
     fellow.approved(chain).expect("it is the first");
     fellow.active(sections);
     Front {
-        desk: Desk::new(sheet(rank), seed * 10 + rank as u64),
+        desk: Dispatcher::new(sheet(rank), seed * 10 + rank as u64),
         fellow,
         sessions: BTreeMap::new(),
         // Its file of the start, as a node has it.
--- a/crates/message-mutation/src/inbox.rs
+++ b/crates/message-mutation/src/inbox.rs
@@ -1,6 +1,6 @@
 //! What a front of this small world reads from bytes, by the real codecs; and the messages that are written to it.
 
-use pulleystair::{Figure, Listing, Standing};
+use pulleystair::{Listing, LoadMetric, Standing};
 use pulleystair_rtsp as rtsp;
 use pulleystair_viewer_protocol::{Message, code, kind, write};
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
@@ -68,7 +68,7 @@
         let a = A { address: 0x0a00_0001 + line.server as u32 };
         packet.additional_records.push(ResourceRecord::new(host.clone(), CLASS::IN, 0, RData::A(a)));
         let mut text = TXT::new();
-        let born = format!("started={}", line.born);
+        let born = format!("started={}", line.started_at);
         let cell = format!("cell={}", line.cell);
         for part in ["kind=std", &cell, &born] {
             if let Ok(string) = part.try_into() {
@@ -101,8 +101,15 @@
         let server = it.id.strip_prefix('m')?.parse::<usize>().ok().filter(|s| *s < 1_000)?;
         let zone = it.zone.strip_prefix('z')?.parse().ok()?;
         let standing = it.standing;
-        let listing =
-            Listing { server, zone, kind: 0, cell: it.cell, standing, weight: it.weight, born: it.started };
+        let listing = Listing {
+            server,
+            zone,
+            kind: 0,
+            cell: it.cell,
+            standing,
+            weight: it.weight,
+            started_at: it.started,
+        };
         Some((server as u32, listing))
     };
     Some((pulleystair_dns_discovery::id_of(bytes)?, serial, list.iter().filter_map(line).collect()))
@@ -125,10 +132,10 @@
     rtsp::request("ANNOUNCE", "s", 4, play, &[("X-Why", "l"), ("Figure", &format!("{figure:.3}"))], b"")
 }
 
-pub fn report(message: &rtsp::Message) -> Vec<Figure> {
+pub fn report(message: &rtsp::Message) -> Vec<LoadMetric> {
     let figure = |(name, x): (&str, f64)| match name {
-        "x0" => Some(Figure::Link(x)),
-        "x1" => Some(Figure::Streams(x)),
+        "x0" => Some(LoadMetric::Link(x)),
+        "x1" => Some(LoadMetric::Streams(x)),
         _ => None,
     };
     message.report().filter_map(figure).collect()
--- a/crates/message-mutation/src/post.rs
+++ b/crates/message-mutation/src/post.rs
@@ -3,8 +3,8 @@
 
 use crate::inbox::{self, SetUp};
 use crate::{How, Kind, fields};
-use pulleystair::{Figure, Listing, Outcome as End, Standing};
-use pulleystair_dispatcher::{Desk, Wish};
+use pulleystair::{Listing, LoadMetric, Outcome as End, Standing};
+use pulleystair_dispatcher::{Dispatcher, PlayRequest};
 use pulleystair_edge::http;
 use pulleystair_fleet_member::{Candidate, Listed, number_of};
 use pulleystair_gossip::message::Origin;
@@ -101,18 +101,18 @@
         let SetUp { play, product, title, limit, first_cell, holders, top } = it;
         let session = format!("{f}-{play:x}");
         self.saw(What::Asked { request, session, front: f, product, title: title.clone(), top });
-        let wish = Wish {
+        let wish = PlayRequest {
             product,
             title: number_of(&title),
             first_cell,
             holders,
-            top,
-            came: now,
-            limit: now + limit.min(LIMIT),
+            max_rung: top,
+            arrived_at: now,
+            deadline: now + limit.min(LIMIT),
         };
         let it = Session { request, product, title, n: 0, at: None, sent: 0.0, answered: false };
         self.fronts[f].sessions.insert(play, it);
-        self.call(f, |desk, now, hands| desk.take(now, play, &wish, hands));
+        self.call(f, |desk, now, hands| desk.add_play(now, play, &wish, hands));
     }
 
     pub(crate) fn names(&mut self, f: usize, bytes: &[u8]) {
@@ -129,14 +129,14 @@
                 cell: line.cell,
                 link: line.weight,
             },
-            born: line.born as u64,
-            cold_until: line.born + COLD,
+            born: line.started_at as u64,
+            cold_until: line.started_at + COLD,
         };
         let ready = lines.iter().filter(|l| l.1.standing == Standing::Ready);
         let servers: Vec<Listed> = ready.map(listed).collect();
         let all = servers.iter().map(|s| s.server.id).collect();
         front.fellow.list(&servers, vec![all]);
-        self.call(f, |desk, now, _| desk.list(now, true, false, &lines));
+        self.call(f, |desk, now, _| desk.update_list(now, true, false, &lines));
     }
 
     /// What a server says on its connection. What can't be read costs the set-ups that are open on it.
@@ -165,8 +165,8 @@
             (rtsp::Start::Request(method), Some((_, true))) if method == "ANNOUNCE" => {
                 if let Some(figure) = message.number("Figure").filter(|_| message.field("X-Why") == Some("l"))
                 {
-                    let figure = Figure::Link(figure);
-                    self.call(f, |desk, _, hands| desk.note(now, play, server as u32, figure, hands));
+                    let figure = LoadMetric::Link(figure);
+                    self.call(f, |desk, _, hands| desk.on_play_note(now, play, server as u32, figure, hands));
                 }
             }
             _ => {}
@@ -188,7 +188,7 @@
         }
     }
 
-    pub(crate) fn stands(&mut self, f: usize, play: u64, load: &[Figure]) {
+    pub(crate) fn stands(&mut self, f: usize, play: u64, load: &[LoadMetric]) {
         let Some(it) = self.fronts[f].sessions.get_mut(&play) else { return };
         let Some((server, _)) = it.at else { return };
         it.at = Some((server, true));
@@ -198,12 +198,12 @@
         self.answer(f, play, 200);
         let load = load.to_vec();
         self.call(f, |desk, now, hands| {
-            desk.playing(now, play, hands);
-            desk.report(now, server as u32, &load, hands);
+            desk.on_playing(now, play, hands);
+            desk.on_load_report(now, server as u32, &load, hands);
         });
     }
 
-    pub(crate) fn turned_away(&mut self, f: usize, play: u64, status: u16, load: &[Figure]) {
+    pub(crate) fn turned_away(&mut self, f: usize, play: u64, status: u16, load: &[LoadMetric]) {
         let Some(it) = self.fronts[f].sessions.get(&play) else { return };
         let full = status == 453 || status == 429;
         let allocation = format!("{f}-{play:x}-{}", it.n);
@@ -212,7 +212,7 @@
     }
 
     /// An allocation is out no more, or a play has ended.
-    pub(crate) fn over(&mut self, f: usize, play: u64, outcome: End, load: &[Figure]) {
+    pub(crate) fn over(&mut self, f: usize, play: u64, outcome: End, load: &[LoadMetric]) {
         let Some(it) = self.fronts[f].sessions.get_mut(&play) else { return };
         let Some((server, playing)) = it.at.take() else { return };
         let allocation = format!("{f}-{play:x}-{}", it.n);
@@ -221,7 +221,9 @@
         }
         self.saw(What::Closed { allocation });
         let load = load.to_vec();
-        self.call(f, |desk, now, hands| desk.ended(now, play, server as u32, outcome, playing, &load, hands));
+        self.call(f, |desk, now, hands| {
+            desk.on_allocation_ended(now, play, server as u32, outcome, playing, &load, hands)
+        });
     }
 
     pub(crate) fn met(&mut self, f: usize, play: u64, server: usize, outcome: End) {
@@ -241,10 +243,10 @@
 
     // ---- what the desk has done ----
 
-    pub(crate) fn call(&mut self, f: usize, call: impl FnOnce(&mut Desk, f64, &mut Deeds)) {
+    pub(crate) fn call(&mut self, f: usize, call: impl FnOnce(&mut Dispatcher, f64, &mut Deeds)) {
         let mut deeds = Deeds::default();
         call(&mut self.fronts[f].desk, self.now, &mut deeds);
-        self.fronts[f].desk.turn_ends(self.now, &mut deeds);
+        self.fronts[f].desk.end_turn(self.now, &mut deeds);
         while let Some(deed) = deeds.0.pop_front() {
             match deed {
                 Deed::Chose(odds) => self.fronts[f].drawn = odds,
--- a/crates/message-mutation/src/world.rs
+++ b/crates/message-mutation/src/world.rs
@@ -4,7 +4,7 @@
 use crate::inbox::{self, SetUp};
 use crate::{Change, Kind};
 use oorandom::Rand64;
-use pulleystair::{Given, Listing, Outcome as End, Standing};
+use pulleystair::{Listing, Outcome as End, ServerHint, Standing};
 use pulleystair_fleet_member::{number_of, told};
 use pulleystair_rule_checker::rules::check;
 use pulleystair_rule_checker::{Seen, What};
@@ -182,7 +182,7 @@
         match event {
             Event::Mail(mail) => self.mail(mail),
             Event::Again(mail) => self.take(mail),
-            Event::Wake(f, mark) => self.call(f, |desk, now, hands| desk.rings(now, mark, hands)),
+            Event::Wake(f, mark) => self.call(f, |desk, now, hands| desk.on_timer(now, mark, hands)),
             Event::Comes(f) => self.comes(f),
             Event::TimeOut(f, play, n) => {
                 let out = |s: &Session| s.n == n && matches!(s.at, Some((_, false)));
@@ -254,15 +254,15 @@
         let now = self.now;
         let front = &mut self.fronts[f];
         let id = |s: &u32| number_of(&format!("m{s}"));
-        front.fellow.waits(now, front.desk.waited_for().iter().map(id));
-        let counts = front.desk.counts();
+        front.fellow.waits(now, front.desk.awaited_servers().iter().map(id));
+        let counts = front.desk.play_counts();
         front.fellow.counts(counts.iter().map(|((s, p), c)| ((id(s), *p as u16), *c)).collect());
         let (given, out) = front.fellow.look(now, now);
         let due = front.fellow.due();
         let numbers: BTreeMap<u64, u32> = (0..SERVERS as u32).map(|s| (id(&s), s)).collect();
-        let given: Vec<(u32, Given)> =
+        let given: Vec<(u32, ServerHint)> =
             given.iter().filter_map(|it| Some((*numbers.get(&it.server)?, told(it)))).collect();
-        self.call(f, |desk, now, _| desk.given(now, &given));
+        self.call(f, |desk, now, _| desk.apply_hints(now, &given));
         self.datagrams(f, out);
         self.at((due - now).max(0.001), Event::Fellow(f));
     }
@@ -291,7 +291,7 @@
             1 => {
                 self.hosts[0].up = true;
                 self.saw(What::Started { server: 0, cold: true });
-                self.list[0].born = self.now;
+                self.list[0].started_at = self.now;
                 self.listed(0, Standing::Ready);
             }
             2 => self.listed(1, Standing::Draining),
--- a/crates/node/src/asked.rs
+++ b/crates/node/src/asked.rs
@@ -3,7 +3,7 @@
 use crate::floor::{Session, WITHDRAWN};
 use crate::node::Node;
 use pulleystair_connections::Key;
-use pulleystair_dispatcher::Wish;
+use pulleystair_dispatcher::PlayRequest;
 use pulleystair_viewer_protocol::{Message, code};
 
 /// The longest time that a viewer may say that it waits, ms.
@@ -11,7 +11,7 @@
 
 /// A set-up as it was read.
 pub(crate) struct Asked {
-    pub(crate) wish: Wish,
+    pub(crate) wish: PlayRequest,
     pub(crate) class: String,
     pub(crate) title: String,
     pub(crate) description: Vec<u8>,
@@ -30,7 +30,7 @@
         let terms = &self.floor.terms;
         let class = message.text(code::CLASS).ok_or("no class")?;
         let product = terms.products.iter().position(|p| p == class).ok_or("unknown class")?;
-        if !self.desk.sells(product) {
+        if !self.desk.has_product(product) {
             return Err("unknown class");
         }
         let title = message.text(code::TITLE).ok_or("no title")?;
@@ -69,14 +69,14 @@
         if at.is_none() && !(limit > 0.0 && limit <= LONGEST) {
             return Err("time limit out of range");
         }
-        let wish = Wish {
+        let wish = PlayRequest {
             product,
             title: number,
             first_cell,
             holders,
-            top,
-            came: now,
-            limit: now + limit.clamp(0.0, LONGEST),
+            max_rung: top,
+            arrived_at: now,
+            deadline: now + limit.clamp(0.0, LONGEST),
         };
         Ok(Asked { wish, class: class.to_string(), title: title.to_string(), description, at })
     }
--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -7,7 +7,7 @@
 
 use crate::floor::{Attempt, News};
 use crate::node::Node;
-use pulleystair::{Figure, Outcome, Standing};
+use pulleystair::{LoadMetric, Outcome, Standing};
 use pulleystair_connections::Key;
 use tracing::debug;
 
@@ -95,7 +95,7 @@
     }
 
     /// An attempt that was out has ended without a session that stands.
-    pub(crate) fn attempt_ended(&mut self, play: u64, server: u32, outcome: Outcome, load: &[Figure]) {
+    pub(crate) fn attempt_ended(&mut self, play: u64, server: u32, outcome: Outcome, load: &[LoadMetric]) {
         let now = self.floor.now();
         if let Some(session) = self.floor.sessions.get_mut(&play).filter(|s| s.server == Some(server)) {
             let key = session.line.take();
@@ -106,7 +106,7 @@
             }
             debug!(target: "play", play = format!("{play:016x}"), server = self.floor.id_of(server), ?outcome, waited, "attempt ended");
         }
-        self.desk.ended(now, play, server, outcome, false, load, &mut self.floor);
+        self.desk.on_allocation_ended(now, play, server, outcome, false, load, &mut self.floor);
         if self.desk.play(play).is_none() {
             self.floor.sessions.remove(&play);
         }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,7 +1,7 @@
 //! What a node is given at start: a file of JSON, with the platform's settings as a call sheet.
 
 use anyhow::{Context, anyhow};
-use pulleystair::{CallSheet, number};
+use pulleystair::{Settings, number};
 use pulleystair_dns_discovery::Known;
 use pulleystair_settings::{sheet_of, texts};
 use serde::Deserialize;
@@ -24,7 +24,7 @@
     #[serde(skip)]
     pub path: PathBuf,
     #[serde(skip)]
-    pub sheet: CallSheet,
+    pub sheet: Settings,
     #[serde(skip)]
     pub salt: u64,
 }
--- a/crates/node/src/hands.rs
+++ b/crates/node/src/hands.rs
@@ -2,10 +2,10 @@
 
 use crate::floor::{ASK, Attempt, Clock, FAILED, Floor, News, REFUSED};
 use pulleystair::Outcome;
-use pulleystair_dispatcher::Hands;
+use pulleystair_dispatcher::Actions;
 use pulleystair_rtsp as rtsp;
 
-impl Hands for Floor {
+impl Actions for Floor {
     /// It goes out at the end of the turn, once its viewer's connection was looked at.
     fn send(&mut self, play: u64, server: u32, rung: usize, time_out: f64) {
         let now = self.now();
@@ -31,7 +31,7 @@
         self.news.push_back(News { play, server, outcome });
     }
 
-    fn step(&mut self, play: u64, rung: usize) {
+    fn set_rung(&mut self, play: u64, rung: usize) {
         if let Some(session) = self.sessions.get_mut(&play) {
             session.rung = rung;
         }
@@ -46,21 +46,21 @@
         self.write_wire(key, &bytes);
     }
 
-    fn declined(&mut self, play: u64, pause: f64) {
+    fn decline(&mut self, play: u64, pause: f64) {
         self.sums.declined += 1;
         self.turn_away(play, REFUSED, pause);
     }
 
-    fn failed(&mut self, play: u64) {
+    fn fail(&mut self, play: u64) {
         self.sums.failed += 1;
         self.turn_away(play, FAILED, 0.0);
     }
 
-    fn wake(&mut self, mark: u32, wait: f64) {
+    fn set_timer(&mut self, mark: u32, wait: f64) {
         let due = self.now() + wait;
         self.clock(due, Clock::Desk(mark));
     }
 
     /// The list is asked for all the time.
-    fn follow(&mut self) {}
+    fn watch_list(&mut self) {}
 }
--- a/crates/node/src/listing.rs
+++ b/crates/node/src/listing.rs
@@ -155,17 +155,17 @@
                 cell: entry.cell,
                 standing: entry.standing,
                 weight: entry.weight,
-                born: entry.started,
+                started_at: entry.started,
             };
             lines.push((number, listing));
             let Some(server) = self.floor.servers.get_mut(&number) else { continue };
             let moved = server.address.is_some_and(|a| a != entry.address);
-            if server.address.is_some() && (moved || listing.born > server.listing.born) {
-                restarted.push((number, if moved { f64::INFINITY } else { listing.born }));
+            if server.address.is_some() && (moved || listing.started_at > server.listing.started_at) {
+                restarted.push((number, if moved { f64::INFINITY } else { listing.started_at }));
             }
             (server.address, server.listing) = (Some(entry.address), listing);
         }
-        self.desk.list(now, whole, cached, &lines);
+        self.desk.update_list(now, whole, cached, &lines);
         for (number, born) in restarted {
             self.restarted(number, born);
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -11,7 +11,7 @@
 use calloop::{EventLoop, Interest, Mode, PostAction};
 use pulleystair::Outcome;
 use pulleystair_connections::{Key, Owner};
-use pulleystair_dispatcher::Desk;
+use pulleystair_dispatcher::Dispatcher;
 use socket2::{Domain, Protocol, Socket, Type};
 use std::collections::HashSet;
 use std::net::{SocketAddr, TcpListener};
@@ -24,7 +24,7 @@
 pub(crate) const LOOK: f64 = 500.0;
 const SUMS: f64 = 5_000.0;
 pub struct Node {
-    pub(crate) desk: Desk,
+    pub(crate) desk: Dispatcher,
     pub(crate) floor: Floor,
     pub(crate) asking: Asking,
     pub(crate) halted: bool,
@@ -52,7 +52,7 @@
     let at = posting.listen;
     let listener = listen(at).map_err(|e| anyhow::anyhow!("listen: {at} can't be had: {e}"))?;
     let (at, listener) = (listener.local_addr()?, Arc::new(listener));
-    let desk = Desk::new(posting.sheet.clone(), posting.salt);
+    let desk = Dispatcher::new(posting.sheet.clone(), posting.salt);
     let floor = Floor::new(posting, handle.clone());
     let asking = Asking::new(&floor, None, false)?;
     let mut node = Node { desk, floor, asking, halted: false };
@@ -103,7 +103,7 @@
     pub(crate) fn end_turn(&mut self) {
         self.take_up_held();
         loop {
-            let asked = self.desk.turn_ends(self.floor.now(), &mut self.floor);
+            let asked = self.desk.end_turn(self.floor.now(), &mut self.floor);
             self.settle();
             if !self.send_out() && !asked {
                 return;
@@ -116,7 +116,7 @@
             let now = self.floor.now();
             let Some((_, clock)) = self.floor.clocks.pop(now) else { return };
             match clock {
-                Clock::Desk(mark) => self.desk.rings(now, mark, &mut self.floor),
+                Clock::Desk(mark) => self.desk.on_timer(now, mark, &mut self.floor),
                 Clock::TimeOut(play, number) => self.time_out(play, number),
                 Clock::Line(key) => self.line_due(now, key),
                 Clock::Ask => self.ask_if_due(now),
@@ -131,7 +131,7 @@
                 Clock::Sums => {
                     let floor = &self.floor;
                     info!(target: "sums", sums = ?floor.sums, open = floor.deciding, sessions = floor.sessions.len(),
-                        held = self.desk.held(), viewers = floor.viewers.len(), wires = floor.wires_open(),
+                        held = self.desk.play_count(), viewers = floor.viewers.len(), wires = floor.wires_open(),
                         servers = floor.servers.len(), owed = floor.owed.len(), cuts = floor.cuts.len(), clocks = floor.clocks.len());
                     self.forget_gone();
                     self.floor.clock(now + SUMS, Clock::Sums);
@@ -206,7 +206,7 @@
             let (id, playing, standing) = (server.id.clone(), server.playing, server.listing.standing);
             let lines = server.lines.clone();
             let out: usize = lines.iter().map(|key| self.floor.wire(*key).map_or(0, |w| w.open.len())).sum();
-            debug!(target: "belief", id, ?standing, playing, out, held = self.desk.held_at(number), lines = lines.len());
+            debug!(target: "belief", id, ?standing, playing, out, held = self.desk.play_count_at(number), lines = lines.len());
         }
     }
 }
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -4,7 +4,7 @@
 use crate::ended::Word;
 use crate::floor::{ASK, ENDED, FAILED, GIVE_UP, OWED, READ, Role, Server, Session, WITHDRAWN};
 use crate::node::{LOOK, Node};
-use pulleystair::{Figure, Outcome};
+use pulleystair::{LoadMetric, Outcome};
 use pulleystair_connections::Key;
 use pulleystair_rtsp::{Message, Start};
 use pulleystair_viewer_protocol::{self as protocol, code, kind};
@@ -100,7 +100,7 @@
     fn server_message(&mut self, key: Key, server: u32, message: &Message) {
         let now = self.floor.now();
         let play = message.session;
-        let load: Vec<Figure> =
+        let load: Vec<LoadMetric> =
             message.report().filter_map(|(name, value)| pulleystair_settings::figure(name, value)).collect();
         // An answer for a viewer that has gone by now is not for it any more.
         let waits = |s: &&Session| !s.playing && message.cseq() != Some(ASK);
@@ -117,7 +117,7 @@
             Start::Answer(100..=199) => {}
             Start::Answer(_) if message.cseq() == Some(GIVE_UP) => {}
             Start::Answer(_) if message.cseq() == Some(ASK) => {
-                self.desk.report(now, server, &load, &mut self.floor);
+                self.desk.on_load_report(now, server, &load, &mut self.floor);
             }
             Start::Answer(200) if out => self.plays(now, key, server, play, &message.body, &load),
             // Of an attempt given up on another line; the same id is out there again, or stands, and an end would be taken for its.
@@ -158,12 +158,30 @@
                         return;
                     };
                     match why {
-                        "d" => self.desk.note(now, play, server, Figure::Delivered(amount), &mut self.floor),
-                        "l" => self.desk.note(now, play, server, Figure::Link(amount), &mut self.floor),
-                        "u" => self.desk.note(now, play, server, Figure::Uplink(amount), &mut self.floor),
+                        "d" => self.desk.on_play_note(
+                            now,
+                            play,
+                            server,
+                            LoadMetric::Delivered(amount),
+                            &mut self.floor,
+                        ),
+                        "l" => self.desk.on_play_note(
+                            now,
+                            play,
+                            server,
+                            LoadMetric::Link(amount),
+                            &mut self.floor,
+                        ),
+                        "u" => self.desk.on_play_note(
+                            now,
+                            play,
+                            server,
+                            LoadMetric::Uplink(amount),
+                            &mut self.floor,
+                        ),
                         "r" => {
                             let rung = amount.max(0.0) as usize;
-                            self.desk.rung_told(play, rung);
+                            self.desk.set_adopted_rung(play, rung);
                             if let Some(session) = self.floor.sessions.get_mut(&play) {
                                 (session.rung, session.rung_sent) = (rung, rung);
                             }
@@ -177,7 +195,7 @@
     }
 
     /// The set-up was answered: its viewer gets the description as it came.
-    fn plays(&mut self, now: f64, key: Key, server: u32, play: u64, description: &[u8], load: &[Figure]) {
+    fn plays(&mut self, now: f64, key: Key, server: u32, play: u64, description: &[u8], load: &[LoadMetric]) {
         self.floor.no_more_open(key, play);
         let Some(bytes) = protocol::write(kind::ANSWER, play, &[(code::DESCRIPTION, description)]) else {
             self.floor.cut(server, Some(key), play, WITHDRAWN);
@@ -195,13 +213,13 @@
         if let Some(server) = self.floor.servers.get_mut(&server) {
             server.playing += 1;
         }
-        self.desk.playing(now, play, &mut self.floor);
-        self.desk.report(now, server, load, &mut self.floor);
+        self.desk.on_playing(now, play, &mut self.floor);
+        self.desk.on_load_report(now, server, load, &mut self.floor);
         self.floor.send_rung(play);
     }
 
     /// A session that stood is over, by its server's word or loss: the viewer is told, unless it ended it itself.
-    pub(crate) fn stood(&mut self, play: u64, server: u32, outcome: Outcome, cause: u8, load: &[Figure]) {
+    pub(crate) fn stood(&mut self, play: u64, server: u32, outcome: Outcome, cause: u8, load: &[LoadMetric]) {
         let now = self.floor.now();
         let Some(session) = self.floor.sessions.remove(&play) else { return };
         self.floor.ended.note(now, play, Word::Both);
@@ -216,14 +234,14 @@
         if outcome != Outcome::Withdrawn || cause != WITHDRAWN {
             self.floor.release(play, session.viewer, session.from, cause);
         }
-        self.desk.ended(now, play, server, outcome, true, load, &mut self.floor);
+        self.desk.on_allocation_ended(now, play, server, outcome, true, load, &mut self.floor);
         self.settle();
     }
 
     /// A session that stood is over by its viewer's word.
     pub(crate) fn over(&mut self, play: u64) {
         let now = self.floor.now();
-        self.desk.left(play, &mut self.floor);
+        self.desk.on_viewer_left(play, &mut self.floor);
         // The desk has had it withdrawn; that is told as news, and the session is gone by then.
         let Some(session) = self.floor.sessions.remove(&play) else { return };
         self.floor.ended.note(now, play, Word::Both);
@@ -232,7 +250,7 @@
                 server.playing = server.playing.saturating_sub(1);
             }
             self.floor.news.retain(|news| news.play != play);
-            self.desk.ended(now, play, number, Outcome::Withdrawn, true, &[], &mut self.floor);
+            self.desk.on_allocation_ended(now, play, number, Outcome::Withdrawn, true, &[], &mut self.floor);
         }
     }
 
--- a/crates/node/src/stopping.rs
+++ b/crates/node/src/stopping.rs
@@ -70,7 +70,7 @@
     /// What is still open is answered, as the end comes before its time.
     pub(crate) fn answer_all(&mut self) {
         self.nothing_came();
-        self.desk.time_is_up(self.floor.now(), &mut self.floor);
+        self.desk.expire_pending(self.floor.now(), &mut self.floor);
         self.settle();
         self.halted = true;
     }
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -144,7 +144,7 @@
         let Some(session) = self.floor.sessions.get(&play) else { return };
         let (key, server) = (session.viewer, session.server);
         self.floor.answered(key, play);
-        self.desk.left(play, &mut self.floor);
+        self.desk.on_viewer_left(play, &mut self.floor);
         // One that is out is forgotten with the outcome that the desk is still told.
         if server.is_none() {
             self.floor.sessions.remove(&play);
@@ -289,7 +289,7 @@
         let wish = asked.wish;
         self.floor.sessions.insert(play, session(key, from, asked));
         self.prove(key);
-        self.desk.take(now, play, &wish, &mut self.floor);
+        self.desk.add_play(now, play, &wish, &mut self.floor);
         true
     }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,27 +3,27 @@
 
 mod check;
 
-use pulleystair::{CallSheet, Figure, Value};
+use pulleystair::{LoadMetric, Settings, Value};
 use serde_json::Value as Json;
 
 /// The settings as a plain map: paths joined by dots, in our words, times in ms.
-pub fn call_sheet(json: &[u8]) -> Result<CallSheet, String> {
+pub fn call_sheet(json: &[u8]) -> Result<Settings, String> {
     let json = serde_json::from_slice(json).map_err(|e| format!("its settings are no JSON: {e}"))?;
     sheet_of(&json)
 }
 
 /// The same, of settings that were read already as part of more.
-pub fn sheet_of(json: &Json) -> Result<CallSheet, String> {
+pub fn sheet_of(json: &Json) -> Result<Settings, String> {
     if !json.is_object() {
         return Err("its settings are no JSON object".into());
     }
     check::check(json)?;
-    let mut sheet = CallSheet::new();
+    let mut sheet = Settings::new();
     flatten("", json, &mut sheet);
     Ok(sheet)
 }
 
-fn flatten(path: &str, json: &Json, sheet: &mut CallSheet) {
+fn flatten(path: &str, json: &Json, sheet: &mut Settings) {
     let join = |part: &str| if path.is_empty() { part.to_string() } else { format!("{path}.{part}") };
     let value = match json {
         Json::Object(parts) => return parts.iter().for_each(|(k, v)| flatten(&join(&our_word(k)), v, sheet)),
@@ -61,7 +61,7 @@
 }
 
 /// A row of texts, by the name of each, up to the first that is not there.
-pub fn texts(sheet: &CallSheet, name: impl Fn(usize) -> String) -> Vec<String> {
+pub fn texts(sheet: &Settings, name: impl Fn(usize) -> String) -> Vec<String> {
     let text = |i| match sheet.get(&name(i)) {
         Some(Value::Text(t)) => Some(t.clone()),
         _ => None,
@@ -73,23 +73,23 @@
 pub struct Columns(Vec<String>);
 
 impl Columns {
-    pub fn of(sheet: &CallSheet) -> Columns {
+    pub fn of(sheet: &Settings) -> Columns {
         Columns(texts(sheet, |i| format!("load_info.columns.{i}")))
     }
 
     /// The figures of a report that has its values in order.
-    pub fn figures(&self, values: &[f64]) -> Vec<Figure> {
+    pub fn figures(&self, values: &[f64]) -> Vec<LoadMetric> {
         self.0.iter().zip(values).filter_map(|(column, value)| figure(column, *value)).collect()
     }
 }
 
 /// The figure that a value of this name is, if it is one that the decisions know.
-pub fn figure(column: &str, value: f64) -> Option<Figure> {
+pub fn figure(column: &str, value: f64) -> Option<LoadMetric> {
     match column {
-        "x0" => Some(Figure::Link(value)),
-        "utilization" => Some(Figure::LinkCapped(value)),
-        "x1" => Some(Figure::Uplink(value)),
-        "outstanding" => Some(Figure::Streams(value)),
+        "x0" => Some(LoadMetric::Link(value)),
+        "utilization" => Some(LoadMetric::LinkCapped(value)),
+        "x1" => Some(LoadMetric::Uplink(value)),
+        "outstanding" => Some(LoadMetric::Streams(value)),
         _ => None,
     }
 }
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -1,13 +1,13 @@
 //! The instances of one process: decodes events into calls on their desks, encodes what the desks want done.
 
 use crate::frame::{Fields, Reply, records, us};
-use pulleystair::{CallSheet, Figure, Listing, Outcome, Standing};
-use pulleystair_dispatcher::{Desk, Hands, Wish};
+use pulleystair::{Listing, LoadMetric, Outcome, Settings, Standing};
+use pulleystair_dispatcher::{Actions, Dispatcher, PlayRequest};
 use pulleystair_settings::{Columns, call_sheet};
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Instance {
-    desk: Desk,
+    desk: Dispatcher,
     columns: Columns,
 }
 
@@ -61,7 +61,7 @@
                 match call_sheet(f.bytes(size)?) {
                     Ok(sheet) => {
                         let mut instance = Instance::new(sheet, salt);
-                        instance.desk.follow(false, &mut Wire { who, reply: &mut reply });
+                        instance.desk.watch_list(false, &mut Wire { who, reply: &mut reply });
                         self.instances.insert(who, instance);
                     }
                     Err(e) => die(who, &f.fault(&e), &mut reply),
@@ -76,7 +76,7 @@
         }
         for who in told {
             if let Some(instance) = self.instances.get_mut(&who) {
-                instance.desk.turn_ends(now, &mut Wire { who, reply: &mut reply });
+                instance.desk.end_turn(now, &mut Wire { who, reply: &mut reply });
             }
         }
         Ok(reply.0)
@@ -102,14 +102,14 @@
             _ => Standing::Draining,
         };
         let (weight, born) = (f.f32()?, f.u64()? as f64 / 1000.0);
-        lines.push((id, Listing { server: 0, zone, kind, cell, standing, weight, born }));
+        lines.push((id, Listing { server: 0, zone, kind, cell, standing, weight, started_at: born }));
     }
     Ok((table, lines))
 }
 
 impl Instance {
-    fn new(sheet: CallSheet, salt: u64) -> Instance {
-        Instance { columns: Columns::of(&sheet), desk: Desk::new(sheet, salt) }
+    fn new(sheet: Settings, salt: u64) -> Instance {
+        Instance { columns: Columns::of(&sheet), desk: Dispatcher::new(sheet, salt) }
     }
 
     fn event(
@@ -126,12 +126,12 @@
                 f.u64()?;
                 let table = f.u8()?;
                 if how == 3 {
-                    self.desk.follow(true, hands);
+                    self.desk.watch_list(true, hands);
                     return Ok(());
                 }
                 let lines =
                     tables.get(&table).ok_or_else(|| f.fault(&format!("there is no census {table}")))?;
-                self.desk.list(now, how != 0, how == 2, lines);
+                self.desk.update_list(now, how != 0, how == 2, lines);
             }
             18 => {
                 let id = f.u64()?;
@@ -145,9 +145,17 @@
                 let first_cell = f.f32()?.max(0.0) as usize;
                 f.ms()?;
                 let product = f.u16()?.into();
-                let wish = Wish { product, title, first_cell, holders, top, came: now, limit };
+                let wish = PlayRequest {
+                    product,
+                    title,
+                    first_cell,
+                    holders,
+                    max_rung: top,
+                    arrived_at: now,
+                    deadline: limit,
+                };
                 if self.sells(&wish, f, hands) {
-                    self.desk.take(now, id, &wish, hands);
+                    self.desk.add_play(now, id, &wish, hands);
                 }
             }
             26 => {
@@ -163,12 +171,20 @@
                 let top = f.f32()?.max(0.0) as usize;
                 f.u8()?;
                 let server = f.u32()?;
-                let wish = Wish { product, title, first_cell, holders, top, came: now, limit };
+                let wish = PlayRequest {
+                    product,
+                    title,
+                    first_cell,
+                    holders,
+                    max_rung: top,
+                    arrived_at: now,
+                    deadline: limit,
+                };
                 if self.sells(&wish, f, hands) {
                     self.desk.adopt(now, id, &wish, server, hands);
                 }
             }
-            19 => self.desk.playing(now, f.u64()?, hands),
+            19 => self.desk.on_playing(now, f.u64()?, hands),
             20 => {
                 let id = f.u64()?;
                 let outcome = outcome(f.u16()?).map_err(|e| f.fault(&e))?;
@@ -177,26 +193,26 @@
                 let server = f.u32()?;
                 f.ms()?;
                 let load = self.columns.figures(&f.numbers()?);
-                self.desk.ended(now, id, server, outcome, closed, &load, hands);
+                self.desk.on_allocation_ended(now, id, server, outcome, closed, &load, hands);
             }
-            21 => self.desk.left(f.u64()?, hands),
-            22 => self.desk.rings(now, f.u32()?, hands),
+            21 => self.desk.on_viewer_left(f.u64()?, hands),
+            22 => self.desk.on_timer(now, f.u32()?, hands),
             23 => {
                 f.ms()?;
                 f.u16()?;
                 let server = f.u32()?;
                 let load = self.columns.figures(&f.numbers()?);
-                self.desk.report(now, server, &load, hands);
+                self.desk.on_load_report(now, server, &load, hands);
             }
             27 => {
                 let id = f.u64()?;
                 let amount = f.f32()?;
                 let server = f.u32()?;
                 match f.u8()? {
-                    1 => self.desk.note(now, id, server, Figure::Delivered(amount), hands),
-                    2 => self.desk.rung_told(id, amount.max(0.0) as usize),
-                    3 => self.desk.note(now, id, server, Figure::Link(amount), hands),
-                    4 => self.desk.note(now, id, server, Figure::Uplink(amount), hands),
+                    1 => self.desk.on_play_note(now, id, server, LoadMetric::Delivered(amount), hands),
+                    2 => self.desk.set_adopted_rung(id, amount.max(0.0) as usize),
+                    3 => self.desk.on_play_note(now, id, server, LoadMetric::Link(amount), hands),
+                    4 => self.desk.on_play_note(now, id, server, LoadMetric::Uplink(amount), hands),
                     _ => {}
                 }
             }
@@ -205,8 +221,8 @@
         Ok(())
     }
 
-    fn sells(&self, wish: &Wish, f: &Fields, hands: &mut Wire) -> bool {
-        let sells = self.desk.sells(wish.product);
+    fn sells(&self, wish: &PlayRequest, f: &Fields, hands: &mut Wire) -> bool {
+        let sells = self.desk.has_product(wish.product);
         if !sells {
             die(hands.who, &f.fault(&format!("there is no product {}", wish.product)), hands.reply);
         }
@@ -226,16 +242,16 @@
     }
 }
 
-impl Hands for Wire<'_> {
+impl Actions for Wire<'_> {
     fn send(&mut self, play: u64, server: u32, rung: usize, time_out: f64) {
-        self.step(play, rung);
+        self.set_rung(play, rung);
         self.record(29, &[&play.to_le_bytes(), &us(time_out.max(0.001)), &server.to_le_bytes()]);
     }
 
     /// The bench withdraws by itself what a viewer has left.
     fn withdraw(&mut self, _play: u64) {}
 
-    fn step(&mut self, play: u64, rung: usize) {
+    fn set_rung(&mut self, play: u64, rung: usize) {
         self.record(28, &[&play.to_le_bytes(), &[rung as u8]]);
     }
 
@@ -243,19 +259,19 @@
         self.record(18, &[&server.to_le_bytes()]);
     }
 
-    fn declined(&mut self, play: u64, pause: f64) {
+    fn decline(&mut self, play: u64, pause: f64) {
         self.record(17, &[&play.to_le_bytes(), &us(pause)]);
     }
 
-    fn failed(&mut self, play: u64) {
+    fn fail(&mut self, play: u64) {
         self.record(25, &[&play.to_le_bytes()]);
     }
 
-    fn wake(&mut self, mark: u32, wait: f64) {
+    fn set_timer(&mut self, mark: u32, wait: f64) {
         self.record(24, &[&mark.to_le_bytes(), &us(wait)]);
     }
 
-    fn follow(&mut self) {
+    fn watch_list(&mut self) {
         self.record(21, &[&[1]]);
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -19,7 +19,7 @@
 ];
 
 /// What the operators hand over at start: flat names such as `products.0.importance`.
-pub type CallSheet = BTreeMap<String, Value>;
+pub type Settings = BTreeMap<String, Value>;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
@@ -28,7 +28,7 @@
 }
 
 /// A number of the call sheet, or this one where it has none of that name.
-pub fn number(settings: &CallSheet, name: &str, default: f64) -> f64 {
+pub fn number(settings: &Settings, name: &str, default: f64) -> f64 {
     if let Some(Value::Number(n)) = settings.get(name) { *n } else { default }
 }
 
@@ -41,14 +41,14 @@
     pub first_cell: usize,
     pub holders: usize,
     /// Highest rung that the viewer can use.
-    pub top: usize,
-    pub came: f64,
+    pub max_rung: usize,
+    pub arrived_at: f64,
     /// The clock time at which the viewer gives up on a set-up.
-    pub limit: f64,
+    pub deadline: f64,
 
-    // The rest is written by the decisions; a caller reads `over` and `server`.
+    // The rest is written by the decisions; a caller reads `finished` and `server`.
     /// Has had its final answer, or has ended.
-    pub over: bool,
+    pub finished: bool,
     /// The server that an allocation is out to, or that it plays at.
     pub server: Option<usize>,
     pub playing: bool,
@@ -58,22 +58,22 @@
     pub ran_at: Option<(usize, f64)>,
     pub tried: Vec<usize>,
     /// Those of them that answered an error; whose it was shows once the play is served elsewhere.
-    pub erred: Vec<usize>,
+    pub errored_on: Vec<usize>,
     /// Servers were probed for its next allocation.
-    pub sounded: bool,
+    pub probed: bool,
     /// The cold or doubted server that it waits for.
-    pub waits: Option<usize>,
-    pub sent: f64,
-    pub started: f64,
-    pub ask_at: f64,
+    pub waiting_for: Option<usize>,
+    pub sent_at: f64,
+    pub started_at: f64,
+    pub recheck_at: f64,
 }
 
 /// Changes of rung: plays and the rung that each now has.
-pub type Steps = Vec<(usize, usize)>;
+pub type RungChanges = Vec<(usize, usize)>;
 
 /// A holder that could have been drawn: its chance, and the room that it was weighed by.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Odd {
+pub struct HolderChance {
     pub server: usize,
     pub chance: f64,
     pub room: f64,
@@ -81,7 +81,7 @@
 
 /// What is known of a server by other fronts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Given {
+pub struct ServerHint {
     pub server: usize,
     /// Doubted on hearsay.
     pub doubted: bool,
@@ -94,25 +94,25 @@
 
 /// Where a play goes.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Place {
+pub enum Placement {
     Send {
         server: usize,
         rung: usize,
         time_out: f64,
-        odds: Vec<Odd>,
+        candidates: Vec<HolderChance>,
     },
-    /// It is to be asked about again once `wait` has passed, and after a turn in which the decisions were told
+    /// It is to be asked about again once `time_to_recheck` has passed, and after a turn in which the decisions were told
     /// a fact, which may have taken its last hope; meanwhile these servers are to be probed.
-    NotYet {
-        sound_out: Vec<usize>,
+    Wait {
+        probe: Vec<usize>,
     },
     /// It plays, on this rung.
-    Stays {
+    Keep {
         rung: usize,
     },
-    /// Never, and nothing of it ran: the viewer may come back, best after `pause`.
+    /// Never, and nothing of it ran: the viewer may come back, best after `retry_after`.
     Declined {
-        pause: f64,
+        retry_after: f64,
     },
     /// Never, and an allocation of it may have run.
     Failed,
@@ -136,13 +136,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Ask at once where it goes now.
-    Ask,
+    Place,
     Nothing,
 }
 
 /// What a server, or a note about one, tells of its load.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Figure {
+pub enum LoadMetric {
     /// Share of its rate that each play there gets.
     Delivered(f64),
     /// Asked of the link over what the link gives.
@@ -155,9 +155,9 @@
     Streams(f64),
 }
 
-impl Figure {
-    pub fn amount(self) -> f64 {
-        use Figure::{Delivered, Link, LinkCapped, Streams, Uplink};
+impl LoadMetric {
+    pub fn value(self) -> f64 {
+        use LoadMetric::{Delivered, Link, LinkCapped, Streams, Uplink};
         let (Delivered(x) | Link(x) | LinkCapped(x) | Uplink(x) | Streams(x)) = self;
         x
     }
@@ -181,5 +181,5 @@
     pub standing: Standing,
     pub weight: f64,
     /// Clock time of the latest start; 0 for long ago.
-    pub born: f64,
+    pub started_at: f64,
 }
--- a/src/logic/facts.rs
+++ b/src/logic/facts.rs
@@ -1,15 +1,15 @@
 //! What a front is told: the list, servers' load, plays that come and leave, and what follows on an outcome.
 
-use super::{Front, JITTER, room::Pipe, room::Server, room::meeting};
-use crate::{Figure, Given, Listing, Next, Outcome, Play, Standing, Steps, number};
+use super::{JITTER, Policy, room::Pipe, room::Server, room::meeting};
+use crate::{Listing, LoadMetric, Next, Outcome, Play, RungChanges, ServerHint, Standing, number};
 
 /// Asked over given from which a link counts as short: figures err by as much, and plays end by themselves.
 const SHORT: f64 = 1.04;
 
-impl Front {
+impl Policy {
     /// The list of servers, whole or its changes. A cached one may be old: all on it count as just started
     /// until discovery speaks, lest a front that restarts rush a server that restarted meanwhile.
-    pub fn list(&mut self, now: f64, whole: bool, cached: bool, lines: &[Listing]) {
+    pub fn update_list(&mut self, now: f64, whole: bool, cached: bool, lines: &[Listing]) {
         let unit = self.rule("extra.link_unit_kb", 1.0);
         self.since = self.since.min(now);
         if whole {
@@ -18,12 +18,12 @@
         for line in lines {
             self.know(line.server);
             let s = &mut self.servers[line.server];
-            if line.born > s.listing.born && s.listing.weight > 0.0 {
+            if line.started_at > s.listing.started_at && s.listing.weight > 0.0 {
                 (s.link.asked, s.streams) = (None, 0.0);
                 s.outcomes.clear();
                 s.hearsay = false;
             }
-            s.cold_since = if cached { now } else { s.cold_since.max(line.born) };
+            s.cold_since = if cached { now } else { s.cold_since.max(line.started_at) };
             (s.rack, s.link.size) = (line.cell % self.racks.len(), (line.weight * unit).max(1.0));
             s.link.fronts = meeting(self.fronts, &self.ladder, s.link.size);
             s.listing = *line;
@@ -38,12 +38,12 @@
             self.cached = now;
         } else if whole {
             let vouched = self.servers.iter_mut().filter(|s| s.cold_since == self.cached);
-            vouched.for_each(|s| s.cold_since = s.listing.born);
+            vouched.for_each(|s| s.cold_since = s.listing.started_at);
         }
     }
 
     /// What other fronts let this one know; a wait for a server's pace goes on at the new one.
-    pub fn given(&mut self, now: f64, it: &Given) {
+    pub fn apply_hint(&mut self, now: f64, it: &ServerHint) {
         self.know(it.server);
         let before = self.gap(now, it.server);
         let s = &mut self.servers[it.server];
@@ -57,33 +57,40 @@
     }
 
     /// A server is gone for good: its index may be another's from now on.
-    pub fn forget(&mut self, s: usize) {
+    pub fn forget_server(&mut self, s: usize) {
         if let Some(server) = self.servers.get_mut(s) {
             *server = Server::default();
         }
     }
 
     /// What a server told of itself, or a note about it on play `of`. Answers the steps down it asks for.
-    pub fn figure(&mut self, now: f64, plays: &mut [Play], s: usize, of: Option<usize>, it: Figure) -> Steps {
-        let x = it.amount();
+    pub fn on_load_metric(
+        &mut self,
+        now: f64,
+        plays: &mut [Play],
+        s: usize,
+        of: Option<usize>,
+        it: LoadMetric,
+    ) -> RungChanges {
+        let x = it.value();
         if s >= self.servers.len() || !x.is_finite() || x < 0.0 {
             return Vec::new();
         }
         // The note at set-up is of now; all else is as late as notes are.
-        let fresh = of.is_some_and(|ply| plays[ply].started == now);
+        let fresh = of.is_some_and(|ply| plays[ply].started_at == now);
         let taken = if fresh { now } else { now - self.rule("extra.seen_after", 1000.0) };
         let rack = self.servers[s].rack;
         let known = self.servers[s].link.share();
         match it {
-            Figure::Streams(_) => self.servers[s].streams = x,
-            Figure::Uplink(_) => self.racks[rack].measured(now, taken, x),
-            Figure::Link(_) | Figure::LinkCapped(_) => {
+            LoadMetric::Streams(_) => self.servers[s].streams = x,
+            LoadMetric::Uplink(_) => self.racks[rack].measured(now, taken, x),
+            LoadMetric::Link(_) | LoadMetric::LinkCapped(_) => {
                 // A capped figure tells of a full link only that it is full.
-                let x = if matches!(it, Figure::LinkCapped(_)) && x >= 1.0 { known.max(1.0) } else { x };
+                let x = if matches!(it, LoadMetric::LinkCapped(_)) && x >= 1.0 { known.max(1.0) } else { x };
                 self.mean += (x.min(1.0) - self.mean) / 16.0;
                 self.servers[s].link.measured(now, taken, x);
             }
-            Figure::Delivered(_) => {
+            LoadMetric::Delivered(_) => {
                 // A rack is short for all its servers: one that delivers short beside a rack with room is
                 // short itself. Guards against a silent server's notes cutting its whole rack.
                 let by_rack = self.racks[rack].share() > known.max(0.9);
@@ -118,12 +125,12 @@
     }
 
     /// A play was taken.
-    pub fn take(&mut self, now: f64, play: &mut Play) {
+    pub fn add_play(&mut self, now: f64, play: &mut Play) {
         if self.sheet.contains_key("rules.budget_share") {
             self.taken.push_back(now);
             self.forget_taken(now);
         }
-        play.ask_at = now;
+        play.recheck_at = now;
         play.rung = self.products[play.product].floor;
     }
 
@@ -132,7 +139,7 @@
         plays[ply].rung = self.products[plays[ply].product].floor;
         (plays[ply].playing, plays[ply].allocations) = (true, 1);
         // Its last change is past, so only the jitter is left of its quiet spell.
-        plays[ply].ask_at = now + JITTER * self.rnd.rand_float();
+        plays[ply].recheck_at = now + JITTER * self.rnd.rand_float();
         if let Some(s) = plays[ply].server {
             self.know(s);
             self.servers[s].plays.push(ply);
@@ -141,30 +148,37 @@
     }
 
     /// The viewer left; an allocation may still be out.
-    pub fn left(&mut self, plays: &mut [Play], ply: usize) {
+    pub fn on_viewer_left(&mut self, plays: &mut [Play], ply: usize) {
         self.leave_queue(plays, ply);
-        plays[ply].over = true;
+        plays[ply].finished = true;
     }
 
     /// What to do after an outcome of the play's latest allocation. `closed`: the play has ended with it.
-    pub fn after(&mut self, now: f64, plays: &mut [Play], ply: usize, what: Outcome, closed: bool) -> Next {
+    pub fn after_outcome(
+        &mut self,
+        now: f64,
+        plays: &mut [Play],
+        ply: usize,
+        what: Outcome,
+        closed: bool,
+    ) -> Next {
         let Some(s) = plays[ply].server else {
             if closed {
-                self.left(plays, ply);
+                self.on_viewer_left(plays, ply);
             }
             return Next::Nothing;
         };
         if what == Outcome::Playing {
-            (plays[ply].playing, plays[ply].started) = (true, now);
-            plays[ply].ask_at = now + self.spell();
+            (plays[ply].playing, plays[ply].started_at) = (true, now);
+            plays[ply].recheck_at = now + self.spell();
             self.servers[s].heard(true);
             // Served here, so errors met elsewhere were the servers' own. Guards against plays that nobody
             // can serve making every server doubted; a server that fails is found out one set-up later.
-            std::mem::take(&mut plays[ply].erred).iter().for_each(|e| self.servers[*e].heard(false));
+            std::mem::take(&mut plays[ply].errored_on).iter().for_each(|e| self.servers[*e].heard(false));
             return Next::Nothing;
         }
         match what {
-            Outcome::Error => plays[ply].erred.push(s),
+            Outcome::Error => plays[ply].errored_on.push(s),
             Outcome::TimedOut | Outcome::Unreachable | Outcome::Broken => {
                 // The process may be gone and come back cold before the list tells.
                 self.servers[s].heard(false);
@@ -180,19 +194,19 @@
         *seats = seats.saturating_sub(1);
         let play = &mut plays[ply];
         if !matches!(what, Outcome::Full | Outcome::Unreachable | Outcome::NeverSent) {
-            play.ran_at.get_or_insert((s, play.sent));
+            play.ran_at.get_or_insert((s, play.sent_at));
         }
-        (play.server, play.sounded, play.ask_at) = (None, false, now);
+        (play.server, play.probed, play.recheck_at) = (None, false, now);
         play.tried.push(s);
         play.rung = self.products[play.product].floor;
-        play.over |= closed || play.playing;
-        if play.over { Next::Nothing } else { Next::Ask }
+        play.finished |= closed || play.playing;
+        if play.finished { Next::Nothing } else { Next::Place }
     }
 
     /// How long until the play is to be asked about again; none while an allocation is out.
-    pub fn wait(&self, now: f64, play: &Play) -> Option<f64> {
-        let due = !play.over && (play.playing || play.server.is_none());
-        due.then(|| (play.ask_at - now).max(0.0))
+    pub fn time_to_recheck(&self, now: f64, play: &Play) -> Option<f64> {
+        let due = !play.finished && (play.playing || play.server.is_none());
+        due.then(|| (play.recheck_at - now).max(0.0))
     }
 
     /// Plays taken longer ago than the budget's span no longer count in it.
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -1,6 +1,6 @@
-//! All decisions of one front. A caller makes a [`Front`] from its call sheet and seed, tells it facts
-//! (`list`, `given`, `take`, `adopt`, `figure`, `left`, ...), and asks three things of it: `place` (where to
-//! send this play, or not yet, or never), `after` (what to do after this outcome) and `wait` (how long until
+//! All decisions of one front. A caller makes a [`Policy`] from its call sheet and seed, tells it facts
+//! (`update_list`, `apply_hint`, `add_play`, `adopt`, `on_load_metric`, `on_viewer_left`, ...), and asks three things of it: `place` (where to
+//! send this play, or not yet, or never), `after_outcome` (what to do after this outcome) and `time_to_recheck` (how long until
 //! it is to be asked about again). `placing` has a play's ordinary path, `facts` what is told and what
 //! follows, `room` links and what they carry, `pace` turns at cold and doubted servers, `rungs` the steps of
 //! quality; `shown` decides nothing.
@@ -12,7 +12,7 @@
 mod rungs;
 mod shown;
 
-use crate::{CallSheet, Value, number};
+use crate::{Settings, Value, number};
 use room::{Pipe, Server, meeting};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -36,8 +36,8 @@
     seats: usize,
 }
 
-pub struct Front {
-    sheet: CallSheet,
+pub struct Policy {
+    sheet: Settings,
     rnd: oorandom::Rand64,
     fronts: f64,
     rank: f64,
@@ -65,17 +65,17 @@
     since: f64,
 }
 
-fn text(sheet: &CallSheet, name: &str) -> String {
+fn text(sheet: &Settings, name: &str) -> String {
     if let Some(Value::Text(t)) = sheet.get(name) { t.clone() } else { String::new() }
 }
 
-fn row(sheet: &CallSheet, name: &str) -> Vec<f64> {
+fn row(sheet: &Settings, name: &str) -> Vec<f64> {
     let given = (0..).take_while(|i| sheet.contains_key(&format!("{name}.{i}")));
     given.map(|i| number(sheet, &format!("{name}.{i}"), 0.0)).collect()
 }
 
-impl Front {
-    pub fn new(sheet: CallSheet, seed: u64) -> Front {
+impl Policy {
+    pub fn new(sheet: Settings, seed: u64) -> Policy {
         let mut ladder = row(&sheet, "extra.ladder_kb");
         let mut earns = row(&sheet, "extra.rung_worth");
         ladder.resize(ladder.len().max(1), 0.0);
@@ -109,7 +109,7 @@
             let size = (mean * racks as f64 * own / cells).max(1.0);
             Pipe { size, fronts: meeting(fronts, &ladder, size), ..Pipe::default() }
         };
-        Front {
+        Policy {
             racks: (0..racks).map(rack).collect(),
             rnd: oorandom::Rand64::new(seed.into()),
             fronts,
@@ -134,12 +134,12 @@
     }
 
     /// Whether the call sheet names this product.
-    pub fn sells(&self, product: usize) -> bool {
+    pub fn has_product(&self, product: usize) -> bool {
         product < self.products.len()
     }
 
     /// When to ask discovery for changes, where it must be asked: now, or after a pause if a call has failed.
-    pub fn follow(&self, failed: bool) -> Option<f64> {
+    pub fn list_watch_delay(&self, failed: bool) -> Option<f64> {
         let asked = text(&self.sheet, "discovery") == "subscribe";
         asked.then_some(if failed { 1000.0 } else { 0.0 })
     }
--- a/src/logic/pace.rs
+++ b/src/logic/pace.rs
@@ -9,7 +9,7 @@
 //! most PACED * N / F, so that uneven rates don't raise the sum. One that restarts does not know what it
 //! sent: it takes one turn more at most, and reckons a high A until it has watched for long.
 
-use super::{Front, MEMORY};
+use super::{MEMORY, Policy};
 use crate::Play;
 
 /// Part of what would push a cold server over that all fronts together send it.
@@ -17,7 +17,7 @@
 /// All fronts are reckoned to set up as much as this one does in so many ms, where that is over a play.
 pub(super) const RECENT: f64 = 1_500.0;
 
-impl Front {
+impl Policy {
     /// When the server may be sent this play: cold and doubted ones by this front's part of the warm-up's
     /// pace, after the plays that have waited for it longer. Fronts take their first turns by rank, so that
     /// their parts do not fall together. Guards against rushing what has just come back, listed or not, and
@@ -41,7 +41,7 @@
     }
 
     pub(super) fn leave_queue(&mut self, plays: &mut [Play], ply: usize) {
-        if let Some(s) = plays[ply].waits.take() {
+        if let Some(s) = plays[ply].waiting_for.take() {
             self.servers[s].queue.retain(|q| q.1 != ply);
         }
     }
--- a/src/logic/placing.rs
+++ b/src/logic/placing.rs
@@ -1,7 +1,7 @@
 //! Where a play goes: the ordinary path, from the title's holders to a rung, and who may be sent to at all.
 
-use super::{Front, MEMORY, pace::RECENT, room::Pipe};
-use crate::{Odd, Place, Play, Standing, Steps, Value};
+use super::{MEMORY, Policy, pace::RECENT, room::Pipe};
+use crate::{HolderChance, Placement, Play, RungChanges, Standing, Value};
 
 /// A draw below this takes the roomiest holder outright (Wamser et al.).
 const WEIGHT: f64 = 0.5;
@@ -16,22 +16,22 @@
     if passed.is_empty() { from } else { passed }
 }
 
-impl Front {
+impl Policy {
     /// Where this play goes: the design's ordinary path, from the title's holders to a rung.
-    pub fn place(&mut self, now: f64, plays: &mut [Play], ply: usize) -> (Place, Steps) {
+    pub fn place(&mut self, now: f64, plays: &mut [Play], ply: usize) -> (Placement, RungChanges) {
         let fades = ((self.recent.1 - now) / RECENT).exp();
         (self.recent, self.wanted) = ((self.recent.0 * fades, now), self.wanted * fades);
         if plays[ply].playing {
             return self.step_up(now, plays, ply);
         }
         // A caller asks anew about plays that wait whenever it has told a fact; that is no further play.
-        let (early, waited) = (now < plays[ply].ask_at - 0.01, plays[ply].waits.is_some());
+        let (early, waited) = (now < plays[ply].recheck_at - 0.01, plays[ply].waiting_for.is_some());
         self.wanted += if early { 0.0 } else { 1.0 };
         let (product, title) = (plays[ply].product, plays[ply].title);
         let seats = self.products[product].seats;
         let seated = self.seats.get(&(product, title)).is_some_and(|n| seats > 0 && *n >= seats);
         let out_of_turn = plays[ply].allocations > 0 && !self.may_allocate_again(now, &plays[ply]);
-        if seated || out_of_turn || now >= plays[ply].limit - 1.0 {
+        if seated || out_of_turn || now >= plays[ply].deadline - 1.0 {
             return (self.never(plays, ply), Vec::new());
         }
 
@@ -47,23 +47,24 @@
         }
         // Cold and doubted holders take plays at their pace only; a play that finds no other waits its turn.
         self.leave_queue(plays, ply);
-        let (came, again) = (plays[ply].came, plays[ply].allocations > 0);
+        let (came, again) = (plays[ply].arrived_at, plays[ply].allocations > 0);
         let turns: Vec<f64> = holders.iter().map(|s| self.turn(now, *s, came, again)).collect();
         let mut open: Vec<usize> =
             (0..holders.len()).filter(|i| turns[*i] <= now).map(|i| holders[i]).collect();
         if open.is_empty() {
             let soonest = (0..turns.len()).min_by(|a, b| turns[*a].total_cmp(&turns[*b])).unwrap_or(0);
-            if turns[soonest] >= plays[ply].limit - 200.0 {
+            if turns[soonest] >= plays[ply].deadline - 200.0 {
                 return (self.never(plays, ply), Vec::new());
             }
-            (plays[ply].waits, plays[ply].ask_at) = (Some(holders[soonest]), turns[soonest].max(now + 1.0));
+            (plays[ply].waiting_for, plays[ply].recheck_at) =
+                (Some(holders[soonest]), turns[soonest].max(now + 1.0));
             let queue = &mut self.servers[holders[soonest]].queue;
             queue.insert(queue.partition_point(|q| q.0 <= came), (came, ply));
-            return (Place::NotYet { sound_out: Vec::new() }, Vec::new());
+            return (Placement::Wait { probe: Vec::new() }, Vec::new());
         }
         // Until the answers of its probes are due it waits for them.
         if early && !waited {
-            return (Place::NotYet { sound_out: Vec::new() }, Vec::new());
+            return (Placement::Wait { probe: Vec::new() }, Vec::new());
         }
         // A live title's viewers share a stream: scattered by the lottery few would, so holders that stream
         // it already and have room come before all others.
@@ -83,13 +84,13 @@
         while sound_out.len() > enough {
             sound_out.swap_remove(self.rnd.rand_range(0..sound_out.len() as u64) as usize);
         }
-        let may_wait = !plays[ply].sounded && now + 4.0 * ECHO < plays[ply].limit;
+        let may_wait = !plays[ply].probed && now + 4.0 * ECHO < plays[ply].deadline;
         if may_wait && !sound_out.is_empty() && self.rule("ceilings.probes", 0.0) > 0.0 {
-            (plays[ply].sounded, plays[ply].ask_at) = (true, now + ECHO);
+            (plays[ply].probed, plays[ply].recheck_at) = (true, now + ECHO);
             sound_out.iter().for_each(|s| self.servers[*s].next_probe = now + self.servers[*s].probe_gap);
-            return (Place::NotYet { sound_out }, Vec::new());
+            return (Placement::Wait { probe: sound_out }, Vec::new());
         }
-        if plays[ply].sounded {
+        if plays[ply].probed {
             open = prefer(open, |s| self.servers[*s].link.asked.is_some() && self.room(plays, *s) > 0.0);
         }
 
@@ -140,20 +141,20 @@
         if play.allocations > 0 && self.sheet.contains_key("rules.budget_share") {
             self.further.push_back(now);
         }
-        let target = play.came + self.products[product].target;
+        let target = play.arrived_at + self.products[product].target;
         let tries =
             (self.rule("ceilings.attempts_cap", 4.0) as usize).saturating_sub(play.allocations).clamp(1, 3);
-        let until = if tries == 1 || target - now < 100.0 { play.limit } else { target };
-        let time_out = ((until - now) / tries as f64).min(play.limit - now);
-        (play.server, play.rung, play.sent) = (Some(server), rung, now);
+        let until = if tries == 1 || target - now < 100.0 { play.deadline } else { target };
+        let time_out = ((until - now) / tries as f64).min(play.deadline - now);
+        (play.server, play.rung, play.sent_at) = (Some(server), rung, now);
         play.allocations += 1;
         self.servers[server].plays.push(ply);
         *self.seats.entry((product, title)).or_default() += 1;
-        (Place::Send { server, rung, time_out, odds }, steps)
+        (Placement::Send { server, rung, time_out, candidates: odds }, steps)
     }
 
     /// The chance that each has in the draw below.
-    fn odds(&self, open: &[usize], rooms: &[f64], total: f64) -> Vec<Odd> {
+    fn odds(&self, open: &[usize], rooms: &[f64], total: f64) -> Vec<HolderChance> {
         let unmeasured = |s: &usize| self.servers[*s].link.asked.is_none();
         let new = open.iter().filter(|s| unmeasured(s)).count();
         let used = |i: &usize| self.shorter(open[*i], Pipe::share).1.share();
@@ -164,7 +165,7 @@
             _ if total <= 0.0 => f64::from(least == Some(i)),
             _ => WEIGHT * f64::from(best == Some(i)) + (1.0 - WEIGHT) * rooms[i] / total,
         };
-        (0..open.len()).map(|i| Odd { server: open[i], chance: chance(i), room: rooms[i] }).collect()
+        (0..open.len()).map(|i| HolderChance { server: open[i], chance: chance(i), room: rooms[i] }).collect()
     }
 
     /// The title's holders that this play may go to.
@@ -210,8 +211,8 @@
         repeatable && play.allocations < cap && self.further.len() as f64 + 1.0 <= budget
     }
 
-    pub(super) fn never(&mut self, plays: &mut [Play], ply: usize) -> Place {
-        self.left(plays, ply);
+    pub(super) fn never(&mut self, plays: &mut [Play], ply: usize) -> Placement {
+        self.on_viewer_left(plays, ply);
         let play = &plays[ply];
         let product = &self.products[play.product];
         let refusable = match product.effect.as_str() {
@@ -221,7 +222,7 @@
         };
         let heeded = self.rule("ceilings.retry_after", 0.0) > 0.0;
         let pause = if heeded { self.rule("ceilings.max_retry_after", 0.0) } else { 0.0 };
-        if refusable { Place::Declined { pause } } else { Place::Failed }
+        if refusable { Placement::Declined { retry_after: pause } } else { Placement::Failed }
     }
 
     /// Whether a play would take more importance from those there than it brings, as link or uplink stays
--- a/src/logic/room.rs
+++ b/src/logic/room.rs
@@ -1,6 +1,6 @@
 //! What is known of a media server: its link and its rack's uplink, what they carry, and the room left.
 
-use super::Front;
+use super::Policy;
 use crate::{Listing, Play};
 use std::collections::VecDeque;
 
@@ -138,7 +138,7 @@
     1.0 + others * (1.0 - (1.0 - 1.0 / fronts).powf(plays))
 }
 
-impl Front {
+impl Policy {
     /// The one room figure: what the link and its rack's uplink both still carry, less the margin. Where this
     /// front sets up play on play, all are reckoned to: guards against floods that no figure shows yet.
     pub(super) fn room(&self, plays: &[Play], s: usize) -> f64 {
--- a/src/logic/rungs.rs
+++ b/src/logic/rungs.rs
@@ -1,15 +1,15 @@
 //! The rung that a play gets, and the steps down and up while it plays.
 
-use super::{Front, JITTER, QUIET, room::Pipe, room::stream};
-use crate::{Place, Play, Steps};
+use super::{JITTER, Policy, QUIET, room::Pipe, room::stream};
+use crate::{Placement, Play, RungChanges};
 
 /// A step down of others must cost this much less importance than it buys.
 const BARGAIN: f64 = 1.5;
 /// So many of the fronts that meet at a server may set up plays there within the life of a figure.
 const COMING: f64 = 4.0;
 
-impl Front {
-    pub fn rung_told(&mut self, plays: &mut [Play], ply: usize, rung: usize) {
+impl Policy {
+    pub fn set_adopted_rung(&mut self, plays: &mut [Play], ply: usize, rung: usize) {
         plays[ply].rung = rung.min(self.ladder.len().saturating_sub(1));
     }
 
@@ -21,7 +21,7 @@
             for (i, ply) in self.servers[*s].plays.iter().enumerate() {
                 let p = &plays[*ply];
                 let product = &self.products[p.product];
-                if p.over || p.rung <= product.floor {
+                if p.finished || p.rung <= product.floor {
                     continue;
                 }
                 let with = |o: &&usize| *o == ply || product.live && stream(&plays[**o]) == stream(p);
@@ -48,12 +48,12 @@
         plays: &mut [Play],
         unit: &[usize],
         freed: f64,
-        steps: &mut Steps,
+        steps: &mut RungChanges,
     ) {
         for ply in unit {
             let p = &mut plays[*ply];
             p.rung -= 1;
-            p.ask_at = now + self.spell();
+            p.recheck_at = now + self.spell();
             steps.retain(|s| s.0 != *ply);
             steps.push((*ply, p.rung));
         }
@@ -64,7 +64,13 @@
 
     /// The rung at set-up. Where it would start low while own plays there hold rungs that earn less for their
     /// rate, those step down for it: importance grows less than the rate, so first come must not take all.
-    pub(super) fn rung_for(&mut self, now: f64, plays: &mut [Play], ply: usize, s: usize) -> (usize, Steps) {
+    pub(super) fn rung_for(
+        &mut self,
+        now: f64,
+        plays: &mut [Play],
+        ply: usize,
+        s: usize,
+    ) -> (usize, RungChanges) {
         let product = &self.products[plays[ply].product];
         let (floor, importance) = (product.floor, product.importance);
         let top = self.top(&plays[ply]).max(floor);
@@ -97,16 +103,16 @@
     }
 
     pub(super) fn top(&self, play: &Play) -> usize {
-        play.top.min(self.products[play.product].top).min(self.ladder.len() - 1)
+        play.max_rung.min(self.products[play.product].top).min(self.ladder.len() - 1)
     }
 
     /// Up after the quiet spell, as far as this front's part of the room carries.
-    pub(super) fn step_up(&mut self, now: f64, plays: &mut [Play], ply: usize) -> (Place, Steps) {
+    pub(super) fn step_up(&mut self, now: f64, plays: &mut [Play], ply: usize) -> (Placement, RungChanges) {
         let rung = plays[ply].rung;
-        let Some(s) = plays[ply].server.filter(|_| now >= plays[ply].ask_at - 0.01) else {
-            return (Place::Stays { rung }, Vec::new());
+        let Some(s) = plays[ply].server.filter(|_| now >= plays[ply].recheck_at - 0.01) else {
+            return (Placement::Keep { rung }, Vec::new());
         };
-        plays[ply].ask_at = now + self.spell();
+        plays[ply].recheck_at = now + self.spell();
         if s < self.servers.len() {
             // A change costs the same however far it goes, so it goes as far as the room does.
             let mut part = self.room(plays, s) / self.servers[s].link.fronts;
@@ -120,6 +126,6 @@
                 self.load(now, s, more);
             }
         }
-        (Place::Stays { rung: plays[ply].rung }, Vec::new())
+        (Placement::Keep { rung: plays[ply].rung }, Vec::new())
     }
 }
--- a/src/logic/shown.rs
+++ b/src/logic/shown.rs
@@ -1,11 +1,11 @@
 //! What a front goes by, shown to whoever compares it with what was approved, and other figures put in its place. No decision.
 
-use super::Front;
-use crate::{CallSheet, Value};
+use super::Policy;
+use crate::{Settings, Value};
 
-impl Front {
+impl Policy {
     /// All that it goes by now, under the call sheet's names.
-    pub fn goes_by(&self) -> CallSheet {
+    pub fn active_settings(&self) -> Settings {
         let mut it = self.sheet.clone();
         let mut put = |name: String, x: f64| it.insert(name, Value::Number(x));
         for (i, (kb, earns)) in self.ladder.iter().zip(&self.earns).enumerate() {
@@ -24,7 +24,7 @@
     }
 
     /// Goes by another figure from now on: a rule's, or a product's floor.
-    pub fn go_by(&mut self, name: &str, value: f64) {
+    pub fn override_setting(&mut self, name: &str, value: f64) {
         let of = name.strip_prefix("extra.class_floor.").and_then(|i| i.parse::<usize>().ok());
         if let Some(product) = of.and_then(|i| self.products.get_mut(i)) {
             product.floor = (value.max(0.0) as usize).min(self.ladder.len() - 1);
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -1,18 +1,20 @@
 //! A tiny host: a front with a few servers, and plays put through it without the bench.
 
-use pulleystair::logic::Front;
-use pulleystair::{CallSheet, Figure, Listing, Next, Outcome, Place, Play, Standing, Steps, Value};
+use pulleystair::logic::Policy;
+use pulleystair::{
+    Listing, LoadMetric, Next, Outcome, Placement, Play, RungChanges, Settings, Standing, Value,
+};
 
 /// Four servers in two racks, links of 1000 kB, a ladder of 100, 200 and 400 kB.
 pub struct Host {
-    pub front: Front,
+    pub front: Policy,
     pub plays: Vec<Play>,
     pub now: f64,
     pub lines: Vec<Listing>,
 }
 
-pub fn sheet(changes: &[(&str, f64)], effect: &str) -> CallSheet {
-    let mut sheet = CallSheet::new();
+pub fn sheet(changes: &[(&str, f64)], effect: &str) -> Settings {
+    let mut sheet = Settings::new();
     let numbers = [
         ("balancers", 1.0),
         ("products.0.importance", 1.0),
@@ -53,7 +55,7 @@
         Host::of(sheet(changes, "read_like"))
     }
 
-    pub fn of(sheet: CallSheet) -> Host {
+    pub fn of(sheet: Settings) -> Host {
         let line = |s| Listing {
             server: s,
             cell: s,
@@ -63,7 +65,7 @@
             ..Listing::default()
         };
         let lines: Vec<Listing> = (0..4).map(line).collect();
-        let mut host = Host { front: Front::new(sheet, 7), plays: Vec::new(), now: 100_000.0, lines };
+        let mut host = Host { front: Policy::new(sheet, 7), plays: Vec::new(), now: 100_000.0, lines };
         host.list();
         for s in 0..4 {
             host.measure(s, 0.5);
@@ -72,39 +74,47 @@
     }
 
     pub fn list(&mut self) {
-        self.front.list(self.now, true, false, &self.lines);
+        self.front.update_list(self.now, true, false, &self.lines);
     }
 
-    pub fn measure(&mut self, s: usize, share: f64) -> Steps {
-        let mut steps = self.front.figure(self.now, &mut self.plays, s, None, Figure::Uplink(0.2));
-        steps.extend(self.front.figure(self.now, &mut self.plays, s, None, Figure::Link(share)));
+    pub fn measure(&mut self, s: usize, share: f64) -> RungChanges {
+        let mut steps =
+            self.front.on_load_metric(self.now, &mut self.plays, s, None, LoadMetric::Uplink(0.2));
+        steps.extend(self.front.on_load_metric(self.now, &mut self.plays, s, None, LoadMetric::Link(share)));
         steps
     }
 
     /// A new play of a title on `holders` cells from `first`.
     pub fn take(&mut self, first: usize, holders: usize) -> usize {
         let limit = self.now + 4000.0;
-        let play = Play { first_cell: first, holders, top: 2, came: self.now, limit, ..Play::default() };
+        let play = Play {
+            first_cell: first,
+            holders,
+            max_rung: 2,
+            arrived_at: self.now,
+            deadline: limit,
+            ..Play::default()
+        };
         self.plays.push(play);
         let ply = self.plays.len() - 1;
-        self.front.take(self.now, &mut self.plays[ply]);
+        self.front.add_play(self.now, &mut self.plays[ply]);
         ply
     }
 
-    pub fn ask(&mut self, ply: usize) -> Place {
+    pub fn ask(&mut self, ply: usize) -> Placement {
         self.front.place(self.now, &mut self.plays, ply).0
     }
 
     /// Asks and tells the server; none where the play is not sent.
     pub fn sent_to(&mut self, ply: usize) -> Option<usize> {
         match self.ask(ply) {
-            Place::Send { server, .. } => Some(server),
+            Placement::Send { server, .. } => Some(server),
             _ => None,
         }
     }
 
     pub fn after(&mut self, ply: usize, outcome: Outcome) -> Next {
-        self.front.after(self.now, &mut self.plays, ply, outcome, false)
+        self.front.after_outcome(self.now, &mut self.plays, ply, outcome, false)
     }
 
     /// Takes a play and starts it; answers its server.
--- a/tests/odd.rs
+++ b/tests/odd.rs
@@ -3,7 +3,7 @@
 mod host;
 
 use host::Host;
-use pulleystair::{Figure, Outcome, Place, Standing};
+use pulleystair::{LoadMetric, Outcome, Placement, Standing};
 use test_case::test_case;
 
 #[test_case(f64::NAN)]
@@ -13,11 +13,17 @@
 fn a_figure_that_cannot_be_is_no_end_of_a_server(x: f64) {
     let mut host = Host::new(&[]);
     let (ply, _) = host.start(0, 1);
-    for figure in [Figure::Link, Figure::LinkCapped, Figure::Uplink, Figure::Delivered, Figure::Streams] {
-        host.front.figure(host.now, &mut host.plays, 0, Some(ply), figure(x));
-        host.front.figure(host.now, &mut host.plays, 99, None, figure(x));
+    for figure in [
+        LoadMetric::Link,
+        LoadMetric::LinkCapped,
+        LoadMetric::Uplink,
+        LoadMetric::Delivered,
+        LoadMetric::Streams,
+    ] {
+        host.front.on_load_metric(host.now, &mut host.plays, 0, Some(ply), figure(x));
+        host.front.on_load_metric(host.now, &mut host.plays, 99, None, figure(x));
     }
-    host.front.figure(host.now, &mut host.plays, 0, None, Figure::Streams(1.0));
+    host.front.on_load_metric(host.now, &mut host.plays, 0, None, LoadMetric::Streams(1.0));
     host.now += 3000.0;
     host.measure(0, 0.1);
     assert_eq!(host.start(0, 1).1, 0);
@@ -36,9 +42,9 @@
         host.after(ply, Outcome::Playing);
         host.now += 20_000.0;
         host.measure(0, 2.0);
-        assert!(matches!(host.ask(ply), Place::Stays { .. }));
+        assert!(matches!(host.ask(ply), Placement::Keep { .. }));
     } else {
-        assert!(host.plays[ply].over || host.front.wait(host.now, &host.plays[ply]).is_some());
+        assert!(host.plays[ply].finished || host.front.time_to_recheck(host.now, &host.plays[ply]).is_some());
     }
 }
 
@@ -63,6 +69,6 @@
     for (i, name) in ["plain", "dear"].iter().enumerate() {
         sheet.insert(format!("products.{i}.name"), pulleystair::Value::Text((*name).into()));
     }
-    let front = pulleystair::logic::Front::new(sheet, 7);
-    assert!(front.sells(0) && front.sells(1) && !front.sells(2));
+    let front = pulleystair::logic::Policy::new(sheet, 7);
+    assert!(front.has_product(0) && front.has_product(1) && !front.has_product(2));
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -3,7 +3,7 @@
 mod host;
 
 use host::{Host, sheet};
-use pulleystair::{Next, Outcome, Place, Standing};
+use pulleystair::{Next, Outcome, Placement, Standing};
 use test_case::test_case;
 
 #[test]
@@ -14,13 +14,13 @@
         while let Some(_server) = host.sent_to(ply) {
             host.after(ply, Outcome::Broken);
         }
-        host.front.left(&mut host.plays, ply);
+        host.front.on_viewer_left(&mut host.plays, ply);
     }
     host.now += 5000.0;
     let (first, second) = (host.take(0, 1), host.take(0, 1));
     assert_eq!(host.sent_to(first), Some(0), "a trial");
-    assert_eq!(host.ask(second), Place::NotYet { sound_out: vec![] });
-    host.now += host.front.wait(host.now, &host.plays[second]).unwrap();
+    assert_eq!(host.ask(second), Placement::Wait { probe: vec![] });
+    host.now += host.front.time_to_recheck(host.now, &host.plays[second]).unwrap();
     assert_eq!(host.sent_to(second), Some(0), "in its turn");
 }
 
@@ -29,7 +29,7 @@
 fn a_cold_server_is_not_rushed(listed: bool) {
     let mut host = Host::new(&[("balancers", 2.0)]);
     if listed {
-        host.lines[0].born = host.now;
+        host.lines[0].started_at = host.now;
         host.list();
     } else {
         let ply = host.take(0, 1);
@@ -50,8 +50,8 @@
 fn a_restarted_front_with_an_old_list_treats_every_server_as_cold() {
     let mut host = Host::new(&[]);
     let lines = host.lines.clone();
-    host.front = pulleystair::logic::Front::new(sheet(&[], "read_like"), 8);
-    host.front.list(host.now, true, true, &lines);
+    host.front = pulleystair::logic::Policy::new(sheet(&[], "read_like"), 8);
+    host.front.update_list(host.now, true, true, &lines);
     let sent = (0..20).filter(|_| {
         let ply = host.take(0, 1);
         host.sent_to(ply).is_some()
@@ -80,10 +80,10 @@
     let mut host = Host::of(sheet(&[], "non_idempotent"));
     let ply = host.take(0, 3);
     host.ask(ply);
-    assert_eq!(host.after(ply, outcome), Next::Ask);
+    assert_eq!(host.after(ply, outcome), Next::Place);
     match host.ask(ply) {
-        Place::Send { .. } => assert!(again),
-        answer => assert_eq!((answer, again), (Place::Failed, false)),
+        Placement::Send { .. } => assert!(again),
+        answer => assert_eq!((answer, again), (Placement::Failed, false)),
     }
 }
 
@@ -97,7 +97,7 @@
     assert_eq!(host.sent_to(ply).unwrap() % 2, first % 2, "the same zone");
     host.after(ply, Outcome::TimedOut);
     host.now += 3500.0;
-    assert_eq!(host.ask(ply), Place::Failed, "its window is over");
+    assert_eq!(host.ask(ply), Placement::Failed, "its window is over");
 }
 
 #[test]
@@ -105,7 +105,7 @@
     let mut host = Host::new(&[("extra.seats.0", 1.0)]);
     let (first, second, third) = (host.take(0, 2), host.take(0, 2), host.take(0, 2));
     assert!(host.sent_to(first).is_some());
-    assert_eq!(host.ask(second), Place::Declined { pause: 500.0 });
+    assert_eq!(host.ask(second), Placement::Declined { retry_after: 500.0 });
     host.after(first, Outcome::Error);
     assert!(host.sent_to(third).is_some());
 }
@@ -118,7 +118,7 @@
     for _ in 0..20 {
         let ply = host.take(0, 4);
         host.ask(ply);
-        while host.after(ply, Outcome::Full) == Next::Ask && host.sent_to(ply).is_some() {
+        while host.after(ply, Outcome::Full) == Next::Place && host.sent_to(ply).is_some() {
             further += 1;
         }
     }
@@ -135,7 +135,11 @@
     }
     assert!(plays.iter().all(|p| host.plays[*p].rung == 0));
     let ply = host.take(0, 1);
-    assert_eq!(host.ask(ply), Place::Declined { pause: 500.0 }, "at once, with a time to come back");
+    assert_eq!(
+        host.ask(ply),
+        Placement::Declined { retry_after: 500.0 },
+        "at once, with a time to come back"
+    );
 }
 
 /// What each play is given up on for is met in the same turn as the ask.
@@ -148,7 +152,10 @@
         let mut host = Host::new(&[changes, &heeded].concat());
         let ply = ask(&mut host);
         answers.push((what.to_string(), host.ask(ply)));
-        assert!(host.plays[ply].over && host.front.wait(host.now, &host.plays[ply]).is_none(), "{what}");
+        assert!(
+            host.plays[ply].finished && host.front.time_to_recheck(host.now, &host.plays[ply]).is_none(),
+            "{what}"
+        );
     };
     given_up("no holder is listed", &[], |host| {
         host.lines.iter_mut().for_each(|l| l.standing = Standing::Gone);
@@ -175,19 +182,19 @@
     });
     given_up("its time is up", &[], |host| {
         let ply = host.take(0, 4);
-        host.now = host.plays[ply].limit;
+        host.now = host.plays[ply].deadline;
         ply
     });
     given_up("its turn at a cold server comes too late", &[("balancers", 30.0), ("rank", 29.0)], |host| {
-        host.lines[0].born = host.now;
+        host.lines[0].started_at = host.now;
         host.list();
         host.take(0, 1)
     });
     given_up("too many wait for that turn before it", &[], |host| {
-        host.lines[0].born = host.now;
+        host.lines[0].started_at = host.now;
         host.list();
         // 24 places over 12 s, half warm, twice that tips it over, of which 0.6: a turn each 0.8 s.
-        while let Place::NotYet { .. } | Place::Send { .. } = {
+        while let Placement::Wait { .. } | Placement::Send { .. } = {
             let ply = host.take(0, 1);
             host.now += 1.0;
             host.ask(ply)
@@ -198,7 +205,7 @@
         host.take(0, 1)
     });
     for (what, answer) in answers {
-        assert_eq!(answer, Place::Declined { pause }, "{what}");
+        assert_eq!(answer, Placement::Declined { retry_after: pause }, "{what}");
     }
 }
 
@@ -209,28 +216,28 @@
     let ply = host.take(0, 4);
     host.ask(ply);
     host.now += wait;
-    assert_eq!(host.after(ply, Outcome::TimedOut), Next::Ask);
-    assert_eq!((host.ask(ply), host.plays[ply].over), (Place::Failed, true));
+    assert_eq!(host.after(ply, Outcome::TimedOut), Next::Place);
+    assert_eq!((host.ask(ply), host.plays[ply].finished), (Placement::Failed, true));
 }
 
 #[test]
 fn a_play_stepped_down_before_it_plays_is_asked_about_once_its_allocation_fails() {
     let mut host = Host::new(&[]);
     let ply = host.take(0, 2);
-    let Place::Send { server, rung, .. } = host.ask(ply) else { panic!("it is sent") };
+    let Placement::Send { server, rung, .. } = host.ask(ply) else { panic!("it is sent") };
     for _ in 0..2 {
         host.now += 600.0;
         host.measure(server, 2.5);
     }
     assert!(host.plays[ply].rung < rung, "its server is short meanwhile");
-    assert_eq!(host.after(ply, Outcome::TimedOut), Next::Ask);
+    assert_eq!(host.after(ply, Outcome::TimedOut), Next::Place);
     assert_eq!(host.sent_to(ply), Some(1 - server), "no spell is waited for");
 }
 
 #[test]
 fn plays_take_their_turns_at_a_cold_server_in_the_order_in_which_they_came() {
     let mut host = Host::new(&[]);
-    host.lines[0].born = host.now;
+    host.lines[0].started_at = host.now;
     host.list();
     let first = host.take(0, 1);
     assert_eq!(host.sent_to(first), Some(0));
@@ -238,12 +245,12 @@
     for _ in 0..3 {
         host.now += 1.0;
         let ply = host.take(0, 1);
-        assert_eq!(host.ask(ply), Place::NotYet { sound_out: vec![] });
-        due.push(host.plays[ply].ask_at);
+        assert_eq!(host.ask(ply), Placement::Wait { probe: vec![] });
+        due.push(host.plays[ply].recheck_at);
     }
     assert!(due[0] < due[1] && due[1] < due[2], "each has a turn of its own: {due:?}");
     host.now = due[0];
     let late = host.take(0, 1);
-    assert_eq!(host.ask(late), Place::NotYet { sound_out: vec![] }, "not before those that wait");
+    assert_eq!(host.ask(late), Placement::Wait { probe: vec![] }, "not before those that wait");
     assert_eq!(host.sent_to(1), Some(0));
 }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -3,7 +3,7 @@
 mod host;
 
 use host::Host;
-use pulleystair::{Figure, Next, Outcome, Place};
+use pulleystair::{LoadMetric, Next, Outcome, Placement};
 use test_case::test_case;
 
 #[test]
@@ -24,7 +24,7 @@
 #[test]
 fn an_unmeasured_holder_goes_first() {
     let mut host = Host::new(&[]);
-    host.lines[1].born = host.now - 60_000.0;
+    host.lines[1].started_at = host.now - 60_000.0;
     host.list();
     let ply = host.take(0, 4);
     assert_eq!(host.sent_to(ply), Some(1));
@@ -37,7 +37,7 @@
     let mut host = Host::new(&[]);
     host.measure(2, share);
     let ply = host.take(2, 1);
-    let Place::Send { rung, .. } = host.ask(ply) else { panic!("it is sent") };
+    let Placement::Send { rung, .. } = host.ask(ply) else { panic!("it is sent") };
     assert_eq!(rung, expected);
 }
 
@@ -62,8 +62,8 @@
     let mut host = Host::new(&[]);
     host.start(0, 1);
     host.now += 5000.0;
-    for figure in [Figure::Delivered(0.6), Figure::Link(9.0), Figure::Link(9.0)] {
-        assert!(host.front.figure(host.now, &mut host.plays, 0, None, figure).is_empty());
+    for figure in [LoadMetric::Delivered(0.6), LoadMetric::Link(9.0), LoadMetric::Link(9.0)] {
+        assert!(host.front.on_load_metric(host.now, &mut host.plays, 0, None, figure).is_empty());
     }
 }
 
@@ -78,7 +78,7 @@
     host.measure(2, 0.3);
     for i in 0..6 {
         host.now += 200.0;
-        host.front.figure(host.now, &mut host.plays, 2 * (i % 2), None, Figure::Uplink(1.2));
+        host.front.on_load_metric(host.now, &mut host.plays, 2 * (i % 2), None, LoadMetric::Uplink(1.2));
     }
     let stepped = before - plays.iter().map(|p| host.plays[*p].rung).sum::<usize>();
     // A sixth of its own 4000 kB is short, a step frees 200, and no report has seen the steps yet.
@@ -90,11 +90,11 @@
     let mut host = Host::new(&[]);
     let (beside, _) = host.start(2, 1);
     host.start(0, 1);
-    host.front.figure(host.now, &mut host.plays, 0, None, Figure::Uplink(0.7));
+    host.front.on_load_metric(host.now, &mut host.plays, 0, None, LoadMetric::Uplink(0.7));
     let rung = host.plays[beside].rung;
     for _ in 0..6 {
         host.now += 1000.0;
-        host.front.figure(host.now, &mut host.plays, 0, Some(1), Figure::Delivered(0.05));
+        host.front.on_load_metric(host.now, &mut host.plays, 0, Some(1), LoadMetric::Delivered(0.05));
     }
     assert!(rung > 0 && host.plays[beside].rung == rung);
     assert_eq!(host.plays[1].rung, 0, "its own plays give way");
@@ -132,13 +132,13 @@
     host.measure(0, 0.8);
     let (ply, _) = host.start(0, 1);
     assert_eq!(host.plays[ply].rung, 0);
-    assert!(host.front.wait(host.now, &host.plays[ply]).unwrap() >= 5000.0);
-    assert_eq!(host.ask(ply), Place::Stays { rung: 0 }, "not before its spell is over");
+    assert!(host.front.time_to_recheck(host.now, &host.plays[ply]).unwrap() >= 5000.0);
+    assert_eq!(host.ask(ply), Placement::Keep { rung: 0 }, "not before its spell is over");
     host.now += 11_000.0;
-    assert_eq!(host.ask(ply), Place::Stays { rung: 0 }, "no room yet");
+    assert_eq!(host.ask(ply), Placement::Keep { rung: 0 }, "no room yet");
     host.now += 11_000.0;
     host.measure(0, share);
-    assert_eq!(host.ask(ply), Place::Stays { rung: expected });
+    assert_eq!(host.ask(ply), Placement::Keep { rung: expected });
 }
 
 #[test]
@@ -148,11 +148,11 @@
     host.measure(1, 0.9);
     for _ in 0..3 {
         let ply = host.take(0, 2);
-        let Place::Send { server, time_out, .. } = host.ask(ply) else { panic!("it is sent") };
+        let Placement::Send { server, time_out, .. } = host.ask(ply) else { panic!("it is sent") };
         assert!(time_out < 1000.0, "there is time left for another");
         if server == 0 {
             host.now += time_out;
-            assert_eq!(host.after(ply, Outcome::TimedOut), Next::Ask);
+            assert_eq!(host.after(ply, Outcome::TimedOut), Next::Place);
             assert_eq!(host.sent_to(ply), Some(1));
         }
     }
@@ -204,7 +204,7 @@
     let mut host = Host::new(&[("balancers", fronts)]);
     host.measure(0, 0.3);
     let ply = host.take(0, 1);
-    let Place::Send { rung, .. } = host.ask(ply) else { panic!("it is sent") };
+    let Placement::Send { rung, .. } = host.ask(ply) else { panic!("it is sent") };
     assert_eq!(rung, expected);
 }
 
@@ -216,7 +216,7 @@
     let (ply, _) = host.start(0, 1);
     (host.plays[ply].rung, host.now) = (0, host.now + 11_000.0);
     host.measure(0, 0.02);
-    assert_eq!(host.ask(ply), Place::Stays { rung: 1 }, "only the fronts that meet there share its room");
+    assert_eq!(host.ask(ply), Placement::Keep { rung: 1 }, "only the fronts that meet there share its room");
 }
 
 #[test_case(0.01, 2; "as many as their price allows")]
@@ -233,9 +233,9 @@
         assert!(host.sent_to(ply).is_some());
         return;
     }
-    let Place::NotYet { sound_out } = host.ask(ply) else { panic!("it waits for the answers") };
+    let Placement::Wait { probe: sound_out } = host.ask(ply) else { panic!("it waits for the answers") };
     assert_eq!(sound_out.len(), probes);
-    host.now += host.front.wait(host.now, &host.plays[ply]).unwrap();
+    host.now += host.front.time_to_recheck(host.now, &host.plays[ply]).unwrap();
     host.measure(sound_out[0], 0.3);
     assert_eq!(host.sent_to(ply), Some(sound_out[0]), "the other is silent");
 }
@@ -245,7 +245,7 @@
     let mut host = Host::new(&[("ceilings.probes", 1.0), ("costs.probe", 0.01)]);
     host.now += 60_000.0;
     let ply = host.take(0, 4);
-    host.now = host.plays[ply].limit - 100.0;
+    host.now = host.plays[ply].deadline - 100.0;
     assert!(host.sent_to(ply).is_some());
 }
 
@@ -255,7 +255,7 @@
     for i in 0..20 {
         let rank = f64::from((i * 37) % 200);
         let mut host = Host::new(&[("balancers", 200.0), ("rank", rank)]);
-        host.lines[0].born = host.now;
+        host.lines[0].started_at = host.now;
         host.list();
         host.now += 300.0 * f64::from(i);
         let ply = host.take(0, 1);
@@ -272,7 +272,7 @@
     for i in 0..16 {
         let sizes = [("balancers", 50.0), ("rank", f64::from(i * 3)), ("extra.fleet_kb", 100_000.0)];
         let mut host = Host::new(&sizes);
-        host.lines[0].born = host.now - 10_000.0;
+        host.lines[0].started_at = host.now - 10_000.0;
         host.list();
         // The front's own part of 1500 plays in a second, 15 of them for each of a hundred servers.
         for _ in 0..30 {
@@ -296,7 +296,7 @@
             host.start(0, 1);
         }
         let ply = host.take(1, 1);
-        let Place::Send { rung, .. } = host.ask(ply) else { panic!("it is sent") };
+        let Placement::Send { rung, .. } = host.ask(ply) else { panic!("it is sent") };
         rung
     };
     assert!(flooded(6) < flooded(0), "{} {}", flooded(6), flooded(0));
