--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -1,5 +1,5 @@
 //! The connections of a front, each a non-blocking socket with its buffers, on the event loop. What a line is for is
-//! its owner's affair, kept beside it as a role; what happens on it is told to the owner, by [`Owner::line_ready`].
+//! its owner's affair, kept beside it as a role; what happens on it is told to the owner, by [`ConnectionHandler::connection_ready`].
 //!
 //! A line may be sealed by TLS. Then it counts as connected only once the handshake is done, so nothing of a request
 //! has gone to a server whose handshake failed; and what waits in the seal counts as waiting to be written.
@@ -16,9 +16,9 @@
 use std::rc::Rc;
 
 /// A line by its place and, in the upper half, its generation: the key of a closed one is never used again.
-pub type Key = u64;
+pub type ConnectionId = u64;
 
-fn key_of(place: usize, generation: u32) -> Key {
+fn key_of(place: usize, generation: u32) -> ConnectionId {
     place as u64 | u64::from(generation) << 32
 }
 
@@ -26,15 +26,15 @@
 /// Bytes that are handed to a seal at a time.
 const SEALED: usize = 64 << 10;
 
-pub struct Line<R, O = ()> {
+pub struct Connection<R, O = ()> {
     stream: Rc<TcpStream>,
     seal: Option<Box<TlsConnection>>,
     /// Why the handshake, or what came under the seal, was not taken.
-    pub unsealed: Option<rustls::Error>,
+    pub tls_error: Option<rustls::Error>,
     source: RegistrationToken,
     pub role: R,
     /// How the owner is to go about what it now does on it.
-    pub manner: O,
+    pub options: O,
     pub input: Vec<u8>,
     output: Vec<u8>,
     sent: usize,
@@ -42,26 +42,26 @@
     given: u64,
     gone: u64,
     /// When its clock runs out; infinite for no clock.
-    pub due: f64,
+    pub deadline: f64,
     /// The peer has closed its side, or the connection is broken.
-    pub ended: bool,
+    pub closed: bool,
     broken: bool,
     shut: bool,
     connected: bool,
     shaken: bool,
 }
 
-impl<R, O> Line<R, O> {
+impl<R, O> Connection<R, O> {
     /// Reads what is there until `input` holds `most` bytes; true if anything came.
     pub fn read(&mut self, most: usize) -> bool {
         let before = self.input.len();
         let mut part = [0; READ];
-        while !self.ended && self.input.len() < most {
+        while !self.closed && self.input.len() < most {
             let room = (most - self.input.len()).min(READ);
             let came = match self.seal.as_mut() {
-                Some(seal) => match unseal(seal, &self.stream, &mut part[..room], &mut self.unsealed) {
+                Some(seal) => match unseal(seal, &self.stream, &mut part[..room], &mut self.tls_error) {
                     // A seal that was broken tells the peer why, if that can still go out.
-                    Err(e) if self.unsealed.is_some() => {
+                    Err(e) if self.tls_error.is_some() => {
                         let _ = seal.write_tls(&mut &*self.stream);
                         Err(e)
                     }
@@ -70,28 +70,28 @@
                 None => (&*self.stream).read(&mut part[..room]),
             };
             match came {
-                Ok(0) => self.ended = true,
+                Ok(0) => self.closed = true,
                 Ok(n) => self.input.extend_from_slice(&part[..n]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => (self.ended, self.broken) = (true, true),
+                Err(_) => (self.closed, self.broken) = (true, true),
             }
         }
         self.input.len() > before
     }
 
     /// Whose connection it is.
-    pub fn from(&self) -> Option<IpAddr> {
+    pub fn peer_ip(&self) -> Option<IpAddr> {
         self.stream.peer_addr().ok().map(|at| at.ip())
     }
 
     /// Bytes that were ever given to be written: where the next message will start.
-    pub fn given(&self) -> u64 {
+    pub fn bytes_queued(&self) -> u64 {
         self.given
     }
 
     /// Bytes that the socket has taken, of all that were given: what was given before may have been read.
-    pub fn gone(&self) -> u64 {
+    pub fn bytes_sent(&self) -> u64 {
         self.gone
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Takes back bytes that were given as from `begins`; false, and nothing is changed, if any of them may have left.
-    pub fn take_back(&mut self, begins: u64, count: usize) -> bool {
+    pub fn cancel_write(&mut self, begins: u64, count: usize) -> bool {
         if begins < self.gone || begins + count as u64 > self.given {
             return false;
         }
@@ -112,7 +112,7 @@
     }
 
     /// Gives input that was taken out back, without its first bytes, which are used; what has come meanwhile follows it.
-    pub fn put_back(&mut self, mut input: Vec<u8>, used: usize) {
+    pub fn unread(&mut self, mut input: Vec<u8>, used: usize) {
         input.drain(..used);
         input.append(&mut self.input);
         self.input = input;
@@ -148,7 +148,7 @@
                     break;
                 }
                 Err(_) => {
-                    (self.ended, self.broken) = (true, true);
+                    (self.closed, self.broken) = (true, true);
                     break;
                 }
             }
@@ -171,7 +171,7 @@
     }
 
     /// Says that nothing more comes from here; the peer's end is waited for, so that it reads the answer.
-    pub fn shut(&mut self) {
+    pub fn shutdown_write(&mut self) {
         if !self.shut {
             self.shut = true;
             if let Some(seal) = self.seal.as_mut() {
@@ -195,7 +195,7 @@
             self.read(READ);
             self.flush();
             if self.shakes_hands() {
-                return self.ended.then_some(false);
+                return self.closed.then_some(false);
             }
         }
         self.connected.then_some(true)
@@ -206,7 +206,7 @@
     }
 
     /// True once: when the handshake of a sealed line is found to be done.
-    pub fn has_shaken_hands(&mut self) -> bool {
+    pub fn take_handshake_done(&mut self) -> bool {
         let done = !self.shaken && self.seal.is_some() && !self.shakes_hands();
         self.shaken |= done;
         done
@@ -259,23 +259,28 @@
 }
 
 /// Whoever runs the loop that the lines are on.
-pub trait Owner: 'static {
+pub trait ConnectionHandler: 'static {
     /// Something may be read from this line or written to it, or it has ended.
-    fn line_ready(&mut self, key: Key);
+    fn connection_ready(&mut self, key: ConnectionId);
 }
 
-pub struct Lines<H: Owner, R, O = ()> {
-    lines: Slab<(u32, Line<R, O>)>,
+pub struct Connections<H: ConnectionHandler, R, O = ()> {
+    lines: Slab<(u32, Connection<R, O>)>,
     generation: u32,
     handle: LoopHandle<'static, H>,
 }
 
-impl<H: Owner, R, O: Default> Lines<H, R, O> {
-    pub fn new(handle: LoopHandle<'static, H>) -> Lines<H, R, O> {
-        Lines { lines: Slab::new(), generation: 0, handle }
+impl<H: ConnectionHandler, R, O: Default> Connections<H, R, O> {
+    pub fn new(handle: LoopHandle<'static, H>) -> Connections<H, R, O> {
+        Connections { lines: Slab::new(), generation: 0, handle }
     }
 
-    pub fn open(&mut self, stream: TcpStream, seal: Option<TlsConnection>, role: R) -> io::Result<Key> {
+    pub fn open(
+        &mut self,
+        stream: TcpStream,
+        seal: Option<TlsConnection>,
+        role: R,
+    ) -> io::Result<ConnectionId> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         self.generation = self.generation.wrapping_add(1);
@@ -286,24 +291,24 @@
         let source = self
             .handle
             .insert_source(source, move |_, _, owner| {
-                owner.line_ready(key);
+                owner.connection_ready(key);
                 Ok(PostAction::Continue)
             })
             .map_err(|e| io::Error::other(e.error))?;
-        let line = Line {
+        let line = Connection {
             stream,
             seal: seal.map(Box::new),
-            unsealed: None,
+            tls_error: None,
             source,
             role,
-            manner: O::default(),
+            options: O::default(),
             input: Vec::new(),
             output: Vec::new(),
             sent: 0,
             given: 0,
             gone: 0,
-            due: f64::INFINITY,
-            ended: false,
+            deadline: f64::INFINITY,
+            closed: false,
             broken: false,
             shut: false,
             connected: false,
@@ -313,18 +318,18 @@
         Ok(key)
     }
 
-    pub fn get(&mut self, key: Key) -> Option<&mut Line<R, O>> {
+    pub fn get_mut(&mut self, key: ConnectionId) -> Option<&mut Connection<R, O>> {
         let (generation, line) = self.lines.get_mut(key as u32 as usize)?;
         (*generation == (key >> 32) as u32).then_some(line)
     }
 
     /// Whether a line of such a role has still bytes that wait to be written.
-    pub fn waits(&self, of: impl Fn(&R) -> bool) -> bool {
+    pub fn any_pending(&self, of: impl Fn(&R) -> bool) -> bool {
         self.lines.iter().any(|(_, (_, line))| of(&line.role) && line.pending() > 0)
     }
 
     /// All that are open.
-    pub fn keys(&self) -> Vec<Key> {
+    pub fn ids(&self) -> Vec<ConnectionId> {
         self.lines.iter().map(|(place, (generation, _))| key_of(place, *generation)).collect()
     }
 
@@ -333,8 +338,8 @@
         self.lines.len()
     }
 
-    pub fn close(&mut self, key: Key) -> Option<R> {
-        self.get(key)?;
+    pub fn close(&mut self, key: ConnectionId) -> Option<R> {
+        self.get_mut(key)?;
         let (_, line) = self.lines.remove(key as u32 as usize);
         self.handle.remove(line.source);
         Some(line.role)
--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/answers.rs
@@ -1,7 +1,7 @@
 //! Answers written to players, and what their connections do meanwhile.
 
 use crate::config::Rung;
-use crate::connections::{Doing, Key, Role};
+use crate::connections::{ConnectionId, Doing, Role};
 use crate::http;
 use crate::sessions::{Final, Life};
 use pulleystair_dash::address;
@@ -27,22 +27,22 @@
         Final { retry_after: Some(self.retry_after()), ..words(503, why) }
     }
 
-    pub(crate) fn answer(&mut self, key: Key, answer: &Final) {
-        let keep_alive = self.lines.get(key).is_some_and(|line| !line.manner.last);
+    pub(crate) fn answer(&mut self, key: ConnectionId, answer: &Final) {
+        let keep_alive = self.lines.get_mut(key).is_some_and(|line| !line.options.last);
         self.write_answer(key, answer, keep_alive);
         self.answered(key);
     }
 
     /// Answers and closes.
-    pub(crate) fn leave(&mut self, key: Key, answer: &Final) {
+    pub(crate) fn leave(&mut self, key: ConnectionId, answer: &Final) {
         self.write_answer(key, answer, false);
-        if let Some(line) = self.lines.get(key) {
-            line.manner.last = true;
+        if let Some(line) = self.lines.get_mut(key) {
+            line.options.last = true;
         }
         self.answered(key);
     }
 
-    pub(crate) fn write_answer(&mut self, key: Key, answer: &Final, keep_alive: bool) {
+    pub(crate) fn write_answer(&mut self, key: ConnectionId, answer: &Final, keep_alive: bool) {
         let kind = if answer.status == 200 && answer.body.starts_with("<?xml") {
             "Content-Type: application/dash+xml"
         } else {
@@ -67,8 +67,8 @@
         }
         let mut out = Vec::with_capacity(answer.body.len() + 256);
         http::head(&mut out, answer.status, answer.body.len() as u64, keep_alive, &more);
-        if let Some(line) = self.lines.get(key) {
-            if !line.manner.bare && answer.status != 204 {
+        if let Some(line) = self.lines.get_mut(key) {
+            if !line.options.bare && answer.status != 204 {
                 out.extend_from_slice(answer.body.as_bytes());
             }
             line.write(&out);
@@ -77,19 +77,19 @@
     }
 
     /// The answer on this connection is written, or waits in its buffer: on to the next request, or leave.
-    pub(crate) fn answered(&mut self, key: Key) {
+    pub(crate) fn answered(&mut self, key: ConnectionId) {
         let now = self.now();
         let limits = &self.rundown.limits;
         let (idle, slow, rate) = (limits.idle_ms, limits.slow_reader_ms, limits.slow_reader_kb);
-        let Some(line) = self.lines.get(key) else { return };
+        let Some(line) = self.lines.get_mut(key) else { return };
         let pending = line.pending();
-        let leaving = line.manner.last;
+        let leaving = line.options.last;
         if !line.input.is_empty() {
             self.woken.push(key);
         }
         line.role = Role::Player(if leaving { Doing::Leaving } else { Doing::Reading });
         if leaving && pending == 0 {
-            line.shut();
+            line.shutdown_write();
         }
         let due = match (pending, leaving) {
             (0, true) => now + LEAVE,
@@ -99,14 +99,14 @@
         self.set_due(key, due);
     }
 
-    pub(crate) fn wait_for(&mut self, key: Key, play: u64) {
-        if let Some(line) = self.lines.get(key) {
+    pub(crate) fn wait_for(&mut self, key: ConnectionId, play: u64) {
+        if let Some(line) = self.lines.get_mut(key) {
             line.role = Role::Player(Doing::Waiting(play));
-            line.due = f64::INFINITY;
+            line.deadline = f64::INFINITY;
         }
     }
 
-    pub(crate) fn player_gone(&mut self, key: Key) {
+    pub(crate) fn player_gone(&mut self, key: ConnectionId) {
         let now = self.now();
         let Some(Role::Player(doing)) = self.lines.close(key) else { return };
         self.players -= 1;
@@ -134,8 +134,8 @@
     ///
     /// Each use of a pass renews it: while its play runs it opens that play for `pass_ms` after its last use,
     /// whatever its own time was; a player that paused for longer asks for the manifest again.
-    pub(crate) fn playing(&mut self, player: Key, pass: &str) -> Result<u64, Final> {
-        let from = self.lines.get(player).and_then(|line| line.from());
+    pub(crate) fn playing(&mut self, player: ConnectionId, pass: &str) -> Result<u64, Final> {
+        let from = self.lines.get_mut(player).and_then(|line| line.peer_ip());
         let (now, limits) = (self.time_of_day(), &self.rundown.limits);
         let pass = self.pass_keys.signed_pass(pass, (now / 1000.0) as u64);
         let pass = pass.map_err(|fault| words(fault.status(), &fault.to_string()))?;
--- a/crates/edge/src/connections.rs
+++ b/crates/edge/src/connections.rs
@@ -3,9 +3,9 @@
 use crate::edge::Edge;
 use crate::http::Chunks;
 use crate::segment_read::Reading;
-pub use pulleystair_connections::Key;
+pub use pulleystair_connections::ConnectionId;
 
-pub type Lines = pulleystair_connections::Lines<Edge, Role, Manner>;
+pub type Lines = pulleystair_connections::Connections<Edge, Role, Manner>;
 
 /// How a player's request wants to be answered.
 #[derive(Default)]
@@ -69,7 +69,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum What {
     Segment {
-        player: Key,
+        player: ConnectionId,
         play: u64,
         number: u64,
     },
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -7,7 +7,7 @@
 
 use crate::company::Company;
 use crate::config::Rundown;
-use crate::connections::{Doing, Key, Lines, Role, Stage};
+use crate::connections::{ConnectionId, Doing, Lines, Role, Stage};
 use crate::floor::{Clock, Floor, News, words};
 use crate::seals::Seals;
 use crate::server_list::{Known, List, Watched};
@@ -22,8 +22,8 @@
 use pulleystair_admission::queue::Queue;
 use pulleystair_admission::read_retries::Fault;
 use pulleystair_admission::wall_clock::Wall;
-use pulleystair_connections::Owner;
-use pulleystair_connections::timers::Clocks;
+use pulleystair_connections::ConnectionHandler;
+use pulleystair_connections::timers::Timers;
 use pulleystair_dispatcher::Dispatcher;
 use std::collections::{HashMap, VecDeque};
 use std::net::TcpListener;
@@ -106,7 +106,7 @@
     })?;
     info!(target: "front", %address, servers = edge.floor.servers.len(), "listens");
     while !edge.floor.done() {
-        let wait = edge.floor.clocks.wait();
+        let wait = edge.floor.clocks.time_to_next();
         event_loop.dispatch(wait, &mut edge)?;
         edge.ring();
         while edge.desk.end_turn(edge.floor.now(), &mut edge.floor) {
@@ -129,12 +129,12 @@
     Ok(())
 }
 
-impl Owner for Edge {
-    fn line_ready(&mut self, key: Key) {
+impl ConnectionHandler for Edge {
+    fn connection_ready(&mut self, key: ConnectionId) {
         let now = self.floor.now();
         self.floor.lag.works(now);
         self.accompany();
-        let Some(line) = self.floor.lines.get(key) else { return };
+        let Some(line) = self.floor.lines.get_mut(key) else { return };
         match &line.role {
             Role::Player(_) => self.player(key),
             Role::Allocation { .. } => self.allocation(key),
@@ -170,7 +170,7 @@
         let mut watched = Watched::new(rundown.list.clone());
         watched.replaced();
         let seals = Seals::read(&rundown.tls, since.as_secs())?;
-        let clocks = Clocks::new(since.as_secs_f64() * 1000.0);
+        let clocks = Timers::new(since.as_secs_f64() * 1000.0);
         let company = Company::join(&rundown, &handle, clocks.now(), seed)?;
         let floor = Floor {
             entry_keys,
@@ -244,7 +244,7 @@
         self.accompany();
         loop {
             let now = self.floor.now();
-            let Some((due, clock)) = self.floor.clocks.pop(now) else { return };
+            let Some((due, clock)) = self.floor.clocks.pop_due(now) else { return };
             self.floor.lag.rang(now, due);
             match clock {
                 Clock::Desk(mark) => self.desk.on_timer(now, mark, &mut self.floor),
@@ -283,19 +283,19 @@
             return;
         }
         let (Some(server), Some(key)) = (session.server, session.line) else { return };
-        let connected = floor.lines.get(key).and_then(|line| line.connected());
+        let connected = floor.lines.get_mut(key).and_then(|line| line.connected());
         let outcome = if connected == Some(true) { Outcome::TimedOut } else { Outcome::Unreachable };
         debug!(target: "play", play, server = floor.name(server), waited = now - session.came, "timed out");
         self.allocation_ended(play, server, outcome, &[]);
     }
 
-    fn line_due(&mut self, now: f64, key: Key) {
+    fn line_due(&mut self, now: f64, key: ConnectionId) {
         let floor = &mut self.floor;
-        let Some(line) = floor.lines.get(key) else { return };
-        if line.due > now {
+        let Some(line) = floor.lines.get_mut(key) else { return };
+        if line.deadline > now {
             return;
         }
-        line.due = f64::INFINITY;
+        line.deadline = f64::INFINITY;
         let connected = line.connected() == Some(true);
         match &line.role {
             Role::Player(Doing::Reading) if line.pending() == 0 && !line.input.is_empty() => {
--- a/crates/edge/src/errands.rs
+++ b/crates/edge/src/errands.rs
@@ -1,6 +1,6 @@
 //! Requests to media servers on pooled connections: segments, steps of rung and probes.
 
-use crate::connections::{Errand, Key, Role, What};
+use crate::connections::{ConnectionId, Errand, Role, What};
 use crate::http;
 use crate::segment_read::Head;
 use crate::sessions::{Final, Life};
@@ -23,7 +23,7 @@
         format!("{method} {target} HTTP/1.1\r\nHost: {address}\r\n{length}\r\n{body}").into_bytes()
     }
 
-    pub(crate) fn dial(&mut self, server: u32, role: Role) -> io::Result<Key> {
+    pub(crate) fn dial(&mut self, server: u32, role: Role) -> io::Result<ConnectionId> {
         let address = self.servers[server as usize].address;
         let stream = pulleystair_connections::connect(address)?;
         let seal = match &self.seals.servers {
@@ -75,12 +75,12 @@
         }
     }
 
-    pub(crate) fn begin(&mut self, key: Key, it: Errand) {
+    pub(crate) fn begin(&mut self, key: ConnectionId, it: Errand) {
         if let What::Segment { player, .. } = it.what {
             self.fetchers.insert(player, key);
         }
         let due = self.now() + self.rundown.limits.segment_ms;
-        if let Some(line) = self.lines.get(key)
+        if let Some(line) = self.lines.get_mut(key)
             && let Role::Errands { errand, .. } = &mut line.role
         {
             // What is wanted of it goes before the empty line that ends the head.
@@ -105,7 +105,7 @@
         while let Some(errand) = self.servers[server as usize].queue.pop_front() {
             self.errands_out -= 1;
             if let What::Segment { player, .. } = errand.what
-                && self.lines.get(player).is_none()
+                && self.lines.get_mut(player).is_none()
             {
                 continue;
             }
@@ -117,7 +117,7 @@
     }
 
     /// Closes a pooled connection; an errand that it is on is no longer wanted.
-    pub(crate) fn drop_errands_line(&mut self, key: Key) {
+    pub(crate) fn drop_errands_line(&mut self, key: ConnectionId) {
         if let Some(Role::Errands { server, errand, .. }) = self.lines.close(key) {
             let at = &mut self.servers[server as usize];
             at.lines -= 1;
@@ -131,7 +131,7 @@
 
     /// The errand got no answer, or not all of it. A segment's read may go on, on a new connection; a word or a
     /// probe only if it was sent on a connection that the server had closed meanwhile.
-    pub(crate) fn errand_failed(&mut self, key: Key, fault: read_retries::Fault) {
+    pub(crate) fn errand_failed(&mut self, key: ConnectionId, fault: read_retries::Fault) {
         let Some(Role::Errands { server, errand, fresh }) = self.lines.close(key) else { return };
         let now = self.now();
         let at = &mut self.servers[server as usize];
@@ -172,8 +172,8 @@
     }
 
     /// So many bytes of the read on this connection have gone to its player.
-    pub(crate) fn gave(&mut self, key: Key, bytes: u64) {
-        if let Some(line) = self.lines.get(key)
+    pub(crate) fn gave(&mut self, key: ConnectionId, bytes: u64) {
+        if let Some(line) = self.lines.get_mut(key)
             && let Role::Errands { errand: Some(Errand { reading: Some(reading), .. }), .. } = &mut line.role
         {
             reading.gave(bytes);
@@ -181,7 +181,7 @@
     }
 
     /// A segment that broke off in the middle: its connection is closed, so that the player sees it is short.
-    pub(crate) fn player_cut(&mut self, player: Key) {
+    pub(crate) fn player_cut(&mut self, player: ConnectionId) {
         self.fetchers.remove(&player);
         self.player_gone(player);
     }
@@ -202,10 +202,10 @@
         self.segment_answer(player, play, &answer);
     }
 
-    pub(crate) fn segment_answer(&mut self, player: Key, play: u64, answer: &Final) {
+    pub(crate) fn segment_answer(&mut self, player: ConnectionId, play: u64, answer: &Final) {
         self.fetchers.remove(&player);
         // A player that is gone was counted off when it went.
-        if self.lines.get(player).is_none() {
+        if self.lines.get_mut(player).is_none() {
             return;
         }
         if let Some(session) = self.book.get_mut(play) {
@@ -252,7 +252,7 @@
         self.tell_rung(play);
     }
 
-    pub(crate) fn segment_head(&mut self, player: Key, play: u64, of: &Head) {
+    pub(crate) fn segment_head(&mut self, player: ConnectionId, play: u64, of: &Head) {
         let Some(session) = self.book.get(play) else { return };
         let product = &self.rundown.products[session.product];
         let kbps = (self.rundown.ladder[session.rung].rate_kb * product.scale * 8.0).ceil() as u64;
@@ -269,9 +269,9 @@
         }
         let limits = &self.rundown.limits;
         let due = self.now() + limits.slow_reader_ms + of.length as f64 / limits.slow_reader_kb;
-        let Some(line) = self.lines.get(player) else { return };
+        let Some(line) = self.lines.get_mut(player) else { return };
         let mut out = Vec::new();
-        http::head(&mut out, of.status, of.length, !line.manner.last, &more);
+        http::head(&mut out, of.status, of.length, !line.options.last, &more);
         line.write(&out);
         self.set_due(player, due);
     }
--- a/crates/edge/src/floor.rs
+++ b/crates/edge/src/floor.rs
@@ -3,7 +3,7 @@
 //! [`Floor::news`], which [`crate::edge`] tells afterwards.
 
 use crate::config::Rundown;
-use crate::connections::{Errand, Key, Lines, Role};
+use crate::connections::{ConnectionId, Errand, Lines, Role};
 use crate::seals::Seals;
 use crate::server_list::{Title, Watched};
 use crate::sessions::{Book, Final};
@@ -15,7 +15,7 @@
 use pulleystair_admission::queue::Queue;
 use pulleystair_admission::read_retries::Budget;
 use pulleystair_admission::wall_clock::Wall;
-use pulleystair_connections::timers::Clocks;
+use pulleystair_connections::timers::Timers;
 use pulleystair_dash::token::Ring;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
     Desk(u32),
     /// The time-out of a play's so-many-th allocation.
     TimeOut(u64, usize),
-    Line(Key),
+    Line(ConnectionId),
     Session(u64),
     /// The word of a step of this play was lost: it is told again.
     Rung(u64),
@@ -54,7 +54,7 @@
     pub(crate) zone: String,
     /// When its process started, ms since 1970.
     pub(crate) born: u64,
-    pub(crate) idle: Vec<Key>,
+    pub(crate) idle: Vec<ConnectionId>,
     pub(crate) lines: usize,
     pub(crate) queue: VecDeque<Errand>,
     /// Further tries of segments' reads there.
@@ -97,14 +97,14 @@
     pub(crate) next_title: usize,
     pub(crate) servers: Vec<Server>,
     pub(crate) server_numbers: HashMap<String, u32>,
-    pub(crate) clocks: Clocks<Clock>,
+    pub(crate) clocks: Timers<Clock>,
     pub(crate) news: VecDeque<News>,
     pub(crate) players: usize,
     /// The pooled connection that fetches for a player, and how many errands are out or wait.
-    pub(crate) fetchers: HashMap<Key, Key>,
+    pub(crate) fetchers: HashMap<ConnectionId, ConnectionId>,
     pub(crate) errands_out: usize,
     /// Players with a further request at hand when their answer was written.
-    pub(crate) woken: Vec<Key>,
+    pub(crate) woken: Vec<ConnectionId>,
     /// Names this run of this front in the names of its allocations.
     pub(crate) run: String,
     pub(crate) tally: Tally,
@@ -134,21 +134,22 @@
     }
 
     pub(crate) fn clock(&mut self, at: f64, clock: Clock) {
-        self.clocks.set(at, clock);
+        self.clocks.schedule(at, clock);
     }
 
     pub(crate) fn done(&self) -> bool {
         let idle = self.book.deciding() + self.book.playing() == 0 && self.errands_out == 0;
-        self.halted || self.stopping && idle && !self.lines.waits(|role| matches!(role, Role::Player(_)))
+        self.halted
+            || self.stopping && idle && !self.lines.any_pending(|role| matches!(role, Role::Player(_)))
     }
 
     pub(crate) fn name(&self, server: u32) -> &str {
         self.servers.get(server as usize).map_or("?", |s| s.name.as_str())
     }
 
-    pub(crate) fn set_due(&mut self, key: Key, due: f64) {
-        if let Some(line) = self.lines.get(key) {
-            line.due = due;
+    pub(crate) fn set_due(&mut self, key: ConnectionId, due: f64) {
+        if let Some(line) = self.lines.get_mut(key) {
+            line.deadline = due;
             self.clock(due, Clock::Line(key));
         }
     }
--- a/crates/edge/src/hands.rs
+++ b/crates/edge/src/hands.rs
@@ -35,7 +35,7 @@
         let request = self.request_to(server, "POST", &target, &body.to_string());
         match self.dial(server, Role::Allocation { play, server, stage: Stage::Asked }) {
             Ok(key) => {
-                if let Some(line) = self.lines.get(key) {
+                if let Some(line) = self.lines.get_mut(key) {
                     line.write(&request);
                     line.flush();
                 }
--- a/crates/edge/src/main.rs
+++ b/crates/edge/src/main.rs
@@ -6,7 +6,7 @@
 use pulleystair_edge::config::Rundown;
 use pulleystair_edge::edge::{self, read_list, stop_signals};
 use pulleystair_edge::status;
-use pulleystair_node::Posting as NodeConfig;
+use pulleystair_node::Config as NodeConfig;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
--- a/crates/edge/src/players.rs
+++ b/crates/edge/src/players.rs
@@ -1,7 +1,7 @@
 //! What players ask for: manifests, segments and the end of a play, from the first byte to the desk and back.
 
 use crate::config::Effect;
-use crate::connections::{Doing, Errand, Key, Manner, Role, What};
+use crate::connections::{ConnectionId, Doing, Errand, Manner, Role, What};
 use crate::edge::Edge;
 use crate::floor::{Clock, words};
 use crate::http;
@@ -48,7 +48,7 @@
             let seal = seal.map(rustls::Connection::from);
             let Ok(key) = floor.lines.open(stream, seal, Role::Player(Doing::Reading)) else { continue };
             floor.players += 1;
-            floor.lines.get(key).into_iter().for_each(|line| line.manner.operator = operator);
+            floor.lines.get_mut(key).into_iter().for_each(|line| line.options.operator = operator);
             if floor.players > floor.rundown.limits.connections {
                 let answer = floor.away("this front has all the connections it takes");
                 floor.leave(key, &answer);
@@ -62,13 +62,13 @@
     }
 
     /// Something happened on a player's connection.
-    pub(crate) fn player(&mut self, key: Key) {
+    pub(crate) fn player(&mut self, key: ConnectionId) {
         loop {
             let floor = &mut self.floor;
             let now = floor.now();
             let limits = &floor.rundown.limits;
             let (most, header, idle) = (limits.header_bytes, limits.header_ms, limits.idle_ms);
-            let Some(line) = floor.lines.get(key) else { return };
+            let Some(line) = floor.lines.get_mut(key) else { return };
             let Role::Player(doing) = line.role else { return };
             line.flush();
             if doing == Doing::Leaving {
@@ -76,16 +76,16 @@
                 line.read(most);
                 line.input.clear();
                 if line.pending() == 0 {
-                    line.shut();
+                    line.shutdown_write();
                 }
-                if line.ended {
+                if line.closed {
                     floor.player_gone(key);
                 }
                 return;
             }
             let before = line.input.len();
             let came = line.read(most);
-            if line.ended {
+            if line.closed {
                 floor.player_gone(key);
                 return;
             }
@@ -101,7 +101,7 @@
                 _ => return,
             }
             if line.input.is_empty() {
-                if line.has_shaken_hands() || line.due.is_infinite() {
+                if line.take_handshake_done() || line.deadline.is_infinite() {
                     floor.set_due(key, now + idle);
                 }
                 return;
@@ -109,7 +109,7 @@
             if came && before == 0 {
                 floor.set_due(key, now + header);
             }
-            let Some(line) = floor.lines.get(key) else { return };
+            let Some(line) = floor.lines.get_mut(key) else { return };
             match http::request(&line.input, most) {
                 Ok(None) => return,
                 Err(refusal) => {
@@ -118,10 +118,10 @@
                 }
                 Ok(Some((request, used))) => {
                     line.input.drain(..used);
-                    let operator = line.manner.operator;
-                    line.manner =
+                    let operator = line.options.operator;
+                    line.options =
                         Manner { last: !request.keep_alive, bare: request.method == "HEAD", operator };
-                    line.due = f64::INFINITY;
+                    line.deadline = f64::INFINITY;
                     self.request(key, &request);
                 }
             }
@@ -129,8 +129,8 @@
     }
 
     /// Answers one request, or begins to.
-    pub(crate) fn request(&mut self, key: Key, request: &http::Request) {
-        if self.floor.lines.get(key).is_some_and(|line| line.manner.operator) {
+    pub(crate) fn request(&mut self, key: ConnectionId, request: &http::Request) {
+        if self.floor.lines.get_mut(key).is_some_and(|line| line.options.operator) {
             let told = if request.target == "/fleet" { self.fleet_told() } else { None };
             let answer = told.map_or_else(
                 || words(404, "GET /fleet tells what this front knows of the fleet"),
@@ -177,10 +177,16 @@
     }
 
     /// A request for a play: its answer, or none while it is being decided.
-    pub(crate) fn manifest(&mut self, key: Key, product: &str, title: &str, token: &str) -> Option<Final> {
+    pub(crate) fn manifest(
+        &mut self,
+        key: ConnectionId,
+        product: &str,
+        title: &str,
+        token: &str,
+    ) -> Option<Final> {
         let floor = &mut self.floor;
         let now = floor.now();
-        let from = floor.lines.get(key).and_then(|line| line.from());
+        let from = floor.lines.get_mut(key).and_then(|line| line.peer_ip());
         let by_slow_clocks = ((floor.time_of_day() - floor.rundown.limits.skew_ms) / 1000.0).max(0.0) as u64;
         let entry = match floor.entry_keys.entry(token, by_slow_clocks, product, title) {
             Ok(entry) if floor.revoked.contains(&entry.jti) => {
@@ -307,7 +313,7 @@
     /// A request for a segment: its answer, or none while it is fetched.
     pub(crate) fn segment(
         &mut self,
-        key: Key,
+        key: ConnectionId,
         pass: &str,
         rung: usize,
         which: Which,
@@ -345,7 +351,7 @@
         let rung = rung.min(session.rung);
         let n = session.allocations();
         let target = format!("{}/{rung}/{number}", floor.allocation(play, n));
-        if let Some(line) = floor.lines.get(key) {
+        if let Some(line) = floor.lines.get_mut(key) {
             line.role = Role::Player(Doing::Fetching(play));
         }
         let reads = &floor.rundown.reads;
--- a/crates/edge/src/servers.rs
+++ b/crates/edge/src/servers.rs
@@ -1,6 +1,6 @@
 //! What comes from media servers: set-ups' answers, the notes on plays that run, and the answers to errands.
 
-use crate::connections::{Doing, Key, Role, Stage, What};
+use crate::connections::{ConnectionId, Doing, Role, Stage, What};
 use crate::edge::Edge;
 use crate::floor::words;
 use crate::hands::{figures, note_figures};
@@ -19,9 +19,9 @@
 
 impl Edge {
     /// Something happened on an allocation's connection.
-    pub(crate) fn allocation(&mut self, key: Key) {
+    pub(crate) fn allocation(&mut self, key: ConnectionId) {
         let now = self.floor.now();
-        let Some(line) = self.floor.lines.get(key) else { return };
+        let Some(line) = self.floor.lines.get_mut(key) else { return };
         let connected = line.connected();
         if connected == Some(true) {
             line.flush();
@@ -29,8 +29,8 @@
         line.read(http::ANSWER_HEAD.max(2 * NOTE_LINE));
         // Reading may have been the end of a handshake, the good or the bad one.
         let connected = line.connected();
-        let ended = line.ended || connected == Some(false);
-        let unsealed = line.unsealed.take();
+        let ended = line.closed || connected == Some(false);
+        let unsealed = line.tls_error.take();
         let Role::Allocation { play, server, stage } = &mut line.role else { return };
         let (play, server) = (*play, *server);
         if let Stage::Asked = stage {
@@ -40,7 +40,7 @@
             if connected == Some(false) {
                 return self.allocation_ended(play, server, Outcome::Unreachable, &[]);
             }
-            let Some(line) = self.floor.lines.get(key) else { return };
+            let Some(line) = self.floor.lines.get_mut(key) else { return };
             match http::answer(&line.input) {
                 Ok(None) if ended => return self.allocation_ended(play, server, Outcome::Broken, &[]),
                 Ok(None) => return,
@@ -94,11 +94,11 @@
     }
 
     /// Reads the notes on a play that runs.
-    pub(crate) fn notes(&mut self, key: Key, play: u64, server: u32) {
+    pub(crate) fn notes(&mut self, key: ConnectionId, play: u64, server: u32) {
         loop {
             let now = self.floor.now();
-            let Some(line) = self.floor.lines.get(key) else { return };
-            let ended = line.ended;
+            let Some(line) = self.floor.lines.get_mut(key) else { return };
+            let ended = line.closed;
             let Role::Allocation { stage: Stage::Noting { chunks, text }, .. } = &mut line.role else {
                 return;
             };
@@ -124,8 +124,8 @@
                 Ok(false) if ended => return self.allocation_ended(play, server, Outcome::Broken, &[]),
                 Ok(false) => {}
             }
-            let Some(line) = self.floor.lines.get(key) else { return };
-            if !line.read(2 * NOTE_LINE) && !line.ended {
+            let Some(line) = self.floor.lines.get_mut(key) else { return };
+            if !line.read(2 * NOTE_LINE) && !line.closed {
                 return;
             }
         }
@@ -166,9 +166,9 @@
     }
 
     /// A player has taken what it was sent: its server is read on.
-    pub(crate) fn relay_on(&mut self, player: Key) {
+    pub(crate) fn relay_on(&mut self, player: ConnectionId) {
         let floor = &mut self.floor;
-        let Some(line) = floor.lines.get(player) else { return };
+        let Some(line) = floor.lines.get_mut(player) else { return };
         let Role::Player(Doing::Fetching(_)) = line.role else { return };
         if let Some(key) = floor.fetchers.get(&player).copied() {
             self.errand(key);
@@ -176,18 +176,18 @@
     }
 
     /// Something happened on a pooled connection to a server.
-    pub(crate) fn errand(&mut self, key: Key) {
+    pub(crate) fn errand(&mut self, key: ConnectionId) {
         loop {
             let floor = &mut self.floor;
             let now = floor.now();
             let relay = floor.rundown.limits.relay_bytes;
-            let Some(line) = floor.lines.get(key) else { return };
+            let Some(line) = floor.lines.get_mut(key) else { return };
             let connected = line.connected();
             if connected == Some(true) {
                 line.flush();
             }
             let came = line.read(64 << 10);
-            let ended = line.ended || connected == Some(false);
+            let ended = line.closed || connected == Some(false);
             let Role::Errands { server, errand, .. } = &mut line.role else { return };
             let server = *server;
             let Some(it) = errand else {
@@ -233,7 +233,7 @@
             it.left = Some(left - n as u64);
             let done = left == n as u64;
             if let What::Segment { player, .. } = what {
-                let Some(line) = floor.lines.get(player) else {
+                let Some(line) = floor.lines.get_mut(player) else {
                     // The player left in the middle: the rest is of no use.
                     return floor.drop_errands_line(key);
                 };
@@ -246,8 +246,8 @@
                 }
                 if full {
                     // Read on once the player has taken some; its own clock runs meanwhile.
-                    if let Some(line) = floor.lines.get(key) {
-                        line.due = f64::INFINITY;
+                    if let Some(line) = floor.lines.get_mut(key) {
+                        line.deadline = f64::INFINITY;
                     }
                     return;
                 }
@@ -266,13 +266,13 @@
         }
     }
 
-    pub(crate) fn errand_done(&mut self, key: Key, server: u32, what: What) {
+    pub(crate) fn errand_done(&mut self, key: ConnectionId, server: u32, what: What) {
         let floor = &mut self.floor;
         let now = floor.now();
         let mut last = false;
-        if let Some(line) = floor.lines.get(key) {
+        if let Some(line) = floor.lines.get_mut(key) {
             // More than its length: that answer was right as far as it went, but the connection is not to be kept.
-            last = line.ended || !line.input.is_empty();
+            last = line.closed || !line.input.is_empty();
             if let Role::Errands { errand, fresh, .. } = &mut line.role {
                 last |= errand.as_ref().is_none_or(|e| e.last);
                 (*errand, *fresh) = (None, false);
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -2,7 +2,7 @@
 //! whole; of a bad one nothing is taken, and what is in hand stays.
 
 use crate::config::{Keys, homes};
-use crate::connections::Key;
+use crate::connections::ConnectionId;
 use crate::edge::{Edge, known, read_list};
 use crate::floor::Server;
 use crate::server_list::{List, Watched};
@@ -89,7 +89,8 @@
         let floor = &mut self.floor;
         let near = (floor.rundown.limits.expiry_ms / 1000.0) as u64;
         if floor.seals.look((floor.time_of_day() / 1000.0) as u64, near) {
-            let idle: Vec<Key> = floor.servers.iter_mut().flat_map(|s| std::mem::take(&mut s.idle)).collect();
+            let idle: Vec<ConnectionId> =
+                floor.servers.iter_mut().flat_map(|s| std::mem::take(&mut s.idle)).collect();
             idle.into_iter().for_each(|key| floor.drop_errands_line(key));
         }
     }
--- a/crates/node/src/asked.rs
+++ b/crates/node/src/asked.rs
@@ -2,7 +2,7 @@
 
 use crate::floor::{Session, WITHDRAWN};
 use crate::node::Node;
-use pulleystair_connections::Key;
+use pulleystair_connections::ConnectionId;
 use pulleystair_dispatcher::PlayRequest;
 use pulleystair_viewer_protocol::{Message, code};
 
@@ -82,7 +82,7 @@
     }
 }
 
-pub(crate) fn session(viewer: Key, from: Option<std::net::IpAddr>, asked: Asked) -> Session {
+pub(crate) fn session(viewer: ConnectionId, from: Option<std::net::IpAddr>, asked: Asked) -> Session {
     Session {
         viewer,
         from,
--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -8,7 +8,7 @@
 use crate::floor::{Attempt, News};
 use crate::node::Node;
 use pulleystair::{LoadMetric, Outcome, Standing};
-use pulleystair_connections::Key;
+use pulleystair_connections::ConnectionId;
 use tracing::debug;
 
 impl Node {
@@ -51,7 +51,7 @@
 
     /// What waited for its connection is about to go out, now that it is up: a set-up whose viewer has gone by now, or whose time
     /// is over, does not.
-    pub(crate) fn look_before_sending(&mut self, key: Key) {
+    pub(crate) fn look_before_sending(&mut self, key: ConnectionId) {
         for play in self.floor.unsent(key) {
             if let Some(session) = self.floor.sessions.get(&play) {
                 self.viewer_ready(session.viewer);
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -3,7 +3,7 @@
 use anyhow::{Context, anyhow};
 use pulleystair::{Settings, number};
 use pulleystair_dns_discovery::Known;
-use pulleystair_settings::{sheet_of, texts};
+use pulleystair_settings::{settings_from_json, text_list};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,7 +12,7 @@
 const MOST: u64 = 16 << 20;
 
 #[derive(Debug, Deserialize)]
-pub struct Posting {
+pub struct Config {
     #[serde(default)]
     pub name: String,
     pub listen: SocketAddr,
@@ -24,7 +24,7 @@
     #[serde(skip)]
     pub path: PathBuf,
     #[serde(skip)]
-    pub sheet: Settings,
+    pub policy_settings: Settings,
     #[serde(skip)]
     pub salt: u64,
 }
@@ -36,7 +36,7 @@
 
 /// What the node itself reads of the call sheet.
 #[derive(Debug)]
-pub struct Terms {
+pub struct NodeLimits {
     pub products: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
@@ -56,8 +56,8 @@
     pub streams: usize,
 }
 
-impl Posting {
-    pub fn read(path: &Path) -> anyhow::Result<Posting> {
+impl Config {
+    pub fn read(path: &Path) -> anyhow::Result<Config> {
         let place = || path.display().to_string();
         let size = std::fs::metadata(path).with_context(place)?.len();
         if size > MOST {
@@ -65,9 +65,10 @@
         }
         let text = std::fs::read(path).with_context(place)?;
         let mut json = serde_json::Deserializer::from_slice(&text);
-        let mut it: Posting = serde_path_to_error::deserialize(&mut json)
+        let mut it: Config = serde_path_to_error::deserialize(&mut json)
             .map_err(|e| anyhow!("{}: {}: {}", place(), e.path(), e.inner()))?;
-        it.sheet = sheet_of(&it.settings).map_err(|e| anyhow!("{}: settings: {e}", place()))?;
+        it.policy_settings =
+            settings_from_json(&it.settings).map_err(|e| anyhow!("{}: settings: {e}", place()))?;
         it.salt = u64::from_str_radix(&it.seed, 16)
             .map_err(|e| anyhow!("{}: seed: {:?} are no hex digits: {e}", place(), it.seed))?;
         it.settings = serde_json::Value::Null;
@@ -79,14 +80,15 @@
         Ok(it)
     }
 
-    pub fn terms(&self) -> Terms {
-        let number = |name: &str, other: f64| number(&self.sheet, name, other);
-        let names = |of: &str| texts(&self.sheet, |i| format!("{of}.{i}"));
-        let count = |of: &str| (0..).take_while(|i| self.sheet.contains_key(&format!("{of}.{i}"))).count();
-        let products = texts(&self.sheet, |i| format!("products.{i}.name"));
+    pub fn terms(&self) -> NodeLimits {
+        let number = |name: &str, other: f64| number(&self.policy_settings, name, other);
+        let names = |of: &str| text_list(&self.policy_settings, |i| format!("{of}.{i}"));
+        let count =
+            |of: &str| (0..).take_while(|i| self.policy_settings.contains_key(&format!("{of}.{i}"))).count();
+        let products = text_list(&self.policy_settings, |i| format!("products.{i}.name"));
         let limit = |i: usize| number(&format!("products.{i}.time_limit"), 3_000.0);
         let heeded = number("ceilings.retry_after", 0.0) > 0.0;
-        Terms {
+        NodeLimits {
             longest: (0..products.len()).map(limit).fold(0.0, f64::max),
             products,
             zones: names("failure_domains"),
--- a/crates/node/src/floor.rs
+++ b/crates/node/src/floor.rs
@@ -1,20 +1,20 @@
 //! What a node keeps: the lines, the sessions that viewers asked for, the media servers, and the clocks. What is written to either
 //! side is in `to_viewers` and `to_servers`, what the desk has done in `hands`.
 
-use crate::config::{Posting, Terms};
+use crate::config::{Config, NodeLimits};
 use crate::ended::Ended;
 use crate::node::Node;
 use crate::shares::Shares;
 use calloop::{LoopHandle, RegistrationToken};
 use pulleystair::{Listing, Outcome, Standing};
-use pulleystair_connections::Key;
-use pulleystair_connections::timers::Clocks;
+use pulleystair_connections::ConnectionId;
+use pulleystair_connections::timers::Timers;
 use std::collections::{HashMap, VecDeque};
 use std::net::{IpAddr, SocketAddr, TcpListener};
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-pub(crate) type Lines = pulleystair_connections::Lines<Node, Role>;
+pub(crate) type Lines = pulleystair_connections::Connections<Node, Role>;
 
 /// Causes that viewers are given: refused, trying again is harmless; failed; the session is over.
 pub(crate) const REFUSED: u8 = 34;
@@ -114,21 +114,21 @@
 
 /// A play as the sockets have it.
 pub(crate) struct Session {
-    pub(crate) viewer: Key,
+    pub(crate) viewer: ConnectionId,
     pub(crate) from: Option<IpAddr>,
     pub(crate) class: String,
     pub(crate) title: String,
     pub(crate) description: Vec<u8>,
     /// Where it is out or plays, and on which line.
     pub(crate) server: Option<u32>,
-    pub(crate) line: Option<Key>,
+    pub(crate) line: Option<ConnectionId>,
     pub(crate) playing: bool,
     pub(crate) since: f64,
     /// When the attempt that is out has had its time.
     pub(crate) until: f64,
     pub(crate) attempts: u32,
     /// Lines on which an earlier attempt was given up: what still comes there is not for a later one.
-    pub(crate) used: Vec<Key>,
+    pub(crate) used: Vec<ConnectionId>,
     pub(crate) rung: usize,
     pub(crate) rung_sent: usize,
     /// The cause with which its viewer ended it.
@@ -141,7 +141,7 @@
     /// None while no list has told of it.
     pub(crate) address: Option<SocketAddr>,
     pub(crate) listing: Listing,
-    pub(crate) lines: Vec<Key>,
+    pub(crate) lines: Vec<ConnectionId>,
     pub(crate) playing: usize,
     pub(crate) heard: f64,
     /// How many connections in a row could not be made while plays stand there.
@@ -165,7 +165,7 @@
     Desk(u32),
     /// This attempt of a session has had its time.
     TimeOut(u64, u32),
-    Line(Key),
+    Line(ConnectionId),
     Ask,
     Look,
     Sums,
@@ -205,8 +205,8 @@
 }
 
 pub(crate) struct Floor {
-    pub(crate) posting: Posting,
-    pub(crate) terms: Terms,
+    pub(crate) posting: Config,
+    pub(crate) terms: NodeLimits,
     pub(crate) shares: Shares,
     pub(crate) lines: Lines,
     pub(crate) handle: LoopHandle<'static, Node>,
@@ -215,7 +215,7 @@
     pub(crate) servers: HashMap<u32, Server>,
     pub(crate) numbers: HashMap<String, u32>,
     pub(crate) next_server: u32,
-    pub(crate) clocks: Clocks<Clock>,
+    pub(crate) clocks: Timers<Clock>,
     pub(crate) news: VecDeque<News>,
     /// Attempts that the desk wants made, and those whose viewer's connection was read only in part.
     pub(crate) outgoing: VecDeque<Attempt>,
@@ -224,9 +224,9 @@
     pub(crate) cuts: VecDeque<Cut>,
     pub(crate) ended: Ended,
     /// Lines that have more to read than one turn takes.
-    pub(crate) again: VecDeque<Key>,
+    pub(crate) again: VecDeque<ConnectionId>,
     /// Viewers' lines in the order in which they came.
-    pub(crate) viewers: VecDeque<Key>,
+    pub(crate) viewers: VecDeque<ConnectionId>,
     /// Ends of sessions that found no connection.
     pub(crate) owed: VecDeque<Told>,
     /// Set-ups without an answer.
@@ -237,7 +237,7 @@
 }
 
 impl Floor {
-    pub(crate) fn new(posting: Posting, handle: LoopHandle<'static, Node>) -> Floor {
+    pub(crate) fn new(posting: Config, handle: LoopHandle<'static, Node>) -> Floor {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0;
         Floor {
             terms: posting.terms(),
@@ -251,7 +251,7 @@
             servers: HashMap::new(),
             numbers: HashMap::new(),
             next_server: 0,
-            clocks: Clocks::new(unix),
+            clocks: Timers::new(unix),
             news: VecDeque::new(),
             outgoing: VecDeque::new(),
             held: Vec::new(),
@@ -272,25 +272,25 @@
     }
 
     pub(crate) fn clock(&mut self, due: f64, clock: Clock) {
-        self.clocks.set(due, clock);
+        self.clocks.schedule(due, clock);
     }
 
     pub(crate) fn next_clock(&self) -> Option<Duration> {
         if !self.again.is_empty() {
             return Some(Duration::ZERO);
         }
-        self.clocks.wait()
+        self.clocks.time_to_next()
     }
 
-    pub(crate) fn viewer(&mut self, key: Key) -> Option<&mut Viewer> {
-        match &mut self.lines.get(key)?.role {
+    pub(crate) fn viewer(&mut self, key: ConnectionId) -> Option<&mut Viewer> {
+        match &mut self.lines.get_mut(key)?.role {
             Role::Viewer(viewer) => Some(viewer),
             Role::Server(_) => None,
         }
     }
 
-    pub(crate) fn wire(&mut self, key: Key) -> Option<&mut Wire> {
-        match &mut self.lines.get(key)?.role {
+    pub(crate) fn wire(&mut self, key: ConnectionId) -> Option<&mut Wire> {
+        match &mut self.lines.get_mut(key)?.role {
             Role::Server(wire) => Some(wire),
             Role::Viewer(_) => None,
         }
@@ -298,11 +298,11 @@
 
     /// Whether a connection is still open at its other end, as far as can be told. What comes meanwhile is acted on at the line's
     /// own turn.
-    pub(crate) fn is_there(&mut self, key: Key) -> bool {
-        let Some(line) = self.lines.get(key) else { return false };
-        if line.read(READ) || line.ended {
+    pub(crate) fn is_there(&mut self, key: ConnectionId) -> bool {
+        let Some(line) = self.lines.get_mut(key) else { return false };
+        if line.read(READ) || line.closed {
             self.again.push_back(key);
         }
-        self.lines.get(key).is_some_and(|line| !line.ended)
+        self.lines.get_mut(key).is_some_and(|line| !line.closed)
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -19,5 +19,5 @@
 mod to_viewers;
 mod viewers;
 
-pub use config::Posting;
+pub use config::Config;
 pub use node::run;
--- a/crates/node/src/listing.rs
+++ b/crates/node/src/listing.rs
@@ -1,6 +1,6 @@
 //! The list of media servers: what is known at the start, and the name service asked for the rest, again and again.
 
-use crate::config::Posting;
+use crate::config::Config;
 use crate::floor::{Clock, Floor, News};
 use crate::node::Node;
 use crate::shares::{SOON, lacks};
@@ -211,14 +211,14 @@
     }
 
     fn turn_to_file(&mut self) -> anyhow::Result<()> {
-        let posting = Posting::read(&self.floor.posting.path)?;
+        let posting = Config::read(&self.floor.posting.path)?;
         let old = &self.floor.posting;
         // Another node's file, and maybe another customer's: nothing of it is this one's.
         if (&posting.name, posting.listen) != (&old.name, old.listen) {
             let (name, listen) = (&old.name, old.listen);
             anyhow::bail!("name, listen: {:?} at {}, not {name:?} at {listen}", posting.name, posting.listen);
         }
-        if posting.sheet != old.sheet {
+        if posting.policy_settings != old.policy_settings {
             warn!(target: "node", "settings: they have changed; those of the start stay in force until a restart");
         }
         let was = std::mem::replace(&mut self.floor.posting.resolver, posting.resolver);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -3,14 +3,14 @@
 //!
 //! A play's way: `viewers` takes the set-up, the desk sends it ([`Floor::send`]), `servers` takes the answer and hands it on.
 
-use crate::config::Posting;
+use crate::config::Config;
 use crate::floor::{Clock, FAILED, Floor, Role, Server};
 use crate::listing::Asking;
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, Mode, PostAction};
 use pulleystair::Outcome;
-use pulleystair_connections::{Key, Owner};
+use pulleystair_connections::{ConnectionHandler, ConnectionId};
 use pulleystair_dispatcher::Dispatcher;
 use socket2::{Domain, Protocol, Socket, Type};
 use std::collections::HashSet;
@@ -30,8 +30,8 @@
     pub(crate) halted: bool,
 }
 
-impl Owner for Node {
-    fn line_ready(&mut self, key: Key) {
+impl ConnectionHandler for Node {
+    fn connection_ready(&mut self, key: ConnectionId) {
         self.look_at(key);
     }
 }
@@ -46,13 +46,13 @@
 }
 
 /// Starts a node and runs it until it is told to stop.
-pub fn run(posting: Posting, signals: Signals) -> anyhow::Result<()> {
+pub fn run(posting: Config, signals: Signals) -> anyhow::Result<()> {
     let mut event_loop: EventLoop<'static, Node> = EventLoop::try_new()?;
     let handle = event_loop.handle();
     let at = posting.listen;
     let listener = listen(at).map_err(|e| anyhow::anyhow!("listen: {at} can't be had: {e}"))?;
     let (at, listener) = (listener.local_addr()?, Arc::new(listener));
-    let desk = Dispatcher::new(posting.sheet.clone(), posting.salt);
+    let desk = Dispatcher::new(posting.policy_settings.clone(), posting.salt);
     let floor = Floor::new(posting, handle.clone());
     let asking = Asking::new(&floor, None, false)?;
     let mut node = Node { desk, floor, asking, halted: false };
@@ -90,8 +90,8 @@
 
 impl Node {
     /// Takes what has come on a connection.
-    pub(crate) fn look_at(&mut self, key: Key) {
-        let Some(line) = self.floor.lines.get(key) else { return };
+    pub(crate) fn look_at(&mut self, key: ConnectionId) {
+        let Some(line) = self.floor.lines.get_mut(key) else { return };
         match &line.role {
             Role::Viewer(_) => drop(self.viewer_ready(key)),
             Role::Server(_) => self.wire_ready(key),
@@ -114,7 +114,7 @@
     fn ring(&mut self) {
         loop {
             let now = self.floor.now();
-            let Some((_, clock)) = self.floor.clocks.pop(now) else { return };
+            let Some((_, clock)) = self.floor.clocks.pop_due(now) else { return };
             match clock {
                 Clock::Desk(mark) => self.desk.on_timer(now, mark, &mut self.floor),
                 Clock::TimeOut(play, number) => self.time_out(play, number),
@@ -145,15 +145,15 @@
         }
     }
 
-    fn line_due(&mut self, now: f64, key: Key) {
-        let is_due = |node: &mut Node| node.floor.lines.get(key).is_some_and(|line| line.due <= now);
+    fn line_due(&mut self, now: f64, key: ConnectionId) {
+        let is_due = |node: &mut Node| node.floor.lines.get_mut(key).is_some_and(|line| line.deadline <= now);
         if !is_due(self) {
             return;
         }
         // The loop may be behind: what has come by now counts.
         self.look_at(key);
-        let Some(line) = self.floor.lines.get(key).filter(|line| line.due <= now) else { return };
-        line.due = f64::INFINITY;
+        let Some(line) = self.floor.lines.get_mut(key).filter(|line| line.deadline <= now) else { return };
+        line.deadline = f64::INFINITY;
         let connected = line.connected() == Some(true);
         match &line.role {
             Role::Viewer(viewer) if !viewer.proven && viewer.came.is_finite() => {
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -5,7 +5,7 @@
 use crate::floor::{ASK, ENDED, FAILED, GIVE_UP, OWED, READ, Role, Server, Session, WITHDRAWN};
 use crate::node::{LOOK, Node};
 use pulleystair::{LoadMetric, Outcome};
-use pulleystair_connections::Key;
+use pulleystair_connections::ConnectionId;
 use pulleystair_rtsp::{Message, Start};
 use pulleystair_viewer_protocol::{self as protocol, code, kind};
 use tracing::{debug, info};
@@ -20,10 +20,10 @@
 const CALLS: u32 = 2;
 
 impl Node {
-    pub(crate) fn wire_ready(&mut self, key: Key) {
+    pub(crate) fn wire_ready(&mut self, key: ConnectionId) {
         for _ in 0..TURN {
             let now = self.floor.now();
-            let Some(line) = self.floor.lines.get(key) else { return };
+            let Some(line) = self.floor.lines.get_mut(key) else { return };
             match line.connected() {
                 Some(false) => return self.wire_lost(key),
                 None => return,
@@ -36,25 +36,25 @@
                 (wire.heard, wire.stirred) = (now, now);
             }
             self.look_before_sending(key);
-            let Some(line) = self.floor.lines.get(key) else { return };
+            let Some(line) = self.floor.lines.get_mut(key) else { return };
             line.flush();
             let came = line.read(READ);
-            let ended = line.ended;
+            let ended = line.closed;
             let Role::Server(wire) = &mut line.role else { return };
             if came || newly {
                 (wire.heard, wire.stirred) = (now, now);
-                line.due = f64::INFINITY;
+                line.deadline = f64::INFINITY;
                 if let Some(server) = self.floor.servers.get_mut(&number) {
                     (server.heard, server.lost) = (now, 0);
                 }
             }
-            let Some(line) = self.floor.lines.get(key) else { return };
+            let Some(line) = self.floor.lines.get_mut(key) else { return };
             if !line.input.is_empty() {
                 let input = std::mem::take(&mut line.input);
                 match self.server_messages(key, number, &input) {
                     Some(used) => {
-                        let Some(line) = self.floor.lines.get(key) else { return };
-                        line.put_back(input, used);
+                        let Some(line) = self.floor.lines.get_mut(key) else { return };
+                        line.unread(input, used);
                     }
                     None => return self.wire_lost(key),
                 }
@@ -70,7 +70,7 @@
     }
 
     /// Takes the whole messages off; none where what came can't be read.
-    fn server_messages(&mut self, key: Key, server: u32, input: &[u8]) -> Option<usize> {
+    fn server_messages(&mut self, key: ConnectionId, server: u32, input: &[u8]) -> Option<usize> {
         let mut used = 0;
         let mut found = Message::read(input);
         loop {
@@ -88,7 +88,7 @@
                     if found.is_ok() {
                         self.server_message(key, server, &message);
                         self.settle();
-                        if self.floor.lines.get(key).is_none() {
+                        if self.floor.lines.get_mut(key).is_none() {
                             return Some(used);
                         }
                     }
@@ -97,11 +97,13 @@
         }
     }
 
-    fn server_message(&mut self, key: Key, server: u32, message: &Message) {
+    fn server_message(&mut self, key: ConnectionId, server: u32, message: &Message) {
         let now = self.floor.now();
         let play = message.session;
-        let load: Vec<LoadMetric> =
-            message.report().filter_map(|(name, value)| pulleystair_settings::figure(name, value)).collect();
+        let load: Vec<LoadMetric> = message
+            .report()
+            .filter_map(|(name, value)| pulleystair_settings::load_metric(name, value))
+            .collect();
         // An answer for a viewer that has gone by now is not for it any more.
         let waits = |s: &&Session| !s.playing && message.cseq() != Some(ASK);
         if let (Start::Answer(200), Some(session)) =
@@ -195,7 +197,15 @@
     }
 
     /// The set-up was answered: its viewer gets the description as it came.
-    fn plays(&mut self, now: f64, key: Key, server: u32, play: u64, description: &[u8], load: &[LoadMetric]) {
+    fn plays(
+        &mut self,
+        now: f64,
+        key: ConnectionId,
+        server: u32,
+        play: u64,
+        description: &[u8],
+        load: &[LoadMetric],
+    ) {
         self.floor.no_more_open(key, play);
         let Some(bytes) = protocol::write(kind::ANSWER, play, &[(code::DESCRIPTION, description)]) else {
             self.floor.cut(server, Some(key), play, WITHDRAWN);
@@ -255,10 +265,10 @@
     }
 
     /// A connection to a server could not be made, was lost, or brought what can't be read.
-    pub(crate) fn wire_lost(&mut self, key: Key) {
-        let Some(line) = self.floor.lines.get(key) else { return };
+    pub(crate) fn wire_lost(&mut self, key: ConnectionId) {
+        let Some(line) = self.floor.lines.get_mut(key) else { return };
         let up = line.connected() == Some(true);
-        let gone = line.gone();
+        let gone = line.bytes_sent();
         let Role::Server(wire) = &mut line.role else { return };
         let (number, open) = (wire.server, std::mem::take(&mut wire.open));
         self.floor.drop_wire(key);
--- a/crates/node/src/stopping.rs
+++ b/crates/node/src/stopping.rs
@@ -45,13 +45,14 @@
             return self.halted;
         }
         let floor = &mut self.floor;
-        let half = floor.viewers.iter().any(|key| floor.lines.get(*key).is_some_and(|l| !l.input.is_empty()));
+        let half =
+            floor.viewers.iter().any(|key| floor.lines.get_mut(*key).is_some_and(|l| !l.input.is_empty()));
         let owes = floor.door.is_some()
             || floor.deciding > 0
             || half
             || !floor.again.is_empty()
             || !floor.cuts.is_empty()
-            || floor.lines.waits(|_| true);
+            || floor.lines.any_pending(|_| true);
         !owes
     }
 
@@ -59,7 +60,7 @@
     pub(crate) fn nothing_came(&mut self) -> bool {
         if !self.halted {
             self.accept();
-            for key in self.floor.lines.keys() {
+            for key in self.floor.lines.ids() {
                 self.look_at(key);
             }
             self.end_turn();
--- a/crates/node/src/to_servers.rs
+++ b/crates/node/src/to_servers.rs
@@ -4,7 +4,7 @@
     Attempt, Clock, Cut, Floor, GIVE_UP, OTHER, OWED, OWED_MOST, Open, Role, SET_UP, Server, Wire,
 };
 use crate::node::LOOK;
-use pulleystair_connections::Key;
+use pulleystair_connections::ConnectionId;
 use pulleystair_rtsp as rtsp;
 use tracing::debug;
 
@@ -26,7 +26,7 @@
     }
 
     /// A new connection to a server that is listed; `pressing` if one to another server that has sessions may give way for it.
-    pub(crate) fn dial(&mut self, number: u32, pressing: bool) -> Option<Key> {
+    pub(crate) fn dial(&mut self, number: u32, pressing: bool) -> Option<ConnectionId> {
         let address = self.servers.get(&number)?.callable()?;
         if self.has_all_lines() && !self.spare_wire(pressing) {
             return None;
@@ -42,8 +42,8 @@
         server.lines.push(key);
         debug!(target: "server", server = server.id, lines = server.lines.len(), playing = server.playing, silent = now - server.heard, "dials");
         let due = now + self.terms.dial;
-        if let Some(line) = self.lines.get(key) {
-            line.due = due;
+        if let Some(line) = self.lines.get_mut(key) {
+            line.deadline = due;
         }
         self.clock(due, Clock::Line(key));
         Some(key)
@@ -59,11 +59,11 @@
     /// of all the only line to a server with plays, which has had the time to tell of all ends before it; that server is called again.
     fn spare_wire(&mut self, pressing: bool) -> bool {
         let now = self.now();
-        let mut idle: Vec<(bool, f64, Key)> = Vec::new();
+        let mut idle: Vec<(bool, f64, ConnectionId)> = Vec::new();
         for server in self.servers.values() {
             let needed = server.playing > 0 && server.lines.len() <= 1;
             for key in &server.lines {
-                let Some(line) = self.lines.get(*key) else { continue };
+                let Some(line) = self.lines.get_mut(*key) else { continue };
                 let waits = line.pending() > 0;
                 let Role::Server(wire) = &line.role else { continue };
                 let may_go = !needed || pressing && wire.up && now - wire.dialled >= LOOK;
@@ -82,8 +82,8 @@
     }
 
     /// Whether a connection is open and nothing has come on it that was not acted on.
-    fn is_quiet(&mut self, key: Key) -> bool {
-        self.is_there(key) && self.lines.get(key).is_some_and(|line| line.input.is_empty())
+    fn is_quiet(&mut self, key: ConnectionId) -> bool {
+        self.is_there(key) && self.lines.get_mut(key).is_some_and(|line| line.input.is_empty())
     }
 
     /// Lines to servers: all that are no viewer's.
@@ -99,20 +99,20 @@
 
     /// A line to set a play up on: one that carries none, else a new one, else the one that carries least. None that its server
     /// has closed, or may be closing for being idle as the set-up is on its way.
-    fn line_for(&mut self, number: u32, not: &[Key]) -> Option<Key> {
+    fn line_for(&mut self, number: u32, not: &[ConnectionId]) -> Option<ConnectionId> {
         let keys = self.servers.get(&number)?.lines.clone();
         let now = self.now();
         let idle = self.terms.idle - self.terms.dial;
-        let mut best: Option<(bool, usize, Key)> = None;
+        let mut best: Option<(bool, usize, ConnectionId)> = None;
         for key in &keys {
             if self.wire(*key).is_none_or(|wire| wire.up) && !self.is_there(*key) {
                 continue;
             }
-            let Some(line) = self.lines.get(*key) else { continue };
+            let Some(line) = self.lines.get_mut(*key) else { continue };
             let Role::Server(wire) = &line.role else { continue };
             let closing = wire.open.is_empty() && now - wire.stirred > idle;
             if wire.tired
-                || line.ended
+                || line.closed
                 || closing
                 || not.contains(key)
                 || wire.open.len() >= self.terms.streams
@@ -132,8 +132,8 @@
             Some((_, _, key)) => self.dial(number, false).or(Some(key)),
             // All its lines are of no use: one that carries nothing makes room.
             None => {
-                let idle = |key: &Key| self.wire(*key).is_some_and(|wire| wire.open.is_empty());
-                let unused: Vec<Key> = keys.into_iter().filter(idle).collect();
+                let idle = |key: &ConnectionId| self.wire(*key).is_some_and(|wire| wire.open.is_empty());
+                let unused: Vec<ConnectionId> = keys.into_iter().filter(idle).collect();
                 if let Some(key) = unused.into_iter().find(|key| has_all && self.is_quiet(*key)) {
                     self.drop_wire(key);
                 }
@@ -143,25 +143,25 @@
     }
 
     /// A line on which a server hears of its standing sessions.
-    pub(crate) fn any_line(&mut self, number: u32, pressing: bool) -> Option<Key> {
+    pub(crate) fn any_line(&mut self, number: u32, pressing: bool) -> Option<ConnectionId> {
         let keys = self.servers.get(&number)?.lines.clone();
         let usable = keys.into_iter().find(|key| {
             self.lines
-                .get(*key)
-                .is_some_and(|line| !line.ended && matches!(&line.role, Role::Server(wire) if !wire.tired))
+                .get_mut(*key)
+                .is_some_and(|line| !line.closed && matches!(&line.role, Role::Server(wire) if !wire.tired))
         });
         usable.or_else(|| self.dial(number, pressing))
     }
 
     /// What is given to a connection that is not known to be up waits for the turn in which it is found to be.
-    pub(crate) fn write_wire(&mut self, key: Key, bytes: &[u8]) {
+    pub(crate) fn write_wire(&mut self, key: ConnectionId, bytes: &[u8]) {
         let now = self.now();
-        let Some(line) = self.lines.get(key) else { return };
+        let Some(line) = self.lines.get_mut(key) else { return };
         line.write(bytes);
         if matches!(&line.role, Role::Server(wire) if wire.up) {
             line.flush();
         }
-        let (ended, gone) = (line.ended, line.gone());
+        let (ended, gone) = (line.closed, line.bytes_sent());
         if let Role::Server(wire) = &mut line.role {
             wire.stirred = now;
             wire.cuts.retain(|cut| cut.begins >= gone);
@@ -172,8 +172,8 @@
     }
 
     /// Takes a line to a server out of use; nothing is to be open on it.
-    pub(crate) fn drop_wire(&mut self, key: Key) {
-        let gone = self.lines.get(key).map_or(0, |line| line.gone());
+    pub(crate) fn drop_wire(&mut self, key: ConnectionId) {
+        let gone = self.lines.get_mut(key).map_or(0, |line| line.bytes_sent());
         let Some(Role::Server(wire)) = self.lines.close(key) else { return };
         // An end of which nothing has left is told on another line.
         let unsent = wire.cuts.into_iter().filter(|cut| cut.begins >= gone);
@@ -184,12 +184,12 @@
     }
 
     /// Tells a server that a session which stands there is over, on this line or on any other; later, where there is none.
-    pub(crate) fn cut(&mut self, server: u32, line: Option<Key>, play: u64, cause: u8) {
+    pub(crate) fn cut(&mut self, server: u32, line: Option<ConnectionId>, play: u64, cause: u8) {
         let since = self.now();
         self.tell_cut(line, Cut { server, play, cause, since, begins: 0 });
     }
 
-    fn tell_cut(&mut self, line: Option<Key>, mut cut: Cut) {
+    fn tell_cut(&mut self, line: Option<ConnectionId>, mut cut: Cut) {
         let Some(key) = self.this_or_any(cut.server, line) else {
             if self.cuts.len() < OWED_MOST {
                 self.cuts.push_back(cut);
@@ -198,7 +198,7 @@
         };
         let reason = format!("cause={}", cut.cause);
         let bytes = rtsp::request("TEARDOWN", "session", GIVE_UP, cut.play, &[("Reason", &reason)], b"");
-        cut.begins = self.lines.get(key).map_or(0, |line| line.given());
+        cut.begins = self.lines.get_mut(key).map_or(0, |line| line.bytes_queued());
         if let Some(wire) = self.wire(key) {
             wire.cuts.push(cut);
         }
@@ -216,13 +216,13 @@
     }
 
     /// This line to a server, or any other.
-    fn this_or_any(&mut self, number: u32, line: Option<Key>) -> Option<Key> {
-        let own = line.filter(|key| self.lines.get(*key).is_some_and(|line| !line.ended));
+    fn this_or_any(&mut self, number: u32, line: Option<ConnectionId>) -> Option<ConnectionId> {
+        let own = line.filter(|key| self.lines.get_mut(*key).is_some_and(|line| !line.closed));
         own.or_else(|| self.any_line(number, true))
     }
 
     /// The server and the viewer's connection of an attempt that is still to begin; none once its session waits for it no more.
-    pub(crate) fn to_begin(&self, it: &Attempt) -> Option<(u32, Key)> {
+    pub(crate) fn to_begin(&self, it: &Attempt) -> Option<(u32, ConnectionId)> {
         let session = self.sessions.get(&it.session)?;
         let waits = session.attempts == it.number && !session.playing && session.line.is_none();
         Some((session.server.filter(|_| waits)?, session.viewer))
@@ -240,8 +240,8 @@
         let fields: [(&str, &str); 3] =
             [("X-Call-Class", &session.class), ("X-Ring-Limit", &limit), ("Rate-Step", &step)];
         let bytes = rtsp::request("SETUP", &session.title, SET_UP, it.session, &fields, &session.description);
-        if let Some(line) = self.lines.get(key) {
-            let begins = line.given();
+        if let Some(line) = self.lines.get_mut(key) {
+            let begins = line.bytes_queued();
             if let Role::Server(wire) = &mut line.role {
                 wire.open.push(Open { play: it.session, begins, length: bytes.len() });
             }
@@ -251,19 +251,19 @@
     }
 
     /// The set-ups on this line of which nothing has left.
-    pub(crate) fn unsent(&mut self, key: Key) -> Vec<u64> {
-        let Some(line) = self.lines.get(key).filter(|line| line.pending() > 0) else { return Vec::new() };
-        let gone = line.gone();
+    pub(crate) fn unsent(&mut self, key: ConnectionId) -> Vec<u64> {
+        let Some(line) = self.lines.get_mut(key).filter(|line| line.pending() > 0) else { return Vec::new() };
+        let gone = line.bytes_sent();
         let Role::Server(wire) = &line.role else { return Vec::new() };
         wire.open.iter().filter(|open| open.begins >= gone).map(|open| open.play).collect()
     }
 
     /// A set-up of which nothing has left is taken off its line: true if so, and it never ran.
-    pub(crate) fn take_back(&mut self, key: Key, play: u64) -> bool {
-        let Some(line) = self.lines.get(key) else { return false };
+    pub(crate) fn take_back(&mut self, key: ConnectionId, play: u64) -> bool {
+        let Some(line) = self.lines.get_mut(key) else { return false };
         let Role::Server(wire) = &mut line.role else { return false };
         let Some(it) = wire.open.iter().find(|open| open.play == play).copied() else { return false };
-        if !line.take_back(it.begins, it.length) {
+        if !line.cancel_write(it.begins, it.length) {
             return false;
         }
         let Role::Server(wire) = &mut line.role else { return false };
@@ -291,7 +291,7 @@
     }
 
     /// A set-up on this line has its answer, or needs none any more.
-    pub(crate) fn no_more_open(&mut self, key: Key, play: u64) {
+    pub(crate) fn no_more_open(&mut self, key: ConnectionId, play: u64) {
         if let Some(wire) = self.wire(key) {
             wire.open.retain(|open| open.play != play);
         }
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -5,7 +5,7 @@
 use crate::floor::{BUSY, Clock, READ, Role, UNUSABLE, Viewer, WITHDRAWN};
 use crate::node::Node;
 use crate::shares::{SOON, lacks};
-use pulleystair_connections::Key;
+use pulleystair_connections::ConnectionId;
 use pulleystair_viewer_protocol::{Message, code, kind};
 use std::collections::HashSet;
 use tracing::debug;
@@ -55,8 +55,8 @@
             let Ok(key) = self.floor.lines.open(stream, None, Role::Viewer(viewer)) else { continue };
             self.floor.viewers.push_back(key);
             debug!(target: "viewer", key, viewers = self.floor.viewers.len(), "connected");
-            if let Some(line) = self.floor.lines.get(key) {
-                line.due = now + SILENT;
+            if let Some(line) = self.floor.lines.get_mut(key) {
+                line.deadline = now + SILENT;
             }
             self.floor.clock(now + SILENT, Clock::Line(key));
         }
@@ -81,8 +81,9 @@
     /// stand come last, as their viewers hear of the end there. What has come by now is taken first.
     pub(crate) fn make_room(&mut self) -> bool {
         let floor = &mut self.floor;
-        let holds: HashSet<Key> = floor.sessions.values().filter(|s| s.playing).map(|s| s.viewer).collect();
-        let mut idle: Vec<(bool, bool, Key)> = Vec::new();
+        let holds: HashSet<ConnectionId> =
+            floor.sessions.values().filter(|s| s.playing).map(|s| s.viewer).collect();
+        let mut idle: Vec<(bool, bool, ConnectionId)> = Vec::new();
         for key in floor.viewers.clone() {
             if let Some(viewer) = floor.viewer(key).filter(|viewer| viewer.open.is_empty()) {
                 idle.push((viewer.proven, holds.contains(&key), key));
@@ -102,9 +103,9 @@
     }
 
     /// A viewer's connection is at its end: what it had open is given up, and ends of sessions that it has not brought are owed.
-    pub(crate) fn viewer_gone(&mut self, key: Key) {
+    pub(crate) fn viewer_gone(&mut self, key: ConnectionId) {
         self.give_up_all(key);
-        let Some(line) = self.floor.lines.get(key) else { return };
+        let Some(line) = self.floor.lines.get_mut(key) else { return };
         let unread = line.broken() || line.pending() > 0;
         let Some(Role::Viewer(viewer)) = self.floor.lines.close(key) else { return };
         self.floor.viewers.retain(|k| *k != key);
@@ -116,22 +117,22 @@
 
     /// Its viewer has closed a connection. The end of a session that was told on it just now may have crossed that: then the viewer's
     /// machine breaks the connection off when it comes there, which is waited for.
-    fn viewer_closed(&mut self, key: Key) {
+    fn viewer_closed(&mut self, key: ConnectionId) {
         let now = self.floor.now();
-        let Some(line) = self.floor.lines.get(key) else { return };
+        let Some(line) = self.floor.lines.get_mut(key) else { return };
         let broken = line.broken();
         let Role::Viewer(viewer) = &line.role else { return };
         let crosses = viewer.told.iter().map(|it| it.written + CROSSING).fold(now, f64::max);
         if broken || crosses <= now {
             return self.viewer_gone(key);
         }
-        line.due = crosses;
+        line.deadline = crosses;
         self.floor.clock(crosses, Clock::Line(key));
         self.give_up_all(key);
     }
 
     /// No set-up that is open on a viewer's connection is waited for any more.
-    fn give_up_all(&mut self, key: Key) {
+    fn give_up_all(&mut self, key: ConnectionId) {
         let open = self.floor.viewer(key).map(|viewer| std::mem::take(&mut viewer.open));
         for play in open.unwrap_or_default() {
             self.gave_up(play);
@@ -152,21 +153,21 @@
     }
 
     /// Takes what has come; false if that was more than a turn takes, and there may be more.
-    pub(crate) fn viewer_ready(&mut self, key: Key) -> bool {
+    pub(crate) fn viewer_ready(&mut self, key: ConnectionId) -> bool {
         for _ in 0..TURN {
-            let Some(line) = self.floor.lines.get(key) else { return true };
+            let Some(line) = self.floor.lines.get_mut(key) else { return true };
             line.flush();
             let came = line.read(READ);
-            let ended = line.ended;
+            let ended = line.closed;
             if !line.input.is_empty() {
                 let input = std::mem::take(&mut line.input);
                 let used = self.messages(key, &input);
-                let Some(line) = self.floor.lines.get(key) else { return true };
+                let Some(line) = self.floor.lines.get_mut(key) else { return true };
                 let Some(used) = used else {
                     self.viewer_gone(key);
                     return true;
                 };
-                line.put_back(input, used);
+                line.unread(input, used);
             }
             if ended {
                 self.viewer_closed(key);
@@ -181,7 +182,7 @@
     }
 
     /// Takes the whole messages off; none where the connection is to be closed.
-    fn messages(&mut self, key: Key, input: &[u8]) -> Option<usize> {
+    fn messages(&mut self, key: ConnectionId, input: &[u8]) -> Option<usize> {
         let mut used = 0;
         loop {
             match Message::read(&input[used..]) {
@@ -203,7 +204,7 @@
     }
 
     /// Takes one message; false where the connection is to be closed.
-    fn message(&mut self, key: Key, message: &Message) -> bool {
+    fn message(&mut self, key: ConnectionId, message: &Message) -> bool {
         let play = message.session;
         match message.kind {
             kind::SET_UP => return self.set_up(key, message),
@@ -244,13 +245,13 @@
     }
 
     /// The connection is a viewer's: ends are told on it, and it is not closed for having brought nothing.
-    fn prove(&mut self, key: Key) {
+    fn prove(&mut self, key: ConnectionId) {
         if self.floor.viewer(key).is_some_and(|viewer| !std::mem::replace(&mut viewer.proven, true)) {
             self.floor.pay(key);
         }
     }
 
-    fn set_up(&mut self, key: Key, message: &Message) -> bool {
+    fn set_up(&mut self, key: ConnectionId, message: &Message) -> bool {
         let play = message.session;
         let now = self.floor.now();
         let known = self.floor.sessions.contains_key(&play);
@@ -276,8 +277,8 @@
             return false;
         }
         self.floor.sums.asked += 1;
-        let Some(line) = self.floor.lines.get(key) else { return true };
-        let from = line.from();
+        let Some(line) = self.floor.lines.get_mut(key) else { return true };
+        let from = line.peer_ip();
         let Role::Viewer(viewer) = &mut line.role else { return true };
         let crowded = self.floor.viewers.len() > self.floor.shares.viewers;
         if crowded || viewer.open.len() >= OPEN_EACH || self.floor.deciding >= OPEN_MOST {
@@ -294,7 +295,7 @@
     }
 
     /// Refuses what was not taken; false where that was once too often on this connection.
-    fn turn_off(&mut self, key: Key, play: u64, cause: u8, pause: f64) -> bool {
+    fn turn_off(&mut self, key: ConnectionId, play: u64, cause: u8, pause: f64) -> bool {
         self.floor.tell_release(key, play, cause, pause);
         let Some(viewer) = self.floor.viewer(key) else { return true };
         viewer.turned += 1;
@@ -302,10 +303,10 @@
     }
 
     /// A session that plays already at that server.
-    fn adopt(&mut self, now: f64, key: Key, play: u64, asked: Asked, at: &str) {
+    fn adopt(&mut self, now: f64, key: ConnectionId, play: u64, asked: Asked, at: &str) {
         let server = self.floor.number(at);
-        let Some(line) = self.floor.lines.get(key) else { return };
-        let from = line.from();
+        let Some(line) = self.floor.lines.get_mut(key) else { return };
+        let from = line.peer_ip();
         // Its viewer keeps the connection while the session stands, to hear of its end.
         self.prove(key);
         match self.floor.ended.of(now, play) {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -7,13 +7,13 @@
 use serde_json::Value as Json;
 
 /// The settings as a plain map: paths joined by dots, in our words, times in ms.
-pub fn call_sheet(json: &[u8]) -> Result<Settings, String> {
+pub fn parse_settings(json: &[u8]) -> Result<Settings, String> {
     let json = serde_json::from_slice(json).map_err(|e| format!("its settings are no JSON: {e}"))?;
-    sheet_of(&json)
+    settings_from_json(&json)
 }
 
 /// The same, of settings that were read already as part of more.
-pub fn sheet_of(json: &Json) -> Result<Settings, String> {
+pub fn settings_from_json(json: &Json) -> Result<Settings, String> {
     if !json.is_object() {
         return Err("its settings are no JSON object".into());
     }
@@ -61,7 +61,7 @@
 }
 
 /// A row of texts, by the name of each, up to the first that is not there.
-pub fn texts(sheet: &Settings, name: impl Fn(usize) -> String) -> Vec<String> {
+pub fn text_list(sheet: &Settings, name: impl Fn(usize) -> String) -> Vec<String> {
     let text = |i| match sheet.get(&name(i)) {
         Some(Value::Text(t)) => Some(t.clone()),
         _ => None,
@@ -70,21 +70,21 @@
 }
 
 /// What the values of a load report are, in order.
-pub struct Columns(Vec<String>);
+pub struct LoadColumns(Vec<String>);
 
-impl Columns {
-    pub fn of(sheet: &Settings) -> Columns {
-        Columns(texts(sheet, |i| format!("load_info.columns.{i}")))
+impl LoadColumns {
+    pub fn from_settings(sheet: &Settings) -> LoadColumns {
+        LoadColumns(text_list(sheet, |i| format!("load_info.columns.{i}")))
     }
 
     /// The figures of a report that has its values in order.
-    pub fn figures(&self, values: &[f64]) -> Vec<LoadMetric> {
-        self.0.iter().zip(values).filter_map(|(column, value)| figure(column, *value)).collect()
+    pub fn load_metrics(&self, values: &[f64]) -> Vec<LoadMetric> {
+        self.0.iter().zip(values).filter_map(|(column, value)| load_metric(column, *value)).collect()
     }
 }
 
 /// The figure that a value of this name is, if it is one that the decisions know.
-pub fn figure(column: &str, value: f64) -> Option<LoadMetric> {
+pub fn load_metric(column: &str, value: f64) -> Option<LoadMetric> {
     match column {
         "x0" => Some(LoadMetric::Link(value)),
         "utilization" => Some(LoadMetric::LinkCapped(value)),
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -3,12 +3,12 @@
 use crate::frame::{Fields, Reply, records, us};
 use pulleystair::{Listing, LoadMetric, Outcome, Settings, Standing};
 use pulleystair_dispatcher::{Actions, Dispatcher, PlayRequest};
-use pulleystair_settings::{Columns, call_sheet};
+use pulleystair_settings::{LoadColumns, parse_settings};
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Instance {
     desk: Dispatcher,
-    columns: Columns,
+    columns: LoadColumns,
 }
 
 /// A line of a census, its server still by the wire's id.
@@ -58,7 +58,7 @@
             if code == 16 {
                 let salt = f.u64()?;
                 let size = f.u32()? as usize;
-                match call_sheet(f.bytes(size)?) {
+                match parse_settings(f.bytes(size)?) {
                     Ok(sheet) => {
                         let mut instance = Instance::new(sheet, salt);
                         instance.desk.watch_list(false, &mut Wire { who, reply: &mut reply });
@@ -109,7 +109,7 @@
 
 impl Instance {
     fn new(sheet: Settings, salt: u64) -> Instance {
-        Instance { columns: Columns::of(&sheet), desk: Dispatcher::new(sheet, salt) }
+        Instance { columns: LoadColumns::from_settings(&sheet), desk: Dispatcher::new(sheet, salt) }
     }
 
     fn event(
@@ -192,7 +192,7 @@
                 f.u8()?;
                 let server = f.u32()?;
                 f.ms()?;
-                let load = self.columns.figures(&f.numbers()?);
+                let load = self.columns.load_metrics(&f.numbers()?);
                 self.desk.on_allocation_ended(now, id, server, outcome, closed, &load, hands);
             }
             21 => self.desk.on_viewer_left(f.u64()?, hands),
@@ -201,7 +201,7 @@
                 f.ms()?;
                 f.u16()?;
                 let server = f.u32()?;
-                let load = self.columns.figures(&f.numbers()?);
+                let load = self.columns.load_metrics(&f.numbers()?);
                 self.desk.on_load_report(now, server, &load, hands);
             }
             27 => {
