--- a/crates/admission/src/concurrency.rs
+++ b/crates/admission/src/concurrency.rs
@@ -11,7 +11,7 @@
 
 /// Bounds and pace of a limit.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct LimitConfig {
     pub least: f64,
     pub most: f64,
     /// Delay may grow by this factor before the limit gives way.
@@ -37,8 +37,8 @@
 const RECENT: f64 = 0.02;
 
 #[derive(Clone, Debug)]
-pub struct Limit {
-    terms: Terms,
+pub struct ConcurrencyLimit {
+    terms: LimitConfig,
     limit: f64,
     /// Delay without a crowd, ms, once known.
     undisturbed: Option<f64>,
@@ -51,27 +51,36 @@
     decision: f64,
 }
 
-impl Limit {
-    pub fn new(terms: Terms) -> Limit {
+impl ConcurrencyLimit {
+    pub fn new(terms: LimitConfig) -> ConcurrencyLimit {
         // Begins in the middle of what it may be: a front that starts into a crowd must not open wide.
         let limit = (terms.least * terms.most).sqrt().clamp(terms.least, terms.most);
-        Limit { terms, limit, undisturbed: None, sum: 0.0, count: 0, in_hand: 0, lost: 0, decision: 0.0 }
+        ConcurrencyLimit {
+            terms,
+            limit,
+            undisturbed: None,
+            sum: 0.0,
+            count: 0,
+            in_hand: 0,
+            lost: 0,
+            decision: 0.0,
+        }
     }
 
-    pub fn now(&self) -> usize {
+    pub fn current(&self) -> usize {
         let by_work = if self.decision > 0.0 { self.terms.work / self.decision } else { f64::INFINITY };
         self.limit.min(by_work).floor().max(1.0) as usize
     }
 
     /// A decision took so many ms.
-    pub fn decided(&mut self, took: f64) {
+    pub fn on_decided(&mut self, took: f64) {
         if took.is_finite() && took >= 0.0 {
             self.decision += RECENT * (took - self.decision);
         }
     }
 
     /// A play was set up after this delay, with so many in hand.
-    pub fn set_up(&mut self, delay: f64, in_hand: usize) {
+    pub fn on_set_up(&mut self, delay: f64, in_hand: usize) {
         if delay.is_finite() && delay >= 0.0 {
             self.sum += delay.max(0.1);
             self.seen(in_hand);
@@ -79,7 +88,7 @@
     }
 
     /// A play was lost for lack of time: it says as much as a long delay, without telling how long.
-    pub fn lost(&mut self, in_hand: usize) {
+    pub fn on_lost(&mut self, in_hand: usize) {
         self.lost += 1;
         self.seen(in_hand);
     }
@@ -122,78 +131,78 @@
 mod tests {
     use super::*;
 
-    const TERMS: Terms =
-        Terms { least: 4.0, most: 1000.0, tolerance: 1.5, slack: 0.0, sample: 10, work: 200.0 };
+    const TERMS: LimitConfig =
+        LimitConfig { least: 4.0, most: 1000.0, tolerance: 1.5, slack: 0.0, sample: 10, work: 200.0 };
 
     /// A fleet that sets up so many at once in 20 ms, and queues what is more.
     fn delay(in_hand: usize, capacity: usize) -> f64 {
         20.0 * (in_hand as f64 / capacity as f64).max(1.0)
     }
 
-    fn run(limit: &mut Limit, capacity: usize, offered: usize, outcomes: usize) {
+    fn run(limit: &mut ConcurrencyLimit, capacity: usize, offered: usize, outcomes: usize) {
         for _ in 0..outcomes {
-            let in_hand = limit.now().min(offered);
-            limit.set_up(delay(in_hand, capacity), in_hand);
+            let in_hand = limit.current().min(offered);
+            limit.on_set_up(delay(in_hand, capacity), in_hand);
         }
     }
 
     #[test]
     fn it_settles_near_what_the_fleet_carries_and_follows_it() {
-        let mut limit = Limit::new(TERMS);
+        let mut limit = ConcurrencyLimit::new(TERMS);
         run(&mut limit, 1000, 10, 100);
         run(&mut limit, 100, 5000, 3000);
-        assert!((100..260).contains(&limit.now()), "{}", limit.now());
+        assert!((100..260).contains(&limit.current()), "{}", limit.current());
         run(&mut limit, 20, 5000, 3000);
-        assert!((20..80).contains(&limit.now()), "{}", limit.now());
+        assert!((20..80).contains(&limit.current()), "{}", limit.current());
         run(&mut limit, 400, 5000, 6000);
-        assert!(limit.now() > 300, "{}", limit.now());
+        assert!(limit.current() > 300, "{}", limit.current());
     }
 
     #[test]
     fn what_is_lost_brings_it_down_and_it_stays_within_bounds() {
-        let mut limit = Limit::new(TERMS);
-        (0..2000).for_each(|_| limit.lost(limit.clone().now()));
+        let mut limit = ConcurrencyLimit::new(TERMS);
+        (0..2000).for_each(|_| limit.on_lost(limit.clone().current()));
         // The small queue keeps a trickle going, by which a fleet that is back is found.
-        assert!((4..=10).contains(&limit.now()), "{}", limit.now());
+        assert!((4..=10).contains(&limit.current()), "{}", limit.current());
         run(&mut limit, 100_000, 100_000, 50_000);
-        assert_eq!(limit.now(), 1000);
+        assert_eq!(limit.current(), 1000);
     }
 
     #[test]
     fn a_growth_that_no_viewer_notices_is_no_crowd() {
-        let mut limit = Limit::new(Terms { slack: 20.0, ..TERMS });
-        let start = limit.now();
-        (0..50).for_each(|_| limit.set_up(0.5, limit.clone().now()));
-        (0..2000).for_each(|_| limit.set_up(8.0, limit.clone().now()));
-        assert!(limit.now() > start);
-        (0..2000).for_each(|_| limit.set_up(200.0, limit.clone().now()));
-        assert!(limit.now() < start);
+        let mut limit = ConcurrencyLimit::new(LimitConfig { slack: 20.0, ..TERMS });
+        let start = limit.current();
+        (0..50).for_each(|_| limit.on_set_up(0.5, limit.clone().current()));
+        (0..2000).for_each(|_| limit.on_set_up(8.0, limit.clone().current()));
+        assert!(limit.current() > start);
+        (0..2000).for_each(|_| limit.on_set_up(200.0, limit.clone().current()));
+        assert!(limit.current() < start);
     }
 
     #[test]
     fn no_more_are_out_than_can_be_decided_in_time() {
-        let mut limit = Limit::new(Terms { most: 1e6, ..TERMS });
+        let mut limit = ConcurrencyLimit::new(LimitConfig { most: 1e6, ..TERMS });
         run(&mut limit, 1_000_000, 1_000_000, 100_000);
-        (0..1000).for_each(|_| limit.decided(0.1));
-        assert!((1900..=2100).contains(&limit.now()), "{}", limit.now());
-        (0..1000).for_each(|_| limit.decided(5.0));
-        assert!((39..=41).contains(&limit.now()), "{}", limit.now());
-        (0..1000).for_each(|_| limit.decided(5000.0));
-        assert_eq!(limit.now(), 1, "one at a time goes on, whatever the least");
+        (0..1000).for_each(|_| limit.on_decided(0.1));
+        assert!((1900..=2100).contains(&limit.current()), "{}", limit.current());
+        (0..1000).for_each(|_| limit.on_decided(5.0));
+        assert!((39..=41).contains(&limit.current()), "{}", limit.current());
+        (0..1000).for_each(|_| limit.on_decided(5000.0));
+        assert_eq!(limit.current(), 1, "one at a time goes on, whatever the least");
     }
 
     #[test]
     fn a_quiet_hour_does_not_open_it() {
-        let mut limit = Limit::new(TERMS);
-        let before = limit.now();
+        let mut limit = ConcurrencyLimit::new(TERMS);
+        let before = limit.current();
         run(&mut limit, 1000, 3, 10_000);
-        assert!(limit.now() <= before);
+        assert!(limit.current() <= before);
     }
 
     #[test]
     fn nonsense_is_passed_over() {
-        let mut limit = Limit::new(TERMS);
-        [f64::NAN, f64::INFINITY, -1.0].iter().for_each(|d| (0..100).for_each(|_| limit.set_up(*d, 9)));
-        assert_eq!(limit.now(), Limit::new(TERMS).now());
+        let mut limit = ConcurrencyLimit::new(TERMS);
+        [f64::NAN, f64::INFINITY, -1.0].iter().for_each(|d| (0..100).for_each(|_| limit.on_set_up(*d, 9)));
+        assert_eq!(limit.current(), ConcurrencyLimit::new(TERMS).current());
     }
 }
--- a/crates/admission/src/homes.rs
+++ b/crates/admission/src/homes.rs
@@ -10,7 +10,7 @@
 use std::hash::Hasher;
 
 /// Home of a session among so many fronts, as its place from 0.
-pub fn home(session: &str, fronts: usize) -> usize {
+pub fn home_front(session: &str, fronts: usize) -> usize {
     let weight = |front: &usize| {
         // Keys of no secret: what counts is that all fronts use the same.
         let mut hash = SipHasher13::new_with_keys(0, *front as u64);
@@ -27,21 +27,21 @@
     #[test]
     fn every_front_is_home_to_its_part() {
         let mut at = [0; 5];
-        (0..10_000).for_each(|n| at[home(&format!("session-{n}"), 5)] += 1);
+        (0..10_000).for_each(|n| at[home_front(&format!("session-{n}"), 5)] += 1);
         assert!(at.iter().all(|n| (1800..2200).contains(n)), "{at:?}");
     }
 
     #[test]
     fn a_front_more_moves_only_what_comes_to_it() {
         let names: Vec<String> = (0..5000).map(|n| format!("session-{n}")).collect();
-        let moved = names.iter().filter(|name| home(name, 4) != home(name, 5));
-        assert!(moved.clone().all(|name| home(name, 5) == 4));
+        let moved = names.iter().filter(|name| home_front(name, 4) != home_front(name, 5));
+        assert!(moved.clone().all(|name| home_front(name, 5) == 4));
         assert!((800..1200).contains(&moved.count()));
     }
 
     #[test]
     fn it_is_the_same_in_every_version() {
-        let homes: Vec<usize> = ["a", "b", "c", "d", "e", "f"].iter().map(|s| home(s, 3)).collect();
+        let homes: Vec<usize> = ["a", "b", "c", "d", "e", "f"].iter().map(|s| home_front(s, 3)).collect();
         assert_eq!(homes, HOMES, "fronts of two versions must agree while one replaces the other");
     }
 
--- a/crates/admission/src/loop_lag.rs
+++ b/crates/admission/src/loop_lag.rs
@@ -3,7 +3,7 @@
 
 /// What was seen of a loop's lag, fading.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Lag {
+pub struct LoopLag {
     lag: f64,
     at: f64,
     /// When the round under way did its first work.
@@ -13,21 +13,21 @@
 /// A lag that is not seen again fades by this time, ms.
 const FADES: f64 = 200.0;
 
-impl Lag {
+impl LoopLag {
     /// Something is done in the round under way.
-    pub fn works(&mut self, now: f64) {
+    pub fn work_started(&mut self, now: f64) {
         self.began.get_or_insert(now);
     }
 
     /// A clock that was due then rings now.
-    pub fn rang(&mut self, now: f64, due: f64) {
+    pub fn timer_fired(&mut self, now: f64, due: f64) {
         (self.lag, self.at) = ((now - due).max(self.left(now)), now);
     }
 
     /// The round has ended; the next one may wait for long without being behind.
-    pub fn round_ends(&mut self, now: f64) {
+    pub fn turn_ended(&mut self, now: f64) {
         if let Some(began) = self.began.take() {
-            self.rang(now, began);
+            self.timer_fired(now, began);
         }
     }
 
@@ -36,7 +36,7 @@
     }
 
     /// Whether the loop is behind by more than this, ms.
-    pub fn behind(&self, now: f64, most: f64) -> bool {
+    pub fn exceeds(&self, now: f64, most: f64) -> bool {
         self.left(now).max(self.began.map_or(0.0, |began| now - began)) > most
     }
 }
@@ -47,22 +47,22 @@
 
     #[test]
     fn a_long_round_is_seen_while_it_lasts_and_a_long_wait_is_none() {
-        let mut lag = Lag::default();
-        lag.works(1000.0);
-        assert!(!lag.behind(1040.0, 50.0) && lag.behind(1060.0, 50.0));
-        lag.round_ends(1060.0);
-        assert!(lag.behind(1061.0, 50.0) && !lag.behind(1200.0, 50.0), "it fades");
-        lag.works(9000.0);
-        assert!(!lag.behind(9001.0, 50.0), "nothing was to be done meanwhile");
+        let mut lag = LoopLag::default();
+        lag.work_started(1000.0);
+        assert!(!lag.exceeds(1040.0, 50.0) && lag.exceeds(1060.0, 50.0));
+        lag.turn_ended(1060.0);
+        assert!(lag.exceeds(1061.0, 50.0) && !lag.exceeds(1200.0, 50.0), "it fades");
+        lag.work_started(9000.0);
+        assert!(!lag.exceeds(9001.0, 50.0), "nothing was to be done meanwhile");
     }
 
     #[test]
     fn a_clock_that_rings_late_is_seen() {
-        let mut lag = Lag::default();
-        lag.rang(1000.0, 999.0);
-        assert!(!lag.behind(1000.0, 50.0));
-        lag.rang(1100.0, 1000.0);
-        lag.rang(1101.0, 1101.0);
-        assert!(lag.behind(1110.0, 50.0), "one that rings in time does not make up for it at once");
+        let mut lag = LoopLag::default();
+        lag.timer_fired(1000.0, 999.0);
+        assert!(!lag.exceeds(1000.0, 50.0));
+        lag.timer_fired(1100.0, 1000.0);
+        lag.timer_fired(1101.0, 1101.0);
+        assert!(lag.exceeds(1110.0, 50.0), "one that rings in time does not make up for it at once");
     }
 }
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -8,7 +8,7 @@
 
 /// Bounds of a queue.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct QueueConfig {
     /// So many may wait.
     pub most: usize,
     /// From this wait of the oldest on, ms, the newest come first.
@@ -24,14 +24,14 @@
 }
 
 #[derive(Debug)]
-pub struct Queue {
-    terms: Terms,
+pub struct AdmissionQueue {
+    terms: QueueConfig,
     waiting: VecDeque<Waiting>,
 }
 
-impl Queue {
-    pub fn new(terms: Terms) -> Queue {
-        Queue { terms, waiting: VecDeque::new() }
+impl AdmissionQueue {
+    pub fn new(terms: QueueConfig) -> AdmissionQueue {
+        AdmissionQueue { terms, waiting: VecDeque::new() }
     }
 
     pub fn len(&self) -> usize {
@@ -44,7 +44,7 @@
 
     /// Lets a play wait until then at the latest. Answers who gives way where the queue is full: whoever has the
     /// least time left, which may be the one that came.
-    pub fn wait(&mut self, now: f64, play: u64, until: f64) -> Option<u64> {
+    pub fn push(&mut self, now: f64, play: u64, until: f64) -> Option<u64> {
         self.waiting.push_back(Waiting { play, came: now, until });
         if self.waiting.len() <= self.terms.most {
             return None;
@@ -55,26 +55,26 @@
     }
 
     /// Who is taken up now.
-    pub fn next(&mut self, now: f64) -> Option<u64> {
+    pub fn pop(&mut self, now: f64) -> Option<u64> {
         let crowded = self.waiting.front().is_some_and(|w| now - w.came >= self.terms.crowded);
         let next = if crowded { self.waiting.pop_back() } else { self.waiting.pop_front() };
         next.map(|w| w.play)
     }
 
     /// Those for whom it is too late.
-    pub fn late(&mut self, now: f64) -> Vec<u64> {
+    pub fn take_expired(&mut self, now: f64) -> Vec<u64> {
         let late: Vec<u64> = self.waiting.iter().filter(|w| w.until <= now).map(|w| w.play).collect();
         self.waiting.retain(|w| w.until > now);
         late
     }
 
     /// When the next of them is too late.
-    pub fn due(&self) -> Option<f64> {
+    pub fn next_deadline(&self) -> Option<f64> {
         self.waiting.iter().map(|w| w.until).min_by(f64::total_cmp)
     }
 
     /// Whoever left; true if it was waiting.
-    pub fn left(&mut self, play: u64) -> bool {
+    pub fn remove(&mut self, play: u64) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|w| w.play != play);
         self.waiting.len() < before
@@ -86,58 +86,58 @@
     use super::*;
     use proptest::prelude::*;
 
-    const TERMS: Terms = Terms { most: 4, crowded: 100.0 };
+    const TERMS: QueueConfig = QueueConfig { most: 4, crowded: 100.0 };
 
     #[test]
     fn in_order_while_the_wait_is_short_and_the_newest_first_in_a_crowd() {
-        let mut queue = Queue::new(TERMS);
-        (1..=3).for_each(|play| assert_eq!(queue.wait(play as f64, play, 1000.0), None));
-        assert_eq!(queue.next(50.0), Some(1));
-        assert_eq!(queue.next(150.0), Some(3));
-        assert_eq!(queue.next(150.0), Some(2));
-        assert_eq!(queue.next(150.0), None);
+        let mut queue = AdmissionQueue::new(TERMS);
+        (1..=3).for_each(|play| assert_eq!(queue.push(play as f64, play, 1000.0), None));
+        assert_eq!(queue.pop(50.0), Some(1));
+        assert_eq!(queue.pop(150.0), Some(3));
+        assert_eq!(queue.pop(150.0), Some(2));
+        assert_eq!(queue.pop(150.0), None);
     }
 
     #[test]
     fn a_full_queue_lets_go_whoever_has_least_time_left() {
-        let mut queue = Queue::new(TERMS);
+        let mut queue = AdmissionQueue::new(TERMS);
         let times = [900.0, 300.0, 800.0, 700.0];
-        (1..=4).zip(times).for_each(|(play, until)| assert_eq!(queue.wait(0.0, play, until), None));
-        assert_eq!(queue.wait(1.0, 5, 1000.0), Some(2));
-        assert_eq!(queue.wait(2.0, 6, 100.0), Some(6), "the one that came may be it");
+        (1..=4).zip(times).for_each(|(play, until)| assert_eq!(queue.push(0.0, play, until), None));
+        assert_eq!(queue.push(1.0, 5, 1000.0), Some(2));
+        assert_eq!(queue.push(2.0, 6, 100.0), Some(6), "the one that came may be it");
     }
 
     #[test]
     fn whoever_is_too_late_is_told() {
-        let mut queue = Queue::new(TERMS);
-        queue.wait(0.0, 1, 50.0);
-        queue.wait(0.0, 2, 40.0);
-        assert_eq!(queue.due(), Some(40.0));
-        assert_eq!(queue.late(45.0), [2]);
-        assert!(queue.left(1) && !queue.left(1) && queue.is_empty());
+        let mut queue = AdmissionQueue::new(TERMS);
+        queue.push(0.0, 1, 50.0);
+        queue.push(0.0, 2, 40.0);
+        assert_eq!(queue.next_deadline(), Some(40.0));
+        assert_eq!(queue.take_expired(45.0), [2]);
+        assert!(queue.remove(1) && !queue.remove(1) && queue.is_empty());
     }
 
     proptest! {
         /// Whoever comes goes exactly once: taken up, let go, too late, or left.
         #[test]
         fn nobody_is_lost_or_told_twice(steps in prop::collection::vec((0u8..5, 0.0f64..50.0, 10.0f64..400.0), 1..200)) {
-            let (mut queue, mut now, mut came) = (Queue::new(TERMS), 0.0, 0u64);
+            let (mut queue, mut now, mut came) = (AdmissionQueue::new(TERMS), 0.0, 0u64);
             let mut gone = Vec::new();
             for (what, wait, patience) in steps {
                 now += wait;
                 match what {
                     0 | 1 => {
                         came += 1;
-                        gone.extend(queue.wait(now, came, now + patience));
+                        gone.extend(queue.push(now, came, now + patience));
                     }
-                    2 => gone.extend(queue.next(now)),
-                    3 => gone.extend(queue.late(now)),
-                    _ => gone.extend((came > 0 && queue.left(came)).then_some(came)),
+                    2 => gone.extend(queue.pop(now)),
+                    3 => gone.extend(queue.take_expired(now)),
+                    _ => gone.extend((came > 0 && queue.remove(came)).then_some(came)),
                 }
                 prop_assert!(queue.len() <= TERMS.most);
                 prop_assert_eq!(gone.len() + queue.len(), came as usize);
             }
-            while let Some(play) = queue.next(now) {
+            while let Some(play) = queue.pop(now) {
                 gone.push(play);
             }
             gone.sort_unstable();
--- a/crates/admission/src/wall_clock.rs
+++ b/crates/admission/src/wall_clock.rs
@@ -10,19 +10,19 @@
 
 /// How far the time of day is from the front's own clock.
 #[derive(Clone, Copy, Debug)]
-pub struct Wall {
+pub struct WallClock {
     off: f64,
     looked: f64,
 }
 
-impl Wall {
+impl WallClock {
     /// At start both are the same.
-    pub fn new(now: f64) -> Wall {
-        Wall { off: 0.0, looked: now }
+    pub fn new(now: f64) -> WallClock {
+        WallClock { off: 0.0, looked: now }
     }
 
     /// Compares the front's own clock with the system's.
-    pub fn look(&mut self, now: f64, system: f64) {
+    pub fn sync(&mut self, now: f64, system: f64) {
         let may = PACE * (now - self.looked).max(0.0);
         self.looked = self.looked.max(now);
         if system.is_finite() {
@@ -30,7 +30,7 @@
         }
     }
 
-    pub fn at(&self, now: f64) -> f64 {
+    pub fn time_at(&self, now: f64) -> f64 {
         now + self.off
     }
 }
@@ -43,36 +43,36 @@
     #[test_case(10_000.0; "ahead")]
     #[test_case(-10_000.0; "back")]
     fn a_step_is_taken_up_slowly(step: f64) {
-        let mut wall = Wall::new(0.0);
+        let mut wall = WallClock::new(0.0);
         let mut before = 0.0;
         for s in 1..=200 {
             let now = f64::from(s) * 1000.0;
-            wall.look(now, now + step);
-            let passed = wall.at(now) - before;
+            wall.sync(now, now + step);
+            let passed = wall.time_at(now) - before;
             assert!((899.0..=1101.0).contains(&passed), "never back, and no jump: {passed}");
-            before = wall.at(now);
+            before = wall.time_at(now);
             if s == 50 {
-                assert!((wall.at(now) - now - step / 2.0).abs() < 1.0);
+                assert!((wall.time_at(now) - now - step / 2.0).abs() < 1.0);
             }
         }
-        assert_eq!(wall.at(200_000.0), 200_000.0 + step);
+        assert_eq!(wall.time_at(200_000.0), 200_000.0 + step);
     }
 
     #[test]
     fn a_drift_is_followed() {
-        let mut wall = Wall::new(0.0);
+        let mut wall = WallClock::new(0.0);
         for s in 1..=100_000 {
             let now = f64::from(s) * 1000.0;
-            wall.look(now, now * 1.0001);
+            wall.sync(now, now * 1.0001);
         }
-        assert!((wall.at(1e8) - 1e8 * 1.0001).abs() < 1.0);
+        assert!((wall.time_at(1e8) - 1e8 * 1.0001).abs() < 1.0);
     }
 
     #[test]
     fn a_clock_that_says_nonsense_is_not_followed() {
-        let mut wall = Wall::new(0.0);
-        [f64::NAN, f64::INFINITY].iter().for_each(|system| wall.look(1000.0, *system));
-        wall.look(500.0, 9e9);
-        assert_eq!(wall.at(1000.0), 1000.0);
+        let mut wall = WallClock::new(0.0);
+        [f64::NAN, f64::INFINITY].iter().for_each(|system| wall.sync(1000.0, *system));
+        wall.sync(500.0, 9e9);
+        assert_eq!(wall.time_at(1000.0), 1000.0);
     }
 }
--- a/crates/edge/src/config/limits.rs
+++ b/crates/edge/src/config/limits.rs
@@ -114,8 +114,13 @@
 }
 
 impl Reads {
-    pub fn terms(&self) -> read_retries::Terms {
-        read_retries::Terms { tries: self.tries, span: self.span_ms, share: self.share, free: self.free }
+    pub fn terms(&self) -> read_retries::RetryConfig {
+        read_retries::RetryConfig {
+            tries: self.tries,
+            span: self.span_ms,
+            share: self.share,
+            free: self.free,
+        }
     }
 }
 
@@ -158,12 +163,12 @@
 }
 
 impl Admission {
-    pub fn limit(&self) -> concurrency::Terms {
+    pub fn limit(&self) -> concurrency::LimitConfig {
         let Admission { least, most, tolerance, slack_ms: slack, sample, work_ms: work, .. } = *self;
-        concurrency::Terms { least, most, tolerance, slack, sample, work }
+        concurrency::LimitConfig { least, most, tolerance, slack, sample, work }
     }
 
-    pub fn queue(&self) -> queue::Terms {
-        queue::Terms { most: self.queue, crowded: self.crowded_ms }
+    pub fn queue(&self) -> queue::QueueConfig {
+        queue::QueueConfig { most: self.queue, crowded: self.crowded_ms }
     }
 }
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -17,11 +17,11 @@
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction};
 use pulleystair::Outcome;
-use pulleystair_admission::concurrency::Limit;
-use pulleystair_admission::loop_lag::Lag;
-use pulleystair_admission::queue::Queue;
-use pulleystair_admission::read_retries::Fault;
-use pulleystair_admission::wall_clock::Wall;
+use pulleystair_admission::concurrency::ConcurrencyLimit;
+use pulleystair_admission::loop_lag::LoopLag;
+use pulleystair_admission::queue::AdmissionQueue;
+use pulleystair_admission::read_retries::ReadError;
+use pulleystair_admission::wall_clock::WallClock;
 use pulleystair_connections::ConnectionHandler;
 use pulleystair_connections::timers::Timers;
 use pulleystair_dispatcher::Dispatcher;
@@ -113,8 +113,8 @@
             edge.settle();
         }
         let now = edge.floor.now();
-        edge.floor.lag.round_ends(now);
-        edge.floor.wall.look(now, since_1970().as_secs_f64() * 1000.0);
+        edge.floor.lag.turn_ended(now);
+        edge.floor.wall.sync(now, since_1970().as_secs_f64() * 1000.0);
     }
     info!(target: "front", left = edge.floor.book.held().len(), "stopped");
     // The last word is the sums. A log that is read, if slowly, is given the time to take them.
@@ -132,7 +132,7 @@
 impl ConnectionHandler for Edge {
     fn connection_ready(&mut self, key: ConnectionId) {
         let now = self.floor.now();
-        self.floor.lag.works(now);
+        self.floor.lag.work_started(now);
         self.accompany();
         let Some(line) = self.floor.lines.get_mut(key) else { return };
         match &line.role {
@@ -179,11 +179,11 @@
             seals,
             revoked: revoked.into_iter().collect(),
             lines: Lines::new(handle.clone()),
-            queue: Queue::new(rundown.admission.queue()),
-            limit: Limit::new(rundown.admission.limit()),
+            queue: AdmissionQueue::new(rundown.admission.queue()),
+            limit: ConcurrencyLimit::new(rundown.admission.limit()),
             out: 0,
-            lag: Lag::default(),
-            wall: Wall::new(since.as_secs_f64() * 1000.0),
+            lag: LoopLag::default(),
+            wall: WallClock::new(since.as_secs_f64() * 1000.0),
             homes: Vec::new(),
             homes_file: rundown.homes.clone().map(Watched::new),
             handle,
@@ -229,7 +229,7 @@
                 self.allocation_ended(play, server, outcome, &[]);
             } else if let Some(player) = self.floor.woken.pop() {
                 self.player(player);
-            } else if !self.floor.queue.is_empty() && self.floor.out < self.floor.limit.now() {
+            } else if !self.floor.queue.is_empty() && self.floor.out < self.floor.limit.current() {
                 self.admit_waiting();
             } else {
                 return;
@@ -245,7 +245,7 @@
         loop {
             let now = self.floor.now();
             let Some((due, clock)) = self.floor.clocks.pop_due(now) else { return };
-            self.floor.lag.rang(now, due);
+            self.floor.lag.timer_fired(now, due);
             match clock {
                 Clock::Desk(mark) => self.desk.on_timer(now, mark, &mut self.floor),
                 Clock::TimeOut(play, n) => self.time_out(now, play, n),
@@ -314,8 +314,8 @@
             }
             Role::Allocation { .. } => {}
             Role::Errands { errand: None, .. } => floor.drop_errands_line(key),
-            Role::Errands { .. } if connected => floor.errand_failed(key, Fault::Stalled),
-            Role::Errands { .. } => floor.errand_failed(key, Fault::Unreachable),
+            Role::Errands { .. } if connected => floor.errand_failed(key, ReadError::Stalled),
+            Role::Errands { .. } => floor.errand_failed(key, ReadError::Unreachable),
         }
     }
 
@@ -364,7 +364,7 @@
     /// The time to run on has passed: what is in hand gets its final answer.
     fn give_up(&mut self) {
         for play in self.floor.book.held() {
-            if self.floor.queue.left(play) {
+            if self.floor.queue.remove(play) {
                 let answer = self.floor.away("this front has stopped");
                 self.floor.over(play, "front stopped", answer);
             }
--- a/crates/edge/src/errands.rs
+++ b/crates/edge/src/errands.rs
@@ -4,7 +4,7 @@
 use crate::http;
 use crate::segment_read::Head;
 use crate::sessions::{Final, Life};
-use pulleystair_admission::read_retries::{self, Next};
+use pulleystair_admission::read_retries::{self, ReadAction};
 use std::io;
 use tracing::debug;
 
@@ -131,7 +131,7 @@
 
     /// The errand got no answer, or not all of it. A segment's read may go on, on a new connection; a word or a
     /// probe only if it was sent on a connection that the server had closed meanwhile.
-    pub(crate) fn errand_failed(&mut self, key: ConnectionId, fault: read_retries::Fault) {
+    pub(crate) fn errand_failed(&mut self, key: ConnectionId, fault: read_retries::ReadError) {
         let Some(Role::Errands { server, errand, fresh }) = self.lines.close(key) else { return };
         let now = self.now();
         let at = &mut self.servers[server as usize];
@@ -141,16 +141,18 @@
         let begun = errand.left.is_some();
         let stale = !fresh
             && !begun
-            && matches!(fault, read_retries::Fault::Broken | read_retries::Fault::Unreachable);
-        let fault = if stale { read_retries::Fault::Stale } else { fault };
+            && matches!(fault, read_retries::ReadError::Broken | read_retries::ReadError::Unreachable);
+        let fault = if stale { read_retries::ReadError::Stale } else { fault };
         let next = match &errand.reading {
-            Some(reading) => at.budget.after(now, &self.rundown.reads.terms(), &reading.so_far(), fault),
-            None if stale => Next::Again { from: 0 },
-            None => Next::Answer(502),
+            Some(reading) => {
+                at.budget.next_action(now, &self.rundown.reads.terms(), &reading.so_far(), fault)
+            }
+            None if stale => ReadAction::Again { from: 0 },
+            None => ReadAction::Answer(502),
         };
         debug!(target: "server", server = self.name(server), what = ?errand.what, ?fault, ?next, "errand failed");
         match next {
-            Next::Again { .. } => {
+            ReadAction::Again { .. } => {
                 errand.left = None;
                 if let Some(reading) = errand.reading.as_mut().filter(|_| !stale) {
                     reading.tries += 1;
@@ -161,8 +163,10 @@
                 }
                 return;
             }
-            Next::Answer(status) => self.errand_lost(errand, status, "the media server did not answer well"),
-            Next::Cut => {
+            ReadAction::Answer(status) => {
+                self.errand_lost(errand, status, "the media server did not answer well")
+            }
+            ReadAction::Cut => {
                 if let What::Segment { player, .. } = errand.what {
                     self.player_cut(player);
                 }
@@ -190,7 +194,7 @@
     pub(crate) fn errand_lost(&mut self, errand: Errand, status: u16, why: &str) {
         self.rung_was_told(errand.what, false);
         let What::Segment { player, play, .. } = errand.what else { return };
-        if errand.reading.is_some_and(|r| r.so_far().given.is_some()) {
+        if errand.reading.is_some_and(|r| r.so_far().bytes_relayed.is_some()) {
             return self.player_cut(player);
         }
         let over = self.book.get(play).is_none_or(|s| s.life() != Life::Playing);
--- a/crates/edge/src/floor.rs
+++ b/crates/edge/src/floor.rs
@@ -10,11 +10,11 @@
 use crate::tally::Tally;
 use calloop::{LoopHandle, RegistrationToken};
 use pulleystair::Outcome;
-use pulleystair_admission::concurrency::Limit;
-use pulleystair_admission::loop_lag::Lag;
-use pulleystair_admission::queue::Queue;
-use pulleystair_admission::read_retries::Budget;
-use pulleystair_admission::wall_clock::Wall;
+use pulleystair_admission::concurrency::ConcurrencyLimit;
+use pulleystair_admission::loop_lag::LoopLag;
+use pulleystair_admission::queue::AdmissionQueue;
+use pulleystair_admission::read_retries::RetryBudget;
+use pulleystair_admission::wall_clock::WallClock;
 use pulleystair_connections::timers::Timers;
 use pulleystair_dash::token::Ring;
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -58,7 +58,7 @@
     pub(crate) lines: usize,
     pub(crate) queue: VecDeque<Errand>,
     /// Further tries of segments' reads there.
-    pub(crate) budget: Budget,
+    pub(crate) budget: RetryBudget,
 }
 
 /// An allocation's end that was found while the desk was busy.
@@ -80,11 +80,11 @@
     pub(crate) door: Option<RegistrationToken>,
     pub(crate) book: Book,
     /// Who waits until a set-up more may be out, how many may be and are.
-    pub(crate) queue: Queue,
-    pub(crate) limit: Limit,
+    pub(crate) queue: AdmissionQueue,
+    pub(crate) limit: ConcurrencyLimit,
     pub(crate) out: usize,
-    pub(crate) lag: Lag,
-    pub(crate) wall: Wall,
+    pub(crate) lag: LoopLag,
+    pub(crate) wall: WallClock,
     /// Where the fronts of this fleet are to be had by players, by rank, and the file that tells; none where they
     /// may all set up any session.
     pub(crate) homes: Vec<String>,
@@ -130,7 +130,7 @@
 
     /// ms since 1970 as tokens and live titles have it.
     pub(crate) fn time_of_day(&self) -> f64 {
-        self.wall.at(self.now())
+        self.wall.time_at(self.now())
     }
 
     pub(crate) fn clock(&mut self, at: f64, clock: Clock) {
--- a/crates/edge/src/players.rs
+++ b/crates/edge/src/players.rs
@@ -8,7 +8,7 @@
 use crate::segment_read::Reading;
 use crate::sessions::{Asked, Final, Life, Request};
 use pulleystair::Outcome;
-use pulleystair_admission::homes::home;
+use pulleystair_admission::homes::home_front;
 use pulleystair_dash::address::{self, Address, Which};
 use pulleystair_dispatcher::PlayRequest;
 use std::io;
@@ -211,7 +211,7 @@
         let limit = now + rundown.products[product].time_limit_ms;
         let once = rundown.products[product].effect != Effect::ReadLike;
         if once && !known && floor.homes.len() == rundown.fronts {
-            let home = home(&entry.jti, rundown.fronts);
+            let home = home_front(&entry.jti, rundown.fronts);
             if home != rundown.rank {
                 let at = format!(
                     "//{}{}",
@@ -236,7 +236,7 @@
             floor.tally.away += 1;
             return Some(floor.away("this front is stopping"));
         }
-        let behind = floor.lag.behind(now, floor.rundown.admission.behind_ms);
+        let behind = floor.lag.exceeds(now, floor.rundown.admission.behind_ms);
         if behind && !known {
             floor.tally.away += 1;
             return Some(floor.away("this front is behind with its work"));
@@ -269,15 +269,15 @@
     /// A play is taken in hand, or waits where as many set-ups are out as may be.
     pub(crate) fn admit_or_wait(&mut self, now: f64, play: u64) {
         let floor = &mut self.floor;
-        if floor.queue.is_empty() && floor.out < floor.limit.now() {
+        if floor.queue.is_empty() && floor.out < floor.limit.current() {
             return self.admit(play);
         }
         let limit = floor.book.get(play).map_or(now, |s| s.limit);
         let until = limit - floor.rundown.admission.reserve_ms;
-        if let Some(gives_way) = floor.queue.wait(now, play, until) {
+        if let Some(gives_way) = floor.queue.push(now, play, until) {
             floor.crowded_out(gives_way);
         }
-        if let Some(due) = floor.queue.due() {
+        if let Some(due) = floor.queue.next_deadline() {
             floor.clock(due, Clock::Queue);
         }
     }
@@ -295,17 +295,17 @@
             deadline: session.limit,
         };
         self.desk.add_play(now, play, &wish, &mut self.floor);
-        self.floor.limit.decided(self.floor.now() - now);
+        self.floor.limit.on_decided(self.floor.now() - now);
     }
 
     /// Tells those for whom it is too late, and takes up whoever may be.
     pub(crate) fn admit_waiting(&mut self) {
         let now = self.floor.now();
-        for late in self.floor.queue.late(now) {
+        for late in self.floor.queue.take_expired(now) {
             self.floor.crowded_out(late);
         }
-        while self.floor.out < self.floor.limit.now() {
-            let Some(play) = self.floor.queue.next(now) else { return };
+        while self.floor.out < self.floor.limit.current() {
+            let Some(play) = self.floor.queue.pop(now) else { return };
             self.admit(play);
         }
     }
@@ -334,7 +334,7 @@
         };
         let number = number.filter(|_| rung < floor.rundown.ladder.len());
         let Some(number) = number else { return Some(words(404, "no such segment")) };
-        match shape.available(floor.wall.at(now) as u64) {
+        match shape.available(floor.wall.time_at(now) as u64) {
             _ if number == 0 => {}
             Some((first, _)) if number < first => return Some(words(404, "that segment is kept no more")),
             Some((_, last)) if number <= last => {}
@@ -358,7 +358,7 @@
         let mut reading = Reading::new(target, request.range, now + reads.patience_ms);
         (reading.bare, reading.unless) = (request.method == "HEAD", request.unless.clone());
         let terms = reads.terms();
-        floor.servers[server as usize].budget.first(now, &terms);
+        floor.servers[server as usize].budget.record_first(now, &terms);
         let what = What::Segment { player: key, play, number };
         let request = floor.request_to(server, reading.method(), &reading.target, "");
         let errand = Errand { reading: Some(reading), ..Errand::new(what, request) };
@@ -387,7 +387,7 @@
     /// Gives up a play that is not decided: it waits for its turn, or is in the desk's hands.
     pub(crate) fn give_up_on(&mut self, play: u64, cause: &'static str, answer: Final) {
         self.floor.over(play, cause, answer);
-        if !self.floor.queue.left(play) {
+        if !self.floor.queue.remove(play) {
             self.desk.on_viewer_left(play, &mut self.floor);
         }
     }
--- a/crates/edge/src/segment_read.rs
+++ b/crates/edge/src/segment_read.rs
@@ -2,7 +2,7 @@
 //! to the player. What becomes of one that failed is decided by [`pulleystair_admission::read_retries`].
 
 use crate::http::{Answer, Body};
-use pulleystair_admission::read_retries::{Fault, Read};
+use pulleystair_admission::read_retries::{ReadError, ReadProgress};
 
 #[derive(Clone, Debug)]
 pub struct Reading {
@@ -67,9 +67,9 @@
     }
 
     /// What the decision on a failure needs.
-    pub fn so_far(&self) -> Read {
+    pub fn so_far(&self) -> ReadProgress {
         let given = self.span.map(|(first, _)| self.next - first);
-        Read { tries: self.tries, until: self.until, given }
+        ReadProgress { tries: self.tries, deadline: self.until, bytes_relayed: given }
     }
 
     /// So many good bytes have gone to the player.
@@ -78,25 +78,25 @@
     }
 
     /// Takes an answer's head: the player's head at the first, nothing more at a later one that fits.
-    pub fn head(&mut self, answer: &Answer) -> Result<Option<Head>, Fault> {
-        let Body::Length(length) = answer.body else { return Err(Fault::Malformed) };
+    pub fn head(&mut self, answer: &Answer) -> Result<Option<Head>, ReadError> {
+        let Body::Length(length) = answer.body else { return Err(ReadError::Malformed) };
         let tag = answer.tag.clone();
         if answer.status == 304 && self.unless.is_some() && self.span.is_none() {
             return Ok(Some(Head { status: 304, length: 0, range: None, tag }));
         }
         if !matches!(answer.status, 200 | 206) {
-            return Err(Fault::Status(answer.status));
+            return Err(ReadError::Status(answer.status));
         }
         let first = match (answer.status, answer.range) {
             (200, _) => 0,
             (_, Some((first, last, _))) if last.checked_sub(first) == length.checked_sub(1) => first,
-            _ => return Err(Fault::Malformed),
+            _ => return Err(ReadError::Malformed),
         };
         match self.span {
             None => {
                 let wanted = self.part.map_or(0, |p| p.0);
                 if answer.status == 206 && (self.part.is_none() || first != wanted) {
-                    return Err(Fault::Malformed);
+                    return Err(ReadError::Malformed);
                 }
                 self.span = Some((first, first + length));
                 self.next = first;
@@ -104,9 +104,9 @@
                 let range = answer.range.filter(|_| answer.status == 206);
                 Ok(Some(Head { status: answer.status, length, range, tag }))
             }
-            Some(_) if self.tag.is_some() && tag.is_some() && tag != self.tag => Err(Fault::Length),
+            Some(_) if self.tag.is_some() && tag.is_some() && tag != self.tag => Err(ReadError::Length),
             Some((_, end)) if first == self.next && first + length == end => Ok(None),
-            Some(_) => Err(Fault::Length),
+            Some(_) => Err(ReadError::Length),
         }
     }
 }
@@ -121,34 +121,34 @@
     }
 
     #[test_case(200, 1000, None, Ok(Some(Head { status: 200, length: 1000, range: None, tag: None })); "whole")]
-    #[test_case(404, 0, None, Err(Fault::Status(404)); "not there")]
-    #[test_case(206, 10, Some((0, 9, 1000)), Err(Fault::Malformed); "a part nobody asked for")]
+    #[test_case(404, 0, None, Err(ReadError::Status(404)); "not there")]
+    #[test_case(206, 10, Some((0, 9, 1000)), Err(ReadError::Malformed); "a part nobody asked for")]
     fn a_first_answer(
         status: u16,
         length: u64,
         range: Option<(u64, u64, u64)>,
-        head: Result<Option<Head>, Fault>,
+        head: Result<Option<Head>, ReadError>,
     ) {
         assert_eq!(Reading::new("/x".into(), None, 0.0).head(&answer(status, length, range)), head);
     }
 
     #[test_case(206, 700, Some((300, 999, 1000)), Ok(None); "the rest")]
-    #[test_case(200, 1000, None, Err(Fault::Length); "all of it again")]
-    #[test_case(206, 700, Some((299, 998, 1000)), Err(Fault::Length); "from another byte")]
-    #[test_case(206, 800, Some((300, 1099, 1100)), Err(Fault::Length); "of a longer one")]
-    #[test_case(206, 700, Some((300, 1000, 1000)), Err(Fault::Malformed); "a length that is not its range's")]
-    #[test_case(206, 700, None, Err(Fault::Malformed); "a part without a range")]
+    #[test_case(200, 1000, None, Err(ReadError::Length); "all of it again")]
+    #[test_case(206, 700, Some((299, 998, 1000)), Err(ReadError::Length); "from another byte")]
+    #[test_case(206, 800, Some((300, 1099, 1100)), Err(ReadError::Length); "of a longer one")]
+    #[test_case(206, 700, Some((300, 1000, 1000)), Err(ReadError::Malformed); "a length that is not its range's")]
+    #[test_case(206, 700, None, Err(ReadError::Malformed); "a part without a range")]
     fn an_answer_after_300_of_1000_bytes(
         status: u16,
         length: u64,
         range: Option<(u64, u64, u64)>,
-        head: Result<Option<Head>, Fault>,
+        head: Result<Option<Head>, ReadError>,
     ) {
         let mut it = Reading::new("/x".into(), None, 0.0);
         it.head(&answer(200, 1000, None)).unwrap();
         it.gave(300);
         assert_eq!(it.headers(), "Range: bytes=300-999\r\n");
-        assert_eq!(it.so_far().given, Some(300));
+        assert_eq!(it.so_far().bytes_relayed, Some(300));
         assert_eq!(it.head(&answer(status, length, range)), head);
     }
 
@@ -165,7 +165,7 @@
         it.gave(300);
         assert_eq!(it.headers(), "Range: bytes=300-999\r\nIf-Range: \"b\"\r\n");
         let rest = |tag| tagged(206, 700, Some((300, 999, 1000)), tag);
-        assert_eq!(it.clone().head(&rest("\"c\"")), Err(Fault::Length));
+        assert_eq!(it.clone().head(&rest("\"c\"")), Err(ReadError::Length));
         assert_eq!(it.head(&rest("\"b\"")), Ok(None));
         let mut it = Reading::new("/x".into(), None, 0.0);
         it.head(&tagged(200, 1000, None, "W/\"b\"")).unwrap();
@@ -176,7 +176,7 @@
     #[test]
     fn what_the_player_has_is_not_sent_again() {
         let mut it = Reading::new("/x".into(), None, 0.0);
-        assert_eq!(it.head(&answer(304, 0, None)), Err(Fault::Status(304)), "nobody asked");
+        assert_eq!(it.head(&answer(304, 0, None)), Err(ReadError::Status(304)), "nobody asked");
         it.unless = Some("\"a\"".into());
         assert_eq!(it.head(&answer(304, 0, None)).unwrap().map(|h| h.status), Some(304));
     }
--- a/crates/edge/src/servers.rs
+++ b/crates/edge/src/servers.rs
@@ -8,7 +8,7 @@
 use crate::sessions::Life;
 use crate::tally::LOST;
 use pulleystair::{LoadMetric, Outcome};
-use pulleystair_admission::read_retries::Fault;
+use pulleystair_admission::read_retries::ReadError;
 use tracing::{debug, warn};
 
 /// A line of a server's notes at most, bytes.
@@ -74,7 +74,7 @@
         let floor = &mut self.floor;
         floor.company_met(now, play, server, Outcome::Playing);
         let asked = floor.book.get(play).map_or(now, |s| s.sent);
-        floor.limit.set_up(now - asked, floor.out);
+        floor.limit.on_set_up(now - asked, floor.out);
         floor.out = floor.out.saturating_sub(1);
         if let Some(answer) = floor.manifest_of(play) {
             floor.tally.played += u64::from(floor.book.get(play).is_some_and(|s| s.life() == Life::Out));
@@ -156,13 +156,13 @@
             let floor = &mut self.floor;
             // What is refused as too much, or not done in time, says that servers are behind.
             if matches!(outcome, Outcome::Full | Outcome::TimedOut) {
-                floor.limit.lost(floor.out);
+                floor.limit.on_lost(floor.out);
             }
             floor.out = floor.out.saturating_sub(1);
             floor.session_clock(play);
         }
         self.desk.on_allocation_ended(now, play, server, outcome, closed, load, &mut self.floor);
-        self.floor.limit.decided(self.floor.now() - now);
+        self.floor.limit.on_decided(self.floor.now() - now);
     }
 
     /// A player has taken what it was sent: its server is read on.
@@ -199,17 +199,17 @@
             };
             if it.left.is_none() {
                 let (answer, used) = match http::answer(&line.input) {
-                    Ok(None) if ended => return floor.errand_failed(key, Fault::Broken),
+                    Ok(None) if ended => return floor.errand_failed(key, ReadError::Broken),
                     Ok(None) => return,
                     Err(e) => {
                         warn!(target: "server", server = floor.name(server), "answer not read: {e}");
-                        return floor.errand_failed(key, Fault::Malformed);
+                        return floor.errand_failed(key, ReadError::Malformed);
                     }
                     Ok(Some(it)) => it,
                 };
                 line.input.drain(..used);
                 let Body::Length(length) = answer.body else {
-                    return floor.errand_failed(key, Fault::Malformed);
+                    return floor.errand_failed(key, ReadError::Malformed);
                 };
                 let follows = it.reading.as_ref().map_or(length, |reading| reading.follows(length));
                 (it.left, it.last) = (Some(follows), !answer.keep_alive);
@@ -258,7 +258,7 @@
                 return self.errand_done(key, server, what);
             }
             if ended {
-                return floor.errand_failed(key, Fault::Truncated);
+                return floor.errand_failed(key, ReadError::Truncated);
             }
             if !came {
                 return;
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -6,7 +6,7 @@
 use crate::edge::{Edge, known, read_list};
 use crate::floor::Server;
 use crate::server_list::{List, Watched};
-use pulleystair_admission::read_retries::Budget;
+use pulleystair_admission::read_retries::RetryBudget;
 use pulleystair_jsonnet::Fault;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -52,7 +52,7 @@
                     idle: Vec::new(),
                     lines: 0,
                     queue: VecDeque::new(),
-                    budget: Budget::default(),
+                    budget: RetryBudget::default(),
                 });
             } else if servers[number as usize].address != server.address {
                 servers[number as usize].address = server.address;
--- a/crates/edge/tests/crowds.rs
+++ b/crates/edge/tests/crowds.rs
@@ -4,7 +4,7 @@
 mod house;
 
 use house::{House, base, day, get, set_ups, text};
-use pulleystair_admission::homes::home;
+use pulleystair_admission::homes::home_front;
 use pulleystair_dash::address;
 use pulleystair_dash::token::Entry;
 use pulleystair_fake_servers::content;
@@ -30,7 +30,10 @@
 
 /// A session's name whose home is this one of two fronts.
 fn at_home(front: usize) -> String {
-    (0..).map(|n| format!("s{n}")).find(|name| home(name, 2) == front).expect("each front is home to half")
+    (0..)
+        .map(|n| format!("s{n}"))
+        .find(|name| home_front(name, 2) == front)
+        .expect("each front is home to half")
 }
 
 async fn homes_known(house: &House) {
