--- a/crates/edge/benches/http.rs
+++ b/crates/edge/benches/http.rs
@@ -99,10 +99,10 @@
                     Ok(0) | Err(_) => return Ok(PostAction::Remove),
                     Ok(n) => input.extend_from_slice(&part[..n]),
                 }
-                while let Ok(Some((request, used))) = http::request(&input, 8192) {
+                while let Ok(Some((request, used))) = http::parse_request(&input, 8192) {
                     input.drain(..used);
                     output.clear();
-                    http::head(&mut output, 200, BODY.len() as u64, request.keep_alive, &[]);
+                    http::write_response_head(&mut output, 200, BODY.len() as u64, request.keep_alive, &[]);
                     output.extend_from_slice(&BODY);
                     (&**stream).write_all(&output)?;
                 }
--- a/crates/edge/src/active_config.rs
+++ b/crates/edge/src/active_config.rs
@@ -1,7 +1,7 @@
 //! What this front goes by, read back from what runs: the decisions, the limits, the list. Never from the files that it
 //! was to be read from.
 
-use crate::config::{Budget, Rundown, Rung};
+use crate::config::{Budget, Config, Rung};
 use crate::edge::Edge;
 use crate::server_list::{List, State};
 use pulleystair::{POLICY, Settings, number};
@@ -20,7 +20,7 @@
 }
 
 /// The decisions' sheet, as far as it says what the rundown says, in the rundown's words.
-fn as_rundown(was: &Rundown, sheet: &Settings) -> Rundown {
+fn as_rundown(was: &Config, sheet: &Settings) -> Config {
     let mut it = was.clone();
     let of = |name: &str, otherwise: f64| number(sheet, name, otherwise);
     it.ladder = (0..was.ladder.len())
@@ -54,7 +54,7 @@
 }
 
 /// The sections of a rundown, in its own words.
-pub fn sections(it: &Rundown, list: Value) -> Sections {
+pub fn sections(it: &Config, list: Value) -> Sections {
     let plain = |value: serde_json::Result<Value>| value.unwrap_or(Value::Null);
     let by_name = |of: &dyn Fn(&crate::config::Product) -> Value| -> Value {
         it.products.iter().map(|p| (p.name.clone(), of(p))).collect::<serde_json::Map<_, _>>().into()
@@ -96,7 +96,7 @@
 }
 
 /// A figure of the rules by its path: its name on the call sheet, where it has one.
-pub(crate) fn on_the_sheet(it: &Rundown, path: &str) -> Option<String> {
+pub(crate) fn on_the_sheet(it: &Config, path: &str) -> Option<String> {
     let name = match path {
         "rules.budget.share" => "rules.budget_share",
         "rules.budget.free" => "rules.free_resends",
--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/answers.rs
@@ -66,7 +66,7 @@
             _ => {}
         }
         let mut out = Vec::with_capacity(answer.body.len() + 256);
-        http::head(&mut out, answer.status, answer.body.len() as u64, keep_alive, &more);
+        http::write_response_head(&mut out, answer.status, answer.body.len() as u64, keep_alive, &more);
         if let Some(line) = self.lines.get_mut(key) {
             if !line.options.bare && answer.status != 204 {
                 out.extend_from_slice(answer.body.as_bytes());
--- a/crates/edge/src/approved_versions.rs
+++ b/crates/edge/src/approved_versions.rs
@@ -1,7 +1,7 @@
 //! The approved versions: a file that is read at start and looked at while the front runs. One that is no chain, goes not
 //! on from the one in hand, or approves what can't be meant is not taken.
 
-use crate::config::Rundown;
+use crate::config::Config;
 use crate::edge::Edge;
 use pulleystair_drift::Sections;
 use pulleystair_drift::approved::Chain;
@@ -13,7 +13,7 @@
 const MOST: u64 = 64 << 20;
 
 /// Reads and checks the file; an error tells path and cause.
-pub fn read(file: &Path, rundown: &Rundown) -> anyhow::Result<Chain> {
+pub fn read(file: &Path, rundown: &Config) -> anyhow::Result<Chain> {
     let fault = |cause: String| anyhow::anyhow!("sharing.approved: {}: {cause}", file.display());
     let size = std::fs::metadata(file).map_err(|e| fault(e.to_string()))?.len();
     if size > MOST {
@@ -30,7 +30,7 @@
 }
 
 /// Whether a front of this rundown could run by these sections.
-fn means(rundown: &Rundown, sections: &Sections) -> Result<(), (String, String, &'static str)> {
+fn means(rundown: &Config, sections: &Sections) -> Result<(), (String, String, &'static str)> {
     let mut it = rundown.clone();
     let form = |path: &str, e: serde_json::Error| (path.to_string(), e.to_string(), "what a rundown may say");
     let get = |path: &str| sections.get(path).cloned();
--- a/crates/edge/src/company.rs
+++ b/crates/edge/src/company.rs
@@ -1,7 +1,7 @@
 //! The company of other fronts: this front's fellow, its socket, and what they are told of and tell. All that is decided
 //! is decided by the fellow's packages and the module; without peers in the rundown none of it is there.
 
-use crate::config::Rundown;
+use crate::config::Config;
 use crate::edge::Edge;
 use crate::floor::{Clock, Floor};
 use crate::server_list::{List, State, Watched};
@@ -46,7 +46,7 @@
 impl Company {
     /// Joins the fleet that the rundown names, if it names one.
     pub(crate) fn join(
-        rundown: &Rundown,
+        rundown: &Config,
         handle: &LoopHandle<'static, Edge>,
         now: f64,
         seed: u64,
--- a/crates/edge/src/config/check.rs
+++ b/crates/edge/src/config/check.rs
@@ -3,7 +3,7 @@
 use super::*;
 use pulleystair_dash::address;
 
-impl Rundown {
+impl Config {
     /// The first value that can't be: its path, what it is, what is allowed.
     pub(crate) fn check(&self) -> Result<(), (String, String, &'static str)> {
         let positive = |path: &str, x: f64| {
--- a/crates/edge/src/config/keys.rs
+++ b/crates/edge/src/config/keys.rs
@@ -79,9 +79,9 @@
     keys.iter().map(read).collect()
 }
 
-impl Rundown {
+impl Config {
     /// The rings of entries and of passes, and the sessions revoked; a fault comes with its path.
-    pub fn rings(&self) -> Result<(Ring, Ring, Vec<String>), (&'static str, String)> {
+    pub fn key_rings(&self) -> Result<(Ring, Ring, Vec<String>), (&'static str, String)> {
         let ring = |path, secrets: &Secrets| Ring::new(secrets).map_err(|e| (path, e.to_string()));
         if let Some(file) = &self.keys {
             let (keys, entry, pass) = Keys::read(file).map_err(|e| ("keys", e.to_string()))?;
--- a/crates/edge/src/config/limits.rs
+++ b/crates/edge/src/config/limits.rs
@@ -114,7 +114,7 @@
 }
 
 impl Reads {
-    pub fn terms(&self) -> read_retries::RetryConfig {
+    pub fn retry_config(&self) -> read_retries::RetryConfig {
         read_retries::RetryConfig {
             tries: self.tries,
             span: self.span_ms,
@@ -163,12 +163,12 @@
 }
 
 impl Admission {
-    pub fn limit(&self) -> concurrency::LimitConfig {
+    pub fn limit_config(&self) -> concurrency::LimitConfig {
         let Admission { least, most, tolerance, slack_ms: slack, sample, work_ms: work, .. } = *self;
         concurrency::LimitConfig { least, most, tolerance, slack, sample, work }
     }
 
-    pub fn queue(&self) -> queue::QueueConfig {
+    pub fn queue_config(&self) -> queue::QueueConfig {
         queue::QueueConfig { most: self.queue, crowded: self.crowded_ms }
     }
 }
--- a/crates/edge/src/config/mod.rs
+++ b/crates/edge/src/config/mod.rs
@@ -1,5 +1,5 @@
 //! The rundown: all that a front is given at start, as a Jsonnet file. Read and checked here, shown by
-//! `pulleystair-edge show`, and turned into the decisions' call sheet at one place, [`Rundown::call_sheet`].
+//! `pulleystair-edge show`, and turned into the decisions' call sheet at one place, [`Config::policy_settings`].
 //! Times are ms, rates kB a second, sizes bytes.
 
 mod check;
@@ -19,7 +19,7 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Rundown {
+pub struct Config {
     /// Where players come; port 0 takes any, and the first line of the log tells which.
     pub listen: SocketAddr,
     /// The zone that this front is in, one of `zones`.
@@ -203,10 +203,10 @@
     1.0
 }
 
-impl Rundown {
+impl Config {
     /// Reads and checks a rundown; its paths come out relative to where the file is.
-    pub fn read(file: &Path) -> Result<Rundown, Fault> {
-        let mut it: Rundown = load(file)?;
+    pub fn read(file: &Path) -> Result<Config, Fault> {
+        let mut it: Config = load(file)?;
         it.check().map_err(|(path, found, allowed)| refused(file, &path, found, allowed))?;
         let folder = file.parent().unwrap_or(Path::new(""));
         it.list = folder.join(&it.list);
@@ -223,7 +223,7 @@
         }
         let fault =
             |path: &str, cause| Fault::Value { file: file.display().to_string(), path: path.into(), cause };
-        it.rings().map_err(|(path, cause)| fault(path, cause))?;
+        it.key_rings().map_err(|(path, cause)| fault(path, cause))?;
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
         if let Some(folder) = &it.tls.players {
             pulleystair_tls::players(folder, now).map_err(|e| fault("tls.players", e.to_string()))?;
--- a/crates/edge/src/config/settings.rs
+++ b/crates/edge/src/config/settings.rs
@@ -3,9 +3,9 @@
 use super::*;
 use pulleystair::{Settings, Value};
 
-impl Rundown {
+impl Config {
     /// The decisions' plain map. The only place where what is given here gets the names used there.
-    pub fn call_sheet(&self) -> Settings {
+    pub fn policy_settings(&self) -> Settings {
         let mut sheet = Settings::new();
         let mut number = |name: &str, x: f64| {
             sheet.insert(name.to_string(), Value::Number(x));
--- a/crates/edge/src/config/sharing.rs
+++ b/crates/edge/src/config/sharing.rs
@@ -1,6 +1,6 @@
 //! How fronts share what they know.
 
-use super::Rundown;
+use super::Config;
 use pulleystair_dash::address;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -64,7 +64,7 @@
 
 type Wrong = (String, String, &'static str);
 
-impl Rundown {
+impl Config {
     /// This front's name among its peers, where it shares.
     pub fn own_name(&self) -> Option<&str> {
         self.fleet.peers.get(self.rank).map(|peer| peer.name.as_str())
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -6,7 +6,7 @@
 //! ([`Floor::answer`]). Segments go by [`Edge::segment`] and [`Edge::errand`]. Files are looked at in `watch`.
 
 use crate::company::Company;
-use crate::config::Rundown;
+use crate::config::Config;
 use crate::connections::{ConnectionId, Doing, Lines, Role, Stage};
 use crate::floor::{Clock, Floor, News, words};
 use crate::seals::Seals;
@@ -42,7 +42,7 @@
     pub(crate) floor: Floor,
 }
 
-pub(crate) fn known(rundown: &Rundown) -> Known<'_> {
+pub(crate) fn known(rundown: &Config) -> Known<'_> {
     Known {
         zones: &rundown.zones,
         kinds: rundown.fleet.kinds.iter().map(|k| k.name.as_str()).collect(),
@@ -53,7 +53,7 @@
 }
 
 /// Reads the list that a rundown names.
-pub fn read_list(rundown: &Rundown) -> Result<List, pulleystair_jsonnet::Fault> {
+pub fn read_list(rundown: &Config) -> Result<List, pulleystair_jsonnet::Fault> {
     List::read(&rundown.list, &known(rundown))
 }
 
@@ -69,7 +69,7 @@
 }
 
 /// Starts a front and runs it until it is told to stop; `dropped` counts lines that its log could not take.
-pub fn run(rundown: Rundown, stop: Signals, dropped: ErrorCounter) -> anyhow::Result<()> {
+pub fn run(rundown: Config, stop: Signals, dropped: ErrorCounter) -> anyhow::Result<()> {
     let mut event_loop: EventLoop<'static, Edge> = EventLoop::try_new()?;
     let handle = event_loop.handle();
     let listener = TcpListener::bind(rundown.listen)
@@ -146,7 +146,7 @@
 
 impl Edge {
     fn new(
-        rundown: Rundown,
+        rundown: Config,
         handle: LoopHandle<'static, Edge>,
         dropped: ErrorCounter,
     ) -> anyhow::Result<Edge> {
@@ -166,7 +166,7 @@
             keys.replaced();
         });
         let (entry_keys, pass_keys, revoked) =
-            rundown.rings().map_err(|(path, cause)| anyhow::anyhow!("{path}: {cause}"))?;
+            rundown.key_rings().map_err(|(path, cause)| anyhow::anyhow!("{path}: {cause}"))?;
         let mut watched = Watched::new(rundown.list.clone());
         watched.replaced();
         let seals = Seals::read(&rundown.tls, since.as_secs())?;
@@ -179,8 +179,8 @@
             seals,
             revoked: revoked.into_iter().collect(),
             lines: Lines::new(handle.clone()),
-            queue: AdmissionQueue::new(rundown.admission.queue()),
-            limit: ConcurrencyLimit::new(rundown.admission.limit()),
+            queue: AdmissionQueue::new(rundown.admission.queue_config()),
+            limit: ConcurrencyLimit::new(rundown.admission.limit_config()),
             out: 0,
             lag: LoopLag::default(),
             wall: WallClock::new(since.as_secs_f64() * 1000.0),
@@ -210,7 +210,7 @@
             halted: false,
             rundown,
         };
-        let mut edge = Edge { desk: Dispatcher::new(floor.rundown.call_sheet(), seed), floor };
+        let mut edge = Edge { desk: Dispatcher::new(floor.rundown.policy_settings(), seed), floor };
         let list = read_list(&edge.floor.rundown)?;
         // It may be older than what it tells of: a server that started anew since may not be listed so yet.
         edge.take_list(list, true);
--- a/crates/edge/src/errands.rs
+++ b/crates/edge/src/errands.rs
@@ -145,7 +145,7 @@
         let fault = if stale { read_retries::ReadError::Stale } else { fault };
         let next = match &errand.reading {
             Some(reading) => {
-                at.budget.next_action(now, &self.rundown.reads.terms(), &reading.so_far(), fault)
+                at.budget.next_action(now, &self.rundown.reads.retry_config(), &reading.so_far(), fault)
             }
             None if stale => ReadAction::Again { from: 0 },
             None => ReadAction::Answer(502),
@@ -275,7 +275,7 @@
         let due = self.now() + limits.slow_reader_ms + of.length as f64 / limits.slow_reader_kb;
         let Some(line) = self.lines.get_mut(player) else { return };
         let mut out = Vec::new();
-        http::head(&mut out, of.status, of.length, !line.options.last, &more);
+        http::write_response_head(&mut out, of.status, of.length, !line.options.last, &more);
         line.write(&out);
         self.set_due(player, due);
     }
--- a/crates/edge/src/floor.rs
+++ b/crates/edge/src/floor.rs
@@ -2,7 +2,7 @@
 //! and the answers written to players. It never calls the desk; what it finds while the desk is busy goes to
 //! [`Floor::news`], which [`crate::edge`] tells afterwards.
 
-use crate::config::Rundown;
+use crate::config::Config;
 use crate::connections::{ConnectionId, Errand, Lines, Role};
 use crate::seals::Seals;
 use crate::server_list::{Title, Watched};
@@ -69,7 +69,7 @@
 }
 
 pub(crate) struct Floor {
-    pub(crate) rundown: Rundown,
+    pub(crate) rundown: Config,
     pub(crate) entry_keys: Ring,
     pub(crate) pass_keys: Ring,
     pub(crate) keys: Option<Watched>,
--- a/crates/edge/src/http.rs
+++ b/crates/edge/src/http.rs
@@ -25,17 +25,17 @@
 
 /// Why a request is not taken, and how that is answered.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct RequestError {
     pub status: u16,
     pub why: &'static str,
 }
 
-fn refuse<T>(status: u16, why: &'static str) -> Result<T, Refusal> {
-    Err(Refusal { status, why })
+fn refuse<T>(status: u16, why: &'static str) -> Result<T, RequestError> {
+    Err(RequestError { status, why })
 }
 
 /// Reads a request's head of `most` bytes at most, and tells how long it was; none while more must come.
-pub fn request(input: &[u8], most: usize) -> Result<Option<(Request, usize)>, Refusal> {
+pub fn parse_request(input: &[u8], most: usize) -> Result<Option<(Request, usize)>, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let size = match head.parse(&input[..input.len().min(most)]) {
@@ -58,7 +58,7 @@
             "connection" if minor == 0 && has(value, "keep-alive") => keep_alive = true,
             "content-length" if value == "0" => {}
             "content-length" | "transfer-encoding" => return refuse(413, "requests have no body here"),
-            "range" => part = range(value),
+            "range" => part = parse_range(value),
             "if-none-match" => unless = Some(value.to_string()).filter(|v| v.len() <= TAG),
             "authorization" => {
                 if let Some((scheme, token)) = value.split_once(' ') {
@@ -110,7 +110,7 @@
 
 /// Writes an answer's head. `more` are whole header lines; where none of them says how long it may be kept, it may
 /// not be.
-pub fn head(out: &mut Vec<u8>, status: u16, length: u64, keep_alive: bool, more: &[String]) {
+pub fn write_response_head(out: &mut Vec<u8>, status: u16, length: u64, keep_alive: bool, more: &[String]) {
     let connection = if keep_alive { "keep-alive" } else { "close" };
     let _ = write!(out, "HTTP/1.1 {status} {}\r\nConnection: {connection}\r\n", reason(status));
     // Neither has a body, and a length would be that of another answer (RFC 9110, section 8.6).
@@ -137,7 +137,7 @@
 
 /// A media server's answer, its head read.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub keep_alive: bool,
     pub body: Body,
@@ -150,7 +150,7 @@
 }
 
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadAnswer {
+pub enum ResponseError {
     #[error("answer head over {ANSWER_HEAD} bytes")]
     TooLong,
     #[error("answer head malformed: {0}")]
@@ -164,14 +164,14 @@
 }
 
 /// Reads an answer's head, and tells how long it was; none while more must come.
-pub fn answer(input: &[u8]) -> Result<Option<(Answer, usize)>, BadAnswer> {
+pub fn parse_response(input: &[u8]) -> Result<Option<(Response, usize)>, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let size = match head.parse(&input[..input.len().min(ANSWER_HEAD)]) {
         Ok(httparse::Status::Complete(size)) => size,
         Ok(httparse::Status::Partial) if input.len() < ANSWER_HEAD => return Ok(None),
-        Ok(httparse::Status::Partial) => return Err(BadAnswer::TooLong),
-        Err(e) => return Err(BadAnswer::Malformed(e.to_string())),
+        Ok(httparse::Status::Partial) => return Err(ResponseError::TooLong),
+        Err(e) => return Err(ResponseError::Malformed(e.to_string())),
     };
     let status = head.code.unwrap_or(0);
     let (mut length, mut chunked, mut load, mut range) = (None, false, None, None);
@@ -182,17 +182,17 @@
         let value = value.trim();
         match header.name.to_ascii_lowercase().as_str() {
             "content-length" => {
-                let n = value.parse().map_err(|_| BadAnswer::Malformed("Content-Length".into()))?;
+                let n = value.parse().map_err(|_| ResponseError::Malformed("Content-Length".into()))?;
                 if length.is_some_and(|l| l != n) {
-                    return Err(BadAnswer::Malformed("two lengths".into()));
+                    return Err(ResponseError::Malformed("two lengths".into()));
                 }
                 length = Some(n);
             }
             "transfer-encoding" if value.eq_ignore_ascii_case("chunked") => chunked = true,
-            "transfer-encoding" => return Err(BadAnswer::Malformed("Transfer-Encoding".into())),
+            "transfer-encoding" => return Err(ResponseError::Malformed("Transfer-Encoding".into())),
             "connection" if has(value, "close") => keep_alive = false,
             "content-range" => {
-                range = Some(content_range(value).ok_or(BadAnswer::Malformed("Content-Range".into()))?);
+                range = Some(content_range(value).ok_or(ResponseError::Malformed("Content-Range".into()))?);
             }
             "etag" if (2..=TAG).contains(&value.len()) => tag = Some(value.to_string()),
             pulleystair_orca::HEADER => load = Some(value.to_string()),
@@ -201,12 +201,12 @@
     }
     let body = match (chunked, length) {
         (true, None) => Body::Chunked(Chunks::default()),
-        (true, Some(_)) => return Err(BadAnswer::Malformed("both a length and chunks".into())),
+        (true, Some(_)) => return Err(ResponseError::Malformed("both a length and chunks".into())),
         (false, _) if status == 204 || status == 304 => Body::Length(0),
         (false, Some(n)) => Body::Length(n),
-        (false, None) => return Err(BadAnswer::NoLength),
+        (false, None) => return Err(ResponseError::NoLength),
     };
-    Ok(Some((Answer { status, keep_alive, body, load, range, tag }, size)))
+    Ok(Some((Response { status, keep_alive, body, load, range, tag }, size)))
 }
 
 /// `bytes FIRST-LAST/LENGTH` (RFC 9110, section 14.4).
@@ -219,7 +219,7 @@
 
 /// One `bytes=FIRST-` or `bytes=FIRST-LAST` (RFC 9110, section 14.1.2). Other forms are not served in parts: the
 /// whole is a right answer to them.
-pub fn range(value: &str) -> Option<(u64, Option<u64>)> {
+pub fn parse_range(value: &str) -> Option<(u64, Option<u64>)> {
     let (first, last) = value.strip_prefix("bytes=")?.split_once('-')?;
     let digits = |text: &str| text.len() <= 15 && text.bytes().all(|b| b.is_ascii_digit());
     let first: u64 = first.parse().ok().filter(|_| digits(first))?;
@@ -240,7 +240,7 @@
 
 impl Chunks {
     /// Moves what is whole from `input` to `out`; true once the body has ended.
-    pub fn feed(&mut self, input: &mut Vec<u8>, out: &mut Vec<u8>) -> Result<bool, BadAnswer> {
+    pub fn feed(&mut self, input: &mut Vec<u8>, out: &mut Vec<u8>) -> Result<bool, ResponseError> {
         let mut at = 0;
         let ended = loop {
             let rest = &input[at..];
@@ -257,7 +257,7 @@
                 match rest {
                     [b'\r', b'\n', ..] => (at, self.left) = (at + 2, 0),
                     [] | [b'\r'] => break false,
-                    _ => return Err(BadAnswer::Chunk),
+                    _ => return Err(ResponseError::Chunk),
                 }
                 if self.last {
                     break true;
@@ -267,10 +267,10 @@
             match httparse::parse_chunk_size(&rest[..rest.len().min(CHUNK_LINE)]) {
                 Ok(httparse::Status::Complete((used, size))) => {
                     (at, self.last) = (at + used, size == 0);
-                    self.left = size.checked_add(2).ok_or(BadAnswer::Chunk)?;
+                    self.left = size.checked_add(2).ok_or(ResponseError::Chunk)?;
                 }
                 Ok(httparse::Status::Partial) if rest.len() < CHUNK_LINE => break false,
-                _ => return Err(BadAnswer::Chunk),
+                _ => return Err(ResponseError::Chunk),
             }
         };
         input.drain(..at);
@@ -289,9 +289,9 @@
     fn a_request_is_read_whole_wherever_it_is_cut() {
         let size = GOOD.len() - 3;
         for cut in 0..size {
-            assert_eq!(request(&GOOD.as_bytes()[..cut], 8192), Ok(None), "cut at {cut}");
+            assert_eq!(parse_request(&GOOD.as_bytes()[..cut], 8192), Ok(None), "cut at {cut}");
         }
-        let (request, used) = request(GOOD.as_bytes(), 8192).unwrap().unwrap();
+        let (request, used) = parse_request(GOOD.as_bytes(), 8192).unwrap().unwrap();
         assert_eq!((used, request.target.as_str(), request.keep_alive), (size, "/s/p/0/1.m4s", true));
         assert_eq!(request.bearer.as_deref(), Some("a.b.c"));
     }
@@ -303,17 +303,17 @@
     #[test_case("GET\r\n\r\n", 400; "no target")]
     #[test_case("\u{1}\u{2}\u{3}", 400; "no text")]
     fn a_bad_request_is_refused(text: &str, status: u16) {
-        assert_eq!(request(text.as_bytes(), 8192).unwrap_err().status, status);
+        assert_eq!(parse_request(text.as_bytes(), 8192).unwrap_err().status, status);
     }
 
     #[test]
     fn heads_are_bounded() {
         let long = format!("GET / HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n", "x".repeat(9000));
-        assert_eq!(request(long.as_bytes(), 8192).unwrap_err().status, 431);
+        assert_eq!(parse_request(long.as_bytes(), 8192).unwrap_err().status, 431);
         let many = format!("GET / HTTP/1.1\r\nHost: a\r\n{}\r\n", "X: y\r\n".repeat(70));
-        assert_eq!(request(many.as_bytes(), 8192).unwrap_err().status, 431);
+        assert_eq!(parse_request(many.as_bytes(), 8192).unwrap_err().status, 431);
         let long = format!("HTTP/1.1 200 OK\r\nX: {}\r\n\r\n", "x".repeat(20_000));
-        assert_eq!(answer(long.as_bytes()), Err(BadAnswer::TooLong));
+        assert_eq!(parse_response(long.as_bytes()), Err(ResponseError::TooLong));
     }
 
     #[test]
@@ -335,7 +335,7 @@
     #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"; "both framings")]
     #[test_case("SMTP ready\r\n\r\n"; "another protocol")]
     fn a_bad_answer_is_told_apart(text: &str) {
-        assert!(answer(text.as_bytes()).is_err());
+        assert!(parse_response(text.as_bytes()).is_err());
     }
 
     #[test_case("bytes=0-99", Some((0, Some(99))); "first and last")]
@@ -347,7 +347,7 @@
     #[test_case("bytes=99999999999999999999-", None; "too large")]
     #[test_case("lines=1-2", None; "another unit")]
     fn ranges_that_are_served_in_parts(value: &str, part: Option<(u64, Option<u64>)>) {
-        assert_eq!(range(value), part);
+        assert_eq!(parse_range(value), part);
     }
 
     #[test_case("zz\r\n"; "no size")]
--- a/crates/edge/src/main.rs
+++ b/crates/edge/src/main.rs
@@ -3,7 +3,7 @@
 use anyhow::Context;
 use clap::{Parser, Subcommand, ValueEnum};
 use pulleystair_edge::approved_versions;
-use pulleystair_edge::config::Rundown;
+use pulleystair_edge::config::Config;
 use pulleystair_edge::edge::{self, read_list, stop_signals};
 use pulleystair_edge::status;
 use pulleystair_node::Config as NodeConfig;
@@ -79,18 +79,18 @@
     let (_guard, dropped) = logs(&command)?;
     match command.job {
         Job::Drift { rundown, json } => {
-            let told = status::ask(&Rundown::read(&rundown)?)?;
+            let told = status::query(&Config::read(&rundown)?)?;
             let text = if json { serde_json::to_string_pretty(&told)? + "\n" } else { status::table(&told) };
             std::io::stdout().write_all(text.as_bytes())?;
-            return Ok(ExitCode::from(status::status(&told)));
+            return Ok(ExitCode::from(status::exit_code(&told)));
         }
-        Job::Run { rundown } => edge::run(Rundown::read(&rundown)?, stop, dropped)?,
+        Job::Run { rundown } => edge::run(Config::read(&rundown)?, stop, dropped)?,
         Job::Node => {
             let path = std::env::var_os("PROXY_CONFIG").context("PROXY_CONFIG names no file")?;
             pulleystair_node::run(NodeConfig::read(Path::new(&path))?, stop)?;
         }
         Job::Check { rundown } => {
-            let it = Rundown::read(&rundown)?;
+            let it = Config::read(&rundown)?;
             let list = read_list(&it)?;
             if let Some(file) = &it.sharing.approved {
                 approved_versions::read(file, &it)?;
@@ -105,7 +105,7 @@
             );
         }
         Job::Show { rundown } => {
-            println!("{}", serde_json::to_string_pretty(&Rundown::read(&rundown)?)?);
+            println!("{}", serde_json::to_string_pretty(&Config::read(&rundown)?)?);
         }
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/edge/src/players.rs
+++ b/crates/edge/src/players.rs
@@ -110,7 +110,7 @@
                 floor.set_due(key, now + header);
             }
             let Some(line) = floor.lines.get_mut(key) else { return };
-            match http::request(&line.input, most) {
+            match http::parse_request(&line.input, most) {
                 Ok(None) => return,
                 Err(refusal) => {
                     floor.leave(key, &words(refusal.status, refusal.why));
@@ -357,7 +357,7 @@
         let reads = &floor.rundown.reads;
         let mut reading = Reading::new(target, request.range, now + reads.patience_ms);
         (reading.bare, reading.unless) = (request.method == "HEAD", request.unless.clone());
-        let terms = reads.terms();
+        let terms = reads.retry_config();
         floor.servers[server as usize].budget.record_first(now, &terms);
         let what = What::Segment { player: key, play, number };
         let request = floor.request_to(server, reading.method(), &reading.target, "");
--- a/crates/edge/src/segment_read.rs
+++ b/crates/edge/src/segment_read.rs
@@ -1,7 +1,7 @@
 //! A segment's read through all its tries: what is asked for, and whether an answer fits what was already given
 //! to the player. What becomes of one that failed is decided by [`pulleystair_admission::read_retries`].
 
-use crate::http::{Answer, Body};
+use crate::http::{Body, Response};
 use pulleystair_admission::read_retries::{ReadError, ReadProgress};
 
 #[derive(Clone, Debug)]
@@ -78,7 +78,7 @@
     }
 
     /// Takes an answer's head: the player's head at the first, nothing more at a later one that fits.
-    pub fn head(&mut self, answer: &Answer) -> Result<Option<Head>, ReadError> {
+    pub fn head(&mut self, answer: &Response) -> Result<Option<Head>, ReadError> {
         let Body::Length(length) = answer.body else { return Err(ReadError::Malformed) };
         let tag = answer.tag.clone();
         if answer.status == 304 && self.unless.is_some() && self.span.is_none() {
@@ -116,8 +116,8 @@
     use super::*;
     use test_case::test_case;
 
-    fn answer(status: u16, length: u64, range: Option<(u64, u64, u64)>) -> Answer {
-        Answer { status, keep_alive: true, body: Body::Length(length), load: None, range, tag: None }
+    fn answer(status: u16, length: u64, range: Option<(u64, u64, u64)>) -> Response {
+        Response { status, keep_alive: true, body: Body::Length(length), load: None, range, tag: None }
     }
 
     #[test_case(200, 1000, None, Ok(Some(Head { status: 200, length: 1000, range: None, tag: None })); "whole")]
@@ -154,7 +154,7 @@
 
     #[test]
     fn bytes_that_are_others_meanwhile_do_not_go_on() {
-        let tagged = |status, length, range, tag: &str| Answer {
+        let tagged = |status, length, range, tag: &str| Response {
             tag: Some(tag.into()),
             ..answer(status, length, range)
         };
--- a/crates/edge/src/servers.rs
+++ b/crates/edge/src/servers.rs
@@ -41,7 +41,7 @@
                 return self.allocation_ended(play, server, Outcome::Unreachable, &[]);
             }
             let Some(line) = self.floor.lines.get_mut(key) else { return };
-            match http::answer(&line.input) {
+            match http::parse_response(&line.input) {
                 Ok(None) if ended => return self.allocation_ended(play, server, Outcome::Broken, &[]),
                 Ok(None) => return,
                 Err(e) => {
@@ -198,7 +198,7 @@
                 return;
             };
             if it.left.is_none() {
-                let (answer, used) = match http::answer(&line.input) {
+                let (answer, used) = match http::parse_response(&line.input) {
                     Ok(None) if ended => return floor.errand_failed(key, ReadError::Broken),
                     Ok(None) => return,
                     Err(e) => {
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -1,6 +1,6 @@
 //! Asks a front that runs what it knows of the fleet, for `pulleystair-edge drift`.
 
-use crate::config::Rundown;
+use crate::config::Config;
 use crate::http::{self, Body};
 use anyhow::{Context, bail, ensure};
 use serde_json::Value;
@@ -15,7 +15,7 @@
 const MOST: usize = 64 << 20;
 
 /// What the front of this rundown says of the fleet.
-pub fn ask(rundown: &Rundown) -> anyhow::Result<Value> {
+pub fn query(rundown: &Config) -> anyhow::Result<Value> {
     let at =
         rundown.sharing.ask.context("sharing.ask: the rundown does not say where this front is asked")?;
     let mut stream =
@@ -24,7 +24,7 @@
     stream.write_all(b"GET /fleet HTTP/1.1\r\nHost: front\r\nConnection: close\r\n\r\n")?;
     let mut came = Vec::new();
     loop {
-        if let Some((head, used)) = http::answer(&came).map_err(|e| anyhow::anyhow!("{at}: {e}"))? {
+        if let Some((head, used)) = http::parse_response(&came).map_err(|e| anyhow::anyhow!("{at}: {e}"))? {
             let Body::Length(length) = head.body else { bail!("{at}: an answer without length") };
             let whole = used + usize::try_from(length)?;
             ensure!(whole <= MOST, "{at}: an answer of {length} bytes");
@@ -41,7 +41,7 @@
 }
 
 /// 0: all in step or on their way; 1: one is adrift, torn, behind or ahead; 2: of some nobody can say.
-pub fn status(told: &Value) -> u8 {
+pub fn exit_code(told: &Value) -> u8 {
     told["status"].as_u64().map_or(2, |status| status.min(2) as u8)
 }
 
--- a/crates/edge/tests/company/mod.rs
+++ b/crates/edge/tests/company/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)] // Each file of stories uses a part of it.
 
 use crate::house::{self, House};
-use pulleystair_edge::config::Rundown;
-use pulleystair_edge::status::ask;
+use pulleystair_edge::config::Config;
+use pulleystair_edge::status::query;
 use pulleystair_fleet_member::{Exchange, Fellow, Met, Terms, number_of};
 use pulleystair_lab::fronts::name;
 use pulleystair_lab::testbed::Set;
@@ -44,14 +44,14 @@
     day
 }
 
-fn rundown(house: &House, front: usize) -> Rundown {
-    Rundown::read(&house.folder().join(format!("front-{front}.json"))).expect("its rundown reads")
+fn rundown(house: &House, front: usize) -> Config {
+    Config::read(&house.folder().join(format!("front-{front}.json"))).expect("its rundown reads")
 }
 
 /// What a front says when it is asked.
 pub fn told(house: &House, front: usize) -> Value {
     let rundown = rundown(house, front);
-    tokio::task::block_in_place(|| ask(&rundown)).expect("a front that runs answers")
+    tokio::task::block_in_place(|| query(&rundown)).expect("a front that runs answers")
 }
 
 /// Waits until something is so.
--- a/crates/edge/tests/config.rs
+++ b/crates/edge/tests/config.rs
@@ -1,7 +1,7 @@
 //! Rundowns and lists, good and bad: a fault names the file, the path, what was found and what is allowed.
 
 use pulleystair::Value;
-use pulleystair_edge::config::Rundown;
+use pulleystair_edge::config::Config;
 use pulleystair_edge::edge::read_list;
 use std::path::PathBuf;
 use std::process::Command;
@@ -31,7 +31,7 @@
 
     /// What is wrong with it.
     fn fault(&self) -> String {
-        match Rundown::read(&self.file()) {
+        match Config::read(&self.file()) {
             Err(e) => e.to_string(),
             Ok(it) => read_list(&it).expect_err("something is wrong").to_string(),
         }
@@ -41,9 +41,9 @@
 #[test]
 fn the_example_is_good_and_becomes_the_decisions_plain_map() {
     let folder = Folder::new(GOOD, LIST);
-    let it = Rundown::read(&folder.file()).unwrap();
+    let it = Config::read(&folder.file()).unwrap();
     assert!(read_list(&it).unwrap().servers.len() > 1);
-    let sheet = it.call_sheet();
+    let sheet = it.policy_settings();
     assert_eq!(sheet["balancers"], Value::Number(it.fronts as f64));
     assert_eq!(sheet["rules.cold"], Value::Number(it.rules.cold_ms));
     assert_eq!(sheet["products.0.first_frame_target"], Value::Number(it.products[0].first_frame_target_ms));
--- a/crates/edge/tests/rollout.rs
+++ b/crates/edge/tests/rollout.rs
@@ -9,7 +9,7 @@
 use pulleystair_drift::Sections;
 use pulleystair_drift::approved::{Chain, Document, Stage};
 use pulleystair_edge::active_config;
-use pulleystair_edge::config::Rundown;
+use pulleystair_edge::config::Config;
 use pulleystair_lab::fronts::Program;
 use serde_json::{Value, json};
 use std::path::Path;
@@ -25,7 +25,7 @@
 
 /// What a rundown comes to, less the list, which changes by itself.
 fn sections(folder: &Path, front: usize) -> Sections {
-    let rundown = Rundown::read(&folder.join(format!("front-{front}.json"))).expect("it reads");
+    let rundown = Config::read(&folder.join(format!("front-{front}.json"))).expect("it reads");
     let mut it = active_config::sections(&rundown, Value::Null);
     it.remove("list");
     it
--- a/crates/fuzz-checks/src/lib.rs
+++ b/crates/fuzz-checks/src/lib.rs
@@ -66,16 +66,19 @@
 /// A request's head is read the same wherever it is cut, and so is what its target and its range say.
 pub fn request(bytes: &[u8]) {
     const MOST: usize = 2048;
-    let whole = http::request(bytes, MOST);
+    let whole = http::parse_request(bytes, MOST);
     if let Ok(Some((request, used))) = &whole {
         assert!(*used <= bytes.len().min(MOST));
-        assert_eq!(http::request(&bytes[..*used], MOST), whole, "what follows changes nothing");
-        assert!(!matches!(http::request(&bytes[..used - 1], MOST), Ok(Some(_))), "it ends where it ends");
+        assert_eq!(http::parse_request(&bytes[..*used], MOST), whole, "what follows changes nothing");
+        assert!(
+            !matches!(http::parse_request(&bytes[..used - 1], MOST), Ok(Some(_))),
+            "it ends where it ends"
+        );
         target(&request.target);
     }
     if let Ok(text) = std::str::from_utf8(bytes) {
         target(text);
-        if let Some((first, last)) = http::range(text) {
+        if let Some((first, last)) = http::parse_range(text) {
             assert!(last.is_none_or(|last| first <= last));
         }
     }
@@ -96,7 +99,7 @@
 
 /// A media server's answer is read within bounds, and chunks come out the same wherever they are cut.
 fn answer(bytes: &[u8]) {
-    let Ok(Some((answer, used))) = http::answer(bytes) else { return };
+    let Ok(Some((answer, used))) = http::parse_response(bytes) else { return };
     assert!(used <= bytes.len().min(http::ANSWER_HEAD));
     if !matches!(answer.body, Body::Chunked(_)) {
         return;
--- a/crates/message-mutation/src/post.rs
+++ b/crates/message-mutation/src/post.rs
@@ -180,7 +180,7 @@
         if !out {
             return;
         }
-        match http::answer(&mail.bytes) {
+        match http::parse_response(&mail.bytes) {
             Ok(Some((answer, _))) if answer.status == 200 => self.stands(f, play, &[]),
             Ok(Some((answer, _))) => self.turned_away(f, play, answer.status, &[]),
             // The connection is its own: what does not come whole has broken off.
