--- a/crates/dispatcher/tests/simulated.rs
+++ b/crates/dispatcher/tests/simulated.rs
@@ -7,8 +7,8 @@
 use pulleystair::{Listing, LoadMetric, Outcome, Settings, Standing, Value};
 use pulleystair_dispatcher::{Dispatcher, PlayRequest};
 use pulleystair_rule_checker::history::History;
-use pulleystair_rule_checker::rules::{Budget, Effect, Group, Product, Terms};
-use pulleystair_rule_checker::{Seen, What};
+use pulleystair_rule_checker::rules::{Budget, Effect, Group, Product, RuleParams};
+use pulleystair_rule_checker::{Observation, Observed};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use test_case::test_case;
@@ -57,7 +57,7 @@
     up: Vec<bool>,
     silent: Vec<bool>,
     errors: Vec<f64>,
-    seen: Vec<Seen>,
+    seen: Vec<Observation>,
     requests: u64,
 }
 
@@ -104,9 +104,9 @@
     sheet
 }
 
-fn terms() -> Terms {
+fn terms() -> RuleParams {
     let product = |effect, floor, seats| Product { limit: LIMIT, effect, floor, top: 2, seats };
-    Terms {
+    RuleParams {
         products: vec![
             product(Effect::Free, 0, 0),
             product(Effect::Paid, 1, 0),
@@ -116,12 +116,12 @@
         cold: 6_000.0,
         cold_from: 0.3,
         overload: 2.0,
-        fall: 1_000.0,
+        overload_window: 1_000.0,
         streams: vec![STREAMS; SERVERS],
         zones: (0..SERVERS).map(|s| s % 2).collect(),
         cells: (0..SERVERS).collect(),
         budget: Some(Budget { span: 5_000.0, share: 0.05, free: 2.0 }),
-        told: 200.0,
+        list_delay: 200.0,
         slack: 1.0,
     }
 }
@@ -157,7 +157,7 @@
             requests: 0,
         };
         for front in 0..FRONTS {
-            day.saw(What::Front { front, up: true });
+            day.saw(Observed::Front { front, up: true });
             day.tell(front);
             day.after(day.now, 0.0, Event::Ask(front));
         }
@@ -169,8 +169,8 @@
         self.rnd.rand_float()
     }
 
-    fn saw(&mut self, what: What) {
-        self.seen.push(Seen { at: self.now, what });
+    fn saw(&mut self, what: Observed) {
+        self.seen.push(Observation { at: self.now, what });
     }
 
     fn after(&mut self, now: f64, wait: f64, event: Event) {
@@ -213,7 +213,7 @@
                 Deed::Step(play, rung) => {
                     if let Some(it) = self.plays[front].get(&play).filter(|it| it.at.is_some()) {
                         let allocation = Day::name(front, play, it.allocations);
-                        self.saw(What::Rung { allocation, rung });
+                        self.saw(Observed::Rung { allocation, rung });
                     }
                 }
                 Deed::Probe(server) => self.after(self.now, 5.0, Event::Probed(front, server)),
@@ -228,7 +228,7 @@
         let it = self.plays[front].get_mut(&play).expect("an answer is for a play in hand");
         assert!(!std::mem::replace(&mut it.answered, true), "answered once");
         let request = it.request;
-        self.saw(What::Answered { request, status });
+        self.saw(Observed::Answered { request, status });
     }
 
     fn send(&mut self, front: usize, play: u64, server: usize, rung: usize, time_out: f64) {
@@ -242,7 +242,7 @@
             return self.after(self.now, 1.0, Event::Ends(front, play, n, Outcome::Unreachable));
         }
         let (allocation, title) = (Day::name(front, play, n), format!("t{}", product));
-        self.saw(What::SetUp { server, allocation, session, product, title, rung });
+        self.saw(Observed::SetUp { server, allocation, session, product, title, rung });
         let dice = self.draw();
         let streams = self.load(server)[1].value();
         let (wait, outcome) = match dice {
@@ -267,9 +267,9 @@
             _ => None,
         };
         if let Some((ran, status)) = status {
-            self.saw(What::Done { allocation: allocation.clone(), ran, status });
+            self.saw(Observed::Done { allocation: allocation.clone(), ran, status });
         }
-        self.saw(What::Closed { allocation });
+        self.saw(Observed::Closed { allocation });
         let load =
             if self.up[server] && outcome != Outcome::TimedOut { self.load(server) } else { Vec::new() };
         self.call(front, |desk, now, hands| {
@@ -285,7 +285,14 @@
                 self.requests += 1;
                 let (request, product) = (self.requests, (self.draw() * 3.0) as usize);
                 let (session, title) = (format!("s{request}"), format!("t{product}"));
-                self.saw(What::Asked { request, session: session.clone(), front, product, title, top: 2 });
+                self.saw(Observed::Asked {
+                    request,
+                    session: session.clone(),
+                    front,
+                    product,
+                    title,
+                    top: 2,
+                });
                 let play = Play { session, product, request, allocations: 0, at: None, answered: false };
                 self.plays[front].insert(request, play);
                 let wish = PlayRequest {
@@ -306,7 +313,7 @@
             Event::Leave(front, play) => {
                 if self.plays[front].get(&play).is_some_and(|it| !it.answered) {
                     self.plays[front].get_mut(&play).expect("it is there").answered = true;
-                    self.saw(What::Left { request: play });
+                    self.saw(Observed::Left { request: play });
                     self.call(front, |desk, _, hands| desk.on_viewer_left(play, hands));
                 }
             }
@@ -316,7 +323,11 @@
                 let Some((server, playing)) = it.at.filter(|_| it.allocations == n) else { return };
                 if outcome == Outcome::Playing {
                     self.plays[front].get_mut(&play).expect("it is there").at = Some((server, true));
-                    self.saw(What::Done { allocation: Day::name(front, play, n), ran: true, status: 200 });
+                    self.saw(Observed::Done {
+                        allocation: Day::name(front, play, n),
+                        ran: true,
+                        status: 200,
+                    });
                     self.answer(front, play, 200);
                     let lasts = 1_000.0 + 6_000.0 * self.draw();
                     self.after(self.now, lasts, Event::Ends(front, play, n, Outcome::Finished));
@@ -351,7 +362,7 @@
             Event::Told(front) => self.tell(front),
             Event::Listed(server, standing) => {
                 self.listings[server].standing = standing;
-                self.saw(What::Listed { server, ready: standing == Standing::Ready });
+                self.saw(Observed::Listed { server, ready: standing == Standing::Ready });
                 for front in 0..FRONTS {
                     let late = 100.0 * self.draw();
                     self.after(self.now, late, Event::Told(front));
@@ -364,7 +375,7 @@
                 match (self.draw() * 4.0) as usize {
                     0 if self.up[server] => {
                         self.up[server] = false;
-                        self.saw(What::Stopped { server });
+                        self.saw(Observed::Stopped { server });
                         for front in 0..FRONTS {
                             let here = |(_, it): &(&u64, &Play)| it.at.is_some_and(|(s, _)| s == server);
                             let lost: Vec<u64> =
@@ -385,7 +396,7 @@
             Event::Recovers(server) => {
                 (self.up[server], self.silent[server], self.errors[server]) = (true, false, 0.0);
                 self.listings[server].started_at = self.now;
-                self.saw(What::Started { server, cold: true });
+                self.saw(Observed::Started { server, cold: true });
                 self.after(self.now, 0.0, Event::Listed(server, Standing::Ready));
             }
         }
--- a/crates/edge/tests/bounds.rs
+++ b/crates/edge/tests/bounds.rs
@@ -4,7 +4,7 @@
 
 use house::{House, day, get, patient, text};
 use pulleystair_lab::environment::Listed;
-use pulleystair_rule_checker::What;
+use pulleystair_rule_checker::Observed;
 use serde_json::json;
 use test_case::test_case;
 use tokio::net::TcpStream;
@@ -15,14 +15,14 @@
 /// the front has closed may be seen to end a little after the next set-up is.
 fn most_out(house: &House) -> usize {
     const SEEN_LATE: f64 = 25.0;
-    let seen = house.log.taken();
+    let seen = house.log.observations();
     let mut spans: std::collections::BTreeMap<&str, (f64, f64)> = Default::default();
     for s in &seen {
         match &s.what {
-            What::SetUp { allocation, .. } => {
+            Observed::SetUp { allocation, .. } => {
                 spans.insert(allocation, (s.at, f64::INFINITY));
             }
-            What::Done { allocation, .. } | What::Closed { allocation } => {
+            Observed::Done { allocation, .. } | Observed::Closed { allocation } => {
                 spans.entry(allocation).and_modify(|span| span.1 = span.1.min(s.at));
             }
             _ => {}
--- a/crates/edge/tests/broken.rs
+++ b/crates/edge/tests/broken.rs
@@ -6,7 +6,7 @@
 
 use house::{House, day};
 use pulleystair_lab::environment::Listed;
-use pulleystair_rule_checker::What;
+use pulleystair_rule_checker::Observed;
 use serde_json::{Value, json};
 use std::time::Duration;
 use test_case::test_case;
@@ -107,7 +107,7 @@
 fn keep(history: &pulleystair_rule_checker::history::History, name: &str) {
     if let Some(folder) = std::env::var_os("PULLEYSTAIR_HISTORIES") {
         let file = std::path::Path::new(&folder).join(format!("{name}.jsonl"));
-        std::fs::write(file, history.text().expect("a history is plain")).expect("it is written");
+        std::fs::write(file, history.to_text().expect("a history is plain")).expect("it is written");
     }
 }
 
@@ -121,10 +121,13 @@
     house.ail(|a| (a.silent, a.errors) = (true, 0.0));
     let asking = house.ask_at(0, "out", PAID).await;
     house
-        .until("its set-up", |seen| matches!(seen.last(), Some(s) if matches!(s.what, What::SetUp { .. })))
+        .until(
+            "its set-up",
+            |seen| matches!(seen.last(), Some(s) if matches!(s.what, Observed::SetUp { .. })),
+        )
         .await;
     house.restart(0).await;
-    house.log.saw(asking.cut());
+    house.log.record(asking.cut());
     house.ail(|a| a.silent = false);
     for i in 0..10 {
         house.ask(&format!("after-{i}"), i % 2).await;
--- a/crates/edge/tests/company/mod.rs
+++ b/crates/edge/tests/company/mod.rs
@@ -113,7 +113,7 @@
     let mut it: Value =
         serde_json::from_slice(&std::fs::read(file).expect("it is there")).expect("it is JSON");
     change(&mut it);
-    pulleystair_fake_servers::files::put(file, it.to_string()).expect("it is written");
+    pulleystair_fake_servers::files::replace(file, it.to_string()).expect("it is written");
 }
 
 pub fn change_rundown(folder: &Path, front: usize, change: impl FnOnce(&mut Value)) {
@@ -136,7 +136,7 @@
 /// That list is as all others again.
 pub fn mend(house: &House, front: usize) {
     let text = std::fs::read(house.folder().join("list.json")).expect("it is there");
-    pulleystair_fake_servers::files::put(&house.folder().join(format!("list-{front}.json")), text)
+    pulleystair_fake_servers::files::replace(&house.folder().join(format!("list-{front}.json")), text)
         .expect("written");
 }
 
--- a/crates/edge/tests/crowds.rs
+++ b/crates/edge/tests/crowds.rs
@@ -8,9 +8,9 @@
 use pulleystair_dash::address;
 use pulleystair_dash::token::Entry;
 use pulleystair_fake_servers::content;
-use pulleystair_fake_servers::http::Peer;
+use pulleystair_fake_servers::http::HttpPeer;
 use pulleystair_lab::fronts::portal;
-use pulleystair_rule_checker::What;
+use pulleystair_rule_checker::Observed;
 use serde_json::json;
 use std::sync::Arc;
 use std::time::Duration;
@@ -50,14 +50,14 @@
     // What may be set up again is a play at each; what may not is taken by its home alone.
     let (one, other) = (house.ask_at(0, "free", FREE).await, house.ask_at(1, "free", FREE).await);
     let (one, other) = tokio::join!(one.answer(), other.answer());
-    assert_eq!((one.status, other.status, set_ups(&house.log.taken())), (200, 200, 2));
+    assert_eq!((one.status, other.status, set_ups(&house.log.observations())), (200, 200, 2));
     let session = at_home(1);
     let (one, other) = (house.ask_at(0, &session, PAID).await, house.ask_at(1, &session, PAID).await);
     let (one, other) = tokio::join!(one.answer(), other.answer());
     assert_eq!((one.status, other.status), (307, 200));
     let there = format!("//{}{}", house.at[1], house.manifest(&session, PAID));
     assert_eq!(one.header("location").map(|at| at.split('?').next()), Some(there.split('?').next()));
-    assert_eq!(set_ups(&house.log.taken()), 3, "the paid one once");
+    assert_eq!(set_ups(&house.log.observations()), 3, "the paid one once");
     house.kept();
 }
 
@@ -75,13 +75,13 @@
     asking.into_iter().for_each(|one| one.leave());
     house
         .until("servers see the end", |seen| {
-            seen.iter().filter(|s| matches!(s.what, What::Closed { .. })).count() == 2
+            seen.iter().filter(|s| matches!(s.what, Observed::Closed { .. })).count() == 2
         })
         .await;
     house.ail(|a| a.silent = false);
     assert_eq!(house.ask_at(1, free, FREE).await.answer().await.status, 200, "elsewhere at once");
     assert_eq!(house.ask_at(1, &paid, PAID).await.answer().await.status, 307, "not elsewhere");
-    assert_eq!(set_ups(&house.log.taken()), 3);
+    assert_eq!(set_ups(&house.log.observations()), 3);
     house.kept();
 }
 
@@ -179,7 +179,7 @@
     assert_eq!(house.get(&signed(&house, "ahead", now + 70)).await.status, 200);
     assert_eq!(house.get(&signed(&house, "gone", now - 20)).await.status, 410);
     assert_eq!(house.get(&format!("{}0/1.m4s", base(&running))).await.status, 200, "what plays goes on");
-    assert_eq!(set_ups(&house.log.taken()), 3);
+    assert_eq!(set_ups(&house.log.observations()), 3);
     house.kept();
 }
 
@@ -196,14 +196,14 @@
     let asked = Instant::now();
     let segment = house.get(&format!("{}0/1.m4s", base(&quick))).await;
     assert!(asked.elapsed() > Duration::from_millis(1000), "it took longer than the pass lasts");
-    assert!(content::read(&segment.body).is_some_and(|c| c.intact), "what was begun comes whole");
+    assert!(content::parse(&segment.body).is_some_and(|c| c.intact), "what was begun comes whole");
     house.ail(|a| a.link = 1.0);
     let first = house.get(&format!("{}0/1.m4s", base(&late))).await;
     assert_eq!(first.status, 410, "{}", text(&first));
     // The same entry token, still good, gets the same play and a pass anew.
     let again = house.ask("late", FREE).await;
     assert_eq!(house.get(&format!("{}0/1.m4s", base(&again))).await.status, 200);
-    assert_eq!(set_ups(&house.log.taken()), 2, "no second allocation was made for it");
+    assert_eq!(set_ups(&house.log.observations()), 2, "no second allocation was made for it");
     house.kept();
 }
 
@@ -211,9 +211,9 @@
 async fn from(address: [u8; 4], house: &House, target: &str) -> u16 {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind((address, 0).into()).expect("all of 127/8 is this machine");
-    let mut peer = Peer::new(socket.connect(house.at[0]).await.expect("a connection"));
+    let mut peer = HttpPeer::new(socket.connect(house.at[0]).await.expect("a connection"));
     peer.write(get(target).as_bytes()).await.expect("the request is taken");
-    peer.answer().await.expect("an answer").expect("an answer").status
+    peer.read_response().await.expect("an answer").expect("an answer").status
 }
 
 #[tokio::test]
@@ -229,11 +229,11 @@
     let both = [house.call(0).await.unwrap(), house.call(0).await.unwrap()];
     for mut peer in both {
         peer.write(get(&target).as_bytes()).await.unwrap();
-        assert!(peer.more().await.unwrap(), "it has begun");
+        assert!(peer.read_more().await.unwrap(), "it has begun");
         std::mem::forget(peer);
     }
     assert_eq!(house.get(&target).await.status, 429);
-    assert_eq!(set_ups(&house.log.taken()), 1);
+    assert_eq!(set_ups(&house.log.observations()), 1);
     house.kept();
 }
 
--- a/crates/edge/tests/dash.rs
+++ b/crates/edge/tests/dash.rs
@@ -5,9 +5,9 @@
 
 use house::{House, base, day, get, set_ups, text};
 use pulleystair_fake_servers::content;
-use pulleystair_fake_servers::files::put;
+use pulleystair_fake_servers::files::replace;
 use pulleystair_fake_servers::http::Message;
-use pulleystair_rule_checker::What;
+use pulleystair_rule_checker::Observed;
 use serde_json::{Value, json};
 
 const FREE: usize = 0;
@@ -22,7 +22,7 @@
         log.matches("list taken").count() + log.matches("list not taken").count()
     };
     let before = looked();
-    put(&file, list.to_string()).unwrap();
+    replace(&file, list.to_string()).unwrap();
     house.until_true("the front has looked at the list", || looked() > before).await;
 }
 
@@ -37,7 +37,7 @@
 
 /// The number in a segment that came whole.
 fn number(answer: &Message) -> u64 {
-    content::read(&answer.body).filter(|c| c.intact).expect("a whole segment").number
+    content::parse(&answer.body).filter(|c| c.intact).expect("a whole segment").number
 }
 
 #[tokio::test]
@@ -72,9 +72,11 @@
     assert_ne!(house::base(&again), base, "a pass whose time begins anew");
     // The last one comes once it is there, and the play ends after it.
     assert_eq!(number(&house.get(&format!("{}1/8.m4s", house::base(&again))).await), 8);
-    house.until("the play's end", |seen| seen.iter().any(|s| matches!(s.what, What::Closed { .. }))).await;
+    house
+        .until("the play's end", |seen| seen.iter().any(|s| matches!(s.what, Observed::Closed { .. })))
+        .await;
     assert_eq!(house.get(&mpd.locations[0].url).await.status, 410);
-    assert_eq!(set_ups(&house.log.taken()), 1);
+    assert_eq!(set_ups(&house.log.observations()), 1);
     house.kept();
 }
 
@@ -123,7 +125,7 @@
     let bare =
         ask_raw(&house, &format!("HEAD {manifest} HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n")).await;
     assert!(bare.starts_with("HTTP/1.1 405") && bare.contains("\r\nAllow: "), "{bare}");
-    assert_eq!(set_ups(&house.log.taken()), 0, "a HEAD takes no play");
+    assert_eq!(set_ups(&house.log.observations()), 0, "a HEAD takes no play");
     let manifest = house.ask("s", FREE).await;
     let target = format!("{}1/2.m4s", base(&manifest));
     let whole = house.get(&target).await;
--- a/crates/edge/tests/days.rs
+++ b/crates/edge/tests/days.rs
@@ -4,7 +4,7 @@
 use pulleystair_lab::fronts::Program;
 use pulleystair_lab::scenario::Day;
 use pulleystair_lab::scenario_run::{Outcome, play};
-use pulleystair_rule_checker::What;
+use pulleystair_rule_checker::Observed;
 use pulleystair_rule_checker::history::History;
 use serde_json::json;
 use std::path::Path;
@@ -54,17 +54,17 @@
         eprintln!("played again, the machine was {:.0} ms late: {:?}", outcome.lateness_ms, outcome.breaches);
         outcome = played(&day).await;
     }
-    let count = |is: fn(&What) -> bool| outcome.seen.iter().filter(|s| is(&s.what)).count();
+    let count = |is: fn(&Observed) -> bool| outcome.seen.iter().filter(|s| is(&s.what)).count();
     let (asked, set_up) =
-        (count(|w| matches!(w, What::Asked { .. })), count(|w| matches!(w, What::SetUp { .. })));
-    let fetched = count(|w| matches!(w, What::Fetched { .. }));
+        (count(|w| matches!(w, Observed::Asked { .. })), count(|w| matches!(w, Observed::SetUp { .. })));
+    let fetched = count(|w| matches!(w, Observed::Fetched { .. }));
     assert!(asked > 50 && set_up > 30 && fetched > 50, "{asked} asked, {set_up} set-ups, {fetched} fetched");
     assert!(outcome.breaches.is_empty(), "{:.0} ms late: {:?}", outcome.lateness_ms, outcome.breaches);
     assert!(outcome.covered.further > 0 && outcome.covered.drains > 0, "{:?}", outcome.covered);
     // With a folder named, the history is written there, to be kept in `crates/rule-checker/histories`.
     if let Some(folder) = std::env::var_os("PULLEYSTAIR_HISTORIES") {
         let what = format!("a short bad day under TLS, two fronts, seed {seed}");
-        let text = History::new(&what, &[], day.terms(), outcome.seen).text().expect("a history is plain");
+        let text = History::new(&what, &[], day.terms(), outcome.seen).to_text().expect("a history is plain");
         std::fs::write(Path::new(&folder).join(format!("day-{seed}.jsonl")), text).expect("it is written");
     }
 }
--- a/crates/edge/tests/failures.rs
+++ b/crates/edge/tests/failures.rs
@@ -5,7 +5,7 @@
 
 use house::{House, base, closed, day, get, patient, set_ups, text};
 use pulleystair_fake_servers::content;
-use pulleystair_fake_servers::http::Peer;
+use pulleystair_fake_servers::http::HttpPeer;
 use pulleystair_lab::environment::Listed;
 use serde_json::json;
 use test_case::test_case;
@@ -25,7 +25,7 @@
         let file = if number == 0 { "init.mp4".to_string() } else { format!("{number}.m4s") };
         let segment = house.get(&format!("{base}1/{file}")).await;
         assert_eq!(segment.status, 200);
-        let got = content::read(&segment.body).expect("it says what it is");
+        let got = content::parse(&segment.body).expect("it says what it is");
         assert!(got.intact && got.number == number && got.title == house.titles[FREE].name, "{got:?}");
         assert!(segment.header("cmsd-dynamic").is_some_and(|h| h.contains("mb=")));
     }
@@ -33,7 +33,7 @@
     // The last segment has gone out: the play ends by itself, and its server is told.
     house.until("the server's end of the play", |seen| closed(seen) == 1).await;
     house
-        .until_true("the play is freed", || house.boxes.world().servers.iter().all(|s| s.plays.is_empty()))
+        .until_true("the play is freed", || house.boxes.model().servers.iter().all(|s| s.plays.is_empty()))
         .await;
     assert_eq!(house.get(&format!("{base}1/4.m4s")).await.status, 410);
     house.kept();
@@ -160,13 +160,13 @@
     let target = format!("{}0/1.m4s", base(&manifest));
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(4096).expect("a small buffer");
-    let mut slow = Peer::new(socket.connect(house.at[0]).await.expect("a connection"));
+    let mut slow = HttpPeer::new(socket.connect(house.at[0]).await.expect("a connection"));
     slow.write(get(&target).as_bytes()).await.expect("the request is taken");
     let mut read = 0;
     let mut byte = [0];
     let ended = loop {
         let quick = house.get(&format!("{}0/init.mp4", base(&manifest))).await;
-        assert!(content::read(&quick.body).is_some_and(|c| c.intact), "another player is served meanwhile");
+        assert!(content::parse(&quick.body).is_some_and(|c| c.intact), "another player is served meanwhile");
         match slow.stream.read(&mut byte).await {
             Ok(0) | Err(_) => break true,
             Ok(n) => read += n,
@@ -196,14 +196,14 @@
 }
 
 fn whole(bytes: &[u8]) -> bool {
-    content::read(bytes).is_some_and(|c| c.intact && c.number == 2)
+    content::parse(bytes).is_some_and(|c| c.intact && c.number == 2)
 }
 
 #[test_case(|a| a.cut = 1.0; "cut short")]
 #[test_case(|a| a.stall = 1.0; "stalled")]
 #[tokio::test]
 async fn a_segment_that_breaks_off_is_taken_up_where_it_broke(
-    ill: fn(&mut pulleystair_fake_servers::model::Ails),
+    ill: fn(&mut pulleystair_fake_servers::model::ServerFaults),
 ) {
     // Each try brings half of what is left; ten of them leave a 200th, which comes once the server is well.
     let (house, target) = with_segments(json!({ "tries": 50, "free": 100 })).await;
@@ -224,18 +224,18 @@
 #[tokio::test]
 async fn a_segment_that_can_not_go_on_ends_short_and_is_never_patched_up(
     reads: serde_json::Value,
-    ill: fn(&mut pulleystair_fake_servers::model::Ails),
+    ill: fn(&mut pulleystair_fake_servers::model::ServerFaults),
 ) {
     let (house, target) = with_segments(reads).await;
     house.ail(ill);
-    let mut peer = Peer::new(TcpStream::connect(house.at[0]).await.expect("a connection"));
+    let mut peer = HttpPeer::new(TcpStream::connect(house.at[0]).await.expect("a connection"));
     peer.write(get(&target).as_bytes()).await.expect("the request is taken");
     let mut bytes = Vec::new();
     peer.stream.read_to_end(&mut bytes).await.expect("the front closes");
     let body = bytes.windows(4).position(|w| w == b"\r\n\r\n").map(|at| bytes.split_off(at + 4));
     let body = body.expect("a head had come");
     assert!(body.len() < 200_000, "the player sees that it is short");
-    assert_eq!(body, content::make(&house.titles[FREE].name, 0, 2, 200_000)[..body.len()]);
+    assert_eq!(body, content::generate(&house.titles[FREE].name, 0, 2, 200_000)[..body.len()]);
     house.ail(|a| (a.cut, a.no_ranges) = (0.0, 0.0));
     assert!(whole(&house.get(&target).await.body), "asked again by the player, it comes");
     house.kept();
@@ -300,7 +300,7 @@
     assert_eq!(house.ask_at(0, "s", FREE).await.answer().await.status, 200);
     house.fronts.kill(0).await;
     house
-        .until_true("the lease runs out", || house.boxes.world().servers.iter().all(|s| s.plays.is_empty()))
+        .until_true("the lease runs out", || house.boxes.model().servers.iter().all(|s| s.plays.is_empty()))
         .await;
     assert_eq!(
         house.ask_at(1, "s2", FREE).await.answer().await.status,
@@ -346,7 +346,7 @@
         })
         .await;
     let segment = house.get(&format!("{}0/2.m4s", base(&manifest))).await;
-    assert_eq!(content::read(&segment.body).expect("a segment").title, house.titles[FREE].name);
+    assert_eq!(content::parse(&segment.body).expect("a segment").title, house.titles[FREE].name);
     assert_eq!(house.ask("s", FREE).await.status, 200, "asked again: the same play");
     assert_eq!(house.get(&house.manifest("new", FREE)).await.status, 404);
     assert_eq!(house.ask("p", PAID).await.status, 200);
--- a/crates/edge/tests/house/mod.rs
+++ b/crates/edge/tests/house/mod.rs
@@ -4,15 +4,15 @@
 
 use pulleystair_dash::address;
 use pulleystair_dash::token::Entry;
-use pulleystair_fake_servers::http::{Message, Peer};
-use pulleystair_fake_servers::model::Ails;
-use pulleystair_fake_servers::recorder::Log;
+use pulleystair_fake_servers::http::{HttpPeer, Message};
+use pulleystair_fake_servers::model::ServerFaults;
+use pulleystair_fake_servers::recorder::Recorder;
 use pulleystair_lab::fronts::{FRONT, Program};
 use pulleystair_lab::scenario::Day;
 use pulleystair_lab::testbed::Set;
 use pulleystair_rule_checker::history::History;
 use pulleystair_rule_checker::rules::check;
-use pulleystair_rule_checker::{Seen, What};
+use pulleystair_rule_checker::{Observation, Observed};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::ops::Deref;
@@ -132,15 +132,15 @@
     }
 
     /// Changes what ails all servers.
-    pub fn ail(&self, change: impl Fn(&mut Ails)) {
-        self.boxes.world().servers.iter_mut().for_each(|s| change(&mut s.ails));
+    pub fn ail(&self, change: impl Fn(&mut ServerFaults)) {
+        self.boxes.model().servers.iter_mut().for_each(|s| change(&mut s.faults));
     }
 
     /// Changes what ails all servers but this one.
-    pub fn ail_all_but(&self, but: usize, change: impl Fn(&mut Ails)) {
-        let mut world = self.boxes.world();
+    pub fn ail_all_but(&self, but: usize, change: impl Fn(&mut ServerFaults)) {
+        let mut world = self.boxes.model();
         let others = world.servers.iter_mut().enumerate().filter(|(server, _)| *server != but);
-        others.for_each(|(_, s)| change(&mut s.ails));
+        others.for_each(|(_, s)| change(&mut s.faults));
     }
 
     pub fn token(&self, session: &str, product: usize) -> String {
@@ -183,7 +183,7 @@
         let mut peer = self.call(front).await.expect("the front takes connections");
         let request = self.requests.fetch_add(1, Ordering::Relaxed);
         let of = &self.titles[title];
-        self.log.saw(What::Asked {
+        self.log.record(Observed::Asked {
             request,
             session: session.into(),
             front,
@@ -235,8 +235,8 @@
     }
 
     /// A connection to a front, under TLS where the day has it.
-    pub async fn call(&self, front: usize) -> std::io::Result<Peer> {
-        Peer::call(self.at[front], self.seal.as_ref().map(|seal| (seal, FRONT))).await
+    pub async fn call(&self, front: usize) -> std::io::Result<HttpPeer> {
+        HttpPeer::connect(self.at[front], self.seal.as_ref().map(|seal| (seal, FRONT))).await
     }
 
     pub fn log_of(&self, front: usize) -> String {
@@ -257,12 +257,12 @@
     pub async fn send(&self, text: &str) -> Option<Message> {
         let mut peer = self.call(0).await.ok()?;
         peer.write(text.as_bytes()).await.ok()?;
-        tokio::time::timeout(PATIENCE, peer.answer()).await.expect("the front does something").ok()?
+        tokio::time::timeout(PATIENCE, peer.read_response()).await.expect("the front does something").ok()?
     }
 
     /// Waits until something has been seen.
-    pub async fn until(&self, what: &str, seen: impl Fn(&[Seen]) -> bool) {
-        self.until_true(what, || seen(&self.log.taken())).await;
+    pub async fn until(&self, what: &str, seen: impl Fn(&[Observation]) -> bool) {
+        self.until_true(what, || seen(&self.log.observations())).await;
     }
 
     pub async fn until_true(&self, what: &str, so: impl Fn() -> bool) {
@@ -274,9 +274,9 @@
     }
 
     pub fn set_ups(&self) -> Vec<usize> {
-        let seen = self.log.taken();
-        let server = |s: &Seen| match s.what {
-            What::SetUp { server, .. } => Some(server),
+        let seen = self.log.observations();
+        let server = |s: &Observation| match s.what {
+            Observed::SetUp { server, .. } => Some(server),
             _ => None,
         };
         seen.iter().filter_map(server).collect()
@@ -284,28 +284,29 @@
 
     /// What has been seen so far, with the terms that it is held to.
     pub fn history(&self, what: &str, breaks: &[u8]) -> History {
-        History::new(what, breaks, self.day.terms(), self.log.taken())
+        History::new(what, breaks, self.day.terms(), self.log.observations())
     }
 
     /// All rules must have been kept, on a log that holds something.
     pub fn kept(&self) {
-        let (breaches, covered) = check(&self.log.taken(), &self.day.terms());
+        let (breaches, covered) = check(&self.log.observations(), &self.day.terms());
         assert!(covered.requests > 0, "nothing was checked");
         assert!(breaches.is_empty(), "{breaches:?}");
     }
 }
 
 pub struct Asking {
-    pub peer: Peer,
+    pub peer: HttpPeer,
     request: u64,
-    log: Log,
+    log: Recorder,
 }
 
 impl Asking {
     pub async fn answer(mut self) -> Message {
-        let answer = tokio::time::timeout(PATIENCE, self.peer.answer()).await.expect("an answer comes");
+        let answer =
+            tokio::time::timeout(PATIENCE, self.peer.read_response()).await.expect("an answer comes");
         let answer = answer.expect("the answer is whole").expect("the front answers");
-        self.log.saw(What::Answered { request: self.request, status: answer.status });
+        self.log.record(Observed::Answered { request: self.request, status: answer.status });
         answer
     }
 
@@ -315,24 +316,24 @@
     }
 
     /// That the connection broke, as a player sees it.
-    pub fn cut(&self) -> What {
-        What::Cut { request: self.request }
+    pub fn cut(&self) -> Observed {
+        Observed::Cut { request: self.request }
     }
 
     /// Closes without waiting for the answer.
     pub fn leave(self) {
-        self.log.saw(What::Left { request: self.request });
+        self.log.record(Observed::Left { request: self.request });
     }
 }
 
 /// How many set-ups servers have read.
-pub fn set_ups(seen: &[Seen]) -> usize {
-    seen.iter().filter(|s| matches!(s.what, What::SetUp { .. })).count()
+pub fn set_ups(seen: &[Observation]) -> usize {
+    seen.iter().filter(|s| matches!(s.what, Observed::SetUp { .. })).count()
 }
 
 /// How many set-ups servers have seen the end of.
-pub fn closed(seen: &[Seen]) -> usize {
-    seen.iter().filter(|s| matches!(s.what, What::Closed { .. })).count()
+pub fn closed(seen: &[Observation]) -> usize {
+    seen.iter().filter(|s| matches!(s.what, Observed::Closed { .. })).count()
 }
 
 /// That day with one server, which holds all, and short notes on it.
--- a/crates/edge/tests/keys.rs
+++ b/crates/edge/tests/keys.rs
@@ -4,7 +4,7 @@
 
 use house::{House, base, closed, day};
 use pulleystair_dash::token::{Entry, Ring};
-use pulleystair_fake_servers::files::put;
+use pulleystair_fake_servers::files::replace;
 use pulleystair_lab::fronts::portal;
 use serde_json::json;
 use std::time::Duration;
@@ -61,7 +61,7 @@
         numbers.iter().map(one).collect()
     };
     let it = json!({ "entry": keys("portal", entry), "pass": keys("pass", pass), "revoked": revoked });
-    put(&house.folder().join("keys.json"), it.to_string()).expect("keys are replaced");
+    replace(&house.folder().join("keys.json"), it.to_string()).expect("keys are replaced");
     house.until_true("the front has looked at the keys", || looked() > before).await;
 }
 
--- a/crates/edge/tests/many.rs
+++ b/crates/edge/tests/many.rs
@@ -8,7 +8,7 @@
 use company::{Fake, at_fronts, from_title, plays, sharing, stalls, told, until};
 use house::House;
 use pulleystair_lab::fronts::Program;
-use pulleystair_rule_checker::What;
+use pulleystair_rule_checker::Observed;
 use serde_json::{Value, json};
 use std::path::Path;
 use std::time::Duration;
@@ -87,8 +87,8 @@
     until("front 0 has its own part alone", || paces(&house, 0..1) == [1.0]).await;
     let deaf = house.log.now();
     until("it goes on unaided", || {
-        let seen = house.log.taken();
-        seen.iter().filter(|s| s.at > deaf && matches!(s.what, What::SetUp { .. })).count() >= 6
+        let seen = house.log.observations();
+        seen.iter().filter(|s| s.at > deaf && matches!(s.what, Observed::SetUp { .. })).count() >= 6
     })
     .await;
     between.change(|from, to, way| {
@@ -102,9 +102,9 @@
     drop(waiting);
     let sent: Vec<f64> = house
         .log
-        .taken()
+        .observations()
         .iter()
-        .filter(|s| s.at >= started && matches!(s.what, What::SetUp { .. }))
+        .filter(|s| s.at >= started && matches!(s.what, Observed::SetUp { .. }))
         .map(|s| s.at - started)
         .filter(|at| *at < COLD)
         .collect();
@@ -225,7 +225,7 @@
     sleep(Duration::from_millis(3_000)).await;
     plays(&house, "a", &[0, 1, 2, 3, 4, 5], 6).await;
     for server in [1, 3, 5, 7] {
-        house.boxes.world().servers[server].ails.silent = true;
+        house.boxes.model().servers[server].faults.silent = true;
     }
     // One after the other, as in thin traffic.
     for n in 0..14 {
@@ -253,7 +253,7 @@
     let house = House::some(day, edge(), 8, |_, _| {}).await;
     acquainted(&house, 8, 0.0).await;
     // Work of 5 ms, and so many times that.
-    house.boxes.world().servers[1].ails.slow = 1.0 + slower / 5.0;
+    house.boxes.model().servers[1].faults.slow = 1.0 + slower / 5.0;
     for n in 0..8 {
         plays(&house, &format!("p{n}"), &[0, 1, 2, 3, 4, 5, 6, 7], 8).await;
     }
--- a/crates/edge/tests/repeats.rs
+++ b/crates/edge/tests/repeats.rs
@@ -5,7 +5,7 @@
 mod house;
 
 use house::{House, base, day};
-use pulleystair_rule_checker::What;
+use pulleystair_rule_checker::Observed;
 use serde_json::json;
 
 const FREE: usize = 0;
@@ -15,12 +15,12 @@
 
 /// Set-ups of a session, as servers read them.
 fn set_ups(house: &House, of: &str) -> usize {
-    let seen = house.log.taken();
-    seen.iter().filter(|s| matches!(&s.what, What::SetUp { session, .. } if session == of)).count()
+    let seen = house.log.observations();
+    seen.iter().filter(|s| matches!(&s.what, Observed::SetUp { session, .. } if session == of)).count()
 }
 
 fn segments_read(house: &House) -> usize {
-    house.boxes.world().servers.iter().map(|s| s.segments_read).sum()
+    house.boxes.model().servers.iter().map(|s| s.segments_read).sum()
 }
 
 /// Asked for four times at once at each front, by players that wait, and twice more when they have been answered.
@@ -86,14 +86,14 @@
     let house = House::open().await;
     for n in 0..12 {
         let (session, product) = (format!("s{n}"), n % 2);
-        let before: Vec<usize> = house.boxes.world().servers.iter().map(|s| s.segments_read).collect();
+        let before: Vec<usize> = house.boxes.model().servers.iter().map(|s| s.segments_read).collect();
         let manifest = house.ask(&session, product).await;
-        let seen = house.log.taken();
+        let seen = house.log.observations();
         let (server, rung) = seen
             .iter()
             .rev()
             .find_map(|s| match &s.what {
-                What::SetUp { server, rung, session: of, product: sold, title, .. } if *of == session => {
+                Observed::SetUp { server, rung, session: of, product: sold, title, .. } if *of == session => {
                     assert_eq!((*sold, title), (product, &house.titles[product].name));
                     Some((*server, *rung))
                 }
@@ -102,11 +102,11 @@
             .expect("it was set up");
         for asked in 0..2 {
             let segment = house.get(&format!("{}{asked}/1.m4s", base(&manifest))).await;
-            let got = pulleystair_fake_servers::content::read(&segment.body).expect("a segment");
+            let got = pulleystair_fake_servers::content::parse(&segment.body).expect("a segment");
             assert!(got.intact && got.title == house.titles[product].name);
             assert_eq!(got.rung, asked.min(rung));
         }
-        let after: Vec<usize> = house.boxes.world().servers.iter().map(|s| s.segments_read).collect();
+        let after: Vec<usize> = house.boxes.model().servers.iter().map(|s| s.segments_read).collect();
         let elsewhere = (0..4).filter(|s| *s != server && after[*s] != before[*s]).count();
         assert_eq!((after[server] - before[server], elsewhere), (2, 0));
     }
--- a/crates/edge/tests/rollout.rs
+++ b/crates/edge/tests/rollout.rs
@@ -54,7 +54,7 @@
     };
     chain.append(document).expect("it goes on");
     let text: String = chain.documents.iter().map(Document::line).collect();
-    pulleystair_fake_servers::files::put(&folder.join("approved.jsonl"), text).expect("it is written");
+    pulleystair_fake_servers::files::replace(&folder.join("approved.jsonl"), text).expect("it is written");
 }
 
 /// Fronts of which the first are started; each looks at the approved versions when it is told to, and goes by them now.
@@ -188,7 +188,8 @@
     // A file that is none, then one that approves what can't be meant: the version in hand stays.
     let good = std::fs::read_to_string(house.folder().join("approved.jsonl")).expect("it is there");
     let put = |text: &str| {
-        pulleystair_fake_servers::files::put(&house.folder().join("approved.jsonl"), text).expect("written");
+        pulleystair_fake_servers::files::replace(&house.folder().join("approved.jsonl"), text)
+            .expect("written");
     };
     put(&format!("{good}half a li"));
     house.signal(0, "-HUP").await;
--- a/crates/edge/tests/sealed.rs
+++ b/crates/edge/tests/sealed.rs
@@ -4,11 +4,11 @@
 mod house;
 
 use house::{House, base, day, get, set_ups, text};
-use pulleystair_fake_servers::certificates::Authority;
-use pulleystair_fake_servers::files::put;
-use pulleystair_fake_servers::http::{Peer, Wire};
+use pulleystair_fake_servers::certificates::CertificateAuthority;
+use pulleystair_fake_servers::files::replace;
+use pulleystair_fake_servers::http::{HttpPeer, Stream};
 use pulleystair_lab::fronts::FRONT;
-use pulleystair_rule_checker::What;
+use pulleystair_rule_checker::Observed;
 use serde_json::{Value, json};
 use std::time::{Duration, SystemTime};
 use tokio::io::AsyncReadExt;
@@ -29,8 +29,8 @@
 }
 
 /// The certificate that a front shows on this connection.
-fn shown(peer: &Peer) -> Vec<u8> {
-    let Wire::Sealed(stream) = &peer.stream else { panic!("the connection is sealed") };
+fn shown(peer: &HttpPeer) -> Vec<u8> {
+    let Stream::Tls(stream) = &peer.stream else { panic!("the connection is sealed") };
     let (_, seal) = stream.get_ref();
     seal.peer_certificates().expect("the front shows a certificate")[0].to_vec()
 }
@@ -43,20 +43,22 @@
     for number in 1..=4 {
         let segment = house.get(&format!("{}1/{number}.m4s", base(&manifest))).await;
         assert!(
-            pulleystair_fake_servers::content::read(&segment.body)
+            pulleystair_fake_servers::content::parse(&segment.body)
                 .is_some_and(|c| c.intact && c.number == number)
         );
     }
-    house.until("the server's end", |seen| seen.iter().any(|s| matches!(s.what, What::Closed { .. }))).await;
+    house
+        .until("the server's end", |seen| seen.iter().any(|s| matches!(s.what, Observed::Closed { .. })))
+        .await;
     house.kept();
 }
 
 #[tokio::test]
 async fn a_player_without_tls_and_one_that_never_shakes_hands_are_let_go() {
     let house = House::of(sealed()).await;
-    let mut plain = Peer::new(TcpStream::connect(house.at[0]).await.unwrap());
+    let mut plain = HttpPeer::new(TcpStream::connect(house.at[0]).await.unwrap());
     plain.write(get("/").as_bytes()).await.unwrap();
-    assert!(!matches!(plain.answer().await, Ok(Some(_))), "nothing is said in the open");
+    assert!(!matches!(plain.read_response().await, Ok(Some(_))), "nothing is said in the open");
     let mut mute = TcpStream::connect(house.at[0]).await.unwrap();
     assert_eq!(mute.read(&mut [0; 16]).await.unwrap_or(0), 0, "closed once its time is up");
     assert_eq!(house.ask("s", FREE).await.status, 200);
@@ -73,12 +75,12 @@
     }
     let house = House::of(day).await;
     let own = house.fronts.authority.as_ref().unwrap();
-    let foreign = Authority::default();
-    let expired = own.paper("m1", SystemTime::now() - Duration::from_secs(5));
-    let other = own.paper("m9", soon(1000));
-    let papers = [(0, foreign.paper("m0", soon(1000))), (1, expired), (2, other)];
+    let foreign = CertificateAuthority::default();
+    let expired = own.issue("m1", SystemTime::now() - Duration::from_secs(5));
+    let other = own.issue("m9", soon(1000));
+    let papers = [(0, foreign.issue("m0", soon(1000))), (1, expired), (2, other)];
     for (server, paper) in &papers {
-        house.boxes.seal(*server, Some(own.acceptor(paper, None).unwrap()));
+        house.boxes.set_tls(*server, Some(own.acceptor(paper, None).unwrap()));
     }
     for n in 0..6 {
         let product = if n % 2 == 0 { FREE } else { PAID };
@@ -94,14 +96,14 @@
 async fn servers_that_do_not_know_the_front_are_failures_like_others() {
     let house = House::of(sealed()).await;
     let own = house.fronts.authority.as_ref().unwrap();
-    let foreign = Authority::default();
+    let foreign = CertificateAuthority::default();
     for server in 0..4 {
-        let paper = own.paper(&format!("m{server}"), soon(1000));
-        house.boxes.seal(server, Some(own.acceptor(&paper, Some(&foreign)).unwrap()));
+        let paper = own.issue(&format!("m{server}"), soon(1000));
+        house.boxes.set_tls(server, Some(own.acceptor(&paper, Some(&foreign)).unwrap()));
     }
     assert!([502, 503].contains(&house.ask("s", FREE).await.status));
     assert_eq!(house.ask("p", PAID).await.status, 502, "it may have run, for all the front knows");
-    assert_eq!(set_ups(&house.log.taken()), 0);
+    assert_eq!(set_ups(&house.log.observations()), 0);
 }
 
 #[tokio::test]
@@ -118,7 +120,7 @@
         // One for each side.
         house.says("certificates taken", 2 * n).await;
         kept.write(get(&target).as_bytes()).await.unwrap();
-        assert_eq!(kept.answer().await.unwrap().unwrap().status, 200, "the old connection lives on");
+        assert_eq!(kept.read_response().await.unwrap().unwrap().status, 200, "the old connection lives on");
         let now = shown(&house.call(0).await.unwrap());
         assert_ne!(now, before, "new ones get the new certificate");
         before = now;
@@ -137,7 +139,7 @@
     std::fs::write(folder.join("key.pem"), house.fronts.paper(soon(1000)).unwrap().key).unwrap();
     house.says("key does not fit", 1).await;
     assert_eq!(shown(&house.call(0).await.unwrap()), before);
-    house.fronts.paper(SystemTime::now() - Duration::from_secs(60)).unwrap().put(&folder).unwrap();
+    house.fronts.paper(SystemTime::now() - Duration::from_secs(60)).unwrap().write_files(&folder).unwrap();
     house.says("expired", 1).await;
     assert_eq!(shown(&house.call(0).await.unwrap()), before);
     std::fs::write(folder.join("key.pem"), &good[..good.len() / 2]).unwrap();
@@ -147,7 +149,7 @@
     let log = house.log_of(0);
     assert!(!log.contains("BEGIN") && !log.contains(&text_of(&good)[40..80]), "no key in the log");
     // A good set is taken after bad ones.
-    house.fronts.paper(soon(1000)).unwrap().put(&folder).unwrap();
+    house.fronts.paper(soon(1000)).unwrap().write_files(&folder).unwrap();
     house.says("certificates taken", 1).await;
     assert_ne!(shown(&house.call(0).await.unwrap()), before);
     house.kept();
@@ -163,7 +165,7 @@
     day["products"][FREE]["seconds"] = json!([40, 40]);
     let house = House::of(day).await;
     let folder = house.folder().join("players");
-    house.fronts.paper(soon(3)).unwrap().put(&folder).unwrap();
+    house.fronts.paper(soon(3)).unwrap().write_files(&folder).unwrap();
     house.says("certificates taken", 1).await;
     house.says("certificate runs out soon", 1).await;
     let mut kept = house.call(0).await.expect("it still holds");
@@ -171,12 +173,12 @@
     house.says("certificate has expired", 1).await;
     let target = format!("{}1/1.m4s", base(&manifest));
     kept.write(get(&target).as_bytes()).await.unwrap();
-    assert_eq!(kept.answer().await.unwrap().unwrap().status, 200, "what was open goes on");
+    assert_eq!(kept.read_response().await.unwrap().unwrap().status, 200, "what was open goes on");
     // One that has not been here before, so nothing is taken up from an earlier connection.
     let new = house.fronts.connector().unwrap().unwrap();
-    let refused = Peer::call(house.at[0], Some((&new, FRONT))).await;
+    let refused = HttpPeer::connect(house.at[0], Some((&new, FRONT))).await;
     assert!(refused.is_err(), "players do not take it any more");
-    house.fronts.paper(soon(1000)).unwrap().put(&folder).unwrap();
+    house.fronts.paper(soon(1000)).unwrap().write_files(&folder).unwrap();
     house.says("certificates taken", 2).await;
     assert_eq!(house.get(&target).await.status, 200);
     house.kept();
@@ -200,24 +202,24 @@
 #[tokio::test]
 async fn players_must_show_a_certificate_where_the_folder_says_whose() {
     let house = House::of(sealed()).await;
-    let (own, viewers) = (house.fronts.authority.as_ref().unwrap(), Authority::default());
-    put(&house.folder().join("players/viewers.pem"), viewers.pem()).unwrap();
+    let (own, viewers) = (house.fronts.authority.as_ref().unwrap(), CertificateAuthority::default());
+    replace(&house.folder().join("players/viewers.pem"), viewers.pem()).unwrap();
     house.says("certificates taken", 1).await;
     let target = house.manifest("s", FREE);
     for (paper, good) in [
         (None, false),
-        (Some(own.paper("viewer", soon(1000))), false),
-        (Some(viewers.paper("viewer", SystemTime::now() - Duration::from_secs(5))), false),
-        (Some(viewers.paper("viewer", soon(1000))), true),
+        (Some(own.issue("viewer", soon(1000))), false),
+        (Some(viewers.issue("viewer", SystemTime::now() - Duration::from_secs(5))), false),
+        (Some(viewers.issue("viewer", soon(1000))), true),
     ] {
         let connector = own.connector(paper.as_ref()).unwrap();
         let asked = async {
-            let mut peer = Peer::call(house.at[0], Some((&connector, FRONT))).await?;
+            let mut peer = HttpPeer::connect(house.at[0], Some((&connector, FRONT))).await?;
             peer.write(get(&target).as_bytes()).await?;
-            peer.answer().await
+            peer.read_response().await
         };
         let answer = asked.await.ok().flatten().map(|answer| answer.status);
         assert_eq!(answer, good.then_some(200));
-        assert_eq!(set_ups(&house.log.taken()), usize::from(good), "strangers cost no allocation");
+        assert_eq!(set_ups(&house.log.observations()), usize::from(good), "strangers cost no allocation");
     }
 }
--- a/crates/edge/tests/shared.rs
+++ b/crates/edge/tests/shared.rs
@@ -5,10 +5,10 @@
 
 use house::{House, base, day, get, one_server};
 use pulleystair_dash::token::{Entry, Ring};
-use pulleystair_fake_servers::files::put;
-use pulleystair_fake_servers::http::Peer;
+use pulleystair_fake_servers::files::replace;
+use pulleystair_fake_servers::http::HttpPeer;
 use pulleystair_lab::environment::Listed;
-use pulleystair_rule_checker::{Seen, What};
+use pulleystair_rule_checker::{Observation, Observed};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 
 /// The rungs of all plays of a product, as their servers have them.
 fn rungs(house: &House, product: usize) -> Vec<usize> {
-    let world = house.boxes.world();
+    let world = house.boxes.model();
     let plays = world.servers.iter().flat_map(|s| s.plays.values());
     plays.filter(|p| p.product == product).map(|p| p.rung).collect()
 }
@@ -47,7 +47,7 @@
     let cheap = house.ask_at(0, "cheap", FREE).await;
     house
         .until("its set-up", |seen| {
-            seen.iter().any(|s| matches!(&s.what, What::SetUp { rung: 1, product: FREE, .. }))
+            seen.iter().any(|s| matches!(&s.what, Observed::SetUp { rung: 1, product: FREE, .. }))
         })
         .await;
     // The link does not carry both on the high rung, and this one is worth ten times as much.
@@ -67,18 +67,18 @@
     assert_eq!(house.ask_top("s", FREE, 2).await.status, 200);
     // A link of 25 kB under a play of 40: it goes to 20, and its server is slow to do so.
     house.ail(|a| (a.link, a.late_steps_ms) = (0.000_25, 2_500.0));
-    house.until_true("a step is under way", || house.boxes.world().servers[0].steps_read == 1).await;
+    house.until_true("a step is under way", || house.boxes.model().servers[0].steps_read == 1).await;
     // Now it is one of 5 kB, and a further step would be carried out at once.
     house.ail(|a| (a.link, a.late_steps_ms) = (0.000_05, 0.0));
-    let steps = |seen: &[Seen]| -> Vec<usize> {
-        let rung = |s: &Seen| match s.what {
-            What::Rung { rung, .. } => Some(rung),
+    let steps = |seen: &[Observation]| -> Vec<usize> {
+        let rung = |s: &Observation| match s.what {
+            Observed::Rung { rung, .. } => Some(rung),
             _ => None,
         };
         seen.iter().filter_map(rung).collect()
     };
     house.until("both are carried out", |seen| steps(seen).len() == 2).await;
-    assert_eq!(steps(&house.log.taken()), [1, 0], "in the order in which they were decided");
+    assert_eq!(steps(&house.log.observations()), [1, 0], "in the order in which they were decided");
 }
 
 #[tokio::test]
@@ -89,14 +89,14 @@
     assert_eq!(house.ask_top("s", FREE, 1).await.status, 200);
     // Steps are read and not answered in time; the front gives up each word.
     house.ail(|a| (a.link, a.late_steps_ms) = (0.000_15, 3_600_000.0));
-    house.until_true("a step is under way", || house.boxes.world().servers[0].steps_read >= 1).await;
+    house.until_true("a step is under way", || house.boxes.model().servers[0].steps_read >= 1).await;
     house.ail(|a| a.late_steps_ms = 0.0);
     house.until_true("the server has heard of it", || rungs(&house, FREE) == [0]).await;
 }
 
 /// A media server in the test's own hands: what is asked of it comes out, and what it answers goes in.
 struct ByHand {
-    asked: mpsc::UnboundedReceiver<(Peer, String)>,
+    asked: mpsc::UnboundedReceiver<(HttpPeer, String)>,
     at: SocketAddr,
 }
 
@@ -110,8 +110,8 @@
                 let Ok((stream, _)) = listener.accept().await else { return };
                 let tell = tell.clone();
                 tokio::spawn(async move {
-                    let mut peer = Peer::new(stream);
-                    let Ok(Some(request)) = peer.request().await else { return };
+                    let mut peer = HttpPeer::new(stream);
+                    let Ok(Some(request)) = peer.read_request().await else { return };
                     let _ = tell.send((peer, format!("{} {}", request.method, request.target)));
                 });
             }
@@ -120,7 +120,7 @@
     }
 
     /// The next request of this method, and its connection.
-    async fn next(&mut self, method: &str) -> (Peer, String) {
+    async fn next(&mut self, method: &str) -> (HttpPeer, String) {
         loop {
             let (peer, words) =
                 timeout(PATIENCE, self.asked.recv()).await.expect("a request").expect("it listens");
@@ -140,12 +140,12 @@
     for one in list["servers"].as_array_mut().expect("servers") {
         one["address"] = json!(at);
     }
-    put(&file, list.to_string()).expect("the list is replaced");
+    replace(&file, list.to_string()).expect("the list is replaced");
     house.says("list taken", taken + 1).await;
 }
 
 /// A house with one play at a server by hand, that it sets up; where the play's segments are, and its set-up's connection.
-async fn by_hand(reads: serde_json::Value) -> (House, ByHand, String, Peer) {
+async fn by_hand(reads: serde_json::Value) -> (House, ByHand, String, HttpPeer) {
     let mut day = day();
     day["limits"] = json!({ "server_connections": 1 });
     day["reads"] = reads;
@@ -160,7 +160,7 @@
 }
 
 /// Sends a request whose answer is waited for later, and makes sure that the front has read it.
-async fn begin(house: &House, target: &str) -> Peer {
+async fn begin(house: &House, target: &str) -> HttpPeer {
     let mut peer = house.call(0).await.expect("a connection");
     peer.write(get(target).as_bytes()).await.expect("the request is taken");
     assert_eq!(house.get("/v1/time").await.status, 200);
@@ -177,7 +177,7 @@
     move_servers(&house, "127.255.255.255:9".parse().expect("an address")).await;
     out.reset();
     for peer in [&mut first, &mut waits] {
-        let answer = timeout(PATIENCE, peer.answer()).await.expect("an answer, not silence");
+        let answer = timeout(PATIENCE, peer.read_response()).await.expect("an answer, not silence");
         assert_eq!(answer.expect("a whole one").expect("one").status, 502);
     }
 }
@@ -238,11 +238,11 @@
     let keys = json!({
         "entry": [{ "kid": "portal-3", "file": "late.key" }], "pass": [{ "kid": "pass-3", "file": "late.key" }],
     });
-    put(&house.folder().join("keys.json"), keys.to_string()).expect("keys are replaced");
+    replace(&house.folder().join("keys.json"), keys.to_string()).expect("keys are replaced");
     house.says("keys not taken", 1).await;
     let target = format!("/v1/free/{}/manifest.mpd?token={}", house.titles[FREE].name, token(&house, 3, "s"));
     assert_eq!(house.get(&target).await.status, 401);
-    put(&house.folder().join("late.key"), [b'a' + 3; 40]).expect("the secret comes");
+    replace(&house.folder().join("late.key"), [b'a' + 3; 40]).expect("the secret comes");
     house.says("keys taken", 1).await;
     assert_eq!(house.get(&target).await.status, 200);
     assert_eq!(house.log_of(0).matches("keys not taken").count(), 1, "told once");
--- a/crates/edge/tests/stops.rs
+++ b/crates/edge/tests/stops.rs
@@ -5,10 +5,10 @@
 
 use house::{House, base, day, get, set_ups, text};
 use pulleystair_fake_servers::content;
-use pulleystair_fake_servers::files::put;
-use pulleystair_fake_servers::http::Peer;
+use pulleystair_fake_servers::files::replace;
+use pulleystair_fake_servers::http::HttpPeer;
 use pulleystair_lab::environment::Listed;
-use pulleystair_rule_checker::{Seen, What};
+use pulleystair_rule_checker::{Observation, Observed};
 use serde_json::{Value, json};
 use std::process::Stdio;
 use test_case::test_case;
@@ -18,8 +18,8 @@
 const FREE: usize = 0;
 const PAID: usize = 1;
 
-fn done(seen: &[Seen]) -> usize {
-    seen.iter().filter(|s| matches!(s.what, What::Done { .. })).count()
+fn done(seen: &[Observation]) -> usize {
+    seen.iter().filter(|s| matches!(s.what, Observed::Done { .. })).count()
 }
 
 /// A day on which nothing runs out while a story is told.
@@ -53,7 +53,7 @@
 /// Keeps what hangs on a front until it has been killed.
 #[derive(Default)]
 struct Hanging {
-    peers: Vec<Peer>,
+    peers: Vec<HttpPeer>,
     asking: Vec<house::Asking>,
     base: Option<String>,
 }
@@ -94,7 +94,7 @@
                 Point::SegmentHalf => {
                     let socket = TcpSocket::new_v4().expect("a socket");
                     socket.set_recv_buffer_size(4096).expect("a small buffer");
-                    let mut slow = Peer::new(socket.connect(house.at[0]).await.expect("a connection"));
+                    let mut slow = HttpPeer::new(socket.connect(house.at[0]).await.expect("a connection"));
                     slow.write(get(&format!("{base}1/1.m4s")).as_bytes()).await.expect("a request");
                     slow.stream.read_exact(&mut [0; 64]).await.expect("it has begun");
                     it.peers.push(slow);
@@ -130,7 +130,7 @@
 async fn a_front_killed_there_leaves_nothing_behind_and_starts_anew(point: Point, product: usize) {
     let mut house = House::of(patient()).await;
     let mut hanging = reach(&house, point, product).await;
-    let before = set_ups(&house.log.taken());
+    let before = set_ups(&house.log.observations());
     house.restart(0).await;
     // Whoever hung on it sees an end, and what is short shows as short.
     for mut peer in hanging.peers.drain(..) {
@@ -139,22 +139,22 @@
         assert!(rest.len() < 400_000);
     }
     for mut asking in hanging.asking.drain(..) {
-        let answer = asking.peer.answer().await;
+        let answer = asking.peer.read_response().await;
         assert!(!matches!(answer, Ok(Some(_))), "nobody is told what nobody knows");
-        house.log.saw(asking.cut());
+        house.log.record(asking.cut());
     }
     house.ail(|a| (a.silent, a.lost) = (false, 0.0));
     house
-        .until_true("servers are free", || house.boxes.world().servers.iter().all(|s| s.plays.is_empty()))
+        .until_true("servers are free", || house.boxes.model().servers.iter().all(|s| s.plays.is_empty()))
         .await;
-    assert_eq!(set_ups(&house.log.taken()), before, "the new front does nothing unasked");
+    assert_eq!(set_ups(&house.log.observations()), before, "the new front does nothing unasked");
     if let Some(base) = hanging.base {
         assert_eq!(house.get(&format!("{base}1/1.m4s")).await.status, 410, "it does not play here any more");
     }
     let manifest = house.ask("new", product).await;
     assert_eq!(manifest.status, 200, "{}", text(&manifest));
     let segment = house.get(&format!("{}0/1.m4s", base(&manifest))).await;
-    assert!(content::read(&segment.body).is_some_and(|c| c.intact));
+    assert!(content::parse(&segment.body).is_some_and(|c| c.intact));
     assert_eq!(house.set_ups().len(), before + 1);
     house.kept();
 }
@@ -168,13 +168,13 @@
     let asking = house.ask_at(0, "s", PAID).await;
     house.until("its set-up", |seen| set_ups(seen) == 1).await;
     house.restart(0).await;
-    house.log.saw(asking.cut());
+    house.log.record(asking.cut());
     house.ail(|a| a.silent = false);
-    let ended = |seen: &[Seen]| seen.iter().any(|s| matches!(s.what, What::Closed { .. }));
+    let ended = |seen: &[Observation]| seen.iter().any(|s| matches!(s.what, Observed::Closed { .. }));
     house.until("its server has seen the end of it", ended).await;
     assert_eq!(house.ask("s", PAID).await.status, 200);
     assert_eq!(house.ask("s", PAID).await.status, 200, "and that answer is given again");
-    assert_eq!(set_ups(&house.log.taken()), 2);
+    assert_eq!(set_ups(&house.log.observations()), 2);
     house.kept();
 }
 
@@ -204,12 +204,12 @@
         for i in 0..40 {
             asking.push(house.ask_at(0, &format!("s{round}-{i}"), FREE).await);
         }
-        let so_far = set_ups(&house.log.taken());
+        let so_far = set_ups(&house.log.observations());
         house.until("plays at their pace", |seen| set_ups(seen) > so_far).await;
         house.restart(0).await;
-        asking.into_iter().for_each(|one| house.log.saw(one.cut()));
+        asking.into_iter().for_each(|one| house.log.record(one.cut()));
     }
-    assert!(house.boxes.world().servers.iter().all(|s| !s.ails.down), "none was pushed over");
+    assert!(house.boxes.model().servers.iter().all(|s| !s.faults.down), "none was pushed over");
     house.kept();
 }
 
@@ -234,7 +234,7 @@
     let mut rundown: Value = serde_json::from_str(&text).expect("it reads");
     change(&mut rundown);
     let file = house.folder().join("second.json");
-    put(&file, rundown.to_string()).expect("a rundown beside");
+    replace(&file, rundown.to_string()).expect("a rundown beside");
     let child = tokio::process::Command::new(env!("CARGO_BIN_EXE_pulleystair-edge"))
         .args(["--log", "json", "run"])
         .arg(&file)
@@ -269,7 +269,7 @@
     let base = base(&house.ask("s", FREE).await);
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(4096).expect("a small buffer");
-    let mut slow = Peer::new(socket.connect(house.at[0]).await.expect("a connection"));
+    let mut slow = HttpPeer::new(socket.connect(house.at[0]).await.expect("a connection"));
     slow.write(get(&format!("{base}0/2.m4s")).as_bytes()).await.expect("a request");
     let left = format!("DELETE {base} HTTP/1.1\r\nHost: f\r\n\r\n");
     slow.stream.read_exact(&mut [0; 16]).await.expect("it has begun");
@@ -294,7 +294,7 @@
     };
     let (ended, rest) = tokio::join!(ended, read);
     let body = rest.windows(4).position(|w| w == b"\r\n\r\n").expect("a head") + 4;
-    assert!(content::read(&rest[body..]).is_some_and(|c| c.intact && c.number == 2), "{} bytes", rest.len());
+    assert!(content::parse(&rest[body..]).is_some_and(|c| c.intact && c.number == 2), "{} bytes", rest.len());
     assert!(ended, "and then it ends, and well");
     house.kept();
 }
@@ -371,7 +371,7 @@
     let mut held = Vec::new();
     let half = format!("GET /v1/free/{}", "x".repeat(8000));
     for _ in 0..500 {
-        let mut peer = Peer::new(TcpStream::connect(house.at[0]).await.expect("a connection"));
+        let mut peer = HttpPeer::new(TcpStream::connect(house.at[0]).await.expect("a connection"));
         peer.write(half.as_bytes()).await.expect("it is taken");
         held.push(peer);
     }
--- a/crates/fake-servers/src/certificates.rs
+++ b/crates/fake-servers/src/certificates.rs
@@ -1,6 +1,6 @@
 //! Certificates of the laboratory: an authority of its own, made anew for each run, and what it vouches for.
 
-use crate::files::put;
+use crate::files::replace;
 use rcgen::{
     BasicConstraints, CertificateParams, CertifiedIssuer, DnType, ExtendedKeyUsagePurpose, IsCa, KeyPair,
 };
@@ -14,7 +14,7 @@
 use std::time::{Duration, SystemTime};
 use tokio_rustls::{TlsAcceptor, TlsConnector};
 
-pub struct Authority {
+pub struct CertificateAuthority {
     root: CertifiedIssuer<'static, KeyPair>,
     /// One that the root vouches for, and that vouches for all others.
     between: CertifiedIssuer<'static, KeyPair>,
@@ -22,7 +22,7 @@
 
 /// A certificate with those that vouch for it, and its key, both as PEM.
 #[derive(Clone)]
-pub struct Paper {
+pub struct Certificate {
     pub chain: String,
     pub key: String,
 }
@@ -47,33 +47,33 @@
     io::Error::other(e)
 }
 
-impl Default for Authority {
-    fn default() -> Authority {
+impl Default for CertificateAuthority {
+    fn default() -> CertificateAuthority {
         let ((root, root_key), (between, key)) = (issuer("laboratory"), issuer("laboratory-between"));
         let root = CertifiedIssuer::self_signed(root, root_key).expect("a key signs");
         let between = CertifiedIssuer::signed_by(between, key, &root).expect("a key signs");
-        Authority { root, between }
+        CertificateAuthority { root, between }
     }
 }
 
-impl Authority {
+impl CertificateAuthority {
     pub fn pem(&self) -> String {
         self.root.pem()
     }
 
     /// A certificate for one name, good from an hour ago until then.
-    pub fn paper(&self, name: &str, until: SystemTime) -> Paper {
+    pub fn issue(&self, name: &str, until: SystemTime) -> Certificate {
         let mut it = params(name, SystemTime::now() - Duration::from_secs(3600), until);
         it.extended_key_usages =
             vec![ExtendedKeyUsagePurpose::ServerAuth, ExtendedKeyUsagePurpose::ClientAuth];
         let key = KeyPair::generate().expect("the system has random numbers");
         let leaf = it.signed_by(&key, &self.between).expect("a key signs");
-        Paper { chain: leaf.pem() + &self.between.pem(), key: key.serialize_pem() }
+        Certificate { chain: leaf.pem() + &self.between.pem(), key: key.serialize_pem() }
     }
 
     /// One that runs out long after any day of the laboratory, and before its authority.
-    pub fn lasting(&self, name: &str) -> Paper {
-        self.paper(name, SystemTime::now() + Duration::from_secs(86_000))
+    pub fn issue_long_lived(&self, name: &str) -> Certificate {
+        self.issue(name, SystemTime::now() + Duration::from_secs(86_000))
     }
 
     fn roots(&self) -> Arc<RootCertStore> {
@@ -83,7 +83,11 @@
     }
 
     /// The server's end for such a paper; with `callers`, whoever calls must show one that it vouches for.
-    pub fn acceptor(&self, paper: &Paper, callers: Option<&Authority>) -> io::Result<TlsAcceptor> {
+    pub fn acceptor(
+        &self,
+        paper: &Certificate,
+        callers: Option<&CertificateAuthority>,
+    ) -> io::Result<TlsAcceptor> {
         let terms = ServerConfig::builder();
         let terms = match callers {
             Some(callers) => {
@@ -97,7 +101,7 @@
     }
 
     /// The caller's end: trusts this authority, and shows a paper where it has one.
-    pub fn connector(&self, paper: Option<&Paper>) -> io::Result<TlsConnector> {
+    pub fn connector(&self, paper: Option<&Certificate>) -> io::Result<TlsConnector> {
         let terms = ClientConfig::builder().with_root_certificates(self.roots());
         let terms = match paper {
             Some(paper) => {
@@ -110,16 +114,16 @@
     }
 }
 
-impl Paper {
+impl Certificate {
     fn parts(&self) -> io::Result<(Vec<CertificateDer<'static>>, PrivateKeyDer<'static>)> {
         let chain: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(self.chain.as_bytes()).collect();
         Ok((chain.map_err(other)?, PrivateKeyDer::from_pem_slice(self.key.as_bytes()).map_err(other)?))
     }
 
     /// Puts it into a folder as operators would: each file whole, one after the other.
-    pub fn put(&self, folder: &Path) -> io::Result<()> {
+    pub fn write_files(&self, folder: &Path) -> io::Result<()> {
         std::fs::create_dir_all(folder)?;
-        put(&folder.join("chain.pem"), &self.chain)?;
-        put(&folder.join("key.pem"), &self.key)
+        replace(&folder.join("chain.pem"), &self.chain)?;
+        replace(&folder.join("key.pem"), &self.key)
     }
 }
--- a/crates/fake-servers/src/content.rs
+++ b/crates/fake-servers/src/content.rs
@@ -5,7 +5,7 @@
 const MARK: &str = "pulleystair-segment";
 
 /// The segment's bytes, `length` of them, or as many as its first line needs.
-pub fn make(title: &str, rung: usize, number: u64, length: usize) -> Vec<u8> {
+pub fn generate(title: &str, rung: usize, number: u64, length: usize) -> Vec<u8> {
     let mut out = format!("{MARK} {title} {rung} {number} {length}\n").into_bytes();
     let mut word = seed(title, rung, number);
     out.reserve(length.saturating_sub(out.len()) + 8);
@@ -18,7 +18,7 @@
 }
 
 /// What a segment says that it is, and whether its bytes are so; none where it says nothing.
-pub fn read(bytes: &[u8]) -> Option<Content> {
+pub fn parse(bytes: &[u8]) -> Option<Content> {
     let end = bytes.iter().take(256).position(|b| *b == b'\n')?;
     let line = std::str::from_utf8(&bytes[..end]).ok()?;
     let mut parts = line.split(' ');
@@ -28,7 +28,7 @@
     let title = parts.next()?.to_string();
     let (rung, number) = (parts.next()?.parse().ok()?, parts.next()?.parse().ok()?);
     let length: usize = parts.next()?.parse().ok()?;
-    let intact = length.max(end + 1) == bytes.len() && make(&title, rung, number, length) == bytes;
+    let intact = length.max(end + 1) == bytes.len() && generate(&title, rung, number, length) == bytes;
     Some(Content { title, number, rung, intact })
 }
 
@@ -49,17 +49,17 @@
     #[test]
     fn a_segment_is_known_again_and_damage_is_seen() {
         for length in [0, 40, 1000, 100_001] {
-            let good = make("forms", 2, 17, length);
-            let read_back = read(&good).unwrap();
+            let good = generate("forms", 2, 17, length);
+            let read_back = parse(&good).unwrap();
             assert_eq!((read_back.title.as_str(), read_back.rung, read_back.number), ("forms", 2, 17));
             assert!(read_back.intact);
         }
-        let mut bad = make("forms", 2, 17, 1000);
+        let mut bad = generate("forms", 2, 17, 1000);
         bad[700] ^= 1;
-        assert!(!read(&bad).unwrap().intact);
+        assert!(!parse(&bad).unwrap().intact);
         bad.truncate(900);
-        assert!(!read(&bad).unwrap().intact, "cut short");
-        assert_ne!(make("forms", 2, 17, 1000)[100..], make("forms", 2, 18, 1000)[100..]);
-        assert_eq!(read(b"something else\n"), None);
+        assert!(!parse(&bad).unwrap().intact, "cut short");
+        assert_ne!(generate("forms", 2, 17, 1000)[100..], generate("forms", 2, 18, 1000)[100..]);
+        assert_eq!(parse(b"something else\n"), None);
     }
 }
--- a/crates/fake-servers/src/files.rs
+++ b/crates/fake-servers/src/files.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 /// Writes a file beside its place and puts it there whole, so that whoever looks at it sees the old or the new one.
-pub fn put(file: &Path, bytes: impl AsRef<[u8]>) -> io::Result<()> {
+pub fn replace(file: &Path, bytes: impl AsRef<[u8]>) -> io::Result<()> {
     let beside = file.with_extension("new");
     std::fs::write(&beside, bytes)?;
     std::fs::rename(beside, file)
--- a/crates/fake-servers/src/http.rs
+++ b/crates/fake-servers/src/http.rs
@@ -41,86 +41,86 @@
 }
 
 /// A stream, sealed by TLS or not.
-pub enum Wire {
+pub enum Stream {
     Plain(TcpStream),
-    Sealed(Box<TlsStream<TcpStream>>),
+    Tls(Box<TlsStream<TcpStream>>),
 }
 
-impl AsyncRead for Wire {
+impl AsyncRead for Stream {
     fn poll_read(self: Pin<&mut Self>, context: &mut Context, buffer: &mut ReadBuf) -> Poll<io::Result<()>> {
         match self.get_mut() {
-            Wire::Plain(it) => Pin::new(it).poll_read(context, buffer),
-            Wire::Sealed(it) => Pin::new(it).poll_read(context, buffer),
+            Stream::Plain(it) => Pin::new(it).poll_read(context, buffer),
+            Stream::Tls(it) => Pin::new(it).poll_read(context, buffer),
         }
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for Stream {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         match self.get_mut() {
-            Wire::Plain(it) => Pin::new(it).poll_write(context, bytes),
-            Wire::Sealed(it) => Pin::new(it).poll_write(context, bytes),
+            Stream::Plain(it) => Pin::new(it).poll_write(context, bytes),
+            Stream::Tls(it) => Pin::new(it).poll_write(context, bytes),
         }
     }
 
     fn poll_flush(self: Pin<&mut Self>, context: &mut Context) -> Poll<io::Result<()>> {
         match self.get_mut() {
-            Wire::Plain(it) => Pin::new(it).poll_flush(context),
-            Wire::Sealed(it) => Pin::new(it).poll_flush(context),
+            Stream::Plain(it) => Pin::new(it).poll_flush(context),
+            Stream::Tls(it) => Pin::new(it).poll_flush(context),
         }
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context) -> Poll<io::Result<()>> {
         match self.get_mut() {
-            Wire::Plain(it) => Pin::new(it).poll_shutdown(context),
-            Wire::Sealed(it) => Pin::new(it).poll_shutdown(context),
+            Stream::Plain(it) => Pin::new(it).poll_shutdown(context),
+            Stream::Tls(it) => Pin::new(it).poll_shutdown(context),
         }
     }
 }
 
 /// A connection with what was read ahead.
-pub struct Peer {
-    pub stream: Wire,
-    pub ahead: Vec<u8>,
+pub struct HttpPeer {
+    pub stream: Stream,
+    pub buffer: Vec<u8>,
 }
 
-impl Peer {
-    pub fn new(stream: TcpStream) -> Peer {
+impl HttpPeer {
+    pub fn new(stream: TcpStream) -> HttpPeer {
         let _ = stream.set_nodelay(true);
-        Peer { stream: Wire::Plain(stream), ahead: Vec::new() }
+        HttpPeer { stream: Stream::Plain(stream), buffer: Vec::new() }
     }
 
     /// Calls a server, under TLS by this name where a connector is given.
-    pub async fn call(at: SocketAddr, seal: Option<(&TlsConnector, &str)>) -> io::Result<Peer> {
+    pub async fn connect(at: SocketAddr, seal: Option<(&TlsConnector, &str)>) -> io::Result<HttpPeer> {
         let stream = TcpStream::connect(at).await?;
         let _ = stream.set_nodelay(true);
         let stream = match seal {
             Some((connector, name)) => {
                 let name = name.to_string().try_into().map_err(io::Error::other)?;
-                Wire::Sealed(Box::new(connector.connect(name, stream).await?.into()))
+                Stream::Tls(Box::new(connector.connect(name, stream).await?.into()))
             }
-            None => Wire::Plain(stream),
+            None => Stream::Plain(stream),
         };
-        Ok(Peer { stream, ahead: Vec::new() })
+        Ok(HttpPeer { stream, buffer: Vec::new() })
     }
 
     /// Takes a caller, under TLS where an acceptor is given.
-    pub async fn take(stream: TcpStream, seal: Option<TlsAcceptor>) -> io::Result<Peer> {
+    pub async fn accept(stream: TcpStream, seal: Option<TlsAcceptor>) -> io::Result<HttpPeer> {
         let _ = stream.set_nodelay(true);
         let stream = match seal {
-            Some(acceptor) => Wire::Sealed(Box::new(acceptor.accept(stream).await?.into())),
-            None => Wire::Plain(stream),
+            Some(acceptor) => Stream::Tls(Box::new(acceptor.accept(stream).await?.into())),
+            None => Stream::Plain(stream),
         };
-        Ok(Peer { stream, ahead: Vec::new() })
+        Ok(HttpPeer { stream, buffer: Vec::new() })
     }
 
     /// Reads more; false at the peer's end.
-    pub async fn more(&mut self) -> io::Result<bool> {
-        Ok(self.stream.read_buf(&mut self.ahead).await? > 0)
+    pub async fn read_more(&mut self) -> io::Result<bool> {
+        Ok(self.stream.read_buf(&mut self.buffer).await? > 0)
     }
 
     /// Reads a request; none at a clean end.
-    pub async fn request(&mut self) -> io::Result<Option<Message>> {
+    pub async fn read_request(&mut self) -> io::Result<Option<Message>> {
         let Some(mut message) = self
             .head(|bytes| {
                 let mut headers = [httparse::EMPTY_HEADER; 64];
@@ -144,15 +144,15 @@
     }
 
     /// Reads an answer's head, and its body unless that is chunked; none at an end before the first byte.
-    pub async fn answer(&mut self) -> io::Result<Option<Message>> {
-        let Some(mut message) = self.answer_head().await? else { return Ok(None) };
+    pub async fn read_response(&mut self) -> io::Result<Option<Message>> {
+        let Some(mut message) = self.read_response_head().await? else { return Ok(None) };
         if message.header("transfer-encoding").is_none() {
             message.body = self.body(message.length()?).await?;
         }
         Ok(Some(message))
     }
 
-    pub async fn answer_head(&mut self) -> io::Result<Option<Message>> {
+    pub async fn read_response_head(&mut self) -> io::Result<Option<Message>> {
         self.head(|bytes| {
             let mut headers = [httparse::EMPTY_HEADER; 64];
             let mut head = httparse::Response::new(&mut headers);
@@ -172,33 +172,33 @@
         parse: impl Fn(&[u8]) -> io::Result<Option<(Message, usize)>>,
     ) -> io::Result<Option<Message>> {
         loop {
-            if let Some((message, used)) = parse(&self.ahead)? {
-                self.ahead.drain(..used);
+            if let Some((message, used)) = parse(&self.buffer)? {
+                self.buffer.drain(..used);
                 return Ok(Some(message));
             }
-            if self.ahead.len() > HEAD {
+            if self.buffer.len() > HEAD {
                 return Err(bad("head too large"));
             }
-            if !self.more().await? {
-                let clean = self.ahead.is_empty();
+            if !self.read_more().await? {
+                let clean = self.buffer.is_empty();
                 return if clean { Ok(None) } else { Err(io::ErrorKind::UnexpectedEof.into()) };
             }
         }
     }
 
     async fn body(&mut self, length: usize) -> io::Result<Vec<u8>> {
-        while self.ahead.len() < length {
-            if !self.more().await? {
+        while self.buffer.len() < length {
+            if !self.read_more().await? {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
-        let rest = self.ahead.split_off(length);
-        Ok(std::mem::replace(&mut self.ahead, rest))
+        let rest = self.buffer.split_off(length);
+        Ok(std::mem::replace(&mut self.buffer, rest))
     }
 
     /// Waits for the peer's end, reading away what comes.
-    pub async fn gone(&mut self) {
-        while let Ok(true) = self.more().await {}
+    pub async fn wait_closed(&mut self) {
+        while let Ok(true) = self.read_more().await {}
     }
 
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
@@ -209,8 +209,8 @@
     /// Closes by a reset instead of an orderly end.
     pub fn reset(self) {
         let stream = match &self.stream {
-            Wire::Plain(it) => it,
-            Wire::Sealed(it) => it.get_ref().0,
+            Stream::Plain(it) => it,
+            Stream::Tls(it) => it.get_ref().0,
         };
         let _ = socket2::SockRef::from(stream).set_linger(Some(std::time::Duration::ZERO));
     }
--- a/crates/fake-servers/src/lib.rs
+++ b/crates/fake-servers/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stand-in media servers on loopback. [`model`] is the model of links, racks, streams and cold starts, free
 //! of I/O; [`server`] speaks the front's side of HTTP over it and breaks it on purpose; [`content`] makes
 //! segments whose bytes can be checked; [`http`] is the little HTTP that stand-ins and players need. None of
-//! it shares code with the front. What the servers see goes to a [`recorder::Log`].
+//! it shares code with the front. What the servers see goes to a [`recorder::Recorder`].
 //!
 //! The protocol of a media server, as the front uses it:
 //!
--- a/crates/fake-servers/src/model.rs
+++ b/crates/fake-servers/src/model.rs
@@ -6,7 +6,7 @@
 
 /// A media server as it is built.
 #[derive(Clone, Debug)]
-pub struct Build {
+pub struct ServerSpec {
     pub zone: usize,
     pub cell: usize,
     /// Cores that set-ups are worked on, set-ups that may wait for one, and streams, at most.
@@ -22,7 +22,7 @@
 
 /// What all servers have in common.
 #[derive(Clone, Debug)]
-pub struct Ground {
+pub struct ServerFleetSpec {
     /// Rate of each rung, kB/s.
     pub ladder: Vec<f64>,
     /// Uplink of each rack; a cell's rack is its number modulo their count.
@@ -47,7 +47,7 @@
 
 /// What is wrong with a server at present; all of it may be at once.
 #[derive(Clone, Debug)]
-pub struct Ails {
+pub struct ServerFaults {
     pub down: bool,
     /// Takes connections and answers nothing.
     pub silent: bool,
@@ -78,9 +78,9 @@
     pub uplink: f64,
 }
 
-impl Default for Ails {
-    fn default() -> Ails {
-        Ails {
+impl Default for ServerFaults {
+    fn default() -> ServerFaults {
+        ServerFaults {
             down: false,
             silent: false,
             errors: 0.0,
@@ -125,8 +125,8 @@
 }
 
 pub struct Server {
-    pub build: Build,
-    pub ails: Ails,
+    pub build: ServerSpec,
+    pub faults: ServerFaults,
     pub plays: BTreeMap<String, Play>,
     pub started: Option<f64>,
     /// Steps of rung and segments that were asked for, carried out and sent or not.
@@ -138,16 +138,16 @@
     history: VecDeque<(f64, Load)>,
 }
 
-pub struct World {
-    pub ground: Ground,
+pub struct ServerFleetModel {
+    pub ground: ServerFleetSpec,
     pub servers: Vec<Server>,
 }
 
-impl World {
-    pub fn new(ground: Ground, builds: Vec<Build>) -> World {
+impl ServerFleetModel {
+    pub fn new(ground: ServerFleetSpec, builds: Vec<ServerSpec>) -> ServerFleetModel {
         let server = |build| Server {
             build,
-            ails: Ails::default(),
+            faults: ServerFaults::default(),
             plays: BTreeMap::new(),
             started: None,
             steps_read: 0,
@@ -156,7 +156,7 @@
             sent: VecDeque::new(),
             history: VecDeque::new(),
         };
-        World { ground, servers: builds.into_iter().map(server).collect() }
+        ServerFleetModel { ground, servers: builds.into_iter().map(server).collect() }
     }
 
     fn rack(&self, server: usize) -> usize {
@@ -164,7 +164,7 @@
     }
 
     /// What plays ask of a server's link, kB/s: viewers of a live title share its stream.
-    pub fn asked(&self, server: usize) -> f64 {
+    pub fn demand(&self, server: usize) -> f64 {
         let mut streams: BTreeMap<(&str, usize, usize), bool> = BTreeMap::new();
         let mut asked = 0.0;
         for play in self.servers[server].plays.values().filter(|p| p.plays) {
@@ -177,14 +177,14 @@
 
     pub fn load(&self, server: usize) -> Load {
         let it = &self.servers[server];
-        let given = (it.build.link_kb * it.ails.link * (1.0 - it.ails.neighbour)).max(1.0);
-        let link = self.asked(server) / given;
+        let given = (it.build.link_kb * it.faults.link * (1.0 - it.faults.neighbour)).max(1.0);
+        let link = self.demand(server) / given;
         let rack = self.rack(server);
         let there = (0..self.servers.len()).filter(|s| self.rack(*s) == rack);
         let (mut asked, mut part) = (0.0, 1.0f64);
         for s in there {
-            asked += self.asked(s);
-            part = part.min(self.servers[s].ails.uplink);
+            asked += self.demand(s);
+            part = part.min(self.servers[s].faults.uplink);
         }
         let uplink = asked / (self.ground.uplinks_kb[rack] * part).max(1.0);
         let delivered = (1.0 / link.max(1.0)).min(1.0 / uplink.max(1.0));
@@ -204,9 +204,9 @@
     }
 
     /// The load as it was `late` ms ago, or more where reports come late.
-    pub fn told(&self, now: f64, server: usize, late: f64) -> Load {
+    pub fn reported_load(&self, now: f64, server: usize, late: f64) -> Load {
         let it = &self.servers[server];
-        let then = now - late - it.ails.late_ms;
+        let then = now - late - it.faults.late_ms;
         let past = it.history.iter().rev().find(|(at, _)| *at <= then).or(it.history.front());
         past.map_or_else(|| self.load(server), |(_, load)| *load)
     }
@@ -215,7 +215,7 @@
     pub fn start(&mut self, now: f64, server: usize, cold: bool) {
         let it = &mut self.servers[server];
         it.life += 1;
-        it.ails.down = false;
+        it.faults.down = false;
         it.started = cold.then_some(now);
         it.plays.clear();
         it.sent.clear();
@@ -225,12 +225,12 @@
     pub fn stop(&mut self, server: usize) {
         let it = &mut self.servers[server];
         it.life += 1;
-        it.ails.down = true;
+        it.faults.down = true;
         it.plays.clear();
     }
 
     /// A set-up was sent to a server; true if that pushed it over while it was cold.
-    pub fn sent(&mut self, now: f64, server: usize) -> bool {
+    pub fn on_set_up(&mut self, now: f64, server: usize) -> bool {
         let ground = &self.ground;
         let it = &mut self.servers[server];
         let Some(started) = it.started.filter(|at| now < at + ground.cold_ms) else { return false };
@@ -251,7 +251,7 @@
                 self.ground.cold_from + (1.0 - self.ground.cold_from) * (now - at) / self.ground.cold_ms;
             1.0 / warm.clamp(0.25, 1.0)
         });
-        cold * it.ails.slow
+        cold * it.faults.slow
     }
 }
 
@@ -260,8 +260,8 @@
     use super::*;
     use test_case::test_case;
 
-    fn world() -> World {
-        let ground = Ground {
+    fn world() -> ServerFleetModel {
+        let ground = ServerFleetSpec {
             ladder: vec![100.0, 200.0],
             uplinks_kb: vec![1000.0, 1000.0],
             shared_part: 0.25,
@@ -276,7 +276,7 @@
             down_ms: 3000.0,
             lease_ms: 500.0,
         };
-        let build = |cell| Build {
+        let build = |cell| ServerSpec {
             zone: 0,
             cell,
             cores: 2,
@@ -286,7 +286,7 @@
             work_ms: 20.0,
             work_spread: 0.3,
         };
-        World::new(ground, (0..4).map(build).collect())
+        ServerFleetModel::new(ground, (0..4).map(build).collect())
     }
 
     fn play(title: &str, live: bool, rung: usize) -> Play {
@@ -300,7 +300,7 @@
         for name in ["a", "b", "c"] {
             world.servers[0].plays.insert(name.into(), play("t", live, 1));
         }
-        assert_eq!(world.asked(0), kb);
+        assert_eq!(world.demand(0), kb);
     }
 
     #[test]
@@ -313,10 +313,10 @@
         }
         assert_eq!((world.load(0).link, world.load(0).uplink), (0.75, 1.2));
         assert_eq!(world.load(0).delivered, world.load(2).delivered);
-        world.servers[2].ails.uplink = 0.5;
+        world.servers[2].faults.uplink = 0.5;
         assert_eq!(world.load(0).uplink, 2.4);
         assert_eq!(world.load(1).delivered, 1.0, "the other rack has room");
-        world.servers[0].ails.neighbour = 0.5;
+        world.servers[0].faults.neighbour = 0.5;
         assert_eq!(world.load(0).link, 1.5);
     }
 
@@ -326,19 +326,19 @@
         world.sample(0.0);
         world.servers[0].plays.insert("a".into(), play("t", false, 1));
         world.sample(1000.0);
-        assert_eq!(world.told(1050.0, 0, 100.0).link, 0.0);
-        assert_eq!(world.told(1150.0, 0, 100.0).link, 0.25);
-        world.servers[0].ails.late_ms = 3000.0;
-        assert_eq!(world.told(1150.0, 0, 100.0).link, 0.0);
+        assert_eq!(world.reported_load(1050.0, 0, 100.0).link, 0.0);
+        assert_eq!(world.reported_load(1150.0, 0, 100.0).link, 0.25);
+        world.servers[0].faults.late_ms = 3000.0;
+        assert_eq!(world.reported_load(1150.0, 0, 100.0).link, 0.0);
     }
 
     #[test]
     fn a_cold_server_falls_over_when_rushed_and_not_at_its_pace() {
         let mut world = world();
         world.start(0.0, 0, true);
-        assert!((1..5).all(|i| !world.sent(f64::from(i) * 250.0, 0)));
-        assert!((0..20).any(|i| world.sent(1000.0 + f64::from(i), 0)));
-        assert!((0..20).all(|i| !world.sent(6000.0 + f64::from(i), 0)), "warm by then");
+        assert!((1..5).all(|i| !world.on_set_up(f64::from(i) * 250.0, 0)));
+        assert!((0..20).any(|i| world.on_set_up(1000.0 + f64::from(i), 0)));
+        assert!((0..20).all(|i| !world.on_set_up(6000.0 + f64::from(i), 0)), "warm by then");
         assert!(world.slowness(500.0, 0) > 3.0 && world.slowness(6000.0, 0) == 1.0);
     }
 }
--- a/crates/fake-servers/src/server.rs
+++ b/crates/fake-servers/src/server.rs
@@ -1,10 +1,10 @@
-//! The stand-ins' sockets: one listener a server, all over one [`World`].
+//! The stand-ins' sockets: one listener a server, all over one [`ServerFleetModel`].
 
 use crate::content;
-use crate::http::{Message, Peer};
-use crate::model::{Build, Ground, Load, Play, World};
-use crate::recorder::Log;
-use pulleystair_rule_checker::What;
+use crate::http::{HttpPeer, Message};
+use crate::model::{Load, Play, ServerFleetModel, ServerFleetSpec, ServerSpec};
+use crate::recorder::Recorder;
+use pulleystair_rule_checker::Observed;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
@@ -28,10 +28,10 @@
 }
 
 struct Shared {
-    world: Mutex<World>,
+    world: Mutex<ServerFleetModel>,
     titles: HashMap<String, Title>,
     products: Vec<String>,
-    log: Log,
+    log: Recorder,
     /// One a server: cores for set-ups, those that wait, and the word that its process has ended.
     cores: Vec<Semaphore>,
     waiting: Vec<Mutex<usize>>,
@@ -44,27 +44,27 @@
 
 /// Stand-in servers, listening until dropped.
 #[derive(Clone)]
-pub struct Boxes {
+pub struct FakeServers {
     shared: Arc<Shared>,
     pub addresses: Vec<SocketAddr>,
 }
 
-impl Boxes {
+impl FakeServers {
     /// Starts all servers, warm, on ports of the system's choice.
     pub async fn start(
-        ground: Ground,
-        builds: Vec<Build>,
+        ground: ServerFleetSpec,
+        builds: Vec<ServerSpec>,
         titles: HashMap<String, Title>,
         products: Vec<String>,
         seed: u64,
-        log: Log,
-    ) -> io::Result<Boxes> {
+        log: Recorder,
+    ) -> io::Result<FakeServers> {
         let count = builds.len();
         let shared = Arc::new(Shared {
             cores: builds.iter().map(|b| Semaphore::new(b.cores)).collect(),
             waiting: (0..count).map(|_| Mutex::new(0)).collect(),
             lives: (0..count).map(|_| watch::channel(0).0).collect(),
-            world: Mutex::new(World::new(ground, builds)),
+            world: Mutex::new(ServerFleetModel::new(ground, builds)),
             titles,
             products,
             log,
@@ -87,16 +87,16 @@
                 sleep(Duration::from_millis(50)).await;
             }
         });
-        Ok(Boxes { shared, addresses })
+        Ok(FakeServers { shared, addresses })
     }
 
     /// The model, to change what ails a server.
-    pub fn world(&self) -> MutexGuard<'_, World> {
+    pub fn model(&self) -> MutexGuard<'_, ServerFleetModel> {
         self.shared.world()
     }
 
     /// How a server's connections are sealed from now on.
-    pub fn seal(&self, server: usize, seal: Option<TlsAcceptor>) {
+    pub fn set_tls(&self, server: usize, seal: Option<TlsAcceptor>) {
         self.shared.seals.lock().expect("nobody dies while sealing")[server] = seal;
     }
 
@@ -111,7 +111,7 @@
 }
 
 impl Shared {
-    fn world(&self) -> MutexGuard<'_, World> {
+    fn world(&self) -> MutexGuard<'_, ServerFleetModel> {
         self.world.lock().expect("nobody dies while holding the world")
     }
 
@@ -122,13 +122,13 @@
     fn stop(&self, server: usize) {
         self.world().stop(server);
         self.lives[server].send_modify(|life| *life += 1);
-        self.log.saw(What::Stopped { server });
+        self.log.record(Observed::Stopped { server });
     }
 
     fn restart(&self, server: usize, cold: bool) {
         let now = self.log.now();
         self.world().start(now, server, cold);
-        self.log.saw(What::Started { server, cold });
+        self.log.record(Observed::Started { server, cold });
     }
 
     fn work(&self, server: usize) -> Duration {
@@ -142,7 +142,7 @@
 
     fn report(&self, server: usize) -> String {
         let world = self.world();
-        let load = world.told(self.log.now(), server, world.ground.reports_late_ms);
+        let load = world.reported_load(self.log.now(), server, world.ground.reports_late_ms);
         let Load { link, uplink, streams, .. } = load;
         // Half the servers speak each published form.
         if server.is_multiple_of(2) {
@@ -171,9 +171,9 @@
         let Ok((stream, _)) = listener.accept().await else { continue };
         // Watched from before it is seen to be up: a process that ends in between takes this connection with it.
         let mut life = shared.lives[server].subscribe();
-        if shared.world().servers[server].ails.down {
+        if shared.world().servers[server].faults.down {
             // Nothing listens there: the nearest to a refused connection while the port is kept.
-            Peer::new(stream).reset();
+            HttpPeer::new(stream).reset();
             continue;
         }
         let shared = shared.clone();
@@ -188,14 +188,14 @@
 
 async fn serve(shared: &Arc<Shared>, server: usize, stream: TcpStream) -> io::Result<()> {
     let seal = shared.seals.lock().expect("nobody dies while sealing")[server].clone();
-    let mut peer = Peer::take(stream, seal).await?;
-    while let Some(request) = peer.request().await? {
-        let silent = shared.world().servers[server].ails.silent;
+    let mut peer = HttpPeer::accept(stream, seal).await?;
+    while let Some(request) = peer.read_request().await? {
+        let silent = shared.world().servers[server].faults.silent;
         let path: Vec<&str> = request.target.split('/').skip(1).collect();
         match (request.method.as_str(), path.as_slice()) {
             ("POST", ["plays", name]) => return set_up(shared, server, peer, name, &request).await,
             _ if silent => {
-                peer.gone().await;
+                peer.wait_closed().await;
                 return Ok(());
             }
             ("GET", ["load"]) => peer.write(&shared.answer(server, 200)).await?,
@@ -211,7 +211,7 @@
                 let late = {
                     let mut world = shared.world();
                     world.servers[server].steps_read += 1;
-                    world.servers[server].ails.late_steps_ms
+                    world.servers[server].faults.late_steps_ms
                 };
                 if late > 0.0 {
                     sleep(Duration::from_secs_f64(late / 1000.0)).await;
@@ -245,7 +245,7 @@
 impl Drop for Held {
     fn drop(&mut self) {
         let Held { shared, server, name, life, lease } = self;
-        shared.log.saw(What::Closed { allocation: name.clone() });
+        shared.log.record(Observed::Closed { allocation: name.clone() });
         shared.ends.lock().expect("nobody dies while ending").remove(name);
         let (shared, server, name, life) = (shared.clone(), *server, std::mem::take(name), *life);
         let wait = if *lease { shared.world().ground.lease_ms } else { 0.0 };
@@ -292,7 +292,7 @@
 async fn set_up(
     shared: &Arc<Shared>,
     server: usize,
-    mut peer: Peer,
+    mut peer: HttpPeer,
     name: &str,
     request: &Message,
 ) -> io::Result<()> {
@@ -302,7 +302,7 @@
     let rung = wish["rung"].as_u64().unwrap_or(0) as usize;
     let product = shared.products.iter().position(|p| *p == text("product")).unwrap_or(0);
     let allocation = name.to_string();
-    shared.log.saw(What::SetUp {
+    shared.log.record(Observed::SetUp {
         server,
         allocation: allocation.clone(),
         session,
@@ -314,13 +314,14 @@
     let now = shared.log.now();
     let (fell, full, life, ails, ladder, spread) = {
         let mut world = shared.world();
-        let fell = world.sent(now, server);
+        let fell = world.on_set_up(now, server);
         let it = &world.servers[server];
         let full = it.plays.len() >= it.build.streams;
-        (fell, full, it.life, it.ails.clone(), world.ground.ladder.len(), world.ground.rate_spread)
+        (fell, full, it.life, it.faults.clone(), world.ground.ladder.len(), world.ground.rate_spread)
     };
     let mut held = Held { shared: shared.clone(), server, name: allocation.clone(), life, lease: false };
-    let done = |ran, status| shared.log.saw(What::Done { allocation: allocation.clone(), ran, status });
+    let done =
+        |ran, status| shared.log.record(Observed::Done { allocation: allocation.clone(), ran, status });
     if fell {
         let down = Duration::from_secs_f64(shared.world().ground.down_ms / 1000.0);
         let shared = shared.clone();
@@ -332,7 +333,7 @@
         return Ok(());
     }
     if ails.silent {
-        peer.gone().await;
+        peer.wait_closed().await;
         return Ok(());
     }
     let Some(known) = known.filter(|_| rung < ladder) else {
@@ -364,7 +365,7 @@
         };
         tokio::select! {
             () = work => {}
-            () = peer.gone() => return Ok(()),
+            () = peer.wait_closed() => return Ok(()),
         }
     }
     drop(waits);
@@ -374,7 +375,7 @@
     let dice = shared.dice();
     if dice < ails.lost {
         done(true, 0);
-        peer.gone().await;
+        peer.wait_closed().await;
         return Ok(());
     }
     if dice < ails.lost + ails.reset {
@@ -385,7 +386,7 @@
     if dice < ails.lost + ails.reset + ails.half_heads {
         done(true, 0);
         peer.write(b"HTTP/1.1 200 OK\r\nendpoint-load").await?;
-        peer.gone().await;
+        peer.wait_closed().await;
         return Ok(());
     }
     // Seen before it is written: whoever reads it may act on it at once.
@@ -404,7 +405,7 @@
 }
 
 /// Writes a play's notes until its connection ends.
-async fn notes(shared: &Arc<Shared>, server: usize, peer: &mut Peer) -> io::Result<()> {
+async fn notes(shared: &Arc<Shared>, server: usize, peer: &mut HttpPeer) -> io::Result<()> {
     let (late, every) = {
         let world = shared.world();
         (world.ground.notes_late_ms, world.ground.notes_every_ms)
@@ -412,11 +413,11 @@
     let (mut since, mut short) = (0.0, false);
     let tick = 1000.0f64.min(every);
     loop {
-        if timeout(Duration::from_secs_f64(tick / 1000.0), peer.gone()).await.is_ok() {
+        if timeout(Duration::from_secs_f64(tick / 1000.0), peer.wait_closed()).await.is_ok() {
             return Ok(());
         }
         since += tick;
-        let load = shared.world().told(shared.log.now(), server, late);
+        let load = shared.world().reported_load(shared.log.now(), server, late);
         let mut note = String::new();
         if load.delivered < 0.98 || short {
             note += &format!("{{\"delivered\":{}}}\n", load.delivered);
@@ -426,7 +427,7 @@
             since = 0.0;
             note += &format!("{{\"link\":{},\"uplink\":{}}}\n", load.link, load.uplink);
         }
-        if !note.is_empty() && !shared.world().servers[server].ails.silent {
+        if !note.is_empty() && !shared.world().servers[server].faults.silent {
             peer.write(format!("{:x}\r\n{note}\r\n", note.len()).as_bytes()).await?;
         }
     }
@@ -438,7 +439,7 @@
     let play = world.servers[server].plays.get_mut(name);
     let (Some(play), Some(rung)) = (play, rung.filter(|r| (*r as usize) < rungs)) else { return 404 };
     play.rung = rung as usize;
-    shared.log.saw(What::Rung { allocation: name.to_string(), rung: rung as usize });
+    shared.log.record(Observed::Rung { allocation: name.to_string(), rung: rung as usize });
     200
 }
 
@@ -454,7 +455,7 @@
 async fn segment(
     shared: &Arc<Shared>,
     server: usize,
-    peer: &mut Peer,
+    peer: &mut HttpPeer,
     name: &str,
     rung: Option<usize>,
     number: Option<u64>,
@@ -468,7 +469,7 @@
                 (play.title.clone(), rung, number, world.ground.ladder[rung] * play.factor)
             },
         );
-        (found, world.servers[server].ails.clone())
+        (found, world.servers[server].faults.clone())
     };
     let Some((title, rung, number, kb)) = found else {
         peer.write(&shared.answer(server, 404)).await?;
@@ -476,7 +477,7 @@
     };
     let segment_ms = shared.titles.get(&title).map_or(1000, |t| t.segment_ms);
     let length = if number == 0 { 600 } else { (kb * segment_ms as f64) as usize };
-    let whole = content::make(&title, rung, number, length);
+    let whole = content::generate(&title, rung, number, length);
     // What the bytes are, and whose: another edition of a title has other tags.
     let tag = format!("\"{title}-{rung}-{number}-{}\"", ails.edition);
     if request.header("if-none-match").is_some_and(|tags| tags.split(',').any(|t| t.trim() == tag)) {
@@ -519,7 +520,7 @@
         peer.write(part).await?;
     }
     if stall {
-        peer.gone().await;
+        peer.wait_closed().await;
     } else if !cut && shared.dice() < ails.over_long {
         peer.write(b"more than was told").await?;
     }
--- a/crates/fake-servers/tests/stops.rs
+++ b/crates/fake-servers/tests/stops.rs
@@ -2,18 +2,18 @@
 //! servers hangs on that. On one thread the tasks run in a fixed order, so the end can be put after each of their
 //! turns; sockets are looked at every sixty-odd turns.
 
-use pulleystair_fake_servers::http::Peer;
-use pulleystair_fake_servers::model::{Build, Ground};
-use pulleystair_fake_servers::recorder::Log;
-use pulleystair_fake_servers::server::Boxes;
+use pulleystair_fake_servers::http::HttpPeer;
+use pulleystair_fake_servers::model::{ServerFleetSpec, ServerSpec};
+use pulleystair_fake_servers::recorder::Recorder;
+use pulleystair_fake_servers::server::FakeServers;
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-async fn one_server() -> Boxes {
-    let ground = Ground {
+async fn one_server() -> FakeServers {
+    let ground = ServerFleetSpec {
         ladder: vec![100.0],
         uplinks_kb: vec![1000.0],
         shared_part: 1.0,
@@ -28,7 +28,7 @@
         down_ms: 1000.0,
         lease_ms: 100.0,
     };
-    let build = Build {
+    let build = ServerSpec {
         zone: 0,
         cell: 0,
         cores: 1,
@@ -38,11 +38,13 @@
         work_ms: 1.0,
         work_spread: 0.0,
     };
-    Boxes::start(ground, vec![build], HashMap::new(), Vec::new(), 1, Log::default()).await.expect("it starts")
+    FakeServers::start(ground, vec![build], HashMap::new(), Vec::new(), 1, Recorder::default())
+        .await
+        .expect("it starts")
 }
 
 /// Stops the server after so many turns: each is a task of its own, at the end of the line.
-fn after(turns: usize, boxes: Boxes, stopped: oneshot::Sender<()>) {
+fn after(turns: usize, boxes: FakeServers, stopped: oneshot::Sender<()>) {
     tokio::spawn(async move {
         if turns > 0 {
             return after(turns - 1, boxes, stopped);
@@ -56,13 +58,14 @@
 async fn a_connection_made_while_the_process_ends_ends_with_it() {
     for turns in 0..200 {
         let boxes = one_server().await;
-        let mut peer = Peer::new(TcpStream::connect(boxes.addresses[0]).await.expect("a connection"));
+        let mut peer = HttpPeer::new(TcpStream::connect(boxes.addresses[0]).await.expect("a connection"));
         let (stopped, is) = oneshot::channel();
         after(turns, boxes, stopped);
         is.await.expect("it is stopped");
         let _ = peer.write(b"GET /load HTTP/1.1\r\nHost: m\r\n\r\n").await;
-        let answer =
-            timeout(Duration::from_secs(10), peer.answer()).await.expect("an end, one way or the other");
+        let answer = timeout(Duration::from_secs(10), peer.read_response())
+            .await
+            .expect("an end, one way or the other");
         assert!(
             !matches!(answer, Ok(Some(_))),
             "answered by a process that had ended {turns} turns after the call"
--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -7,7 +7,7 @@
 use pulleystair_dash::address::{self, Address, Which};
 use pulleystair_dash::mpd::Presentation;
 use pulleystair_dash::token::{Pass, Ring};
-use pulleystair_fake_servers::http::{Message, Peer};
+use pulleystair_fake_servers::http::{HttpPeer, Message};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
@@ -66,7 +66,7 @@
             taken = listener.accept() => {
                 let base = base.clone();
                 if let Ok((stream, _)) = taken {
-                    tokio::spawn(async move { base.serve(Peer::new(stream)).await });
+                    tokio::spawn(async move { base.serve(HttpPeer::new(stream)).await });
                 }
             }
         }
@@ -79,9 +79,9 @@
 }
 
 impl Base {
-    async fn serve(self: Arc<Base>, mut player: Peer) -> std::io::Result<()> {
+    async fn serve(self: Arc<Base>, mut player: HttpPeer) -> std::io::Result<()> {
         let mut server = None;
-        while let Some(request) = player.request().await? {
+        while let Some(request) = player.read_request().await? {
             let reply = match (request.method.as_str(), address::read(&request.target)) {
                 ("GET", Some(Address::Manifest { product, title, entry })) => {
                     self.manifest(product, title, entry.unwrap_or("")).await
@@ -189,7 +189,7 @@
                     }
                 };
                 tokio::select! {
-                    () = peer.gone() => {}
+                    () = peer.wait_closed() => {}
                     () = tokio::time::sleep(over) => {}
                     () = left => {}
                 }
@@ -208,19 +208,19 @@
         (if ran && !free { 502 } else { 503 }, String::new())
     }
 
-    async fn segment(&self, pass: &str, number: u64, kept: &mut Option<(String, Peer)>) -> Vec<u8> {
+    async fn segment(&self, pass: &str, number: u64, kept: &mut Option<(String, HttpPeer)>) -> Vec<u8> {
         let Some(session) = self.session(pass) else { return answer(401, "", b"") };
         let at = session.plays.lock().expect("no front dies while it holds a session").clone();
         let Some((server, name)) = at else { return answer(410, "", b"") };
         let peer = match kept.take() {
             Some((of, peer)) if of == server => Some(peer),
-            _ => TcpStream::connect(&server).await.ok().map(Peer::new),
+            _ => TcpStream::connect(&server).await.ok().map(HttpPeer::new),
         };
         let Some(mut peer) = peer else { return answer(502, "", b"") };
         let request = format!("GET /plays/{name}/{number} HTTP/1.1\r\nHost: {server}\r\n\r\n");
         let got = timeout(Duration::from_secs(5), async {
             peer.write(request.as_bytes()).await?;
-            peer.answer().await
+            peer.read_response().await
         });
         match got.await {
             Ok(Ok(Some(got))) if got.status == 200 => {
@@ -232,11 +232,11 @@
     }
 }
 
-async fn post(server: &str, name: &str, body: &str) -> Option<(Peer, Message)> {
-    let mut peer = Peer::new(TcpStream::connect(server).await.ok()?);
+async fn post(server: &str, name: &str, body: &str) -> Option<(HttpPeer, Message)> {
+    let mut peer = HttpPeer::new(TcpStream::connect(server).await.ok()?);
     let head =
         format!("POST /plays/{name} HTTP/1.1\r\nHost: {server}\r\nContent-Length: {}\r\n\r\n", body.len());
     peer.write((head + body).as_bytes()).await.ok()?;
-    let answer = peer.answer_head().await.ok()??;
+    let answer = peer.read_response_head().await.ok()??;
     Some((peer, answer))
 }
--- a/crates/lab/src/environment.rs
+++ b/crates/lab/src/environment.rs
@@ -3,11 +3,11 @@
 use crate::fronts::Fronts;
 use crate::scenario::{Day, Kind, Trouble};
 use anyhow::Result;
-use pulleystair_fake_servers::files::put;
-use pulleystair_fake_servers::model::Ails;
-use pulleystair_fake_servers::recorder::Log;
-use pulleystair_fake_servers::server::Boxes;
-use pulleystair_rule_checker::What;
+use pulleystair_fake_servers::files::replace;
+use pulleystair_fake_servers::model::ServerFaults;
+use pulleystair_fake_servers::recorder::Recorder;
+use pulleystair_fake_servers::server::FakeServers;
+use pulleystair_rule_checker::Observed;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -68,9 +68,9 @@
 pub struct Stage {
     day: Arc<Day>,
     titles: Arc<Vec<Title>>,
-    boxes: Boxes,
+    boxes: FakeServers,
     fronts: Fronts,
-    log: Log,
+    log: Recorder,
     file: PathBuf,
     board: Arc<Mutex<Board>>,
 }
@@ -79,9 +79,9 @@
     pub fn new(
         day: Arc<Day>,
         titles: Arc<Vec<Title>>,
-        boxes: Boxes,
+        boxes: FakeServers,
         fronts: Fronts,
-        log: Log,
+        log: Recorder,
         file: PathBuf,
     ) -> Result<Stage> {
         let count = day.fleet.servers;
@@ -125,7 +125,7 @@
             })
             .collect();
         let text = serde_json::to_string(&json!({ "servers": servers, "titles": titles }))?;
-        Ok(put(&self.file, text)?)
+        Ok(replace(&self.file, text)?)
     }
 
     /// Lists a server anew, for all fronts at once. What is decided, logged and written is one step: another change
@@ -137,7 +137,7 @@
 
     fn put_up(&self, mut board: MutexGuard<Board>, server: usize, state: Listed) {
         board.states[server] = state;
-        self.log.saw(What::Listed { server, ready: matches!(state, Listed::Ready { .. }) });
+        self.log.record(Observed::Listed { server, ready: matches!(state, Listed::Ready { .. }) });
         if let Err(e) = self.write(&board) {
             eprintln!("pulleystair-lab: the list could not be written: {e}");
         }
@@ -159,9 +159,9 @@
         servers.iter().for_each(|s| board.taken[*s] = false);
     }
 
-    fn ail(&self, servers: &[usize], change: impl Fn(&mut Ails)) {
-        let mut world = self.boxes.world();
-        servers.iter().for_each(|s| change(&mut world.servers[*s].ails));
+    fn ail(&self, servers: &[usize], change: impl Fn(&mut ServerFaults)) {
+        let mut world = self.boxes.model();
+        servers.iter().for_each(|s| change(&mut world.servers[*s].faults));
     }
 
     fn stop_and_tell_late(&self, server: usize) {
@@ -171,7 +171,7 @@
             sleep(late).await;
             // Seen to be down and listed as gone in one step: one that starts meanwhile is listed after that.
             let board = stage.board.lock().expect("nobody dies while holding the board");
-            let down = stage.boxes.world().servers[server].ails.down;
+            let down = stage.boxes.model().servers[server].faults.down;
             if down {
                 stage.put_up(board, server, Listed::Gone);
             }
@@ -304,8 +304,8 @@
 }
 
 /// Sets what a trouble does to a server; a size that is none takes it away.
-fn set(ails: &mut Ails, kind: Kind, size: f64) {
-    let well = Ails::default();
+fn set(ails: &mut ServerFaults, kind: Kind, size: f64) {
+    let well = ServerFaults::default();
     let on = !size.is_nan();
     match kind {
         Kind::Silence => ails.silent = on,
--- a/crates/lab/src/fronts.rs
+++ b/crates/lab/src/fronts.rs
@@ -4,10 +4,10 @@
 use crate::scenario::Day;
 use anyhow::{Context, Result, bail, ensure};
 use pulleystair_dash::token::{Entry, Ring};
-use pulleystair_fake_servers::certificates::{Authority, Paper};
-use pulleystair_fake_servers::files::put;
-use pulleystair_fake_servers::recorder::Log;
-use pulleystair_rule_checker::What;
+use pulleystair_fake_servers::certificates::{Certificate, CertificateAuthority};
+use pulleystair_fake_servers::files::replace;
+use pulleystair_fake_servers::recorder::Recorder;
+use pulleystair_rule_checker::Observed;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -51,13 +51,13 @@
     folder: PathBuf,
     zones: usize,
     all: Arc<Mutex<Vec<Front>>>,
-    log: Log,
+    log: Recorder,
     /// What stands between fronts that share.
     pub between: Option<Between>,
     /// The portal's present key, and how many keys there were.
     portal: Arc<Mutex<(Ring, usize)>>,
     /// Who vouches for fronts and servers, where they speak TLS.
-    pub authority: Option<Arc<Authority>>,
+    pub authority: Option<Arc<CertificateAuthority>>,
 }
 
 /// The name that fronts' certificates bear.
@@ -161,7 +161,7 @@
 
 impl Fronts {
     /// Writes keys and rundowns into the folder; the list must be there before a front starts.
-    pub fn new(day: &Day, program: Program, folder: &Path, log: Log) -> Result<Fronts> {
+    pub fn new(day: &Day, program: Program, folder: &Path, log: Recorder) -> Result<Fronts> {
         let between = day.sharing.as_ref().map(|_| Between::open(day.fronts, day.seed)).transpose()?;
         for front in 0..day.fronts {
             let text = serde_json::to_string_pretty(&shared_rundown(day, front, &between)?)?;
@@ -176,13 +176,13 @@
             log,
             between,
             portal: Arc::new(Mutex::new((ring(1), 1))),
-            authority: day.tls.then(|| Arc::new(Authority::default())),
+            authority: day.tls.then(|| Arc::new(CertificateAuthority::default())),
         };
         fronts.put_keys(&[1])?;
         if let Some(authority) = &fronts.authority {
             for side in ["players", "servers"] {
                 std::fs::create_dir_all(folder.join(side))?;
-                put(&folder.join(side).join("authority.pem"), authority.pem().as_bytes())?;
+                replace(&folder.join(side).join("authority.pem"), authority.pem().as_bytes())?;
             }
         }
         fronts.renew_papers()?;
@@ -195,12 +195,12 @@
         for n in numbers {
             for (of, kid) in [("entry", "portal"), ("pass", "pass")] {
                 let file = format!("{of}-{n}.key");
-                put(&self.folder.join(&file), secret(of, *n))?;
+                replace(&self.folder.join(&file), secret(of, *n))?;
                 let list = keys[of].as_array_mut().context("it was made a list")?;
                 list.push(json!({ "kid": format!("{kid}-{n}"), "file": file }));
             }
         }
-        Ok(put(&self.folder.join("keys.json"), keys.to_string())?)
+        Ok(replace(&self.folder.join("keys.json"), keys.to_string())?)
     }
 
     /// Replaces all token keys as an operator would: the new ones beside the old, then the portal signs by the
@@ -217,14 +217,14 @@
     pub fn renew_papers(&self) -> Result<()> {
         let Some(authority) = &self.authority else { return Ok(()) };
         for side in ["players", "servers"] {
-            authority.lasting(FRONT).put(&self.folder.join(side))?;
+            authority.issue_long_lived(FRONT).write_files(&self.folder.join(side))?;
         }
         Ok(())
     }
 
     /// A certificate for fronts, good until then.
-    pub fn paper(&self, until: SystemTime) -> Option<Paper> {
-        Some(self.authority.as_ref()?.paper(FRONT, until))
+    pub fn paper(&self, until: SystemTime) -> Option<Certificate> {
+        Some(self.authority.as_ref()?.issue(FRONT, until))
     }
 
     /// How players speak to fronts, where that is under TLS.
@@ -272,9 +272,9 @@
         // Players' way to each front is known once all have been started.
         let homes: Option<Vec<SocketAddr>> = all.iter().map(|front| front.home).collect();
         if let Some(homes) = homes.filter(|homes| homes.len() > 1) {
-            put(&self.folder.join("homes.json"), serde_json::to_string(&homes)?.as_bytes())?;
+            replace(&self.folder.join("homes.json"), serde_json::to_string(&homes)?.as_bytes())?;
         }
-        self.log.saw(What::Front { front, up: true });
+        self.log.record(Observed::Front { front, up: true });
         Ok(address)
     }
 
@@ -289,7 +289,7 @@
             all[front].address = None;
             all[front].child.take()
         };
-        self.log.saw(What::Front { front, up: false });
+        self.log.record(Observed::Front { front, up: false });
         if let Some(mut child) = child {
             let _ = child.kill().await;
         }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -10,8 +10,8 @@
 use anyhow::{Context, Result, ensure};
 use pulleystair_dash::address;
 use pulleystair_dash::token::{Entry, Ring};
-use pulleystair_fake_servers::http::Peer;
-use pulleystair_fake_servers::server::Boxes;
+use pulleystair_fake_servers::http::HttpPeer;
+use pulleystair_fake_servers::server::FakeServers;
 use serde::Serialize;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -86,7 +86,7 @@
 }
 
 struct Rig {
-    boxes: Boxes,
+    boxes: FakeServers,
     fronts: Fronts,
     front: SocketAddr,
     titles: Vec<Title>,
@@ -103,7 +103,7 @@
     let titles = titles.to_vec();
     let seals = match (fronts.connector()?, &fronts.authority) {
         (Some(players), Some(authority)) => {
-            let paper = authority.lasting(FRONT);
+            let paper = authority.issue_long_lived(FRONT);
             Some((players, authority.connector(Some(&paper))?))
         }
         _ => None,
@@ -147,14 +147,14 @@
 }
 
 impl Rig {
-    async fn call_front(&self) -> std::io::Result<Peer> {
-        Peer::call(self.front, self.seals.as_ref().map(|seals| (&seals.0, FRONT))).await
+    async fn call_front(&self) -> std::io::Result<HttpPeer> {
+        HttpPeer::connect(self.front, self.seals.as_ref().map(|seals| (&seals.0, FRONT))).await
     }
 
-    async fn call_server(&self, server: usize) -> std::io::Result<Peer> {
+    async fn call_server(&self, server: usize) -> std::io::Result<HttpPeer> {
         let name = format!("m{server}");
         let seal = self.seals.as_ref().map(|seals| (&seals.1, name.as_str()));
-        Peer::call(self.boxes.addresses[server], seal).await
+        HttpPeer::connect(self.boxes.addresses[server], seal).await
     }
 
     /// Asks for a play on a connection of its own; its status and the manifest.
@@ -172,7 +172,7 @@
         let mut peer = self.call_front().await?;
         let target = address::manifest("any", title, &token);
         peer.write(format!("GET {target} HTTP/1.1\r\nHost: f\r\n\r\n").as_bytes()).await?;
-        let answer = peer.answer().await?.context("the front closed")?;
+        let answer = peer.read_response().await?.context("the front closed")?;
         Ok((answer.status, answer.body))
     }
 
@@ -180,7 +180,7 @@
         let mut peer = self.call_front().await?;
         let base = base(manifest)?;
         peer.write(format!("DELETE {base} HTTP/1.1\r\nHost: f\r\n\r\n").as_bytes()).await?;
-        peer.answer().await?;
+        peer.read_response().await?;
         Ok(())
     }
 
@@ -193,7 +193,7 @@
         let head =
             format!("POST /plays/d-{n}-1 HTTP/1.1\r\nHost: b\r\nContent-Length: {}\r\n\r\n", body.len());
         peer.write((head + &body).as_bytes()).await?;
-        Ok(peer.answer_head().await?.context("the server closed")?.status)
+        Ok(peer.read_response_head().await?.context("the server closed")?.status)
     }
 
     /// Open-loop arrivals of one kind; latencies from the intended times, failures, and the latest start.
@@ -223,7 +223,7 @@
     async fn rate(self: &Arc<Rig>, per_s: f64, seconds: f64) -> Result<Rate> {
         let since = |due: Instant| due.elapsed().as_secs_f64() * 1000.0;
         let rig = self.clone();
-        let kept = Arc::new(Mutex::new(Vec::<Peer>::new()));
+        let kept = Arc::new(Mutex::new(Vec::<HttpPeer>::new()));
         let (bare, _, _) = self
             .arrive(per_s, seconds, move |due| {
                 let (rig, kept) = (rig.clone(), kept.clone());
@@ -234,7 +234,7 @@
                         None => rig.call_server(0).await.ok()?,
                     };
                     peer.write(b"GET /load HTTP/1.1\r\nHost: b\r\n\r\n").await.ok()?;
-                    peer.answer().await.ok()??;
+                    peer.read_response().await.ok()??;
                     let took = since(due);
                     kept.lock().expect("no exchange dies").push(peer);
                     Some(took)
@@ -298,7 +298,7 @@
             let head =
                 format!("POST /plays/r-{n}-1 HTTP/1.1\r\nHost: b\r\nContent-Length: {}\r\n\r\n", body.len());
             peer.write((head + &body).as_bytes()).await?;
-            peer.answer_head().await?.context("the server closed")?;
+            peer.read_response_head().await?.context("the server closed")?;
             held.push(peer);
             direct.push((self.call_server(n).await?, format!("/plays/r-{n}-1/0/1")));
         }
@@ -306,7 +306,7 @@
     }
 }
 
-async fn read_for(from: Vec<(Peer, String)>, seconds: f64) -> Result<f64> {
+async fn read_for(from: Vec<(HttpPeer, String)>, seconds: f64) -> Result<f64> {
     let start = Instant::now();
     let until = start + Duration::from_secs_f64(seconds);
     let mut all = Vec::new();
@@ -315,7 +315,7 @@
             let mut bytes = 0;
             while Instant::now() < until {
                 peer.write(format!("GET {target} HTTP/1.1\r\nHost: f\r\n\r\n").as_bytes()).await?;
-                let answer = peer.answer().await?.context("closed in the middle")?;
+                let answer = peer.read_response().await?.context("closed in the middle")?;
                 ensure!(answer.status == 200, "a segment was answered {}", answer.status);
                 bytes += answer.body.len();
             }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -109,7 +109,7 @@
             let broken: Vec<u8> = outcome.breaches.iter().map(|breach| breach.rule).collect();
             let what = format!("{}, seed {}", script.display(), day.seed);
             let history = History::new(&what, &broken, day.terms(), outcome.seen);
-            std::fs::write(out.join("seen.jsonl"), history.text()?)?;
+            std::fs::write(out.join("seen.jsonl"), history.to_text()?)?;
             println!("report.json, plays.svg, seen.jsonl and the fronts' logs are in {}", out.display());
             Ok(outcome.breaches.is_empty())
         }
--- a/crates/lab/src/players.rs
+++ b/crates/lab/src/players.rs
@@ -8,9 +8,9 @@
 use pulleystair_dash::address;
 use pulleystair_dash::token::Entry;
 use pulleystair_fake_servers::content;
-use pulleystair_fake_servers::http::{Message, Peer};
-use pulleystair_fake_servers::recorder::Log;
-use pulleystair_rule_checker::What;
+use pulleystair_fake_servers::http::{HttpPeer, Message};
+use pulleystair_fake_servers::recorder::Recorder;
+use pulleystair_rule_checker::Observed;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Zipf};
@@ -115,7 +115,7 @@
     pub fronts: Fronts,
     /// How players speak to fronts, where that is under TLS.
     pub seal: Option<TlsConnector>,
-    pub log: Log,
+    pub log: Recorder,
     pub requests: AtomicU64,
     pub watched: Mutex<Vec<Watched>>,
 }
@@ -189,8 +189,8 @@
         self.watched.lock().expect("no player dies while it reports").push(seen);
     }
 
-    async fn call(&self, address: SocketAddr) -> std::io::Result<Peer> {
-        Peer::call(address, self.seal.as_ref().map(|seal| (seal, FRONT))).await
+    async fn call(&self, address: SocketAddr) -> std::io::Result<HttpPeer> {
+        HttpPeer::connect(address, self.seal.as_ref().map(|seal| (seal, FRONT))).await
     }
 
     fn token(&self, session: &str, arrival: &Arrival) -> String {
@@ -245,7 +245,7 @@
         let Ok(mut peer) = self.call(address).await else { return Told::Cut };
         let request = self.requests.fetch_add(1, Ordering::Relaxed);
         let target = address::manifest(&product.name, &title.name, &self.token(session, arrival));
-        self.log.saw(What::Asked {
+        self.log.record(Observed::Asked {
             request,
             session: session.to_string(),
             front,
@@ -256,20 +256,20 @@
         let wait = patience.unwrap_or(ms(product.time_limit_ms + LISTEN));
         let answer = timeout(wait, async {
             peer.write(format!("GET {target} HTTP/1.1\r\nHost: front\r\n\r\n").as_bytes()).await?;
-            peer.answer().await
+            peer.read_response().await
         });
         match answer.await {
             Ok(Ok(Some(answer))) => {
-                self.log.saw(What::Answered { request, status: answer.status });
+                self.log.record(Observed::Answered { request, status: answer.status });
                 Told::Answer(answer)
             }
             Ok(_) => {
-                self.log.saw(What::Cut { request });
+                self.log.record(Observed::Cut { request });
                 Told::Cut
             }
             Err(_) => {
                 if patience.is_some() {
-                    self.log.saw(What::Left { request });
+                    self.log.record(Observed::Left { request });
                 }
                 Told::Silence
             }
@@ -302,13 +302,13 @@
                     .replace("$RepresentationID$", &rung.to_string())
                     .replace("$Number$", &number.to_string());
             let Some(body) = self.fetch(address, &path, &mut line, segment * 8).await else { return false };
-            let got = content::read(&body);
+            let got = content::parse(&body);
             if let Some(got) = &got {
                 seen.rungs += got.rung;
                 seen.earned_s += self.day.ladder[got.rung].earns * segment.as_secs_f64();
             }
             let (title, session) = (title.name.clone(), session.to_string());
-            self.log.saw(What::Fetched { session, title, number, rung, got });
+            self.log.record(Observed::Fetched { session, title, number, rung, got });
             seen.segments += 1;
             let now = Instant::now();
             if number > 1 && now > shown {
@@ -326,7 +326,7 @@
                 let _ = peer
                     .write(format!("DELETE {} HTTP/1.1\r\nHost: front\r\n\r\n", form.base).as_bytes())
                     .await;
-                let _ = timeout(ms(1000.0), peer.answer()).await;
+                let _ = timeout(ms(1000.0), peer.read_response()).await;
             }
         } else {
             sleep_until(shown).await;
@@ -339,7 +339,7 @@
         &self,
         address: SocketAddr,
         path: &str,
-        line: &mut Option<Peer>,
+        line: &mut Option<HttpPeer>,
         patience: Duration,
     ) -> Option<Vec<u8>> {
         for attempt in 0..TRIES {
@@ -352,7 +352,7 @@
             };
             let answer = timeout(patience, async {
                 peer.write(format!("GET {path} HTTP/1.1\r\nHost: front\r\n\r\n").as_bytes()).await?;
-                peer.answer().await
+                peer.read_response().await
             });
             match answer.await {
                 Ok(Ok(Some(answer))) => {
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,9 +1,9 @@
 //! A day's script: the fleet, the products, the players who come and what goes wrong when. Times in the
 //! script are ms or, where the name says so, s; rates are kB a second.
 
-use pulleystair_fake_servers::model::{Build, Ground};
+use pulleystair_fake_servers::model::{ServerFleetSpec, ServerSpec};
 use pulleystair_jsonnet::{Fault, load, refused};
-use pulleystair_rule_checker::rules::{self, Terms};
+use pulleystair_rule_checker::rules::{self, RuleParams};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
@@ -280,11 +280,11 @@
     }
 
     /// The servers as they are built, off what fronts are told by the spread.
-    pub fn builds(&self) -> Vec<Build> {
+    pub fn builds(&self) -> Vec<ServerSpec> {
         let mut rnd = StdRng::seed_from_u64(self.seed ^ 0xb111d);
         let mut off = |x: f64| x * (1.0 + self.fleet.spread * (2.0 * rnd.random::<f64>() - 1.0));
         (0..self.fleet.servers)
-            .map(|server| Build {
+            .map(|server| ServerSpec {
                 zone: self.zone_of(server),
                 cell: server,
                 cores: self.fleet.cores,
@@ -297,10 +297,10 @@
             .collect()
     }
 
-    pub fn ground(&self) -> Ground {
+    pub fn ground(&self) -> ServerFleetSpec {
         let mut rnd = StdRng::seed_from_u64(self.seed ^ 0x94a2);
         let mut off = |x: f64| x * (1.0 + self.fleet.spread * (2.0 * rnd.random::<f64>() - 1.0));
-        Ground {
+        ServerFleetSpec {
             ladder: self.ladder.iter().map(|r| r.rate_kb).collect(),
             uplinks_kb: (0..self.fleet.racks).map(|_| off(self.fleet.rack_link_kb)).collect(),
             shared_part: self.fleet.shared_part,
@@ -318,7 +318,7 @@
     }
 
     /// What the checker holds the run to.
-    pub fn terms(&self) -> Terms {
+    pub fn terms(&self) -> RuleParams {
         let product = |p: &Product| rules::Product {
             limit: p.time_limit_ms,
             effect: match p.effect {
@@ -338,13 +338,13 @@
             seats: p.seats,
         };
         let servers = 0..self.fleet.servers;
-        Terms {
+        RuleParams {
             products: self.products.iter().map(product).collect(),
             drain_grace: self.rules.drain_grace_ms,
             cold: self.rules.cold_ms,
             cold_from: self.rules.cold_from,
             overload: self.rules.overload_factor,
-            fall: self.rules.fall_ms,
+            overload_window: self.rules.fall_ms,
             streams: vec![self.fleet.streams as f64; self.fleet.servers],
             zones: servers.clone().map(|s| self.zone_of(s)).collect(),
             cells: servers.collect(),
@@ -353,7 +353,7 @@
                 share: b.share,
                 free: b.free,
             }),
-            told: 100.0,
+            list_delay: 100.0,
             slack: 150.0,
         }
     }
--- a/crates/lab/src/scenario_run.rs
+++ b/crates/lab/src/scenario_run.rs
@@ -7,8 +7,8 @@
 use crate::scenario::Day;
 use crate::testbed::Set;
 use anyhow::Result;
-use pulleystair_rule_checker::Seen;
-use pulleystair_rule_checker::rules::{Breach, Covered, check};
+use pulleystair_rule_checker::Observation;
+use pulleystair_rule_checker::rules::{Breach, Coverage, check};
 use std::path::Path;
 use std::sync::atomic::AtomicU64;
 use std::sync::{Arc, Mutex};
@@ -20,9 +20,9 @@
 
 pub struct Outcome {
     pub watched: Vec<Watched>,
-    pub seen: Vec<Seen>,
+    pub seen: Vec<Observation>,
     pub breaches: Vec<Breach>,
-    pub covered: Covered,
+    pub covered: Coverage,
     /// How late the latest player set out, or anyone on any core woke, ms: a day on which this is large says little.
     pub lateness_ms: f64,
     /// CPU of each front at the end of the day, ms, and memory, kB; none for one that was restarted last.
@@ -58,7 +58,7 @@
     let used = (0..day.fronts).map(|front| fronts.used(front)).collect();
     fronts.stop(STOP).await?;
     let lateness_ms = machine.lateness_ms().max(set_out);
-    let seen = log.taken();
+    let seen = log.observations();
     let (breaches, covered) = check(&seen, &day.terms());
     let watched = std::mem::take(&mut *room.watched.lock().expect("no player dies while it reports"));
     Ok(Outcome { watched, seen, breaches, covered, lateness_ms, used })
--- a/crates/lab/src/testbed.rs
+++ b/crates/lab/src/testbed.rs
@@ -4,8 +4,8 @@
 use crate::fronts::{Fronts, Program};
 use crate::scenario::Day;
 use anyhow::{Context, Result};
-use pulleystair_fake_servers::recorder::Log;
-use pulleystair_fake_servers::server::{self, Boxes};
+use pulleystair_fake_servers::recorder::Recorder;
+use pulleystair_fake_servers::server::{self, FakeServers};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::Arc;
@@ -13,17 +13,17 @@
 pub struct Set {
     pub day: Arc<Day>,
     pub titles: Arc<Vec<Title>>,
-    pub boxes: Boxes,
+    pub boxes: FakeServers,
     pub fronts: Fronts,
     pub stage: Stage,
-    pub log: Log,
+    pub log: Recorder,
 }
 
 impl Set {
     /// Starts the servers, and writes list, keys and rundowns into the folder.
     pub async fn build(day: Day, program: Program, folder: &Path) -> Result<Set> {
         std::fs::create_dir_all(folder).with_context(|| format!("{} can't be made", folder.display()))?;
-        let (day, log) = (Arc::new(day), Log::default());
+        let (day, log) = (Arc::new(day), Recorder::default());
         let titles = Arc::new(titles(&day));
         let known = titles.iter().map(|t| {
             let product = &day.products[t.product];
@@ -32,13 +32,13 @@
         });
         let products = day.products.iter().map(|p| p.name.clone()).collect();
         let boxes =
-            Boxes::start(day.ground(), day.builds(), known.collect(), products, day.seed, log.clone())
+            FakeServers::start(day.ground(), day.builds(), known.collect(), products, day.seed, log.clone())
                 .await?;
         let fronts = Fronts::new(&day, program, folder, log.clone())?;
         if let Some(authority) = &fronts.authority {
             for server in 0..day.fleet.servers {
-                let paper = authority.lasting(&format!("m{server}"));
-                boxes.seal(server, Some(authority.acceptor(&paper, Some(authority))?));
+                let paper = authority.issue_long_lived(&format!("m{server}"));
+                boxes.set_tls(server, Some(authority.acceptor(&paper, Some(authority))?));
             }
         }
         let list = folder.join("list.json");
--- a/crates/message-mutation/src/front.rs
+++ b/crates/message-mutation/src/front.rs
@@ -5,7 +5,7 @@
 use pulleystair_drift::Sections;
 use pulleystair_drift::approved::{Chain, Document, Stage};
 use pulleystair_fleet_member::{Exchange, Fellow, Terms as Share};
-use pulleystair_rule_checker::rules::{Budget, Effect, Group, Product, Terms};
+use pulleystair_rule_checker::rules::{Budget, Effect, Group, Product, RuleParams};
 use serde_json::json;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -112,9 +112,9 @@
     sheet
 }
 
-pub(crate) fn terms() -> Terms {
+pub(crate) fn terms() -> RuleParams {
     let product = |effect, floor| Product { limit: LIMIT, effect, floor, top: 1, seats: 0 };
-    Terms {
+    RuleParams {
         products: vec![
             product(Effect::Free, 0),
             product(Effect::Paid, 1),
@@ -124,13 +124,13 @@
         cold: COLD,
         cold_from: 0.3,
         overload: 2.0,
-        fall: 1_000.0,
+        overload_window: 1_000.0,
         streams: vec![STREAMS; SERVERS],
         zones: (0..SERVERS).map(|s| s % 2).collect(),
         cells: (0..SERVERS).collect(),
         budget: Some(Budget { span: 5_000.0, share: 0.1, free: 3.0 }),
         // An answer of the name service may be lost: it is asked for every 150 ms.
-        told: 400.0,
+        list_delay: 400.0,
         slack: 1.0,
     }
 }
--- a/crates/message-mutation/src/post.rs
+++ b/crates/message-mutation/src/post.rs
@@ -10,7 +10,7 @@
 use pulleystair_gossip::message::Origin;
 use pulleystair_gossip::origin_of;
 use pulleystair_rtsp as rtsp;
-use pulleystair_rule_checker::What;
+use pulleystair_rule_checker::Observed;
 use pulleystair_shared_state::Server;
 
 use crate::front::{Deed, Deeds, Session, name};
@@ -100,7 +100,7 @@
         let (request, now) = (self.requests, self.now);
         let SetUp { play, product, title, limit, first_cell, holders, top } = it;
         let session = format!("{f}-{play:x}");
-        self.saw(What::Asked { request, session, front: f, product, title: title.clone(), top });
+        self.saw(Observed::Asked { request, session, front: f, product, title: title.clone(), top });
         let wish = PlayRequest {
             product,
             title: number_of(&title),
@@ -194,7 +194,7 @@
         it.at = Some((server, true));
         let allocation = format!("{f}-{play:x}-{}", it.n);
         self.met(f, play, server, End::Playing);
-        self.saw(What::Done { allocation, ran: true, status: 200 });
+        self.saw(Observed::Done { allocation, ran: true, status: 200 });
         self.answer(f, play, 200);
         let load = load.to_vec();
         self.call(f, |desk, now, hands| {
@@ -207,7 +207,7 @@
         let Some(it) = self.fronts[f].sessions.get(&play) else { return };
         let full = status == 453 || status == 429;
         let allocation = format!("{f}-{play:x}-{}", it.n);
-        self.saw(What::Done { allocation, ran: !full, status: if full { 429 } else { 502 } });
+        self.saw(Observed::Done { allocation, ran: !full, status: if full { 429 } else { 502 } });
         self.over(f, play, if full { End::Full } else { End::Error }, load);
     }
 
@@ -219,7 +219,7 @@
         if !playing {
             self.met(f, play, server, outcome);
         }
-        self.saw(What::Closed { allocation });
+        self.saw(Observed::Closed { allocation });
         let load = load.to_vec();
         self.call(f, |desk, now, hands| {
             desk.on_allocation_ended(now, play, server as u32, outcome, playing, &load, hands)
@@ -238,7 +238,7 @@
         let Some(it) = self.fronts[f].sessions.get_mut(&play) else { return };
         assert!(!std::mem::replace(&mut it.answered, true), "answered twice");
         let request = it.request;
-        self.saw(What::Answered { request, status });
+        self.saw(Observed::Answered { request, status });
     }
 
     // ---- what the desk has done ----
@@ -257,7 +257,7 @@
                 Deed::Step(play, rung) => {
                     if let Some(it) = self.fronts[f].sessions.get(&play).filter(|it| it.at.is_some()) {
                         let allocation = format!("{f}-{play:x}-{}", it.n);
-                        self.saw(What::Rung { allocation, rung });
+                        self.saw(Observed::Rung { allocation, rung });
                     }
                 }
                 Deed::Answer(play, status) => self.answer(f, play, status),
@@ -298,7 +298,7 @@
             return self.at(1.0, Event::Unreachable(f, play, n));
         }
         let (allocation, session) = (format!("{f}-{play:x}-{n}"), format!("{f}-{play:x}"));
-        self.saw(What::SetUp { server, allocation, session, product, title, rung });
+        self.saw(Observed::SetUp { server, allocation, session, product, title, rung });
         if self.hosts[server].silent {
             return;
         }
--- a/crates/message-mutation/src/world.rs
+++ b/crates/message-mutation/src/world.rs
@@ -7,7 +7,7 @@
 use pulleystair::{Listing, Outcome as End, ServerHint, Standing};
 use pulleystair_fleet_member::{number_of, told};
 use pulleystair_rule_checker::rules::check;
-use pulleystair_rule_checker::{Seen, What};
+use pulleystair_rule_checker::{Observation, Observed};
 use pulleystair_shared_state::budgets::OWN;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -87,7 +87,7 @@
     pub(crate) hosts: [Host; SERVERS],
     pub(crate) list: Vec<Listing>,
     pub(crate) serial: u32,
-    pub(crate) seen: Vec<Seen>,
+    pub(crate) seen: Vec<Observation>,
     pub(crate) requests: u64,
     pub(crate) change: Option<Change>,
     /// The last message of each kind, and one that waits to be overtaken.
@@ -123,7 +123,7 @@
             out: Outcome { whole: FRONTS as u32 * OWN, ..Outcome::default() },
         };
         for f in 0..FRONTS {
-            world.saw(What::Front { front: f, up: true });
+            world.saw(Observed::Front { front: f, up: true });
             world.at(0.0, Event::Asks(f));
             world.at(1.0, Event::Fellow(f));
             world.at(20.0, Event::Comes(f));
@@ -132,8 +132,8 @@
         world
     }
 
-    pub(crate) fn saw(&mut self, what: What) {
-        self.seen.push(Seen { at: self.now, what });
+    pub(crate) fn saw(&mut self, what: Observed) {
+        self.seen.push(Observation { at: self.now, what });
     }
 
     pub(crate) fn at(&mut self, wait: f64, event: Event) {
@@ -270,7 +270,7 @@
     fn listed(&mut self, server: usize, standing: Standing) {
         self.serial += 1;
         self.list[server].standing = standing;
-        self.saw(What::Listed { server, ready: standing == Standing::Ready });
+        self.saw(Observed::Listed { server, ready: standing == Standing::Ready });
     }
 
     fn trouble(&mut self, i: usize) {
@@ -278,7 +278,7 @@
             // The first server dies and comes back cold; the second drains; the third falls silent for a while.
             0 => {
                 self.hosts[0].up = false;
-                self.saw(What::Stopped { server: 0 });
+                self.saw(Observed::Stopped { server: 0 });
                 for f in 0..FRONTS {
                     let here =
                         |(play, s): (&u64, &Session)| s.at.is_some_and(|at| at.0 == 0).then_some(*play);
@@ -290,7 +290,7 @@
             }
             1 => {
                 self.hosts[0].up = true;
-                self.saw(What::Started { server: 0, cold: true });
+                self.saw(Observed::Started { server: 0, cold: true });
                 self.list[0].started_at = self.now;
                 self.listed(0, Standing::Ready);
             }
--- a/crates/rule-checker/src/history.rs
+++ b/crates/rule-checker/src/history.rs
@@ -1,11 +1,11 @@
 //! Histories: what was seen on a day or in a story, with the terms that held, as a file that is kept.
 //!
 //! One JSON object a line. The first is the head: `{"history":1,"what":"...","breaks":[],"terms":{...}}`, where `breaks`
-//! names the rules that a sound checker finds broken; then one line for each thing seen ([`crate::Seen`]); the last is
+//! names the rules that a sound checker finds broken; then one line for each thing seen ([`crate::Observation`]); the last is
 //! `{"end":N}` with the count of things seen, so that a file cut short is no shorter history.
 
-use crate::rules::{Breach, Covered, Terms, check};
-use crate::{Seen, What};
+use crate::rules::{Breach, Coverage, RuleParams, check};
+use crate::{Observation, Observed};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -18,17 +18,18 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Head {
+pub struct Header {
     pub history: u32,
     pub what: String,
     pub breaks: Vec<u8>,
-    pub terms: Terms,
+    #[serde(rename = "terms")]
+    pub params: RuleParams,
 }
 
 #[derive(Clone, Debug)]
 pub struct History {
-    pub head: Head,
-    pub seen: Vec<Seen>,
+    pub head: Header,
+    pub seen: Vec<Observation>,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
@@ -40,7 +41,7 @@
 /// Why a file is no history: nothing is concluded from it.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {cause}")]
-pub struct Fault {
+pub struct HistoryError {
     pub line: usize,
     pub cause: String,
 }
@@ -49,7 +50,7 @@
 #[derive(Debug)]
 pub struct Verdict {
     pub breaches: Vec<Breach>,
-    pub covered: Covered,
+    pub covered: Coverage,
 }
 
 impl Verdict {
@@ -59,12 +60,15 @@
 }
 
 impl History {
-    pub fn new(what: &str, breaks: &[u8], terms: Terms, seen: Vec<Seen>) -> History {
-        History { head: Head { history: FORM, what: what.into(), breaks: breaks.into(), terms }, seen }
+    pub fn new(what: &str, breaks: &[u8], terms: RuleParams, seen: Vec<Observation>) -> History {
+        History {
+            head: Header { history: FORM, what: what.into(), breaks: breaks.into(), params: terms },
+            seen,
+        }
     }
 
-    pub fn read(text: &str) -> Result<History, Fault> {
-        let fault = |line: usize, cause: String| Fault { line: line + 1, cause };
+    pub fn parse(text: &str) -> Result<History, HistoryError> {
+        let fault = |line: usize, cause: String| HistoryError { line: line + 1, cause };
         let lines: Vec<&str> = text.lines().collect();
         if lines.len() > LINES {
             return Err(fault(LINES, format!("{} lines; {LINES} at most", lines.len())));
@@ -75,7 +79,7 @@
         let [first, between @ .., last] = lines.as_slice() else {
             return Err(fault(0, "a history has a head and an end at least".into()));
         };
-        let head: Head = serde_json::from_str(first).map_err(|e| fault(0, format!("no head: {e}")))?;
+        let head: Header = serde_json::from_str(first).map_err(|e| fault(0, format!("no head: {e}")))?;
         if head.history != FORM {
             return Err(fault(0, format!("form {}; this program reads {FORM}", head.history)));
         }
@@ -83,15 +87,15 @@
             .map_err(|e| fault(lines.len() - 1, format!("no end, so some of it may be missing: {e}")))?;
         let mut seen = Vec::with_capacity(between.len());
         for (i, line) in between.iter().enumerate() {
-            let one: Seen = serde_json::from_str(line).map_err(|e| fault(i + 1, e.to_string()))?;
-            known(&one, &head.terms).map_err(|cause| fault(i + 1, cause))?;
+            let one: Observation = serde_json::from_str(line).map_err(|e| fault(i + 1, e.to_string()))?;
+            known(&one, &head.params).map_err(|cause| fault(i + 1, cause))?;
             seen.push(one);
         }
         if end.end != seen.len() {
             let cause = format!("the end tells of {} things seen, {} are there", end.end, seen.len());
             return Err(fault(lines.len() - 1, cause));
         }
-        if !seen.iter().any(|s| matches!(s.what, What::Asked { .. })) {
+        if !seen.iter().any(|s| matches!(s.what, Observed::Asked { .. })) {
             return Err(fault(
                 lines.len() - 1,
                 "nobody asked for anything: there is nothing to check".into(),
@@ -100,7 +104,7 @@
         Ok(History { head, seen })
     }
 
-    pub fn text(&self) -> serde_json::Result<String> {
+    pub fn to_text(&self) -> serde_json::Result<String> {
         let mut out = serde_json::to_string(&self.head)? + "\n";
         for seen in &self.seen {
             out += &serde_json::to_string(seen)?;
@@ -111,20 +115,20 @@
     }
 
     pub fn verdict(&self) -> Verdict {
-        let (breaches, covered) = check(&self.seen, &self.head.terms);
+        let (breaches, covered) = check(&self.seen, &self.head.params);
         Verdict { breaches, covered }
     }
 }
 
 /// Numbers that the terms know nothing of can't be checked.
-fn known(seen: &Seen, terms: &Terms) -> Result<(), String> {
+fn known(seen: &Observation, terms: &RuleParams) -> Result<(), String> {
     if !seen.at.is_finite() {
         return Err("a time that is none".into());
     }
     let (product, server) = match &seen.what {
-        What::Asked { product, .. } => (Some(*product), None),
-        What::SetUp { product, server, .. } => (Some(*product), Some(*server)),
-        What::Started { server, .. } | What::Stopped { server } | What::Listed { server, .. } => {
+        Observed::Asked { product, .. } => (Some(*product), None),
+        Observed::SetUp { product, server, .. } => (Some(*product), Some(*server)),
+        Observed::Started { server, .. } | Observed::Stopped { server } | Observed::Listed { server, .. } => {
             (None, Some(*server))
         }
         _ => (None, None),
--- a/crates/rule-checker/src/lib.rs
+++ b/crates/rule-checker/src/lib.rs
@@ -8,14 +8,14 @@
 
 /// One thing seen. Times are ms on the clock that all of a run's witnesses share.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Observation {
     pub at: f64,
-    pub what: What,
+    pub what: Observed,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum What {
+pub enum Observed {
     // ---- by players ----
     /// A manifest request was written. `request` is one try of that session.
     Asked {
--- a/crates/rule-checker/src/rules.rs
+++ b/crates/rule-checker/src/rules.rs
@@ -6,28 +6,30 @@
 //! Seen and sent differ by how long a busy machine takes to move bytes between two sockets and to let their
 //! readers run, so orders between different sockets are held to `slack`.
 
-use crate::{Seen, What};
+use crate::{Observation, Observed};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The terms that a run is held to.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Terms {
+pub struct RuleParams {
     pub products: Vec<Product>,
     pub drain_grace: f64,
     pub cold: f64,
     pub cold_from: f64,
     pub overload: f64,
     /// Over this span a cold server's load is counted.
-    pub fall: f64,
+    #[serde(rename = "fall")]
+    pub overload_window: f64,
     /// Streams of each server.
     pub streams: Vec<f64>,
     pub zones: Vec<usize>,
     pub cells: Vec<usize>,
     pub budget: Option<Budget>,
     /// How long it takes until a front has read a list that was replaced.
-    pub told: f64,
+    #[serde(rename = "told")]
+    pub list_delay: f64,
     /// How late a thing may be seen.
     pub slack: f64,
 }
@@ -79,7 +81,7 @@
 
 /// What a check covered, so that a clean verdict on an empty log is told from one on a full one.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Covered {
+pub struct Coverage {
     pub requests: usize,
     pub set_ups: usize,
     pub further: usize,
@@ -142,8 +144,8 @@
 }
 
 /// Checks all rules on a log in any order.
-pub fn check(log: &[Seen], terms: &Terms) -> (Vec<Breach>, Covered) {
-    let mut log: Vec<&Seen> = log.iter().collect();
+pub fn check(log: &[Observation], terms: &RuleParams) -> (Vec<Breach>, Coverage) {
+    let mut log: Vec<&Observation> = log.iter().collect();
     log.sort_by(|a, b| a.at.total_cmp(&b.at));
     let end = log.last().map_or(0.0, |s| s.at);
     let mut requests: BTreeMap<u64, Request> = BTreeMap::new();
@@ -151,29 +153,29 @@
     let mut lives = Lives::default();
     let mut listed: BTreeMap<usize, Vec<(f64, bool)>> = BTreeMap::new();
     let mut breaches = Vec::new();
-    let mut covered = Covered::default();
+    let mut covered = Coverage::default();
     for seen in &log {
         let at = seen.at;
         match &seen.what {
-            What::Asked { request, session, front, product, title, top } => {
+            Observed::Asked { request, session, front, product, title, top } => {
                 let run = (*front, lives.ups.get(front).map_or(0, |ups| ups.len().saturating_sub(1)));
                 let (product, top) = (*product, *top);
                 let it = Request { at, session, run, product, title, top, answers: Vec::new(), gone: None };
                 requests.insert(*request, it);
             }
-            What::Answered { request, status } => {
+            Observed::Answered { request, status } => {
                 if let Some(r) = requests.get_mut(request) {
                     r.answers.push((at, *status));
                 }
             }
             // A connection cut by a front that lives is no answer; by one that died, see `downs`.
-            What::Cut { .. } => {}
-            What::Left { request } => {
+            Observed::Cut { .. } => {}
+            Observed::Left { request } => {
                 if let Some(r) = requests.get_mut(request) {
                     r.gone.get_or_insert(at);
                 }
             }
-            What::Fetched { session, title, number, rung, got } => {
+            Observed::Fetched { session, title, number, rung, got } => {
                 covered.segments += 1;
                 let right = got.as_ref().is_some_and(|got| {
                     got.intact && got.title == *title && got.number == *number && got.rung <= *rung
@@ -183,7 +185,7 @@
                     breaches.push(Breach { rule: 0, at, what });
                 }
             }
-            What::SetUp { server, allocation, session, product, title, rung } => {
+            Observed::SetUp { server, allocation, session, product, title, rung } => {
                 let it = Allocation {
                     name: allocation,
                     at,
@@ -206,27 +208,27 @@
                     });
                 }
             }
-            What::Done { allocation, ran, status } => {
+            Observed::Done { allocation, ran, status } => {
                 if let Some(a) = allocations.get_mut(allocation.as_str()) {
                     a.done = Some((at, *ran, *status));
                 }
             }
-            What::Closed { allocation } => {
+            Observed::Closed { allocation } => {
                 if let Some(a) = allocations.get_mut(allocation.as_str()) {
                     a.closed = a.closed.min(at);
                 }
             }
-            What::Rung { allocation, rung } => {
+            Observed::Rung { allocation, rung } => {
                 if let Some(a) = allocations.get_mut(allocation.as_str()) {
                     a.rungs.push((at, *rung));
                 }
             }
-            What::Front { front, up: false } => lives.downs.push((*front, at)),
-            What::Front { front, up: true } => lives.ups.entry(*front).or_default().push(at),
-            What::Started { server, cold: true } => lives.starts.push((*server, at)),
-            What::Started { .. } => {}
-            What::Stopped { server } => lives.stops.push((*server, at)),
-            What::Listed { server, ready } => listed.entry(*server).or_default().push((at, *ready)),
+            Observed::Front { front, up: false } => lives.downs.push((*front, at)),
+            Observed::Front { front, up: true } => lives.ups.entry(*front).or_default().push(at),
+            Observed::Started { server, cold: true } => lives.starts.push((*server, at)),
+            Observed::Started { .. } => {}
+            Observed::Stopped { server } => lives.stops.push((*server, at)),
+            Observed::Listed { server, ready } => listed.entry(*server).or_default().push((at, *ready)),
         }
     }
     let requests: Vec<Request> = requests.into_values().collect();
@@ -247,7 +249,7 @@
 /// Tells whose each allocation is. A session's allocation is of a front that was asked for it and has not answered yet;
 /// of several such fronts, of the one that had fewest for it. After an answer, a session that is asked for again is
 /// a new play.
-fn assign(requests: &[Request], allocations: &mut [Allocation], downs: &[(usize, f64)], terms: &Terms) {
+fn assign(requests: &[Request], allocations: &mut [Allocation], downs: &[(usize, f64)], terms: &RuleParams) {
     let mut asked: BTreeMap<&str, Vec<&Request>> = BTreeMap::new();
     requests.iter().for_each(|r| asked.entry(r.session).or_default().push(r));
     asked.values_mut().for_each(|of| of.sort_by(|a, b| a.at.total_cmp(&b.at)));
@@ -288,7 +290,7 @@
     allocations: &[Allocation],
     downs: &[(usize, f64)],
     end: f64,
-    terms: &Terms,
+    terms: &RuleParams,
     breaches: &mut Vec<Breach>,
 ) {
     let mut playing: BTreeMap<(&str, &str), f64> = BTreeMap::new();
@@ -329,9 +331,9 @@
 fn one_at_a_time(
     requests: &[Request],
     allocations: &[Allocation],
-    terms: &Terms,
+    terms: &RuleParams,
     breaches: &mut Vec<Breach>,
-    covered: &mut Covered,
+    covered: &mut Coverage,
 ) {
     covered.further = allocations.iter().filter(|a| a.n > 1).count();
     // Whatever plays they are of, no two of a session are out at one front.
@@ -391,9 +393,9 @@
 fn drains_kept(
     allocations: &[Allocation],
     listed: &BTreeMap<usize, Vec<(f64, bool)>>,
-    terms: &Terms,
+    terms: &RuleParams,
     breaches: &mut Vec<Breach>,
-    covered: &mut Covered,
+    covered: &mut Coverage,
 ) {
     covered.drains = listed.values().flatten().filter(|(_, ready)| !ready).count();
     for a in allocations {
@@ -412,9 +414,9 @@
     allocations: &[Allocation],
     listed: &BTreeMap<usize, Vec<(f64, bool)>>,
     lives: &Lives,
-    terms: &Terms,
+    terms: &RuleParams,
     breaches: &mut Vec<Breach>,
-    covered: &mut Covered,
+    covered: &mut Coverage,
 ) {
     let Lives { starts, stops, ups, .. } = lives;
     for (server, start) in starts {
@@ -431,7 +433,7 @@
         let started_later =
             |run: Run| ups.get(&run.0).and_then(|ups| ups.get(run.1)).is_some_and(|up| up > start);
         let knew = |a: &Allocation| {
-            told.is_some_and(|(at, _)| a.at > at + terms.told + terms.slack)
+            told.is_some_and(|(at, _)| a.at > at + terms.list_delay + terms.slack)
                 || saw_it_fail(a.run)
                 || started_later(a.run)
         };
@@ -440,11 +442,14 @@
         sent.sort_by(|a, b| a.0.total_cmp(&b.0));
         covered.cold_set_ups += sent.len();
         for (i, (last, _)) in sent.iter().enumerate() {
-            let window: Vec<bool> =
-                sent[..=i].iter().filter(|(at, _)| *at > last - terms.fall).map(|(_, knew)| *knew).collect();
+            let window: Vec<bool> = sent[..=i]
+                .iter()
+                .filter(|(at, _)| *at > last - terms.overload_window)
+                .map(|(_, knew)| *knew)
+                .collect();
             let knowing = window.iter().filter(|knew| **knew).count();
             let warm = terms.cold_from + (1.0 - terms.cold_from) * (last - start) / terms.cold;
-            let allowed = terms.overload * terms.streams[*server] / terms.cold * warm * terms.fall;
+            let allowed = terms.overload * terms.streams[*server] / terms.cold * warm * terms.overload_window;
             // One or two that fall together overrun nothing.
             if window.len() as f64 > allowed + 2.0 && 2 * knowing > window.len() {
                 let n = window.len();
@@ -457,7 +462,12 @@
 }
 
 /// Rule 5: floors and tops of rungs, and seats of a title at each front.
-fn terms_kept(requests: &[Request], allocations: &[Allocation], terms: &Terms, breaches: &mut Vec<Breach>) {
+fn terms_kept(
+    requests: &[Request],
+    allocations: &[Allocation],
+    terms: &RuleParams,
+    breaches: &mut Vec<Breach>,
+) {
     let tops: BTreeMap<&str, usize> = requests.iter().map(|r| (r.session, r.top)).collect();
     // By front's run, product and title: from when to when each play was there.
     type Rooms<'a> = BTreeMap<(Run, usize, &'a str), Vec<(f64, f64)>>;
@@ -487,7 +497,12 @@
 }
 
 /// Rule 6: further allocations of a front within any span, against the plays it took in it.
-fn budget_kept(requests: &[Request], allocations: &[Allocation], terms: &Terms, breaches: &mut Vec<Breach>) {
+fn budget_kept(
+    requests: &[Request],
+    allocations: &[Allocation],
+    terms: &RuleParams,
+    breaches: &mut Vec<Breach>,
+) {
     let Some(budget) = &terms.budget else { return };
     let mut runs: BTreeMap<Run, Vec<f64>> = BTreeMap::new();
     for a in allocations.iter().filter(|a| a.n > 1) {
--- a/crates/rule-checker/tests/doctored.rs
+++ b/crates/rule-checker/tests/doctored.rs
@@ -1,43 +1,43 @@
 //! For each rule, a clean log on which it passes and doctored ones on which it fails: a check counts only
 //! once it was seen to fail.
 
-use pulleystair_rule_checker::rules::{Budget, Effect, Group, Product, Terms, check};
-use pulleystair_rule_checker::{Content, Seen, What};
+use pulleystair_rule_checker::rules::{Budget, Effect, Group, Product, RuleParams, check};
+use pulleystair_rule_checker::{Content, Observation, Observed};
 use test_case::test_case;
 
-fn terms(effect: Effect) -> Terms {
-    Terms {
+fn terms(effect: Effect) -> RuleParams {
+    RuleParams {
         products: vec![Product { limit: 1000.0, effect, floor: 1, top: 2, seats: 2 }],
         drain_grace: 500.0,
         cold: 5000.0,
         cold_from: 0.2,
         overload: 2.0,
-        fall: 1000.0,
+        overload_window: 1000.0,
         streams: vec![10.0; 3],
         zones: vec![0, 1, 0],
         cells: vec![0, 1, 2],
         budget: Some(Budget { span: 2000.0, share: 0.5, free: 1.0 }),
-        told: 50.0,
+        list_delay: 50.0,
         slack: 20.0,
     }
 }
 
 #[derive(Default)]
-struct Log(Vec<Seen>);
+struct Log(Vec<Observation>);
 
 impl Log {
-    fn at(&mut self, at: f64, what: What) -> &mut Log {
-        self.0.push(Seen { at, what });
+    fn at(&mut self, at: f64, what: Observed) -> &mut Log {
+        self.0.push(Observation { at, what });
         self
     }
 
     fn asks(&mut self, at: f64, request: u64, session: &str) -> &mut Log {
         let (session, title) = (session.to_string(), "t".to_string());
-        self.at(at, What::Asked { request, session, front: 0, product: 0, title, top: 9 })
+        self.at(at, Observed::Asked { request, session, front: 0, product: 0, title, top: 9 })
     }
 
     fn answered(&mut self, at: f64, request: u64, status: u16) -> &mut Log {
-        self.at(at, What::Answered { request, status })
+        self.at(at, Observed::Answered { request, status })
     }
 
     fn set_up(&mut self, at: f64, server: usize, allocation: &str, session: &str) -> &mut Log {
@@ -53,20 +53,20 @@
         rung: usize,
     ) -> &mut Log {
         let (allocation, session, title) = (allocation.to_string(), session.to_string(), "t".to_string());
-        self.at(at, What::SetUp { server, allocation, session, product: 0, title, rung })
+        self.at(at, Observed::SetUp { server, allocation, session, product: 0, title, rung })
     }
 
     fn done(&mut self, at: f64, allocation: &str, status: u16) -> &mut Log {
         let allocation = allocation.to_string();
-        self.at(at, What::Done { allocation, ran: status != 429, status })
+        self.at(at, Observed::Done { allocation, ran: status != 429, status })
     }
 
     fn closed(&mut self, at: f64, allocation: &str) -> &mut Log {
-        self.at(at, What::Closed { allocation: allocation.to_string() })
+        self.at(at, Observed::Closed { allocation: allocation.to_string() })
     }
 
-    fn broken(&mut self, terms: &Terms) -> Vec<u8> {
-        self.at(60_000.0, What::Front { front: 0, up: true });
+    fn broken(&mut self, terms: &RuleParams) -> Vec<u8> {
+        self.at(60_000.0, Observed::Front { front: 0, up: true });
         check(&self.0, terms).0.iter().map(|b| b.rule).collect()
     }
 }
@@ -97,10 +97,12 @@
         [1]
     );
     assert_eq!(Log::default().asks(0.0, 1, "s").answered(5.0, 1, 200).broken(&terms), [1]);
-    assert_eq!(Log::default().asks(0.0, 1, "s").at(5.0, What::Cut { request: 1 }).broken(&terms), [1]);
-    assert!(Log::default().asks(0.0, 1, "s").at(5.0, What::Left { request: 1 }).broken(&terms).is_empty());
+    assert_eq!(Log::default().asks(0.0, 1, "s").at(5.0, Observed::Cut { request: 1 }).broken(&terms), [1]);
+    assert!(
+        Log::default().asks(0.0, 1, "s").at(5.0, Observed::Left { request: 1 }).broken(&terms).is_empty()
+    );
     let mut died = Log::default();
-    died.asks(0.0, 1, "s").at(500.0, What::Front { front: 0, up: false });
+    died.asks(0.0, 1, "s").at(500.0, Observed::Front { front: 0, up: false });
     assert!(died.broken(&terms).is_empty(), "what a dead front held is not owed");
 }
 
@@ -134,7 +136,7 @@
 #[test_case(530.0, &[3]; "after it")]
 fn rule_3_fails_after_the_grace(after: f64, broken: &[u8]) {
     let mut log = Log::default();
-    log.at(10.0, What::Listed { server: 0, ready: false }).set_up(10.0 + after, 0, "f-1-1", "s");
+    log.at(10.0, Observed::Listed { server: 0, ready: false }).set_up(10.0 + after, 0, "f-1-1", "s");
     log.closed(10.0 + after, "f-1-1");
     assert_eq!(log.broken(&terms(Effect::Free)), broken);
 }
@@ -143,7 +145,8 @@
 #[test_case(9, &[4]; "a burst")]
 fn rule_4_fails_when_all_fronts_together_rush_a_cold_server(each: usize, broken: &[u8]) {
     let mut log = Log::default();
-    log.at(0.0, What::Started { server: 0, cold: true }).at(10.0, What::Listed { server: 0, ready: true });
+    log.at(0.0, Observed::Started { server: 0, cold: true })
+        .at(10.0, Observed::Listed { server: 0, ready: true });
     for front in 0..2 {
         for i in 0..each {
             let (name, session) = (format!("f{front}-{i}-1"), format!("s{front}{i}"));
@@ -152,7 +155,7 @@
         }
     }
     assert_eq!(log.broken(&terms(Effect::Free)), broken);
-    log.0.retain(|s| !matches!(s.what, What::Listed { .. }));
+    log.0.retain(|s| !matches!(s.what, Observed::Listed { .. }));
     assert!(log.broken(&terms(Effect::Free)).is_empty(), "nobody had been told, or had seen it fail");
 }
 
@@ -164,7 +167,7 @@
     log.set_up_on(0.0, 0, "f-1-1", "s", rung).closed(100.0, "f-1-1");
     assert_eq!(log.broken(&terms(Effect::Free)), broken);
     let mut later = Log::default();
-    later.set_up(0.0, 0, "f-1-1", "s").at(5.0, What::Rung { allocation: "f-1-1".into(), rung });
+    later.set_up(0.0, 0, "f-1-1", "s").at(5.0, Observed::Rung { allocation: "f-1-1".into(), rung });
     assert_eq!(later.closed(100.0, "f-1-1").broken(&terms(Effect::Free)), broken);
 }
 
@@ -208,10 +211,11 @@
 #[test_case(false, &[2]; "not asked for again, it is the same one")]
 fn a_paid_set_up_after_a_front_died_or_answered(again: bool, broken: &[u8]) {
     let mut log = Log::default();
-    log.at(0.0, What::Front { front: 0, up: true });
+    log.at(0.0, Observed::Front { front: 0, up: true });
     log.asks(1.0, 1, "s").set_up(2.0, 0, "f-1-1", "s").closed(50.0, "f-1-1").answered(60.0, 1, 502);
     if again {
-        log.at(70.0, What::Front { front: 0, up: false }).at(90.0, What::Front { front: 0, up: true });
+        log.at(70.0, Observed::Front { front: 0, up: false })
+            .at(90.0, Observed::Front { front: 0, up: true });
         log.asks(100.0, 2, "s").answered(130.0, 2, 200);
     }
     log.set_up(110.0, 0, "g-1-1", "s").done(120.0, "g-1-1", 200).closed(500.0, "g-1-1");
@@ -221,7 +225,7 @@
 #[test]
 fn rule_4_binds_a_front_that_started_after_the_server() {
     let mut log = Log::default();
-    log.at(0.0, What::Started { server: 0, cold: true }).at(1.0, What::Front { front: 0, up: true });
+    log.at(0.0, Observed::Started { server: 0, cold: true }).at(1.0, Observed::Front { front: 0, up: true });
     for i in 0..20 {
         let (name, session, at) = (format!("f-{i}-1"), format!("s{i}"), 100.0 + i as f64);
         log.asks(at, i, &session).set_up(at + 0.1, 0, &name, &session).done(at + 0.2, &name, 200);
@@ -244,6 +248,6 @@
 #[test_case("t", 4, 1, false, &[0]; "damaged")]
 fn a_wrong_segment_is_seen(title: &str, number: u64, rung: usize, intact: bool, broken: &[u8]) {
     let got = Some(Content { title: title.into(), number, rung, intact });
-    let what = What::Fetched { session: "s".into(), title: "t".into(), number: 4, rung: 1, got };
+    let what = Observed::Fetched { session: "s".into(), title: "t".into(), number: 4, rung: 1, got };
     assert_eq!(Log::default().at(0.0, what).broken(&terms(Effect::Free)), broken);
 }
--- a/crates/rule-checker/tests/histories.rs
+++ b/crates/rule-checker/tests/histories.rs
@@ -2,8 +2,8 @@
 //! front broken on purpose for each rule, which must be rejected for that rule and no other. They were written by
 //! `crates/edge/tests/broken.rs` and `days.rs` with `PULLEYSTAIR_HISTORIES` set to that folder.
 
-use pulleystair_rule_checker::What;
-use pulleystair_rule_checker::history::{Fault, History};
+use pulleystair_rule_checker::Observed;
+use pulleystair_rule_checker::history::{History, HistoryError};
 use std::collections::BTreeSet;
 use std::path::Path;
 use test_case::test_case;
@@ -14,7 +14,7 @@
 }
 
 fn read(name: &str) -> History {
-    History::read(&text(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
+    History::parse(&text(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
 }
 
 #[test_case("broken-1", &[1]; "answers late")]
@@ -36,33 +36,36 @@
         let all = [covered.further, covered.drains, covered.cold_set_ups, covered.segments];
         assert!(covered.set_ups > 100 && all.iter().all(|n| *n > 0), "{covered:?}");
     }
-    assert_eq!(History::read(&history.text().expect("it is plain")).expect("it reads").seen, history.seen);
+    assert_eq!(
+        History::parse(&history.to_text().expect("it is plain")).expect("it reads").seen,
+        history.seen
+    );
 }
 
 /// A sound day is no longer sound once a word of it is changed: the checks that it passed were made on it.
-#[test_case(|s| matches!(s, What::Answered { .. }), |_| None, 1; "an answer that never came")]
-#[test_case(|s| matches!(s, What::Done { status: 200, .. }), |_| None, 1; "told that it plays, and it does not")]
-#[test_case(|s| matches!(s, What::SetUp { .. }), |s| match s {
-    What::SetUp { server, allocation, session, product, title, .. } =>
-        Some(What::SetUp { server, allocation, session, product, title, rung: 99 }),
+#[test_case(|s| matches!(s, Observed::Answered { .. }), |_| None, 1; "an answer that never came")]
+#[test_case(|s| matches!(s, Observed::Done { status: 200, .. }), |_| None, 1; "told that it plays, and it does not")]
+#[test_case(|s| matches!(s, Observed::SetUp { .. }), |s| match s {
+    Observed::SetUp { server, allocation, session, product, title, .. } =>
+        Some(Observed::SetUp { server, allocation, session, product, title, rung: 99 }),
     other => Some(other),
 }, 5; "a rung over the top")]
 fn a_sound_day_with_one_thing_changed_is_rejected(
-    which: fn(&What) -> bool,
-    change: fn(What) -> Option<What>,
+    which: fn(&Observed) -> bool,
+    change: fn(Observed) -> Option<Observed>,
     rule: u8,
 ) {
     let mut history = read("day-1");
     let at = history.seen.iter().position(|s| which(&s.what)).expect("there is such a thing");
     let one = history.seen.remove(at);
     if let Some(what) = change(one.what) {
-        history.seen.insert(at, pulleystair_rule_checker::Seen { at: one.at, what });
+        history.seen.insert(at, pulleystair_rule_checker::Observation { at: one.at, what });
     }
     assert_eq!(history.verdict().rules().into_iter().collect::<Vec<u8>>(), [rule]);
 }
 
-fn fault(text: &str) -> Fault {
-    History::read(text).map(|_| ()).expect_err("it is damaged")
+fn fault(text: &str) -> HistoryError {
+    History::parse(text).map(|_| ()).expect_err("it is damaged")
 }
 
 #[test]
@@ -70,12 +73,12 @@
     let whole = text("broken-3");
     let lines: Vec<&str> = whole.lines().collect();
     for cut in 0..whole.len() - 1 {
-        assert!(History::read(&whole[..cut]).is_err(), "cut at byte {cut}");
+        assert!(History::parse(&whole[..cut]).is_err(), "cut at byte {cut}");
     }
     for line in 0..lines.len() {
         let without: Vec<&str> =
             lines.iter().enumerate().filter(|(i, _)| *i != line).map(|(_, l)| *l).collect();
-        assert!(History::read(&without.join("\n")).is_err(), "without line {}", line + 1);
+        assert!(History::parse(&without.join("\n")).is_err(), "without line {}", line + 1);
     }
     let with = |line: usize, text: &str| {
         let mut lines = lines.clone();
