--- a/crates/drift/src/approved.rs
+++ b/crates/drift/src/approved.rs
@@ -3,7 +3,7 @@
 //! A line is `{"number", "parent", "sections", "stages", "by", "at_ms", "digest"}`; the digest is SHA-256 over the canonical
 //! form (RFC 8785) of all the rest, so that a line that was changed, or put in between, is found.
 
-use crate::{Sections, digest, hex, short};
+use crate::{Sections, digest, hex, short_digest};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -14,7 +14,7 @@
 /// Some fronts, from when they may have a version, and by when they must; Unix ms.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Stage {
+pub struct RolloutStage {
     /// By name; all that no earlier stage names where empty.
     #[serde(default)]
     pub fronts: Vec<String>,
@@ -24,31 +24,31 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Document {
+pub struct ApprovedVersion {
     pub number: u64,
     /// The digest of the version before; none of the first.
     pub parent: Option<String>,
     pub sections: Sections,
-    pub stages: Vec<Stage>,
+    pub stages: Vec<RolloutStage>,
     pub by: String,
     pub at_ms: f64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {cause}")]
-pub struct Fault {
+pub struct ChainError {
     pub line: usize,
     pub cause: String,
 }
 
 /// All versions, from the first on.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Chain {
-    pub documents: Vec<Document>,
+pub struct VersionChain {
+    pub documents: Vec<ApprovedVersion>,
     digests: Vec<String>,
 }
 
-impl Document {
+impl ApprovedVersion {
     pub fn digest(&self) -> String {
         hex(&digest(&serde_json::to_value(self).unwrap_or(Value::Null)))
     }
@@ -67,7 +67,7 @@
         Some((stage.from_ms, stage.by_ms))
     }
 
-    fn check(&self, parent: Option<(&Document, &str)>) -> Result<(), String> {
+    fn check(&self, parent: Option<(&ApprovedVersion, &str)>) -> Result<(), String> {
         match (parent, &self.parent) {
             (None, None) => {}
             (None, Some(parent)) => return Err(format!("parent: {parent} is not in the file")),
@@ -107,18 +107,18 @@
     }
 }
 
-impl Chain {
+impl VersionChain {
     /// Reads the whole file, checks the chain from its first line on.
-    pub fn read(text: &str) -> Result<Chain, Fault> {
-        let mut chain = Chain::default();
+    pub fn parse(text: &str) -> Result<VersionChain, ChainError> {
+        let mut chain = VersionChain::default();
         for (i, line) in text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()) {
-            let fault = |cause: String| Fault { line: i + 1, cause };
+            let fault = |cause: String| ChainError { line: i + 1, cause };
             if chain.documents.len() >= MOST {
                 return Err(fault(format!("more than {MOST} versions")));
             }
             let mut it: Value = serde_json::from_str(line).map_err(|e| fault(e.to_string()))?;
             let told = it.as_object_mut().and_then(|it| it.remove("digest"));
-            let document: Document = serde_json::from_value(it).map_err(|e| fault(e.to_string()))?;
+            let document: ApprovedVersion = serde_json::from_value(it).map_err(|e| fault(e.to_string()))?;
             let own = document.digest();
             if told.as_ref().and_then(Value::as_str) != Some(&own) {
                 return Err(fault(format!("digest: the line's content has {own}")));
@@ -126,12 +126,12 @@
             chain.append(document).map_err(fault)?;
         }
         if chain.documents.is_empty() {
-            return Err(Fault { line: 1, cause: "no version is approved".into() });
+            return Err(ChainError { line: 1, cause: "no version is approved".into() });
         }
         Ok(chain)
     }
 
-    pub fn append(&mut self, document: Document) -> Result<(), String> {
+    pub fn append(&mut self, document: ApprovedVersion) -> Result<(), String> {
         let parent = self.documents.last().zip(self.digests.last().map(String::as_str));
         document.check(parent)?;
         self.digests.push(document.digest());
@@ -140,16 +140,16 @@
     }
 
     /// Whether `other` says the same as far as this goes, so that this may be replaced by it.
-    pub fn goes_on_in(&self, other: &Chain) -> bool {
+    pub fn is_prefix_of(&self, other: &VersionChain) -> bool {
         other.digests.starts_with(&self.digests)
     }
 
-    pub fn head(&self) -> Option<&Document> {
+    pub fn head(&self) -> Option<&ApprovedVersion> {
         self.documents.last()
     }
 
     /// The latest version's number, and the start of its digest.
-    pub fn head_mark(&self) -> Option<(u64, u64)> {
+    pub fn head_id(&self) -> Option<(u64, u64)> {
         let digest = self.digests.last()?;
         Some((self.head()?.number, u64::from_str_radix(digest.get(..16)?, 16).ok()?))
     }
@@ -170,7 +170,7 @@
 
     /// The digest of a section in a version, as it goes round; a section that it leaves out is as in the one before.
     pub fn section(&self, at: usize, name: &str) -> Option<u64> {
-        self.documents[..=at].iter().rev().find_map(|d| d.sections.get(name)).map(short)
+        self.documents[..=at].iter().rev().find_map(|d| d.sections.get(name)).map(short_digest)
     }
 
     /// All sections of a version.
--- a/crates/drift/src/detector.rs
+++ b/crates/drift/src/detector.rs
@@ -1,14 +1,14 @@
 //! How long each verdict has stood, and the verdict on the fleet. One that changes within the hold time is no alarm, so a
 //! front that is between two versions for the moment of taking one wakes nobody.
 
-use crate::approved::Chain;
-use crate::verdict::{Verdict, Word, judge};
-use crate::{Difference, RULES};
+use crate::approved::VersionChain;
+use crate::verdict::{FrontReport, Verdict, judge};
+use crate::{Difference, RULE_SECTIONS};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Standing {
+pub struct FrontStatus {
     pub front: String,
     pub verdict: Verdict,
     /// Since when it is said of it, Unix ms on the reader's clock, and whether a person is to look.
@@ -24,7 +24,7 @@
 
 /// The fleet, from one front.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Fleet {
+pub struct FleetStatus {
     /// The front that says so, and the approved version that it holds.
     pub by: String,
     pub approved: Option<u64>,
@@ -32,10 +32,10 @@
     pub forked: bool,
     pub counts: BTreeMap<&'static str, usize>,
     pub unknown: usize,
-    pub fronts: Vec<Standing>,
+    pub fronts: Vec<FrontStatus>,
 }
 
-impl Fleet {
+impl FleetStatus {
     /// 0: all in step, or on their way. 1: one is not. 2: of some nobody can say.
     pub fn status(&self) -> u8 {
         if self.fronts.iter().any(|s| s.alarm && s.verdict.wrong()) {
@@ -62,9 +62,16 @@
         Detector { hold, stood: BTreeMap::new() }
     }
 
-    pub fn look(&mut self, by: &str, wall: f64, chain: &Chain, words: &[Word]) -> Fleet {
-        let head = chain.head_mark();
-        let mut fleet = Fleet { by: by.to_string(), approved: head.map(|head| head.0), ..Fleet::default() };
+    pub fn observe(
+        &mut self,
+        by: &str,
+        wall: f64,
+        chain: &VersionChain,
+        words: &[FrontReport],
+    ) -> FleetStatus {
+        let head = chain.head_id();
+        let mut fleet =
+            FleetStatus { by: by.to_string(), approved: head.map(|head| head.0), ..FleetStatus::default() };
         for word in words {
             let (verdict, sections) = judge(chain, wall, word);
             let theirs = word.active.as_ref().and_then(|active| active.head);
@@ -85,11 +92,11 @@
             *fleet.counts.entry(verdict.name()).or_default() += 1;
             fleet.unknown += usize::from(verdict.unknown());
             let told = word.active.as_ref().filter(|_| verdict.wrong());
-            fleet.fronts.push(Standing {
+            fleet.fronts.push(FrontStatus {
                 front: word.front.clone(),
                 since: stood.1,
                 alarm,
-                rule: verdict.wrong() && RULES.iter().any(|name| differs(name)),
+                rule: verdict.wrong() && RULE_SECTIONS.iter().any(|name| differs(name)),
                 sections: sections.iter().map(|(name, v)| (name.to_string(), v.clone())).collect(),
                 differences: told.map(|a| a.differences.clone()).unwrap_or_default(),
                 age: word.age.is_finite().then_some(word.age),
--- a/crates/drift/src/lib.rs
+++ b/crates/drift/src/lib.rs
@@ -1,7 +1,7 @@
 //! Drift: what each front goes by, against the version that was approved for it. No I/O; the wall clock's time is
 //! handed in where stages go by it.
 //!
-//! [`approved`] is the chain of approved documents; [`Active`] what one front goes by, read back from what runs;
+//! [`approved`] is the chain of approved documents; [`ActiveVersion`] what one front goes by, read back from what runs;
 //! [`verdict`] what a reader says of one front; [`detector`] how long it has said so, and of the whole fleet.
 
 pub mod approved;
@@ -19,7 +19,7 @@
     ["ladder", "products", "floors", "seats", "rules", "prices", "limits", "list", "parts", "policy"];
 
 /// Sections that the six rules stand on.
-pub const RULES: [&str; 5] = ["products", "floors", "seats", "rules", "policy"];
+pub const RULE_SECTIONS: [&str; 5] = ["products", "floors", "seats", "rules", "policy"];
 
 /// Differences that a front tells of, and how long each value may be, bytes.
 const DIFFERENCES: usize = 6;
@@ -33,7 +33,7 @@
 }
 
 /// The same, as it goes round between fronts: its first eight bytes.
-pub fn short(of: &Value) -> u64 {
+pub fn short_digest(of: &Value) -> u64 {
     let bytes = digest(of);
     u64::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3], bytes[4], bytes[5], bytes[6], bytes[7]])
 }
@@ -52,7 +52,7 @@
 
 /// What a front says of itself, in its own row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Active {
+pub struct ActiveVersion {
     /// The approved version that it holds: its number, and the start of its digest; none where it has none.
     pub head: Option<(u64, u64)>,
     /// A digest for each of [`SECTIONS`].
@@ -61,9 +61,9 @@
     pub differences: Vec<Difference>,
 }
 
-impl Active {
-    pub fn of(sections: &Sections, head: Option<(u64, u64)>, differences: Vec<Difference>) -> Active {
-        let part = |name: &&str| short(sections.get(*name).unwrap_or(&Value::Null));
+impl ActiveVersion {
+    pub fn new(sections: &Sections, head: Option<(u64, u64)>, differences: Vec<Difference>) -> ActiveVersion {
+        let part = |name: &&str| short_digest(sections.get(*name).unwrap_or(&Value::Null));
         let mut differences = differences;
         differences.truncate(DIFFERENCES);
         for it in &mut differences {
@@ -74,16 +74,16 @@
                 }
             }
         }
-        Active { head, sections: SECTIONS.iter().map(part).collect(), differences }
+        ActiveVersion { head, sections: SECTIONS.iter().map(part).collect(), differences }
     }
 
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
     /// None for what does not read, or has not a digest for each section.
-    pub fn read(bytes: &[u8]) -> Option<Active> {
-        let it: Active = postcard::from_bytes(bytes).ok()?;
+    pub fn decode(bytes: &[u8]) -> Option<ActiveVersion> {
+        let it: ActiveVersion = postcard::from_bytes(bytes).ok()?;
         (it.sections.len() == SECTIONS.len()).then_some(it)
     }
 }
--- a/crates/drift/src/verdict.rs
+++ b/crates/drift/src/verdict.rs
@@ -1,7 +1,7 @@
 //! What a reader says of one front, from that front's own word and the reader's chain of approved versions.
 
-use crate::approved::Chain;
-use crate::{Active, SECTIONS};
+use crate::approved::VersionChain;
+use crate::{ActiveVersion, SECTIONS};
 use serde::Serialize;
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -64,17 +64,17 @@
 
 /// What is known of a front.
 #[derive(Clone, Debug)]
-pub struct Word {
+pub struct FrontReport {
     pub front: String,
     /// ms since it said so, at most; infinite where it never did.
     pub age: f64,
     pub unheard: bool,
     pub contradictory: bool,
-    pub active: Option<Active>,
+    pub active: Option<ActiveVersion>,
 }
 
 /// The verdict on each section that was approved, and on the front as a whole.
-pub fn judge(chain: &Chain, wall: f64, word: &Word) -> (Verdict, Vec<(&'static str, Verdict)>) {
+pub fn judge(chain: &VersionChain, wall: f64, word: &FrontReport) -> (Verdict, Vec<(&'static str, Verdict)>) {
     let age = word.age.is_finite().then_some(word.age);
     let Some(active) = word.active.as_ref().filter(|_| !word.unheard) else {
         return (Verdict::Unheard { age }, Vec::new());
--- a/crates/drift/tests/verdicts.rs
+++ b/crates/drift/tests/verdicts.rs
@@ -1,10 +1,10 @@
 //! Verdicts and chains, a story a case that is easily told wrongly.
 
-use pulleystair_drift::approved::{Chain, Document, Stage};
+use pulleystair_drift::approved::{ApprovedVersion, RolloutStage, VersionChain};
 use pulleystair_drift::detector::Detector;
 use pulleystair_drift::stricter::stricter;
-use pulleystair_drift::verdict::{Verdict, Word, judge};
-use pulleystair_drift::{Active, Sections, differences};
+use pulleystair_drift::verdict::{FrontReport, Verdict, judge};
+use pulleystair_drift::{ActiveVersion, Sections, differences};
 use serde_json::{Value, json};
 use test_case::test_case;
 
@@ -14,13 +14,13 @@
 }
 
 /// Version 1 from 0 on, version 2 from 1,000 and by 2,000, for `b` from 3,000 and by 4,000.
-fn chain() -> Chain {
-    let stage = |fronts: &[&str], from_ms, by_ms| Stage {
+fn chain() -> VersionChain {
+    let stage = |fronts: &[&str], from_ms, by_ms| RolloutStage {
         fronts: fronts.iter().map(|f| (*f).to_string()).collect(),
         from_ms,
         by_ms,
     };
-    let mut chain = Chain::default();
+    let mut chain = VersionChain::default();
     let one = document(&chain, sections(400.0, 100.0), 0.0, vec![stage(&[], 0.0, 0.0)]);
     chain.append(one).expect("it is the first");
     let stages = vec![stage(&["b"], 3_000.0, 4_000.0), stage(&[], 1_000.0, 2_000.0)];
@@ -28,11 +28,16 @@
     chain
 }
 
-fn document(after: &Chain, sections: Sections, at_ms: f64, stages: Vec<Stage>) -> Document {
+fn document(
+    after: &VersionChain,
+    sections: Sections,
+    at_ms: f64,
+    stages: Vec<RolloutStage>,
+) -> ApprovedVersion {
     let head = after.head();
-    Document {
+    ApprovedVersion {
         number: head.map_or(1, |d| d.number + 1),
-        parent: head.map(Document::digest),
+        parent: head.map(ApprovedVersion::digest),
         sections,
         stages,
         by: "the night shift".into(),
@@ -40,14 +45,14 @@
     }
 }
 
-fn word(front: &str, active: &Sections, chain: &Chain) -> Word {
-    let active = Active::of(active, chain.head_mark(), differences(&chain.sections(1), active));
-    Word {
+fn word(front: &str, active: &Sections, chain: &VersionChain) -> FrontReport {
+    let active = ActiveVersion::new(active, chain.head_id(), differences(&chain.sections(1), active));
+    FrontReport {
         front: front.into(),
         age: 10.0,
         unheard: false,
         contradictory: false,
-        active: Active::read(&active.write()),
+        active: ActiveVersion::decode(&active.encode()),
     }
 }
 
@@ -69,7 +74,7 @@
 #[test]
 fn a_version_rolled_back_by_another_of_the_same_content_is_in_step_with_both() {
     let mut chain = chain();
-    let all = vec![Stage { fronts: vec![], from_ms: 2_600.0, by_ms: 2_900.0 }];
+    let all = vec![RolloutStage { fronts: vec![], from_ms: 2_600.0, by_ms: 2_900.0 }];
     chain.append(document(&chain, sections(400.0, 100.0), 2_600.0, all)).expect("it goes on");
     let is = |wall, grace, ladder| judge(&chain, wall, &word("a", &sections(grace, ladder), &chain)).0.name();
     assert_eq!([is(2_700.0, 400.0, 100.0), is(2_700.0, 300.0, 150.0)], ["in step", "on its way"]);
@@ -79,7 +84,7 @@
 #[test]
 fn a_version_replaced_in_mid_rollout_need_not_be_had() {
     let mut chain = chain();
-    let all = vec![Stage { fronts: vec![], from_ms: 1_500.0, by_ms: 5_000.0 }];
+    let all = vec![RolloutStage { fronts: vec![], from_ms: 1_500.0, by_ms: 5_000.0 }];
     chain.append(document(&chain, sections(350.0, 175.0), 1_500.0, all)).expect("it goes on");
     let is = |wall, grace, ladder| judge(&chain, wall, &word("a", &sections(grace, ladder), &chain)).0.name();
     assert_eq!([is(1_800.0, 400.0, 100.0), is(1_800.0, 300.0, 150.0)], ["on its way"; 2]);
@@ -90,35 +95,35 @@
 fn who_is_not_heard_is_never_in_step_and_who_says_two_things_is_neither() {
     let chain = chain();
     let well = word("a", &sections(300.0, 150.0), &chain);
-    let silent = Word { unheard: true, age: f64::INFINITY, ..well.clone() };
+    let silent = FrontReport { unheard: true, age: f64::INFINITY, ..well.clone() };
     assert_eq!(judge(&chain, 2_500.0, &silent).0, Verdict::Unheard { age: None });
-    let twice = Word { contradictory: true, ..well };
+    let twice = FrontReport { contradictory: true, ..well };
     assert_eq!(judge(&chain, 2_500.0, &twice).0, Verdict::Contradictory);
 }
 
 /// A fleet that was split approved another version 2 on each side; then one of them is on both.
 #[test]
 fn a_fork_is_told_on_both_sides_and_heals() {
-    let (left, mut right) = (chain(), Chain::default());
+    let (left, mut right) = (chain(), VersionChain::default());
     right.append(left.documents[0].clone()).expect("the same first");
-    let all = vec![Stage { fronts: vec![], from_ms: 1_000.0, by_ms: 2_000.0 }];
+    let all = vec![RolloutStage { fronts: vec![], from_ms: 1_000.0, by_ms: 2_000.0 }];
     right.append(document(&right, sections(200.0, 100.0), 600.0, all)).expect("it goes on");
     for (ours, theirs, active) in
         [(&left, &right, sections(200.0, 100.0)), (&right, &left, sections(300.0, 150.0))]
     {
-        let fleet = Detector::new(0.0).look("a", 2_500.0, ours, &[word("b", &active, theirs)]);
+        let fleet = Detector::new(0.0).observe("a", 2_500.0, ours, &[word("b", &active, theirs)]);
         assert!(fleet.forked && fleet.status() == 2, "{fleet:?}");
         assert_eq!(fleet.counts.get("contradictory"), Some(&1));
     }
-    let fleet = Detector::new(0.0).look("a", 2_500.0, &left, &[word("a", &sections(300.0, 150.0), &left)]);
+    let fleet = Detector::new(0.0).observe("a", 2_500.0, &left, &[word("a", &sections(300.0, 150.0), &left)]);
     assert!(!fleet.forked && fleet.status() == 0);
-    assert!(!left.goes_on_in(&right) && left.goes_on_in(&left));
+    assert!(!left.is_prefix_of(&right) && left.is_prefix_of(&left));
 }
 
 #[test]
 fn a_version_that_the_reader_does_not_have_is_unknown() {
     let long = chain();
-    let mut short = Chain::default();
+    let mut short = VersionChain::default();
     short.append(long.documents[0].clone()).expect("the first");
     assert_eq!(
         judge(&short, 2_500.0, &word("a", &sections(300.0, 150.0), &long)).0,
@@ -130,7 +135,7 @@
 fn what_passes_within_the_hold_time_is_no_alarm() {
     let (chain, mut detector) = (chain(), Detector::new(1_000.0));
     let mut look = |wall, grace, ladder| {
-        let fleet = detector.look("r", wall, &chain, &[word("a", &sections(grace, ladder), &chain)]);
+        let fleet = detector.observe("r", wall, &chain, &[word("a", &sections(grace, ladder), &chain)]);
         (fleet.fronts[0].alarm, fleet.fronts[0].since, fleet.status())
     };
     assert_eq!(look(2_500.0, 300.0, 100.0), (false, 2_500.0, 0));
@@ -145,7 +150,7 @@
     let chain = chain();
     let look = |grace, ladder| {
         let it = word("a", &sections(grace, ladder), &chain);
-        Detector::new(0.0).look("r", 2_500.0, &chain, &[it]).fronts.remove(0)
+        Detector::new(0.0).observe("r", 2_500.0, &chain, &[it]).fronts.remove(0)
     };
     let rule = look(900.0, 150.0);
     assert!(rule.rule && rule.alarm);
@@ -159,13 +164,13 @@
     assert!(!other.rule && stricter(&other.differences).is_empty());
 }
 
-fn text(chain: &Chain) -> String {
-    chain.documents.iter().map(Document::line).collect()
+fn text(chain: &VersionChain) -> String {
+    chain.documents.iter().map(ApprovedVersion::line).collect()
 }
 
 #[test]
 fn a_chain_reads_as_it_was_written() {
-    assert_eq!(Chain::read(&text(&chain())).expect("it reads"), chain());
+    assert_eq!(VersionChain::parse(&text(&chain())).expect("it reads"), chain());
 }
 
 fn spoilt(change: impl Fn(&mut Value)) -> String {
@@ -195,6 +200,6 @@
 #[test_case(&spoilt(|d| d["by"] = json!(" ")), "line 2: by: nobody"; "nobody approved it")]
 #[test_case(&spoilt(|d| d["sections"]["colour"] = json!(1)), "line 2: sections.colour"; "an unknown section")]
 fn a_chain_that_is_not_one_is_refused_with_line_and_cause(text: &str, cause: &str) {
-    let fault = Chain::read(text).expect_err("it is no chain").to_string();
+    let fault = VersionChain::parse(text).expect_err("it is no chain").to_string();
     assert!(fault.starts_with(cause), "{fault}");
 }
--- a/crates/edge/src/approved_versions.rs
+++ b/crates/edge/src/approved_versions.rs
@@ -4,7 +4,7 @@
 use crate::config::Config;
 use crate::edge::Edge;
 use pulleystair_drift::Sections;
-use pulleystair_drift::approved::Chain;
+use pulleystair_drift::approved::VersionChain;
 use serde_json::Value;
 use std::path::Path;
 use tracing::{info, warn};
@@ -13,14 +13,14 @@
 const MOST: u64 = 64 << 20;
 
 /// Reads and checks the file; an error tells path and cause.
-pub fn read(file: &Path, rundown: &Config) -> anyhow::Result<Chain> {
+pub fn read(file: &Path, rundown: &Config) -> anyhow::Result<VersionChain> {
     let fault = |cause: String| anyhow::anyhow!("sharing.approved: {}: {cause}", file.display());
     let size = std::fs::metadata(file).map_err(|e| fault(e.to_string()))?.len();
     if size > MOST {
         return Err(fault(format!("{size} bytes; {MOST} at most")));
     }
     let text = std::fs::read_to_string(file).map_err(|e| fault(e.to_string()))?;
-    let chain = Chain::read(&text).map_err(|e| fault(e.to_string()))?;
+    let chain = VersionChain::parse(&text).map_err(|e| fault(e.to_string()))?;
     for (i, document) in chain.documents.iter().enumerate() {
         means(rundown, &chain.sections(i)).map_err(|(path, found, allowed)| {
             fault(format!("version {}: {path}: {found}; allowed: {allowed}", document.number))
@@ -70,7 +70,7 @@
         let read = read(watched.file(), &floor.rundown).map_err(|e| e.to_string());
         let taken = read.and_then(|chain| {
             let number = chain.head().map(|d| d.number);
-            company.fellow.approved(chain).map(|()| number)
+            company.fellow.set_approved(chain).map(|()| number)
         });
         match taken {
             Ok(number) => {
--- a/crates/edge/src/company.rs
+++ b/crates/edge/src/company.rs
@@ -9,7 +9,9 @@
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction};
 use pulleystair::{Outcome, ServerHint};
-use pulleystair_fleet_member::{Candidate, Exchange, Fellow, Listed, Terms, number_of, told};
+use pulleystair_fleet_member::{
+    Candidate, FleetConfig, FleetMember, GossipConfig, ListedServer, policy_hint, stable_id,
+};
 use pulleystair_shared_state::Server;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,7 +27,7 @@
 const VERDICTS: f64 = 500.0;
 
 pub(crate) struct Company {
-    pub(crate) fellow: Fellow,
+    pub(crate) fellow: FleetMember,
     socket: Rc<UdpSocket>,
     at: BTreeMap<String, SocketAddr>,
     /// Servers' names by their numbers.
@@ -59,30 +61,30 @@
         let it = &rundown.sharing;
         let others = rundown.fleet.peers.iter().filter(|p| p.name != name);
         let longest = rundown.products.iter().map(|p| p.time_limit_ms).fold(1_000.0, f64::max);
-        let terms = Terms {
-            exchange: Exchange {
+        let terms = FleetConfig {
+            gossip: GossipConfig {
                 fleet: fleet.clone(),
                 name: name.to_string(),
                 peers: others.clone().map(|p| p.name.clone()).collect(),
-                every: it.every_ms,
+                interval: it.every_ms,
                 fan_out: it.fan_out,
                 bytes_s: it.bytes_s,
-                doubted: it.doubted_ms,
-                unheard: it.unheard_ms,
+                doubted_after: it.doubted_ms,
+                unheard_after: it.unheard_ms,
             },
             zone: rundown.zones.iter().position(|z| *z == rundown.zone).unwrap_or(0),
             zones: rundown.zones.clone(),
-            lend: it.lend_ms,
+            lease_ms: it.lend_ms,
             further_s: it.further_s,
             probes_s: it.probes_s,
-            hold: it.hold_ms,
+            alarm_delay: it.hold_ms,
             stricter: it.stricter,
             bucket: it.bucket_ms,
-            longest,
+            max_set_up: longest,
         };
         let at = others.map(|p| (p.name.clone(), p.at)).collect();
         let mut fellow =
-            Fellow::new(terms, now, now as u64, seed).map_err(|e| anyhow::anyhow!("fleet.{e}"))?;
+            FleetMember::new(terms, now, now as u64, seed).map_err(|e| anyhow::anyhow!("fleet.{e}"))?;
         let approved = it.approved.clone().map(|file| {
             let mut watched = Watched::new(file);
             watched.replaced();
@@ -90,7 +92,7 @@
         });
         if let Some(file) = &it.approved {
             let chain = approved_versions::read(file, rundown)?;
-            fellow.approved(chain).map_err(|e| anyhow::anyhow!("sharing.approved: {e}"))?;
+            fellow.set_approved(chain).map_err(|e| anyhow::anyhow!("sharing.approved: {e}"))?;
         }
         let socket = UdpSocket::bind(listen)
             .map_err(|e| anyhow::anyhow!("fleet.listen: {listen} can't be had: {e}"))?;
@@ -117,7 +119,7 @@
         })))
     }
 
-    fn send(&self, out: Vec<pulleystair_fleet_member::Out>) {
+    fn send(&self, out: Vec<pulleystair_fleet_member::Datagram>) {
         for it in out {
             if let Some(at) = self.at.get(self.fellow.name(it.to)) {
                 // What can't be sent now is lost as any other is.
@@ -137,13 +139,13 @@
         let rundown = &self.rundown;
         let zone = |name: &str| rundown.zones.iter().position(|z| z == name).unwrap_or(0);
         let listed = |s: &&crate::server_list::Server| s.state == State::Ready;
-        let servers: Vec<Listed> = list
+        let servers: Vec<ListedServer> = list
             .servers
             .iter()
             .filter(listed)
-            .map(|s| Listed {
+            .map(|s| ListedServer {
                 server: Server {
-                    id: number_of(&s.name),
+                    id: stable_id(&s.name),
                     zone: zone(&s.zone),
                     cell: s.cell,
                     link: s.weight * rundown.fleet.link_unit_kb,
@@ -157,14 +159,14 @@
         rows.dedup();
         let cells = rundown.fleet.cells;
         let holders = |(first, count): (usize, usize)| -> Vec<u64> {
-            let has = |s: &&Listed| (s.server.cell + cells - first) % cells < count;
+            let has = |s: &&ListedServer| (s.server.cell + cells - first) % cells < count;
             servers.iter().filter(has).map(|s| s.server.id).collect()
         };
         let titles = rows.into_iter().map(holders).collect();
         let Some(company) = self.company.as_mut() else { return };
-        company.names = list.servers.iter().map(|s| (number_of(&s.name), s.name.clone())).collect();
+        company.names = list.servers.iter().map(|s| (stable_id(&s.name), s.name.clone())).collect();
         company.list = active_config::revision(list);
-        company.fellow.list(&servers, titles);
+        company.fellow.update_list(&servers, titles);
     }
 
     pub(crate) fn company_drew(&mut self, odds: &[(u32, f64, f64)]) {
@@ -180,7 +182,7 @@
         }
         let id = self.number(server);
         let Some(session) = self.book.get(play) else { return };
-        let (product, title) = (session.product as u16, number_of(&session.show.name) as u32);
+        let (product, title) = (session.product as u16, stable_id(&session.show.name) as u32);
         let drawn = self.company.as_mut().map(|it| std::mem::take(&mut it.drawn)).unwrap_or_default();
         let zones = &self.rundown.zones;
         let at = |number: u32| self.servers.get(number as usize);
@@ -196,16 +198,16 @@
             .collect();
         let chosen = candidates.iter().position(|c| c.server == id);
         let Some(company) = self.company.as_mut() else { return };
-        company.fellow.sent(now, id, n > 1);
+        company.fellow.on_sent(now, id, n > 1);
         if let Some(chosen) = chosen {
-            company.fellow.ledger.chosen(play, n as u32, product, title.max(1), chosen, candidates);
+            company.fellow.outcomes.record_choice(play, n as u32, product, title.max(1), chosen, candidates);
         }
     }
 
     pub(crate) fn company_probed(&mut self, server: u32) {
         let (now, id) = (self.now(), self.number(server));
         if let Some(company) = self.company.as_mut() {
-            company.fellow.probed(now, id);
+            company.fellow.on_probed(now, id);
         }
     }
 
@@ -218,7 +220,7 @@
         let (n, waited, id) = (session.allocations() as u32, now - session.sent, self.number(server));
         let wall = self.time_of_day();
         let Some(company) = self.company.as_mut() else { return };
-        company.fellow.out_no_more(now, wall, id, (play, n), outcome, waited);
+        company.fellow.on_allocation_result(now, wall, id, (play, n), outcome, waited);
     }
 }
 
@@ -231,7 +233,7 @@
         for _ in 0..TURN {
             match company.socket.recv_from(&mut room) {
                 Ok((n, _)) => {
-                    let out = company.fellow.came(now, &room[..n]);
+                    let out = company.fellow.receive(now, &room[..n]);
                     company.send(out);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
@@ -247,18 +249,18 @@
         let floor = &mut self.floor;
         let (now, wall) = (floor.now(), floor.time_of_day());
         let Some(company) = floor.company.as_mut() else { return };
-        if now >= company.fellow.due() {
+        if now >= company.fellow.next_deadline() {
             let numbers: BTreeMap<u64, u32> =
                 (0..).zip(&floor.servers).map(|(n, server)| (server.id, n)).collect();
             let id = |n: &u32| floor.servers.get(*n as usize).map(|s| s.id);
-            company.fellow.waits(now, self.desk.awaited_servers().iter().filter_map(id));
+            company.fellow.on_waiting(now, self.desk.awaited_servers().iter().filter_map(id));
             let counts = self.desk.play_counts();
             let counts = counts.iter().filter_map(|((n, product), c)| Some(((id(n)?, *product as u16), *c)));
-            company.fellow.counts(counts.collect());
-            let (given, out) = company.fellow.look(now, wall);
+            company.fellow.set_play_counts(counts.collect());
+            let (given, out) = company.fellow.tick(now, wall);
             company.send(out);
             let given: Vec<(u32, ServerHint)> =
-                given.iter().filter_map(|it| Some((*numbers.get(&it.server)?, told(it)))).collect();
+                given.iter().filter_map(|it| Some((*numbers.get(&it.server)?, policy_hint(it)))).collect();
             company.log_beliefs();
             if !given.is_empty() {
                 debug!(target: "fleet", servers = given.len(), "told of servers");
@@ -269,7 +271,7 @@
             self.verdicts(now, wall);
         }
         let Some(company) = self.floor.company.as_mut() else { return };
-        let due = company.fellow.due().min(company.verdicts);
+        let due = company.fellow.next_deadline().min(company.verdicts);
         // A clock can't be taken back: one is set only where none rings by then.
         if due < company.set || company.set <= now {
             company.set = due;
@@ -281,7 +283,7 @@
         let sections = self.goes_by();
         let Some(company) = self.floor.company.as_mut() else { return };
         company.verdicts = now + VERDICTS;
-        company.fellow.active(sections);
+        company.fellow.set_active(sections);
         let stricter = company.fellow.stricter(wall);
         if let Some(fleet) = company.fellow.drift(now, wall) {
             let mut wrong = BTreeMap::new();
@@ -305,13 +307,13 @@
         self.verdicts(now, wall);
         let company = self.floor.company.as_mut()?;
         let names = company.names.clone();
-        Some(company.fellow.told_of(now, wall, &names))
+        Some(company.fellow.status_report(now, wall, &names))
     }
 }
 
 impl Company {
     fn log_beliefs(&mut self) {
-        let belief = self.fellow.belief();
+        let belief = self.fellow.health();
         if belief.doubted == self.told.0 && belief.lost == self.told.1 {
             return;
         }
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -46,7 +46,7 @@
                 servers.push(Server {
                     name: server.name.clone(),
                     address: server.address,
-                    id: pulleystair_fleet_member::number_of(&server.name),
+                    id: pulleystair_fleet_member::stable_id(&server.name),
                     zone: server.zone.clone(),
                     born: server.started_ms as u64,
                     idle: Vec::new(),
--- a/crates/edge/tests/company/mod.rs
+++ b/crates/edge/tests/company/mod.rs
@@ -4,7 +4,7 @@
 use crate::house::{self, House};
 use pulleystair_edge::config::Config;
 use pulleystair_edge::status::query;
-use pulleystair_fleet_member::{Exchange, Fellow, Met, Terms, number_of};
+use pulleystair_fleet_member::{AllocationResult, FleetConfig, FleetMember, GossipConfig, stable_id};
 use pulleystair_lab::fronts::name;
 use pulleystair_lab::testbed::Set;
 use serde_json::{Value, json};
@@ -153,11 +153,13 @@
 
 impl Fake {
     /// Says that all servers fail.
-    pub fn fails_all(fellow: &mut Fellow, now: f64) {
-        (0..8).for_each(|server| fellow.met(now, number_of(&format!("m{server}")), Met::TimedOut));
+    pub fn fails_all(fellow: &mut FleetMember, now: f64) {
+        (0..8).for_each(|server| {
+            fellow.on_result(now, stable_id(&format!("m{server}")), AllocationResult::TimedOut)
+        });
     }
 
-    pub fn start(house: &House, front: usize, zone: &str, act: fn(&mut Fellow, f64)) -> Fake {
+    pub fn start(house: &House, front: usize, zone: &str, act: fn(&mut FleetMember, f64)) -> Fake {
         Fake::of(house, front, zone, act)
     }
 
@@ -165,7 +167,7 @@
         house: &House,
         front: usize,
         zone: &str,
-        mut act: impl FnMut(&mut Fellow, f64) + Send + 'static,
+        mut act: impl FnMut(&mut FleetMember, f64) + Send + 'static,
     ) -> Fake {
         let between = house.fronts.between.clone().expect("they share");
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
@@ -174,26 +176,26 @@
         let rundown = rundown(house, front);
         let it = &rundown.sharing;
         let others: Vec<usize> = (0..rundown.fronts).filter(|i| *i != front).collect();
-        let terms = Terms {
-            exchange: Exchange {
+        let terms = FleetConfig {
+            gossip: GossipConfig {
                 fleet: "laboratory".into(),
                 name: name(front),
                 peers: others.iter().map(|i| name(*i)).collect(),
-                every: it.every_ms,
+                interval: it.every_ms,
                 fan_out: it.fan_out,
                 bytes_s: it.bytes_s,
-                doubted: it.doubted_ms,
-                unheard: it.unheard_ms,
+                doubted_after: it.doubted_ms,
+                unheard_after: it.unheard_ms,
             },
             zone: 0,
             zones: vec![zone.to_string()],
-            lend: it.lend_ms,
+            lease_ms: it.lend_ms,
             further_s: it.further_s,
             probes_s: it.probes_s,
-            hold: it.hold_ms,
+            alarm_delay: it.hold_ms,
             stricter: false,
             bucket: it.bucket_ms,
-            longest: 5_000.0,
+            max_set_up: 5_000.0,
         };
         let at: BTreeMap<String, SocketAddr> =
             others.iter().map(|i| (name(*i), between.way(front, *i))).collect();
@@ -201,7 +203,7 @@
             let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
             now.expect("a clock").as_secs_f64() * 1000.0
         };
-        let mut fellow = Fellow::new(terms, wall(), wall() as u64, front as u64).expect("it fits");
+        let mut fellow = FleetMember::new(terms, wall(), wall() as u64, front as u64).expect("it fits");
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = stop.clone();
         std::thread::spawn(move || {
@@ -209,10 +211,10 @@
             while !stopped.load(Ordering::Relaxed) {
                 let came = socket.recv_from(&mut room).map(|(n, _)| n);
                 let now = wall();
-                let mut out = came.map_or(Vec::new(), |n| fellow.came(now, &room[..n]));
-                if now >= fellow.due() {
+                let mut out = came.map_or(Vec::new(), |n| fellow.receive(now, &room[..n]));
+                if now >= fellow.next_deadline() {
                     act(&mut fellow, now);
-                    out.extend(fellow.look(now, now).1);
+                    out.extend(fellow.tick(now, now).1);
                 }
                 for it in out {
                     let _ = socket.send_to(&it.bytes, at[fellow.name(it.to)]);
--- a/crates/edge/tests/rollout.rs
+++ b/crates/edge/tests/rollout.rs
@@ -7,7 +7,7 @@
 use company::{Fake, change_rundown, sharing, told, until};
 use house::House;
 use pulleystair_drift::Sections;
-use pulleystair_drift::approved::{Chain, Document, Stage};
+use pulleystair_drift::approved::{ApprovedVersion, RolloutStage, VersionChain};
 use pulleystair_edge::active_config;
 use pulleystair_edge::config::Config;
 use pulleystair_lab::fronts::Program;
@@ -35,25 +35,25 @@
     sections.get_mut(section).expect("it is there")[name] = value;
 }
 
-fn chain(folder: &Path) -> Chain {
+fn chain(folder: &Path) -> VersionChain {
     let text = std::fs::read_to_string(folder.join("approved.jsonl")).unwrap_or_default();
-    if text.is_empty() { Chain::default() } else { Chain::read(&text).expect("it reads") }
+    if text.is_empty() { VersionChain::default() } else { VersionChain::parse(&text).expect("it reads") }
 }
 
 /// Approves these sections for all, to be had from then on, and by then.
 fn approve(folder: &Path, sections: Sections, from_ms: f64, by_ms: f64) {
     let mut chain = chain(folder);
     let head = chain.head();
-    let document = Document {
+    let document = ApprovedVersion {
         number: head.map_or(1, |d| d.number + 1),
-        parent: head.map(Document::digest),
+        parent: head.map(ApprovedVersion::digest),
         sections,
-        stages: vec![Stage { fronts: vec![], from_ms, by_ms }],
+        stages: vec![RolloutStage { fronts: vec![], from_ms, by_ms }],
         by: "the night shift".into(),
         at_ms: head.map_or(from_ms, |d| d.at_ms),
     };
     chain.append(document).expect("it goes on");
-    let text: String = chain.documents.iter().map(Document::line).collect();
+    let text: String = chain.documents.iter().map(ApprovedVersion::line).collect();
     pulleystair_fake_servers::files::replace(&folder.join("approved.jsonl"), text).expect("it is written");
 }
 
@@ -110,8 +110,8 @@
     older.insert("policy".into(), json!("of last year"));
     let approved = chain(house.folder());
     let old = Fake::of(&house, 4, "here", move |fellow, _| {
-        let _ = fellow.approved(approved.clone());
-        fellow.active(older.clone());
+        let _ = fellow.set_approved(approved.clone());
+        fellow.set_active(older.clone());
     });
     says(&house, 0, &["in_step", "in_step", "in_step", "in_step", "adrift", "in_step"]).await;
     let out = drift(&house, 0, &[]);
@@ -231,7 +231,7 @@
     assert!(!out.status.success() && text.contains(cause), "{cause}: {text}");
 }
 
-fn rewrite(folder: &Path, change: impl FnOnce(&mut Document)) {
+fn rewrite(folder: &Path, change: impl FnOnce(&mut ApprovedVersion)) {
     approve(folder, sections(folder, 0), wall(), wall());
     let mut second = chain(folder).documents[1].clone();
     change(&mut second);
--- a/crates/fleet-member/src/row.rs
+++ b/crates/fleet-member/src/row.rs
@@ -1,8 +1,8 @@
 //! Where in a front's row what stands: the one place that gives keys to cells.
 
-use crate::{Fellow, SELDOM};
-use pulleystair_gossip::{Gossip, View};
-use pulleystair_shared_state::Heard;
+use crate::{FleetMember, SELDOM};
+use pulleystair_gossip::{FrontView, Gossip};
+use pulleystair_shared_state::PeerState;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -33,7 +33,7 @@
     }
 }
 
-impl Fellow {
+impl FleetMember {
     pub(crate) fn hello(&mut self) {
         let zone = self.terms.zones.get(self.terms.zone).cloned().unwrap_or_default();
         self.gossip.put(HELLO, postcard::to_stdvec(&Hello { zone }).unwrap_or_default());
@@ -51,25 +51,25 @@
         // Estimates are the largest part of a row, and the least urgent: in a large fleet they go round more seldom.
         let sums = SELDOM * (self.fronts as u64).div_ceil(10);
         if self.looks % sums == 1 {
-            put(gossip, written, SUMS, self.ledger.cells());
+            put(gossip, written, SUMS, self.outcomes.cells());
         }
         if self.looks % SELDOM == 1 {
-            let active = self.own_active(wall).write();
+            let active = self.own_active(wall).encode();
             self.gossip.put(ACTIVE, active);
         }
     }
 }
 
 /// What a row says to budgets, counts and judgements.
-pub(crate) fn heard<'a>(row: &View<'a>, zones: &[String]) -> Heard<'a> {
+pub(crate) fn heard<'a>(row: &FrontView<'a>, zones: &[String]) -> PeerState<'a> {
     let hello: Option<Hello> = row.cell(HELLO).and_then(|cell| postcard::from_bytes(cell).ok());
     let cells = |keys: Range<u16>| row.cells(keys).map(|(_, cell)| cell).collect::<Vec<&[u8]>>();
-    Heard {
+    PeerState {
         origin: row.origin,
         incarnation: row.incarnation,
         zone: hello.and_then(|it| zones.iter().position(|z| *z == it.zone)),
         age: row.age,
-        wishes: cells(WISHES),
+        loan_requests: cells(WISHES),
         grants: cells(GRANTS),
         counts: cells(COUNTS),
         judgements: cells(JUDGEMENTS),
--- a/crates/fleet-member/src/said.rs
+++ b/crates/fleet-member/src/said.rs
@@ -1,60 +1,66 @@
 //! What a fellow says of the fleet when it is asked: verdicts, estimates, who is heard.
 
-use crate::Fellow;
+use crate::FleetMember;
 use crate::row::{ACTIVE, SUMS, heard};
-use pulleystair_drift::Active;
-use pulleystair_drift::verdict::Word;
-use pulleystair_gossip::{Gossip, Silence};
-use pulleystair_shared_state::counts::{Bounds, Interval};
-use pulleystair_whatif::aggregates::{Key, Sums};
-use pulleystair_whatif::report::{Over, Report, report};
+use pulleystair_drift::ActiveVersion;
+use pulleystair_drift::verdict::FrontReport;
+use pulleystair_gossip::{Gossip, Liveness};
+use pulleystair_shared_state::counts::{Interval, PlayBounds};
+use pulleystair_whatif::aggregates::{Aggregates, StratumKey};
+use pulleystair_whatif::report::{Report, Scope, report};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Titles whose regret is told, of those with most plays.
 const TITLES: usize = 20;
 
-pub(crate) fn own(name: &str, active: Active) -> Word {
-    Word { front: name.to_string(), age: 0.0, unheard: false, contradictory: false, active: Some(active) }
+pub(crate) fn own(name: &str, active: ActiveVersion) -> FrontReport {
+    FrontReport {
+        front: name.to_string(),
+        age: 0.0,
+        unheard: false,
+        contradictory: false,
+        active: Some(active),
+    }
 }
 
 /// What every other front says that it goes by.
-pub(crate) fn words(gossip: &Gossip, now: f64) -> Vec<Word> {
+pub(crate) fn words(gossip: &Gossip, now: f64) -> Vec<FrontReport> {
     let others = gossip.fronts(now).filter(|row| row.origin != gossip.own());
-    let word = |row: pulleystair_gossip::View| Word {
+    let word = |row: pulleystair_gossip::FrontView| FrontReport {
         front: gossip.name(row.origin).to_string(),
         age: row.age,
-        unheard: row.silence == Silence::Unheard,
+        unheard: row.silence == Liveness::Unheard,
         contradictory: row.contradictory,
-        active: row.cell(ACTIVE).and_then(Active::read),
+        active: row.cell(ACTIVE).and_then(ActiveVersion::decode),
     };
     others.map(word).collect()
 }
 
 pub(crate) fn unheard(gossip: &Gossip, now: f64) -> BTreeSet<String> {
     let silent = gossip.fronts(now).filter(|row| row.origin != gossip.own());
-    let silent = silent.filter(|row| row.silence == Silence::Unheard);
+    let silent = silent.filter(|row| row.silence == Liveness::Unheard);
     silent.map(|row| gossip.name(row.origin).to_string()).collect()
 }
 
-impl Fellow {
+impl FleetMember {
     /// Set-up times under other policies, over all fronts that are heard; of all plays, or of some strata.
-    pub fn whatif(&self, now: f64, of: impl Fn(&Key) -> bool) -> Report {
+    pub fn whatif(&self, now: f64, of: impl Fn(&StratumKey) -> bool) -> Report {
         report(self.over(now), &self.sums(now), of)
     }
 
-    fn over(&self, now: f64) -> Over {
+    fn over(&self, now: f64) -> Scope {
         let unheard: Vec<String> = self.unheard(now).into_iter().collect();
-        Over { fronts: self.fronts, heard: self.fronts - unheard.len(), unheard }
+        Scope { fronts: self.fronts, heard: self.fronts - unheard.len(), unheard }
     }
 
     /// Each front's sums once: this one's own, and the row of each other that is heard.
-    fn sums(&self, now: f64) -> Sums {
-        let mut sums = Sums::default();
-        let own = self.ledger.cells();
+    fn sums(&self, now: f64) -> Aggregates {
+        let mut sums = Aggregates::default();
+        let own = self.outcomes.cells();
         sums.add(own.iter().map(Vec::as_slice));
         let others = self.gossip.fronts(now).filter(|row| row.origin != self.gossip.own());
-        for row in others.filter(|row| row.silence != Silence::Unheard) {
+        for row in others.filter(|row| row.silence != Liveness::Unheard) {
             let cells = row.cells(SUMS).map(|(_, cell)| cell).filter(|cell| !cell.is_empty());
             sums.add(cells.collect::<Vec<&[u8]>>());
         }
@@ -62,16 +68,16 @@
     }
 
     /// Plays at a server over the whole fleet.
-    pub fn plays_at(&self, now: f64, server: u64, product: Option<u16>, bounds: Bounds) -> Interval {
+    pub fn plays_at(&self, now: f64, server: u64, product: Option<u16>, bounds: PlayBounds) -> Interval {
         let others = self.gossip.fronts(now).filter(|row| row.origin != self.gossip.own());
         let others: Vec<_> = others.map(|row| heard(&row, &self.terms.zones)).collect();
-        self.counts.at(server, product, &others, bounds)
+        self.counts.estimate(server, product, &others, bounds)
     }
 
     /// All of it, for a person or a program that asks.
-    pub fn told_of(&mut self, now: f64, wall: f64, names: &BTreeMap<u64, String>) -> Value {
+    pub fn status_report(&mut self, now: f64, wall: f64, names: &BTreeMap<u64, String>) -> Value {
         let drift = self.drift(now, wall);
-        let status = drift.as_ref().map(pulleystair_drift::detector::Fleet::status);
+        let status = drift.as_ref().map(pulleystair_drift::detector::FleetStatus::status);
         let sums = self.sums(now);
         let whole = report(self.over(now), &sums, |_| true);
         let mut titles: BTreeMap<(u16, u32), u32> = BTreeMap::new();
@@ -79,7 +85,7 @@
         let mut titles: Vec<_> = titles.into_iter().collect();
         titles.sort_by_key(|t| std::cmp::Reverse(t.1));
         let regret = |((product, title), plays): &((u16, u32), u32)| {
-            let of = |key: &Key| (key.product, key.title) == (*product, *title);
+            let of = |key: &StratumKey| (key.product, key.title) == (*product, *title);
             let it = report(self.over(now), &sums, of);
             json!({ "product": product, "title": title, "plays": plays, "better": it.better, "policies": it.policies })
         };
@@ -93,13 +99,13 @@
                 value
             })
             .collect();
-        let counts = self.counted();
+        let counts = self.gossip_stats();
         let known: Vec<Value> = self
             .listed
             .keys()
             .map(|id| {
                 let own = self.given.get(id);
-                let bounds = Bounds { places: f64::MAX, pace: None, ends: None };
+                let bounds = PlayBounds { places: f64::MAX, pace: None, ends: None };
                 let plays = self.plays_at(now, *id, None, bounds);
                 json!({
                     "server": name(id),
@@ -110,8 +116,8 @@
             })
             .collect();
         json!({
-            "front": self.terms.exchange.name,
-            "fleet": self.terms.exchange.fleet,
+            "front": self.terms.gossip.name,
+            "fleet": self.terms.gossip.fleet,
             "status": status,
             "drift": drift,
             "whatif": {
--- a/crates/fuzz-checks/src/lib.rs
+++ b/crates/fuzz-checks/src/lib.rs
@@ -211,22 +211,22 @@
 /// of nobody that it was heard.
 pub fn row(bytes: &[u8]) {
     let fleet = bytes.get(1..5).and_then(|b| b.try_into().ok()).map_or(0, u32::from_be_bytes);
-    if let Ok(it) = gossip::message::Message::read(bytes, fleet) {
-        assert_eq!(gossip::message::Message::read(&it.write(fleet), fleet), Ok(it));
+    if let Ok(it) = gossip::message::Message::decode(bytes, fleet) {
+        assert_eq!(gossip::message::Message::decode(&it.encode(fleet), fleet), Ok(it));
     }
-    let terms = gossip::Terms {
+    let terms = gossip::GossipConfig {
         fleet: "mutated".into(),
         name: "f0".into(),
         peers: vec!["f1".into(), "f2".into()],
-        every: 200.0,
+        interval: 200.0,
         fan_out: 2,
         bytes_s: 64_000.0,
-        doubted: 1_000.0,
-        unheard: 2_000.0,
+        doubted_after: 1_000.0,
+        unheard_after: 2_000.0,
     };
     let mut front = gossip::Gossip::new(terms, 0.0, 1_000, 7).expect("three names");
     front.put(1, vec![7; 500]);
-    let answers = front.came(1.0, bytes);
-    assert!(answers.len() <= 4 && answers.iter().all(|a| a.bytes.len() <= gossip::message::MOST));
+    let answers = front.receive(1.0, bytes);
+    assert!(answers.len() <= 4 && answers.iter().all(|a| a.bytes.len() <= gossip::message::MAX_BYTES));
     assert!(front.fronts(1.0).all(|f| f.origin == front.own() || f.age.is_infinite()), "nothing was asked");
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -14,14 +14,14 @@
 mod row;
 mod view;
 
-use message::{Change, Fault, Known, MOST, Message, Origin};
+use message::{Change, MAX_BYTES, Message, MessageError, Origin, RowVersion};
 use oorandom::Rand32;
 use row::{Row, Taken};
 use std::collections::{BTreeMap, VecDeque};
-pub use view::{Counts, Out, Silence, View};
+pub use view::{Datagram, FrontView, GossipStats, Liveness};
 
 /// Clocks of two fronts run apart by no more than this part; spans that must not be too short are longer by it.
-pub const DRIFT: f64 = 0.01;
+pub const MAX_CLOCK_DRIFT: f64 = 0.01;
 /// Questions whose answers are still taken.
 const ASKED: usize = 64;
 /// Rows told of in one question: so many that changed last, and so many in turn.
@@ -30,25 +30,25 @@
 /// Datagrams that answer one.
 const ANSWERS: usize = 4;
 /// A cell's value, bytes: it must fit into a datagram with its head.
-pub const CELL: usize = 1_000;
+pub const MAX_CELL_BYTES: usize = 1_000;
 
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct GossipConfig {
     pub fleet: String,
     pub name: String,
     pub peers: Vec<String>,
     /// How often a front asks, ms, and how many others each time.
-    pub every: f64,
+    pub interval: f64,
     pub fan_out: usize,
     /// Bytes sent in a second, at most; questions and answers.
     pub bytes_s: f64,
     /// Not heard for so long, ms.
-    pub doubted: f64,
-    pub unheard: f64,
+    pub doubted_after: f64,
+    pub unheard_after: f64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
+pub enum PeerListError {
     #[error("peers: {0:?} is listed twice, or is this front")]
     Twice(String),
     #[error("peers: {0:?} and {1:?} have one checksum; rename one of them")]
@@ -60,7 +60,7 @@
 }
 
 pub struct Gossip {
-    terms: Terms,
+    terms: GossipConfig,
     fleet: u32,
     own: Origin,
     rnd: Rand32,
@@ -74,19 +74,19 @@
     asked: VecDeque<(u32, Origin, f64)>,
     next: f64,
     purse: (f64, f64),
-    pub counts: Counts,
+    pub stats: GossipStats,
 }
 
 impl Gossip {
     /// `incarnation` must be above that of any earlier start of this front, as a wall clock's reading is; one that is
     /// not is raised once a peer tells.
-    pub fn new(terms: Terms, now: f64, incarnation: u64, seed: u64) -> Result<Gossip, Unfit> {
+    pub fn new(terms: GossipConfig, now: f64, incarnation: u64, seed: u64) -> Result<Gossip, PeerListError> {
         let own = origin_of(&terms.name);
         let mut names = BTreeMap::from([(own, terms.name.clone())]);
         for peer in &terms.peers {
             match names.insert(origin_of(peer), peer.clone()) {
-                Some(other) if other == *peer => return Err(Unfit::Twice(other)),
-                Some(other) => return Err(Unfit::Alike(other, peer.clone())),
+                Some(other) if other == *peer => return Err(PeerListError::Twice(other)),
+                Some(other) => return Err(PeerListError::Alike(other, peer.clone())),
                 None => {}
             }
         }
@@ -104,7 +104,7 @@
             asked: VecDeque::new(),
             next: now,
             purse: (terms.bytes_s, now),
-            counts: Counts::default(),
+            stats: GossipStats::default(),
             terms,
         })
     }
@@ -123,7 +123,7 @@
 
     /// Writes a cell of this front's own row; a value that stands there already is no change. False where it is too long.
     pub fn put(&mut self, key: u16, value: Vec<u8>) -> bool {
-        let fits = value.len() <= CELL;
+        let fits = value.len() <= MAX_CELL_BYTES;
         if let Some(row) = self.rows.get_mut(&self.own).filter(|_| fits)
             && row.cells.get(&key).is_none_or(|(_, was)| *was != value)
         {
@@ -134,38 +134,38 @@
     }
 
     /// All fronts, this one among them, by name's checksum.
-    pub fn fronts(&self, now: f64) -> impl Iterator<Item = View<'_>> {
+    pub fn fronts(&self, now: f64) -> impl Iterator<Item = FrontView<'_>> {
         self.rows.iter().map(move |(origin, row)| self.view(now, *origin, row))
     }
 
-    pub fn front(&self, now: f64, origin: Origin) -> Option<View<'_>> {
+    pub fn front(&self, now: f64, origin: Origin) -> Option<FrontView<'_>> {
         self.rows.get(&origin).map(|row| self.view(now, origin, row))
     }
 
-    fn view<'a>(&self, now: f64, origin: Origin, row: &'a Row) -> View<'a> {
+    fn view<'a>(&self, now: f64, origin: Origin, row: &'a Row) -> FrontView<'a> {
         let age = row.age(now);
         let silence = match age {
-            _ if age > self.terms.unheard => Silence::Unheard,
-            _ if age > self.terms.doubted => Silence::Doubted,
-            _ => Silence::Heard,
+            _ if age > self.terms.unheard_after => Liveness::Unheard,
+            _ if age > self.terms.doubted_after => Liveness::Doubted,
+            _ => Liveness::Heard,
         };
-        let contradictory = now < row.contradicted + self.terms.unheard;
+        let contradictory = now < row.contradicted + self.terms.unheard_after;
         let Row { incarnation, version, .. } = *row;
-        View { origin, incarnation, version, age, silence, contradictory, row }
+        FrontView { origin, incarnation, version, age, silence, contradictory, row }
     }
 
     /// When the next round is due.
-    pub fn due(&self) -> f64 {
+    pub fn next_deadline(&self) -> f64 {
         self.next
     }
 
     /// Asks a few others, if a round is due.
-    pub fn round(&mut self, now: f64) -> Vec<Out> {
+    pub fn run_round(&mut self, now: f64) -> Vec<Datagram> {
         if now < self.next {
             return Vec::new();
         }
         // Uneven, so that fronts which started together do not ask together.
-        self.next = now + self.terms.every * (0.75 + 0.5 * f64::from(self.rnd.rand_float()));
+        self.next = now + self.terms.interval * (0.75 + 0.5 * f64::from(self.rnd.rand_float()));
         let mut out = Vec::new();
         for _ in 0..self.terms.fan_out.min(self.rows.len() - 1) {
             let Some(to) = self.whom() else { break };
@@ -219,34 +219,34 @@
     }
 
     /// A datagram came. What answers it goes to the peer that it is from.
-    pub fn came(&mut self, now: f64, bytes: &[u8]) -> Vec<Out> {
+    pub fn receive(&mut self, now: f64, bytes: &[u8]) -> Vec<Datagram> {
         let mut out = Vec::new();
-        let it = match Message::read(bytes, self.fleet) {
+        let it = match Message::decode(bytes, self.fleet) {
             Ok(it) => it,
             Err(fault) => {
                 let count = match fault {
-                    Fault::Long => &mut self.counts.long,
-                    Fault::Version => &mut self.counts.version,
-                    Fault::Foreign => &mut self.counts.foreign,
-                    Fault::Spoilt => &mut self.counts.spoilt,
-                    Fault::Age => &mut self.counts.ages,
+                    MessageError::Long => &mut self.stats.long,
+                    MessageError::Version => &mut self.stats.version,
+                    MessageError::Foreign => &mut self.stats.foreign,
+                    MessageError::Spoilt => &mut self.stats.spoilt,
+                    MessageError::Age => &mut self.stats.ages,
                 };
                 *count += 1;
                 return out;
             }
         };
         if it.from == self.own || !self.rows.contains_key(&it.from) {
-            self.counts.unknown += 1;
+            self.stats.unknown += 1;
             return out;
         }
         // Only what answers a question of ours has an age that we can tell.
         let asked =
             it.echo.map(|echo| self.asked.iter().find(|a| (a.0, a.1) == (echo, it.from)).map(|a| a.2));
         if asked == Some(None) {
-            self.counts.late += 1;
+            self.stats.late += 1;
             return out;
         }
-        self.counts.taken += 1;
+        self.stats.taken += 1;
         if let Some(asked) = asked.flatten() {
             for change in &it.changes {
                 self.take(now, asked, change);
@@ -268,17 +268,17 @@
             return self.claimed(known);
         }
         let Some(row) = self.rows.get_mut(&known.origin) else {
-            self.counts.unknown += 1;
+            self.stats.unknown += 1;
             return;
         };
         match row.take(now, change) {
             Taken::Yes | Taken::Old => row.vouched(now, asked, known),
-            Taken::Gap => self.counts.gaps += 1,
-            Taken::Altered => self.counts.altered += 1,
+            Taken::Gap => self.stats.gaps += 1,
+            Taken::Altered => self.stats.altered += 1,
         }
     }
 
-    fn vouched(&mut self, now: f64, asked: f64, known: &Known) {
+    fn vouched(&mut self, now: f64, asked: f64, known: &RowVersion) {
         if known.origin == self.own {
             self.claimed(known);
         } else if let Some(row) = self.rows.get_mut(&known.origin) {
@@ -288,16 +288,16 @@
 
     /// Somebody knows more of this front than it has said: it was said before a restart under a clock that ran ahead,
     /// or by another that goes by this name. A higher incarnation than both ends it.
-    fn claimed(&mut self, known: &Known) {
+    fn claimed(&mut self, known: &RowVersion) {
         let Some(row) = self.rows.get_mut(&self.own) else { return };
         if (known.incarnation, known.version) > (row.incarnation, row.version) {
             row.incarnation = known.incarnation.saturating_add(1);
-            self.counts.claimed += 1;
+            self.stats.claimed += 1;
         }
     }
 
     /// Answers a question, or the question that came with an answer.
-    fn answer(&mut self, now: f64, it: &Message, first: bool, out: &mut Vec<Out>) {
+    fn answer(&mut self, now: f64, it: &Message, first: bool, out: &mut Vec<Datagram>) {
         let mut answers = vec![Message {
             from: self.own,
             nonce: self.nonce,
@@ -308,7 +308,7 @@
         }];
         for theirs in &it.known {
             let Some(row) = self.rows.get(&theirs.origin) else {
-                self.counts.unknown += 1;
+                self.stats.unknown += 1;
                 continue;
             };
             let ours = row.known(now, theirs.origin);
@@ -343,17 +343,17 @@
         }
     }
 
-    fn send(&mut self, now: f64, to: Origin, it: &Message, out: &mut Vec<Out>) {
-        let bytes = it.write(self.fleet);
+    fn send(&mut self, now: f64, to: Origin, it: &Message, out: &mut Vec<Datagram>) {
+        let bytes = it.encode(self.fleet);
         let rate = self.terms.bytes_s;
         self.purse = ((self.purse.0 + (now - self.purse.1) * rate / 1000.0).min(rate), now);
-        if self.purse.0 < bytes.len() as f64 || bytes.len() > MOST {
-            self.counts.held_back += 1;
+        if self.purse.0 < bytes.len() as f64 || bytes.len() > MAX_BYTES {
+            self.stats.held_back += 1;
             return;
         }
         self.purse.0 -= bytes.len() as f64;
-        self.counts.sent += 1;
-        self.counts.sent_bytes += bytes.len() as u64;
-        out.push(Out { to, bytes });
+        self.stats.sent += 1;
+        self.stats.sent_bytes += bytes.len() as u64;
+        out.push(Datagram { to, bytes });
     }
 }
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// A datagram's size at most, bytes: what a path of 1,280 carries with IPv6 and UDP heads.
-pub const MOST: usize = 1_200;
+pub const MAX_BYTES: usize = 1_200;
 /// The form of what goes round; another is passed over.
 pub const VERSION: u8 = 1;
 /// Version, fleet and checksum before the message.
@@ -18,7 +18,7 @@
 
 /// Why a datagram was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum MessageError {
     #[error("longer than 1,200 bytes")]
     Long,
     #[error("of another version of the exchange")]
@@ -33,7 +33,7 @@
 
 /// How far a front knows a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct RowVersion {
     pub origin: Origin,
     pub incarnation: u64,
     pub version: u64,
@@ -54,7 +54,7 @@
 /// All that changed in a row after `from`, up to `known.version`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    pub known: Known,
+    pub known: RowVersion,
     pub from: u64,
     /// The version of the row that it was taken from: a part lacks what changed up to there.
     pub of: u64,
@@ -69,12 +69,12 @@
     pub echo: Option<u32>,
     /// An answer to this is wanted.
     pub asks: bool,
-    pub known: Vec<Known>,
+    pub known: Vec<RowVersion>,
     pub changes: Vec<Change>,
 }
 
 impl Message {
-    pub fn write(&self, fleet: u32) -> Vec<u8> {
+    pub fn encode(&self, fleet: u32) -> Vec<u8> {
         let body = postcard::to_stdvec(self).unwrap_or_default();
         let mut out = Vec::with_capacity(HEAD + body.len());
         out.push(VERSION);
@@ -84,37 +84,37 @@
         out
     }
 
-    pub fn read(bytes: &[u8], fleet: u32) -> Result<Message, Fault> {
-        if bytes.len() > MOST {
-            return Err(Fault::Long);
+    pub fn decode(bytes: &[u8], fleet: u32) -> Result<Message, MessageError> {
+        if bytes.len() > MAX_BYTES {
+            return Err(MessageError::Long);
         }
         let word = |at: usize| bytes.get(at..at + 4).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes);
         let (Some(version), Some(of), Some(sum)) = (bytes.first(), word(1), word(5)) else {
-            return Err(Fault::Spoilt);
+            return Err(MessageError::Spoilt);
         };
         if *version != VERSION {
-            return Err(Fault::Version);
+            return Err(MessageError::Version);
         }
         if of != fleet {
-            return Err(Fault::Foreign);
+            return Err(MessageError::Foreign);
         }
         let body = &bytes[HEAD..];
         if crc32c::crc32c(body) != sum {
-            return Err(Fault::Spoilt);
+            return Err(MessageError::Spoilt);
         }
-        let (it, rest): (Message, _) = postcard::take_from_bytes(body).map_err(|_| Fault::Spoilt)?;
+        let (it, rest): (Message, _) = postcard::take_from_bytes(body).map_err(|_| MessageError::Spoilt)?;
         let ages = it.known.iter().chain(it.changes.iter().map(|c| &c.known)).filter_map(|k| k.age);
         if ages.max().is_some_and(|age| age > OLDEST) {
-            return Err(Fault::Age);
+            return Err(MessageError::Age);
         }
         if !rest.is_empty() || it.changes.iter().any(|c| !c.is_sound()) {
-            return Err(Fault::Spoilt);
+            return Err(MessageError::Spoilt);
         }
         Ok(it)
     }
 
     pub fn size(&self) -> usize {
-        HEAD + postcard::experimental::serialized_size(self).unwrap_or(MOST)
+        HEAD + postcard::experimental::serialized_size(self).unwrap_or(MAX_BYTES)
     }
 }
 
--- a/crates/gossip/src/row.rs
+++ b/crates/gossip/src/row.rs
@@ -1,8 +1,8 @@
 //! A front's row as it is known here. What came is taken into it only once it is whole and its checksum holds, so that a
 //! reader never sees half of a change, or one that was altered on its way.
 
-use crate::DRIFT;
-use crate::message::{Cell, Change, Known, MOST, Message, Origin};
+use crate::MAX_CLOCK_DRIFT;
+use crate::message::{Cell, Change, MAX_BYTES, Message, Origin, RowVersion};
 use std::collections::BTreeMap;
 
 /// Room that is kept in a datagram beside changes' cells, bytes.
@@ -71,13 +71,13 @@
 
     /// ms, at most; a slow clock of this front's counts too few.
     pub(crate) fn age(&self, now: f64) -> f64 {
-        (now - self.as_of).max(0.0) * (1.0 + 2.0 * DRIFT)
+        (now - self.as_of).max(0.0) * (1.0 + 2.0 * MAX_CLOCK_DRIFT)
     }
 
     /// How far it is known here, for whoever wants to know it.
-    pub(crate) fn known(&self, now: f64, origin: Origin) -> Known {
+    pub(crate) fn known(&self, now: f64, origin: Origin) -> RowVersion {
         let age = self.age(now);
-        Known {
+        RowVersion {
             origin,
             incarnation: self.incarnation,
             version: self.version,
@@ -87,12 +87,12 @@
     }
 
     /// The same for whoever is asked for the rest: parts that have come count.
-    pub(crate) fn had(&self, now: f64, origin: Origin) -> Known {
+    pub(crate) fn had(&self, now: f64, origin: Origin) -> RowVersion {
         let known = self.known(now, origin);
         if self.staged.is_empty() {
             known
         } else {
-            Known { version: self.upto, age: None, sum: None, ..known }
+            RowVersion { version: self.upto, age: None, sum: None, ..known }
         }
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// Somebody who was asked then knows the row as far as we do, so old at most.
-    pub(crate) fn vouched(&mut self, now: f64, asked: f64, known: &Known) {
+    pub(crate) fn vouched(&mut self, now: f64, asked: f64, known: &RowVersion) {
         if (known.incarnation, known.version) != (self.incarnation, self.version) || known.incarnation == 0 {
             return;
         }
@@ -158,7 +158,7 @@
     }
 
     /// What changed after a version, split over answers. A change that is cut short says up to where it goes.
-    pub(crate) fn changes(&self, known: Known, after: u64, answers: &mut Vec<Message>) {
+    pub(crate) fn changes(&self, known: RowVersion, after: u64, answers: &mut Vec<Message>) {
         let mut cells: Vec<Cell> = self
             .cells
             .iter()
@@ -170,7 +170,7 @@
         let mut cells = cells.into_iter().peekable();
         loop {
             let Some(last) = answers.last() else { return };
-            let mut left = MOST.saturating_sub(last.size() + HEADS);
+            let mut left = MAX_BYTES.saturating_sub(last.size() + HEADS);
             let mut part = Vec::new();
             while let Some(cell) = cells.next_if(|c| c.value.len() + 16 <= left) {
                 left -= cell.value.len() + 16;
@@ -188,7 +188,7 @@
             }
             let to = if whole { known.version } else { part.last().map_or(from, |c| c.version) };
             // A part is not current, so it vouches for nothing.
-            let known = if whole { known } else { Known { version: to, age: None, sum: None, ..known } };
+            let known = if whole { known } else { RowVersion { version: to, age: None, sum: None, ..known } };
             if let Some(last) = answers.last_mut() {
                 last.changes.push(Change { known, from, of: self.version, cells: part });
             }
--- a/crates/gossip/src/view.rs
+++ b/crates/gossip/src/view.rs
@@ -4,7 +4,7 @@
 use crate::row::Row;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Silence {
+pub enum Liveness {
     Heard,
     Doubted,
     Unheard,
@@ -12,7 +12,7 @@
 
 /// What came and was not taken, and what was.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct GossipStats {
     pub sent: u64,
     pub sent_bytes: u64,
     pub taken: u64,
@@ -35,25 +35,25 @@
 
 /// A datagram to a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Out {
+pub struct Datagram {
     pub to: Origin,
     pub bytes: Vec<u8>,
 }
 
 /// What is known of a front.
-pub struct View<'a> {
+pub struct FrontView<'a> {
     pub origin: Origin,
     pub incarnation: u64,
     pub version: u64,
     /// ms that have passed at most since the row was its origin's own; infinite where it was never heard.
     pub age: f64,
-    pub silence: Silence,
+    pub silence: Liveness,
     /// Two rows of one incarnation and version differed, of late.
     pub contradictory: bool,
     pub(crate) row: &'a Row,
 }
 
-impl<'a> View<'a> {
+impl<'a> FrontView<'a> {
     pub fn cell(&self, key: u16) -> Option<&'a [u8]> {
         self.row.cells.get(&key).map(|(_, value)| value.as_slice())
     }
--- a/crates/gossip/tests/exchange.rs
+++ b/crates/gossip/tests/exchange.rs
@@ -3,8 +3,8 @@
 mod network;
 
 use network::{Faults, Network, name, terms};
-use pulleystair_gossip::message::{MOST, Message, VERSION};
-use pulleystair_gossip::{CELL, DRIFT, Gossip, Silence, Unfit, origin_of};
+use pulleystair_gossip::message::{MAX_BYTES, Message, VERSION};
+use pulleystair_gossip::{Gossip, Liveness, MAX_CELL_BYTES, MAX_CLOCK_DRIFT, PeerListError, origin_of};
 use test_case::test_case;
 
 const BAD: Faults = Faults { lost: 0.3, doubled: 0.2, late: 40.0 };
@@ -79,10 +79,10 @@
         }
         assert_eq!(row.cell(1), Some(b"lent".as_slice()));
     });
-    assert_eq!(seen, [Silence::Heard, Silence::Doubted, Silence::Unheard]);
+    assert_eq!(seen, [Liveness::Heard, Liveness::Doubted, Liveness::Unheard]);
     net.open = |_, _| true;
     net.run(2_000.0, |_| {});
-    assert_eq!(net.fronts[0].front(net.now, origin_of(&name(4))).expect("it is").silence, Silence::Heard);
+    assert_eq!(net.fronts[0].front(net.now, origin_of(&name(4))).expect("it is").silence, Liveness::Heard);
 }
 
 #[test]
@@ -91,7 +91,7 @@
     net.open = |from, to| from != 4 && to != 4 || from == 0 || to == 0;
     net.run(6_000.0, |_| {});
     for reader in &net.fronts {
-        assert_eq!(reader.front(net.now, origin_of(&name(4))).expect("it is").silence, Silence::Heard);
+        assert_eq!(reader.front(net.now, origin_of(&name(4))).expect("it is").silence, Liveness::Heard);
     }
 }
 
@@ -105,7 +105,7 @@
     net.fronts[1].put(1, b"second".to_vec());
     net.run(12_000.0, |_| {});
     assert!(everywhere(&net, 1, b"second"));
-    assert!(net.fronts[1].incarnation() > 1_000 && net.fronts[1].counts.claimed > 0);
+    assert!(net.fronts[1].incarnation() > 1_000 && net.fronts[1].stats.claimed > 0);
 }
 
 /// A row of many datagrams comes in parts; until it is whole it vouches for nothing.
@@ -138,22 +138,22 @@
     net.run(5_000.0, |_| {});
     net.fronts[1].put(0, vec![2; 900]);
     let answers = |net: &mut Network, of: usize| loop {
-        net.now = net.now.max(net.fronts[2].due());
+        net.now = net.now.max(net.fronts[2].next_deadline());
         let now = net.now;
-        let asked = net.fronts[2].round(now).into_iter().find(|out| out.to == origin_of(&name(of)));
+        let asked = net.fronts[2].run_round(now).into_iter().find(|out| out.to == origin_of(&name(of)));
         if let Some(asked) = asked {
-            return net.fronts[of].came(now, &asked.bytes);
+            return net.fronts[of].receive(now, &asked.bytes);
         }
     };
     let part = answers(&mut net, 1).remove(1);
     let first = answers(&mut net, 1).remove(0);
     let now = net.now;
-    net.fronts[2].came(now, &first.bytes);
-    net.fronts[2].came(now, &part.bytes);
+    net.fronts[2].receive(now, &first.bytes);
+    net.fronts[2].receive(now, &part.bytes);
     for _ in 0..3 {
         for rest in answers(&mut net, 0) {
             let now = net.now;
-            net.fronts[2].came(now, &rest.bytes);
+            net.fronts[2].receive(now, &rest.bytes);
         }
     }
     let now = net.now;
@@ -172,19 +172,19 @@
     net.fronts[1].put(1, b"one".to_vec());
     net.run(3_000.0, |_| {});
     net.fronts[1].put(2, b"two".to_vec());
-    let now = net.fronts[0].due();
-    let asked = net.fronts[0].round(now).remove(0);
+    let now = net.fronts[0].next_deadline();
+    let asked = net.fronts[0].run_round(now).remove(0);
     let fleet = u32::from_be_bytes([asked.bytes[1], asked.bytes[2], asked.bytes[3], asked.bytes[4]]);
-    let answer = net.fronts[1].came(now, &asked.bytes).remove(0);
-    let mut it = Message::read(&answer.bytes, fleet).expect("it reads");
+    let answer = net.fronts[1].receive(now, &asked.bytes).remove(0);
+    let mut it = Message::decode(&answer.bytes, fleet).expect("it reads");
     let change = &mut it.changes[0];
     change.from += 5;
     change.known.version += 5;
     change.of += 5;
     change.cells[0].version += 5;
-    net.fronts[0].came(now, &it.write(fleet));
+    net.fronts[0].receive(now, &it.encode(fleet));
     let row = net.fronts[0].front(now, origin_of(&name(1))).expect("it is a peer");
-    assert_eq!((row.cell(2), net.fronts[0].counts.gaps), (None, 1));
+    assert_eq!((row.cell(2), net.fronts[0].stats.gaps), (None, 1));
 }
 
 /// Two processes go by one name, with one incarnation.
@@ -198,12 +198,12 @@
     net.run(2_000.0, |_| {});
     // Front 0 asks the twin, which answers what it is asked.
     let out = (0..20).find_map(|_| {
-        net.now = net.now.max(net.fronts[0].due());
+        net.now = net.now.max(net.fronts[0].next_deadline());
         let now = net.now;
-        net.fronts[0].round(now).into_iter().find(|out| out.to == origin_of(&name(1)))
+        net.fronts[0].run_round(now).into_iter().find(|out| out.to == origin_of(&name(1)))
     });
-    for answer in twin.came(net.now, &out.expect("it asks").bytes) {
-        net.fronts[0].came(net.now, &answer.bytes);
+    for answer in twin.receive(net.now, &out.expect("it asks").bytes) {
+        net.fronts[0].receive(net.now, &answer.bytes);
     }
     assert!(net.fronts[0].front(net.now, origin_of(&name(1))).expect("it is").contradictory);
     // The twin is gone for good: what it said is over after a while.
@@ -215,17 +215,17 @@
 fn question() -> (Network, Vec<u8>) {
     let mut net = Network::new(3, 8, Faults::default());
     net.run(1_000.0, |_| {});
-    let now = net.fronts[0].due();
-    let bytes = net.fronts[0].round(now).remove(0).bytes;
+    let now = net.fronts[0].next_deadline();
+    let bytes = net.fronts[0].run_round(now).remove(0).bytes;
     (net, bytes)
 }
 
-#[test_case(|b| b.extend([0; MOST]), |g| g.counts.long; "too long")]
-#[test_case(|b| b[0] = VERSION + 1, |g| g.counts.version; "another version")]
-#[test_case(|b| b[2] ^= 1, |g| g.counts.foreign; "a foreign fleet")]
-#[test_case(|b| b[20] ^= 4, |g| g.counts.spoilt; "a bit turned")]
-#[test_case(|b| b.truncate(30), |g| g.counts.spoilt; "cut")]
-#[test_case(|b| b.clear(), |g| g.counts.spoilt; "empty")]
+#[test_case(|b| b.extend([0; MAX_BYTES]), |g| g.stats.long; "too long")]
+#[test_case(|b| b[0] = VERSION + 1, |g| g.stats.version; "another version")]
+#[test_case(|b| b[2] ^= 1, |g| g.stats.foreign; "a foreign fleet")]
+#[test_case(|b| b[20] ^= 4, |g| g.stats.spoilt; "a bit turned")]
+#[test_case(|b| b.truncate(30), |g| g.stats.spoilt; "cut")]
+#[test_case(|b| b.clear(), |g| g.stats.spoilt; "empty")]
 fn what_is_not_of_the_exchange_is_counted_and_not_answered(
     spoil: fn(&mut Vec<u8>),
     count: fn(&Gossip) -> u64,
@@ -234,7 +234,7 @@
     spoil(&mut bytes);
     let now = net.now;
     for reader in &mut net.fronts[1..] {
-        assert_eq!((reader.came(now, &bytes), count(reader)), (Vec::new(), 1));
+        assert_eq!((reader.receive(now, &bytes), count(reader)), (Vec::new(), 1));
     }
 }
 
@@ -243,28 +243,28 @@
     let (mut net, bytes) = question();
     let fleet = u32::from_be_bytes([bytes[1], bytes[2], bytes[3], bytes[4]]);
     let now = net.now;
-    let mut it = Message::read(&bytes, fleet).expect("it reads");
+    let mut it = Message::decode(&bytes, fleet).expect("it reads");
     it.from ^= 1;
-    assert_eq!(net.fronts[1].came(now, &it.write(fleet)), Vec::new());
-    assert_eq!(net.fronts[1].counts.unknown, 1);
+    assert_eq!(net.fronts[1].receive(now, &it.encode(fleet)), Vec::new());
+    assert_eq!(net.fronts[1].stats.unknown, 1);
     it.from ^= 1;
     it.known[0].age = Some(u32::MAX);
-    assert_eq!(net.fronts[1].came(now, &it.write(fleet)), Vec::new());
-    assert_eq!(net.fronts[1].counts.ages, 1);
+    assert_eq!(net.fronts[1].receive(now, &it.encode(fleet)), Vec::new());
+    assert_eq!(net.fronts[1].stats.ages, 1);
 }
 
 #[test]
 fn an_answer_to_nothing_that_was_asked_is_not_taken() {
     let (mut net, bytes) = question();
     let now = net.now;
-    let other = usize::from(net.fronts[2].counts.taken < net.fronts[1].counts.taken) + 1;
+    let other = usize::from(net.fronts[2].stats.taken < net.fronts[1].stats.taken) + 1;
     net.fronts[other].put(1, b"news".to_vec());
-    let answers = net.fronts[other].came(now, &bytes);
+    let answers = net.fronts[other].receive(now, &bytes);
     let mut deaf = Gossip::new(terms(0, 3), now, 1_000, 1).expect("fit");
     for answer in &answers {
-        deaf.came(now, &answer.bytes);
+        deaf.receive(now, &answer.bytes);
     }
-    assert!(!answers.is_empty() && deaf.counts.late == answers.len() as u64, "{:?}", deaf.counts);
+    assert!(!answers.is_empty() && deaf.stats.late == answers.len() as u64, "{:?}", deaf.stats);
     assert_eq!(value(&deaf, now, other), None);
 }
 
@@ -275,27 +275,27 @@
     let mut one = Gossip::new(terms, 0.0, 1, 1).expect("fit");
     let mut sent = 0;
     for _ in 0..100 {
-        let now = one.due();
-        sent += one.round(now).iter().map(|out| out.bytes.len()).sum::<usize>();
+        let now = one.next_deadline();
+        sent += one.run_round(now).iter().map(|out| out.bytes.len()).sum::<usize>();
         assert!(sent as f64 <= 300.0 * (1.0 + now / 1_000.0));
     }
-    assert!(one.counts.held_back > 0);
+    assert!(one.stats.held_back > 0);
 }
 
 #[test]
 fn a_cell_that_no_datagram_holds_is_not_put() {
     let mut one = Gossip::new(terms(0, 3), 0.0, 1, 1).expect("fit");
-    assert!(one.put(1, vec![0; CELL]) && !one.put(2, vec![0; CELL + 1]));
+    assert!(one.put(1, vec![0; MAX_CELL_BYTES]) && !one.put(2, vec![0; MAX_CELL_BYTES + 1]));
 }
 
 #[test]
 fn peers_that_are_listed_twice_end_the_start() {
     let mut twice = terms(0, 3);
     twice.peers.push("front-2".into());
-    assert_eq!(Gossip::new(twice, 0.0, 1, 1).err(), Some(Unfit::Twice("front-2".into())));
+    assert_eq!(Gossip::new(twice, 0.0, 1, 1).err(), Some(PeerListError::Twice("front-2".into())));
     let mut own = terms(0, 3);
     own.peers.push("front-0".into());
-    assert_eq!(Gossip::new(own, 0.0, 1, 1).err(), Some(Unfit::Twice("front-0".into())));
+    assert_eq!(Gossip::new(own, 0.0, 1, 1).err(), Some(PeerListError::Twice("front-0".into())));
 }
 
 /// A reader whose clock is slow by all that is allowed must still not take a row for too young.
@@ -304,6 +304,6 @@
     let mut net = Network::new(2, 9, Faults::default());
     net.run(1_000.0, |_| {});
     let age = |at: f64| net.fronts[0].front(at, origin_of(&name(1))).expect("it is").age;
-    let passed = 10_000.0 / (1.0 - DRIFT);
+    let passed = 10_000.0 / (1.0 - MAX_CLOCK_DRIFT);
     assert!(age(net.now + 10_000.0) - age(net.now) >= passed - 1e-6);
 }
--- a/crates/gossip/tests/network/mod.rs
+++ b/crates/gossip/tests/network/mod.rs
@@ -3,7 +3,7 @@
 
 use oorandom::Rand64;
 use pulleystair_gossip::message::Origin;
-use pulleystair_gossip::{Gossip, Out, Terms, origin_of};
+use pulleystair_gossip::{Datagram, Gossip, GossipConfig, origin_of};
 use std::collections::BTreeMap;
 
 /// What the network does to each datagram.
@@ -32,16 +32,16 @@
     format!("front-{front}")
 }
 
-pub fn terms(front: usize, count: usize) -> Terms {
-    Terms {
+pub fn terms(front: usize, count: usize) -> GossipConfig {
+    GossipConfig {
         fleet: "fleet".into(),
         name: name(front),
         peers: (0..count).filter(|i| *i != front).map(name).collect(),
-        every: 200.0,
+        interval: 200.0,
         fan_out: 2,
         bytes_s: 64_000.0,
-        doubted: 2_000.0,
-        unheard: 5_000.0,
+        doubted_after: 2_000.0,
+        unheard_after: 5_000.0,
     }
 }
 
@@ -72,8 +72,8 @@
         (0..self.fronts.len()).find(|i| origin_of(&name(*i)) == origin).expect("a front of this fleet")
     }
 
-    fn send(&mut self, from: usize, out: Vec<Out>) {
-        for Out { to, bytes } in out {
+    fn send(&mut self, from: usize, out: Vec<Datagram>) {
+        for Datagram { to, bytes } in out {
             self.bytes[from] += bytes.len() as u64;
             let to = self.index(to);
             let copies = 1 + usize::from(self.rnd.rand_float() < self.faults.doubled);
@@ -94,7 +94,7 @@
         let end = self.now + ms;
         loop {
             let up = |i: &usize| self.up[*i];
-            let round = (0..self.fronts.len()).filter(up).map(|i| (self.fronts[i].due(), i));
+            let round = (0..self.fronts.len()).filter(up).map(|i| (self.fronts[i].next_deadline(), i));
             let round = round.min_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((f64::INFINITY, 0));
             let first = self.under_way.keys().next().copied();
             let due = first.map_or(f64::INFINITY, |key| key.0 as f64 / 1_000.0);
@@ -104,12 +104,12 @@
             }
             if round.0 < due {
                 self.now = self.now.max(round.0);
-                let out = self.fronts[round.1].round(self.now);
+                let out = self.fronts[round.1].run_round(self.now);
                 self.send(round.1, out);
             } else if let Some((_, to, bytes)) = first.and_then(|key| self.under_way.remove(&key)) {
                 self.now = self.now.max(due);
                 if self.up[to] {
-                    let out = self.fronts[to].came(self.now, &bytes);
+                    let out = self.fronts[to].receive(self.now, &bytes);
                     self.send(to, out);
                 }
             }
--- a/crates/message-mutation/src/fields.rs
+++ b/crates/message-mutation/src/fields.rs
@@ -140,8 +140,8 @@
 }
 
 fn set_row(bytes: &[u8], field: usize, to: To, before: Option<&[u8]>, fleet: u32) -> Option<Vec<u8>> {
-    let mut it = Row::read(bytes, fleet).ok()?;
-    let other = before.and_then(|b| Row::read(b, fleet).ok());
+    let mut it = Row::decode(bytes, fleet).ok()?;
+    let other = before.and_then(|b| Row::decode(b, fleet).ok());
     let o = other.as_ref();
     let known = o.and_then(|o| o.known.first());
     let change = o.and_then(|o| o.changes.first());
@@ -178,5 +178,5 @@
             cell.value = pick(to, Vec::new(), vec![0xff; cell.value.len()], was)?;
         }
     }
-    Some(it.write(fleet))
+    Some(it.encode(fleet))
 }
--- a/crates/message-mutation/src/front.rs
+++ b/crates/message-mutation/src/front.rs
@@ -3,8 +3,8 @@
 use pulleystair::{Settings, Value};
 use pulleystair_dispatcher::{Actions, Dispatcher};
 use pulleystair_drift::Sections;
-use pulleystair_drift::approved::{Chain, Document, Stage};
-use pulleystair_fleet_member::{Exchange, Fellow, Terms as Share};
+use pulleystair_drift::approved::{ApprovedVersion, RolloutStage, VersionChain};
+use pulleystair_fleet_member::{FleetConfig, FleetMember, GossipConfig};
 use pulleystair_rule_checker::rules::{Budget, Effect, Group, Product, RuleParams};
 use serde_json::json;
 use std::collections::{BTreeMap, VecDeque};
@@ -64,7 +64,7 @@
 
 pub(crate) struct Front {
     pub(crate) desk: Dispatcher,
-    pub(crate) fellow: Fellow,
+    pub(crate) fellow: FleetMember,
     pub(crate) sessions: BTreeMap<u64, Session>,
     pub(crate) rev: Option<u32>,
     pub(crate) asked: VecDeque<u16>,
@@ -136,31 +136,31 @@
 }
 
 pub(crate) fn front(rank: usize, seed: u64) -> Front {
-    let exchange = Exchange {
+    let exchange = GossipConfig {
         fleet: "mutated".into(),
         name: name(rank),
         peers: (0..FRONTS).filter(|f| *f != rank).map(name).collect(),
-        every: 250.0,
+        interval: 250.0,
         fan_out: 1,
         bytes_s: 64_000.0,
-        doubted: 900.0,
-        unheard: 1_600.0,
+        doubted_after: 900.0,
+        unheard_after: 1_600.0,
     };
-    let share = Share {
-        exchange,
+    let share = FleetConfig {
+        gossip: exchange,
         zone: rank % 2,
         zones: vec!["z0".into(), "z1".into()],
-        lend: 600.0,
+        lease_ms: 600.0,
         further_s: 50.0,
         probes_s: 50.0,
-        hold: 0.0,
+        alarm_delay: 0.0,
         stricter: false,
         bucket: 60_000.0,
-        longest: LIMIT,
+        max_set_up: LIMIT,
     };
     let sections = Sections::from([("rules".into(), json!({ "drain_grace_ms": 300 }))]);
-    let stage = Stage { fronts: vec![], from_ms: 0.0, by_ms: 0.0 };
-    let document = Document {
+    let stage = RolloutStage { fronts: vec![], from_ms: 0.0, by_ms: 0.0 };
+    let document = ApprovedVersion {
         number: 1,
         parent: None,
         sections: sections.clone(),
@@ -168,11 +168,11 @@
         by: "the story".into(),
         at_ms: 0.0,
     };
-    let mut chain = Chain::default();
+    let mut chain = VersionChain::default();
     chain.append(document).expect("it is the first");
-    let mut fellow = Fellow::new(share, 0.0, 1_000, seed + rank as u64).expect("it fits");
-    fellow.approved(chain).expect("it is the first");
-    fellow.active(sections);
+    let mut fellow = FleetMember::new(share, 0.0, 1_000, seed + rank as u64).expect("it fits");
+    fellow.set_approved(chain).expect("it is the first");
+    fellow.set_active(sections);
     Front {
         desk: Dispatcher::new(sheet(rank), seed * 10 + rank as u64),
         fellow,
--- a/crates/message-mutation/src/post.rs
+++ b/crates/message-mutation/src/post.rs
@@ -6,7 +6,7 @@
 use pulleystair::{Listing, LoadMetric, Outcome as End, Standing};
 use pulleystair_dispatcher::{Dispatcher, PlayRequest};
 use pulleystair_edge::http;
-use pulleystair_fleet_member::{Candidate, Listed, number_of};
+use pulleystair_fleet_member::{Candidate, ListedServer, stable_id};
 use pulleystair_gossip::message::Origin;
 use pulleystair_gossip::origin_of;
 use pulleystair_rtsp as rtsp;
@@ -73,7 +73,7 @@
             Kind::Names => self.names(mail.to, &mail.bytes),
             Kind::Row => {
                 let now = self.now;
-                let out = self.fronts[mail.to].fellow.came(now, &mail.bytes);
+                let out = self.fronts[mail.to].fellow.receive(now, &mail.bytes);
                 self.datagrams(mail.to, out);
             }
             Kind::Rtsp => self.wire(&mail),
@@ -81,7 +81,7 @@
         }
     }
 
-    pub(crate) fn datagrams(&mut self, from: usize, out: Vec<pulleystair_fleet_member::Out>) {
+    pub(crate) fn datagrams(&mut self, from: usize, out: Vec<pulleystair_fleet_member::Datagram>) {
         for it in out {
             let to = (0..FRONTS).find(|f| origin_of(&name(*f)) as Origin == it.to);
             let Some(to) = to else { continue };
@@ -103,7 +103,7 @@
         self.saw(Observed::Asked { request, session, front: f, product, title: title.clone(), top });
         let wish = PlayRequest {
             product,
-            title: number_of(&title),
+            title: stable_id(&title),
             first_cell,
             holders,
             max_rung: top,
@@ -122,9 +122,9 @@
             return;
         }
         front.rev = Some(serial);
-        let listed = |(server, line): &(u32, Listing)| Listed {
+        let listed = |(server, line): &(u32, Listing)| ListedServer {
             server: Server {
-                id: number_of(&format!("m{server}")),
+                id: stable_id(&format!("m{server}")),
                 zone: line.zone,
                 cell: line.cell,
                 link: line.weight,
@@ -133,9 +133,9 @@
             cold_until: line.started_at + COLD,
         };
         let ready = lines.iter().filter(|l| l.1.standing == Standing::Ready);
-        let servers: Vec<Listed> = ready.map(listed).collect();
+        let servers: Vec<ListedServer> = ready.map(listed).collect();
         let all = servers.iter().map(|s| s.server.id).collect();
-        front.fellow.list(&servers, vec![all]);
+        front.fellow.update_list(&servers, vec![all]);
         self.call(f, |desk, now, _| desk.update_list(now, true, false, &lines));
     }
 
@@ -230,8 +230,8 @@
         let now = self.now;
         let Some(it) = self.fronts[f].sessions.get(&play) else { return };
         let (n, waited) = (it.n, now - it.sent);
-        let id = number_of(&format!("m{server}"));
-        self.fronts[f].fellow.out_no_more(now, now, id, (play, n), outcome, waited);
+        let id = stable_id(&format!("m{server}"));
+        self.fronts[f].fellow.on_allocation_result(now, now, id, (play, n), outcome, waited);
     }
 
     pub(crate) fn answer(&mut self, f: usize, play: u64, status: u16) {
@@ -264,7 +264,7 @@
                 Deed::Wake(mark, wait) => self.at(wait, Event::Wake(f, mark)),
                 Deed::Probe(server) => {
                     let now = self.now;
-                    self.fronts[f].fellow.probed(now, number_of(&format!("m{server}")));
+                    self.fronts[f].fellow.on_probed(now, stable_id(&format!("m{server}")));
                 }
             }
         }
@@ -280,7 +280,7 @@
         (it.at, it.sent) = (Some((server, false)), now);
         let (n, product, title) = (it.n, it.product, it.title.clone());
         let candidate = |(s, chance, room): &(u32, f64, f64)| Candidate {
-            server: number_of(&format!("m{s}")),
+            server: stable_id(&format!("m{s}")),
             born: 0,
             zone: *s as usize % 2,
             chance: *chance,
@@ -288,9 +288,9 @@
         };
         let chosen = front.drawn.iter().position(|d| d.0 as usize == server);
         let candidates = front.drawn.iter().map(candidate).collect();
-        front.fellow.sent(now, number_of(&format!("m{server}")), n > 1);
+        front.fellow.on_sent(now, stable_id(&format!("m{server}")), n > 1);
         if let Some(chosen) = chosen {
-            front.fellow.ledger.chosen(play, n, product as u16, 1, chosen, candidates);
+            front.fellow.outcomes.record_choice(play, n, product as u16, 1, chosen, candidates);
         }
         self.out.sent += 1;
         self.at(time_out, Event::TimeOut(f, play, n));
--- a/crates/message-mutation/src/world.rs
+++ b/crates/message-mutation/src/world.rs
@@ -5,10 +5,10 @@
 use crate::{Change, Kind};
 use oorandom::Rand64;
 use pulleystair::{Listing, Outcome as End, ServerHint, Standing};
-use pulleystair_fleet_member::{number_of, told};
+use pulleystair_fleet_member::{policy_hint, stable_id};
 use pulleystair_rule_checker::rules::check;
 use pulleystair_rule_checker::{Observation, Observed};
-use pulleystair_shared_state::budgets::OWN;
+use pulleystair_shared_state::budgets::PARTS_PER_FRONT;
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::front::{Front, Session, front, terms};
@@ -120,7 +120,7 @@
             change,
             before: BTreeMap::new(),
             overtaken: None,
-            out: Outcome { whole: FRONTS as u32 * OWN, ..Outcome::default() },
+            out: Outcome { whole: FRONTS as u32 * PARTS_PER_FRONT, ..Outcome::default() },
         };
         for f in 0..FRONTS {
             world.saw(Observed::Front { front: f, up: true });
@@ -153,12 +153,12 @@
             }
             self.event(event);
             let parts = |s: usize| -> u32 {
-                let id = number_of(&format!("m{s}"));
-                self.fronts.iter().map(|f| f.fellow.parts(self.now, id)).sum()
+                let id = stable_id(&format!("m{s}"));
+                self.fronts.iter().map(|f| f.fellow.budget_parts(self.now, id)).sum()
             };
             let held = (0..SERVERS).map(parts).max().unwrap_or(0);
             self.out.held = self.out.held.max(held);
-            self.out.lent |= self.fronts[0].fellow.parts(self.now, number_of("m0")) > OWN;
+            self.out.lent |= self.fronts[0].fellow.budget_parts(self.now, stable_id("m0")) > PARTS_PER_FRONT;
         }
         self.now = END;
         for f in 0..FRONTS {
@@ -166,8 +166,8 @@
             let fleet = front.fellow.drift(END, END).expect("a version is approved");
             self.out.status.push(fleet.status());
             self.out.listed.push(front.rev == Some(self.serial));
-            self.out.doubted.push(front.fellow.belief().doubted.len());
-            self.out.lost.push(front.fellow.belief().lost.is_some());
+            self.out.doubted.push(front.fellow.health().doubted.len());
+            self.out.lost.push(front.fellow.health().lost.is_some());
             self.out.said.push(front.fellow.whatif(END, |_| true).plays);
         }
         let (breaches, covered) = check(&self.seen, &terms());
@@ -253,15 +253,15 @@
     fn look(&mut self, f: usize) {
         let now = self.now;
         let front = &mut self.fronts[f];
-        let id = |s: &u32| number_of(&format!("m{s}"));
-        front.fellow.waits(now, front.desk.awaited_servers().iter().map(id));
+        let id = |s: &u32| stable_id(&format!("m{s}"));
+        front.fellow.on_waiting(now, front.desk.awaited_servers().iter().map(id));
         let counts = front.desk.play_counts();
-        front.fellow.counts(counts.iter().map(|((s, p), c)| ((id(s), *p as u16), *c)).collect());
-        let (given, out) = front.fellow.look(now, now);
-        let due = front.fellow.due();
+        front.fellow.set_play_counts(counts.iter().map(|((s, p), c)| ((id(s), *p as u16), *c)).collect());
+        let (given, out) = front.fellow.tick(now, now);
+        let due = front.fellow.next_deadline();
         let numbers: BTreeMap<u64, u32> = (0..SERVERS as u32).map(|s| (id(&s), s)).collect();
         let given: Vec<(u32, ServerHint)> =
-            given.iter().filter_map(|it| Some((*numbers.get(&it.server)?, told(it)))).collect();
+            given.iter().filter_map(|it| Some((*numbers.get(&it.server)?, policy_hint(it)))).collect();
         self.call(f, |desk, now, _| desk.apply_hints(now, &given));
         self.datagrams(f, out);
         self.at((due - now).max(0.001), Event::Fellow(f));
--- a/crates/shared-state/src/budgets.rs
+++ b/crates/shared-state/src/budgets.rs
@@ -1,33 +1,33 @@
 //! Budgets by parts: a server's cold pace, the fleet's further allocations to one server, its probes. After escrow and
 //! bounded counters (O'Neil 1986; Balegas et al. 2015), with leases (Gray and Cheriton 1989).
 //!
-//! Of each budget each of N fronts has [`OWN`] parts; the whole is N x OWN. **At no time do all fronts together hold more
+//! Of each budget each of N fronts has [`PARTS_PER_FRONT`] parts; the whole is N x PARTS_PER_FRONT. **At no time do all fronts together hold more
 //! than the whole:**
 //!
-//! - A front holds `OWN - lent + borrowed`, and keeps [`KEPT`] whatever it lends. What it hears, or that it hears
+//! - A front holds `PARTS_PER_FRONT - lent + borrowed`, and keeps [`RESERVED_PARTS`] whatever it lends. What it hears, or that it hears
 //!   nothing, never adds but by a grant.
 //! - A grant answers a wish by its number, and counts once: of each giver's grants the borrower counts the newest alone,
 //!   while the giver takes off the largest that may still be counted. So doubling and reorder add nothing.
 //! - The giver takes off before it says so. The borrower counts a grant until `span` after it *asked*, on its clock; the
-//!   giver takes it back `span x (1 + MARGIN)` after it *gave*, on its own. Asking came before giving, so with clocks
-//!   that run apart by at most [`DRIFT`], (1 + MARGIN)/(1 + DRIFT) >= 1/(1 - DRIFT) keeps the end of use before the end
+//!   giver takes it back `span x (1 + LEASE_MARGIN)` after it *gave*, on its own. Asking came before giving, so with clocks
+//!   that run apart by at most [`MAX_CLOCK_DRIFT`], (1 + LEASE_MARGIN)/(1 + MAX_CLOCK_DRIFT) >= 1/(1 - MAX_CLOCK_DRIFT) keeps the end of use before the end
 //!   of the loan, however late, doubled or lost the words are. A grant that comes after its span is nothing.
-//! - A front that restarts cannot know what it lent: it holds KEPT and lends nothing until `span x (1 + MARGIN)` after
+//! - A front that restarts cannot know what it lent: it holds RESERVED_PARTS and lends nothing until `span x (1 + LEASE_MARGIN)` after
 //!   its start. What it had borrowed is gone with its incarnation, which grants name.
 //!
 //! So lost words cost capacity for a span, and never make any.
 
-use crate::{Heard, chunks, items};
+use crate::{PeerState, chunks, items};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Parts that a front has of each budget, and those that it never lends.
-pub const OWN: u32 = 1_000;
-pub const KEPT: u32 = 250;
+pub const PARTS_PER_FRONT: u32 = 1_000;
+pub const RESERVED_PARTS: u32 = 250;
 /// Clocks run apart by no more than this part.
-pub const DRIFT: f64 = 0.01;
-/// A loan's end at its giver is later than at its borrower by this part of the span: 2 x DRIFT / (1 - DRIFT), twice over.
-pub const MARGIN: f64 = 0.04;
+pub const MAX_CLOCK_DRIFT: f64 = 0.01;
+/// A loan's end at its giver is later than at its borrower by this part of the span: 2 x MAX_CLOCK_DRIFT / (1 - MAX_CLOCK_DRIFT), twice over.
+pub const LEASE_MARGIN: f64 = 0.04;
 /// Wishes and grants that a row may hold. There are up to three for each cold server.
 const MOST: usize = 2_048;
 /// Numbers of a wish whose grants may still be under way.
@@ -35,18 +35,18 @@
 const CELL: usize = 900;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum BudgetKind {
     Pace,
     Further,
     Probes,
 }
 
 /// A budget: of what, at which server.
-pub type Of = (u64, Kind);
+pub type BudgetId = (u64, BudgetKind);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Wish {
-    of: Of,
+    of: BudgetId,
     number: u32,
 }
 
@@ -55,7 +55,7 @@
     to: u32,
     /// The borrower's incarnation: another of it did not ask.
     incarnation: u64,
-    of: Of,
+    of: BudgetId,
     number: u32,
     parts: u32,
 }
@@ -105,24 +105,24 @@
     /// Until then it may have lent what it does not know of.
     unsure: f64,
     number: u32,
-    purses: BTreeMap<Of, Purse>,
+    purses: BTreeMap<BudgetId, Purse>,
 }
 
 impl Budgets {
     /// Of so many fronts, with loans of so many ms.
     pub fn new(now: f64, origin: u32, incarnation: u64, fronts: usize, span: f64) -> Budgets {
-        let unsure = now + span * (1.0 + MARGIN);
+        let unsure = now + span * (1.0 + LEASE_MARGIN);
         let fronts = fronts.clamp(1, 1_000_000) as u32;
         Budgets { origin, incarnation, span, fronts, unsure, number: 0, purses: BTreeMap::new() }
     }
 
     /// All that fronts together may hold of a budget.
     pub fn whole(&self) -> u32 {
-        self.fronts * OWN
+        self.fronts * PARTS_PER_FRONT
     }
 
     /// This front's row has another incarnation from now on: wishes of the former are nobody's.
-    pub fn reborn(&mut self, incarnation: u64) {
+    pub fn restart(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
         for purse in self.purses.values_mut() {
             purse.asked.clear();
@@ -131,7 +131,7 @@
     }
 
     /// This front has use for it, and what it holds is too little where `more`.
-    pub fn needs(&mut self, now: f64, of: Of, more: bool) {
+    pub fn request(&mut self, now: f64, of: BudgetId, more: bool) {
         if self.purses.len() < MOST || self.purses.contains_key(&of) {
             let purse = self.purses.entry(of).or_default();
             purse.used = Some(now);
@@ -142,18 +142,22 @@
     }
 
     /// Parts that it may spend now. To be asked whenever it spends: loans end by the clock alone.
-    pub fn parts(&self, now: f64, of: Of) -> u32 {
-        let own = if now < self.unsure { KEPT } else { OWN };
+    pub fn parts(&self, now: f64, of: BudgetId) -> u32 {
+        let own = if now < self.unsure { RESERVED_PARTS } else { PARTS_PER_FRONT };
         let Some(purse) = self.purses.get(&of) else { return own };
         let lent = purse.lent(now);
         let held: u32 = purse.held.values().filter(|h| now < h.2).map(|h| h.1).sum();
         let parts = own.saturating_sub(lent) + held;
-        assert!(lent <= OWN - KEPT && parts <= self.whole(), "{lent} lent, {parts} held of {}", self.whole());
+        assert!(
+            lent <= PARTS_PER_FRONT - RESERVED_PARTS && parts <= self.whole(),
+            "{lent} lent, {parts} held of {}",
+            self.whole()
+        );
         parts
     }
 
     /// When a loan next ends, on either side, or this front next knows all that it lent.
-    pub fn next_end(&self) -> f64 {
+    pub fn next_expiry(&self) -> f64 {
         let ends = self
             .purses
             .values()
@@ -170,7 +174,7 @@
     }
 
     /// Goes by what others say: counts grants, and lends what it does not need itself.
-    pub fn read(&mut self, now: f64, heard: &[Heard]) {
+    pub fn merge(&mut self, now: f64, heard: &[PeerState]) {
         let (span, me) = (self.span, (self.origin, self.incarnation));
         self.expire(now);
         for purse in self.purses.values_mut() {
@@ -181,7 +185,7 @@
         }
         for peer in heard {
             for grant in items::<Grant>(&peer.grants) {
-                if (grant.to, grant.incarnation) == me && grant.parts <= OWN - KEPT {
+                if (grant.to, grant.incarnation) == me && grant.parts <= PARTS_PER_FRONT - RESERVED_PARTS {
                     self.granted(now, peer.origin, grant);
                 }
             }
@@ -202,13 +206,13 @@
     }
 
     /// Half of what is left goes to whoever asks first, so that one who asks a little later finds some.
-    fn lend(&mut self, now: f64, heard: &[Heard]) {
+    fn lend(&mut self, now: f64, heard: &[PeerState]) {
         if now < self.unsure {
             return;
         }
-        let until = now + self.span * (1.0 + MARGIN);
+        let until = now + self.span * (1.0 + LEASE_MARGIN);
         for peer in heard.iter().filter(|p| p.age < self.span) {
-            for Wish { of, number } in items::<Wish>(&peer.wishes) {
+            for Wish { of, number } in items::<Wish>(&peer.loan_requests) {
                 if !self.purses.contains_key(&of) && self.purses.len() >= MOST {
                     continue;
                 }
@@ -219,7 +223,7 @@
                     continue;
                 }
                 let before = purse.lent.iter().filter(|l| known(l)).map(|l| l.parts).max().unwrap_or(0);
-                let left = (OWN - KEPT).saturating_sub(purse.lent(now));
+                let left = (PARTS_PER_FRONT - RESERVED_PARTS).saturating_sub(purse.lent(now));
                 let parts = before + left.div_ceil(2);
                 if parts > 0 {
                     let (to, incarnation) = (peer.origin, peer.incarnation);
--- a/crates/shared-state/src/counts.rs
+++ b/crates/shared-state/src/counts.rs
@@ -9,7 +9,7 @@
 //!
 //! Rules go by the upper end, quality by the middle, which is what was heard, within the two.
 
-use crate::{Heard, chunks, items};
+use crate::{PeerState, chunks, items};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -32,7 +32,7 @@
 
 /// What bounds how a server's plays come and go.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct PlayBounds {
     /// Plays that it holds at most.
     pub places: f64,
     /// What all fronts together may add, plays an ms, while it is paced; none where it is not.
@@ -42,11 +42,11 @@
 }
 
 #[derive(Default)]
-pub struct Counts {
+pub struct PlayCounts {
     own: BTreeMap<(u64, u16), (u32, u32)>,
 }
 
-impl Counts {
+impl PlayCounts {
     /// This front's own: set-ups out, and plays that run.
     pub fn set(&mut self, server: u64, product: u16, out: u32, playing: u32) {
         if out + playing == 0 {
@@ -69,7 +69,13 @@
 
     /// Plays at a server, of one product or of all; `heard` must hold every other front, those never heard with an
     /// infinite age.
-    pub fn at(&self, server: u64, product: Option<u16>, heard: &[Heard], bounds: Bounds) -> Interval {
+    pub fn estimate(
+        &self,
+        server: u64,
+        product: Option<u16>,
+        heard: &[PeerState],
+        bounds: PlayBounds,
+    ) -> Interval {
         let of = |s: u64, p: u16| s == server && product.is_none_or(|product| product == p);
         let own = self.own.iter().filter(|(k, _)| of(k.0, k.1));
         let own: f64 = own.map(|(_, n)| f64::from(n.0 + n.1)).sum();
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -1,6 +1,6 @@
 //! What the fronts of a fleet share, as one of them sees it: [`budgets`] by parts that are lent for a span, [`counts`] of
-//! plays as intervals, and [`server_health`] on media servers. No I/O: what is heard of other fronts comes in as [`Heard`],
-//! what this front says of itself goes out as bytes for its own row, and what the decisions are told is a plain [`Given`].
+//! plays as intervals, and [`server_health`] on media servers. No I/O: what is heard of other fronts comes in as [`PeerState`],
+//! what this front says of itself goes out as bytes for its own row, and what the decisions are told is a plain [`ServerHint`].
 //!
 //! Nothing here is agreed on: each front reads all rows and works out for itself what to believe. Without a word from
 //! others a front does what it does unaided, less what it lent.
@@ -13,14 +13,14 @@
 
 /// What one other front says, as it was heard.
 #[derive(Clone, Debug)]
-pub struct Heard<'a> {
+pub struct PeerState<'a> {
     pub origin: u32,
     pub incarnation: u64,
     /// The zone that it is in, where it said so.
     pub zone: Option<usize>,
     /// ms that have passed at most since it said so.
     pub age: f64,
-    pub wishes: Vec<&'a [u8]>,
+    pub loan_requests: Vec<&'a [u8]>,
     pub grants: Vec<&'a [u8]>,
     pub counts: Vec<&'a [u8]>,
     pub judgements: Vec<&'a [u8]>,
@@ -38,7 +38,7 @@
 
 /// What the decisions are told of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Given {
+pub struct ServerHint {
     pub server: u64,
     /// Doubted on hearsay.
     pub doubted: bool,
--- a/crates/shared-state/src/server_health.rs
+++ b/crates/shared-state/src/server_health.rs
@@ -5,38 +5,38 @@
 //! - A front's word counts while it is fresh, once a front, and only from the zone that this front is in: a server that
 //!   another zone can't reach is not a server that is down. Where too few of the own zone have met the server, words of
 //!   at least two zones do.
-//! - It takes [`SEVERAL`] fronts that met failures, and more of them than of those that it served.
-//! - However many agree, **no more than [`LINKS`] of all links in sum and no more than [`HOLDERS`] of any title's holders
+//! - It takes [`MIN_AGREEING`] fronts that met failures, and more of them than of those that it served.
+//! - However many agree, **no more than [`MAX_DOUBTED_LINKS`] of all links in sum and no more than [`MAX_DOUBTED_HOLDERS`] of any title's holders
 //!   are doubted on hearsay**, so that any few that lie, or a fleet that is deaf, cost no more than that.
-//! - A zone counts as lost where at least [`LOST`] of its servers were silent or refused since any of them last served,
+//! - A zone counts as lost where at least [`LOST_ZONE_SHARE`] of its servers were silent or refused since any of them last served,
 //!   as this front and those of its zone met them, while servers elsewhere serve. This front must have met such a failure
-//!   there itself, or [`SEVERAL`] of its zone. Where words are old, failures count as that much older and successes do
-//!   not. At most one zone does, with no more than [`ZONE_LINKS`] of all links; its servers are doubted beside those above,
+//!   there itself, or [`MIN_AGREEING`] of its zone. Where words are old, failures count as that much older and successes do
+//!   not. At most one zone does, with no more than [`MAX_LOST_ZONE_LINKS`] of all links; its servers are doubted beside those above,
 //!   and all are taken back with the first of them that serves.
 //!
 //! A doubted server is tried at its pace, so what is doubted wrongly is found out.
 
-use crate::{Heard, Server, chunks, items};
+use crate::{PeerState, Server, chunks, items};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Fronts that must agree.
-pub const SEVERAL: usize = 3;
+pub const MIN_AGREEING: usize = 3;
 /// Of all links in sum, and of each title's holders.
-pub const LINKS: f64 = 0.25;
-pub const HOLDERS: f64 = 0.5;
+pub const MAX_DOUBTED_LINKS: f64 = 0.25;
+pub const MAX_DOUBTED_HOLDERS: f64 = 0.5;
 /// Of a zone's servers, and no fewer than so many.
-pub const LOST: f64 = 0.5;
-pub const LOST_LEAST: usize = 3;
+pub const LOST_ZONE_SHARE: f64 = 0.5;
+pub const LOST_ZONE_MIN: usize = 3;
 /// Of all links in sum, for a zone that counts as lost.
-pub const ZONE_LINKS: f64 = 0.6;
+pub const MAX_LOST_ZONE_LINKS: f64 = 0.6;
 /// What was met within so long counts, ms, by halves; a word that is older by half of it counts no more.
 pub const WINDOW: f64 = 5_000.0;
 const CELL: usize = 900;
 
 /// How an allocation went, as far as it tells of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Met {
+pub enum AllocationResult {
     Success,
     Error,
     TimedOut,
@@ -44,7 +44,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tries {
+pub struct ResultCounts {
     pub tries: u32,
     pub successes: u32,
     pub errors: u32,
@@ -52,8 +52,8 @@
     pub refused: u32,
 }
 
-impl Tries {
-    fn add(&mut self, other: &Tries) {
+impl ResultCounts {
+    fn add(&mut self, other: &ResultCounts) {
         self.tries = self.tries.saturating_add(other.tries);
         self.successes = self.successes.saturating_add(other.successes);
         self.errors = self.errors.saturating_add(other.errors);
@@ -83,7 +83,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Row {
     server: u64,
-    tries: Tries,
+    tries: ResultCounts,
     /// How long ago it last served, and was last silent or refused, in tenths of a second.
     served: Option<u8>,
     failed: Option<u8>,
@@ -94,7 +94,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Word {
     zone: Option<usize>,
-    tries: Tries,
+    tries: ResultCounts,
     served: Option<f64>,
     failed: Option<f64>,
 }
@@ -107,25 +107,25 @@
 
 /// What is believed of the servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Belief {
+pub struct HealthView {
     pub doubted: BTreeSet<u64>,
     /// The zone that counts as lost; its servers are among the doubted.
     pub lost: Option<usize>,
 }
 
-pub struct Judgements {
+pub struct ServerHealth {
     zone: usize,
     /// The present half of the window and the one before, and when the present one began.
-    halves: [BTreeMap<u64, Tries>; 2],
+    halves: [BTreeMap<u64, ResultCounts>; 2],
     began: f64,
     /// The servers that served this front last, and when; and that were silent or refused.
     served: BTreeMap<u64, f64>,
     failed: BTreeMap<u64, f64>,
 }
 
-impl Judgements {
-    pub fn new(now: f64, zone: usize) -> Judgements {
-        Judgements {
+impl ServerHealth {
+    pub fn new(now: f64, zone: usize) -> ServerHealth {
+        ServerHealth {
             zone,
             halves: Default::default(),
             began: now,
@@ -134,20 +134,20 @@
         }
     }
 
-    pub fn met(&mut self, now: f64, server: u64, met: Met) {
+    pub fn record(&mut self, now: f64, server: u64, met: AllocationResult) {
         self.turn(now);
         let tries = self.halves[0].entry(server).or_default();
         tries.tries += 1;
         match met {
-            Met::Success => tries.successes += 1,
-            Met::Error => tries.errors += 1,
-            Met::TimedOut => tries.timed_out += 1,
-            Met::Refused => tries.refused += 1,
+            AllocationResult::Success => tries.successes += 1,
+            AllocationResult::Error => tries.errors += 1,
+            AllocationResult::TimedOut => tries.timed_out += 1,
+            AllocationResult::Refused => tries.refused += 1,
         }
         match met {
-            Met::Success => self.served.insert(server, now),
-            Met::TimedOut | Met::Refused => self.failed.insert(server, now),
-            Met::Error => None,
+            AllocationResult::Success => self.served.insert(server, now),
+            AllocationResult::TimedOut | AllocationResult::Refused => self.failed.insert(server, now),
+            AllocationResult::Error => None,
         };
     }
 
@@ -165,7 +165,7 @@
         self.failed.retain(|_, at| now < *at + WINDOW);
     }
 
-    fn own(&self) -> BTreeMap<u64, Tries> {
+    fn own(&self) -> BTreeMap<u64, ResultCounts> {
         let mut own = self.halves[1].clone();
         for (server, tries) in &self.halves[0] {
             own.entry(*server).or_default().add(tries);
@@ -175,7 +175,7 @@
 
     pub fn cells(&mut self, now: f64) -> Vec<Vec<u8>> {
         self.turn(now);
-        let row = |(server, tries): (u64, Tries)| Row {
+        let row = |(server, tries): (u64, ResultCounts)| Row {
             server,
             tries,
             served: ago(now, self.served.get(&server)),
@@ -185,7 +185,13 @@
     }
 
     /// What to believe. `titles`: the holders of each title, by id.
-    pub fn believe(&mut self, now: f64, heard: &[Heard], servers: &[Server], titles: &[Vec<u64>]) -> Belief {
+    pub fn evaluate(
+        &mut self,
+        now: f64,
+        heard: &[PeerState],
+        servers: &[Server],
+        titles: &[Vec<u64>],
+    ) -> HealthView {
         self.turn(now);
         let own = self.own();
         // What each fresh front met, by server.
@@ -219,35 +225,36 @@
             let within = |title: &&Vec<u64>| title.contains(&server.id);
             let room = titles.iter().filter(within).all(|title| {
                 let there = title.iter().filter(|s| doubted.contains(*s)).count();
-                there < (title.len() as f64 * HOLDERS) as usize
+                there < (title.len() as f64 * MAX_DOUBTED_HOLDERS) as usize
             });
-            if room && links + server.link <= all * LINKS {
+            if room && links + server.link <= all * MAX_DOUBTED_LINKS {
                 links += server.link;
                 doubted.insert(server.id);
             }
         }
         doubted.extend(servers.iter().filter(|s| Some(s.zone) == lost).map(|s| s.id));
-        Belief { doubted, lost }
+        HealthView { doubted, lost }
     }
 
     /// How many fronts speak against a server, where that is enough.
-    fn against(&self, own: Option<&Tries>, words: &[Word]) -> Option<usize> {
+    fn against(&self, own: Option<&ResultCounts>, words: &[Word]) -> Option<usize> {
         let mine = own.map(|tries| (Some(self.zone), *tries));
-        let all: Vec<(Option<usize>, Tries)> = words.iter().map(|w| (w.zone, w.tries)).chain(mine).collect();
-        let near: Vec<(Option<usize>, Tries)> =
+        let all: Vec<(Option<usize>, ResultCounts)> =
+            words.iter().map(|w| (w.zone, w.tries)).chain(mine).collect();
+        let near: Vec<(Option<usize>, ResultCounts)> =
             all.iter().filter(|w| w.0 == Some(self.zone)).copied().collect();
-        let count = |from: &[(Option<usize>, Tries)]| {
+        let count = |from: &[(Option<usize>, ResultCounts)]| {
             let bad = from.iter().filter(|w| w.1.bad()).count();
             (bad, from.iter().filter(|w| w.1.good()).count())
         };
         let (bad, good) = count(&near);
-        if bad + good >= SEVERAL {
-            return (bad >= SEVERAL && bad > good).then_some(bad);
+        if bad + good >= MIN_AGREEING {
+            return (bad >= MIN_AGREEING && bad > good).then_some(bad);
         }
         let zones: BTreeSet<Option<usize>> = all.iter().filter(|w| w.1.bad()).map(|w| w.0).collect();
         let near_good = good > 0;
         let (bad, good) = count(&all);
-        (bad >= SEVERAL && bad > good && zones.len() >= 2 && !near_good).then_some(bad)
+        (bad >= MIN_AGREEING && bad > good && zones.len() >= 2 && !near_good).then_some(bad)
     }
 
     /// The zone whose servers were silent to this front and those near it since the last of them served any.
@@ -270,10 +277,10 @@
             let theirs = |s: &Server| near(s.id).filter(|w| w.failed.is_some_and(since)).count();
             let failed = there.iter().filter(|s| mine(s) || theirs(s) > 0).count();
             // One front of the zone that makes it up must not be enough.
-            let met = there.iter().any(|s| mine(s) || theirs(s) >= SEVERAL);
-            let least = ((there.len() as f64 * LOST).ceil() as usize).max(LOST_LEAST);
+            let met = there.iter().any(|s| mine(s) || theirs(s) >= MIN_AGREEING);
+            let least = ((there.len() as f64 * LOST_ZONE_SHARE).ceil() as usize).max(LOST_ZONE_MIN);
             let links: f64 = there.iter().map(|s| s.link).sum();
-            met && failed >= least && links <= all * ZONE_LINKS
+            met && failed >= least && links <= all * MAX_LOST_ZONE_LINKS
         };
         let mut lost = zones.iter().filter(|(_, there)| dark(there)).map(|(zone, _)| *zone);
         let first = lost.next().filter(|_| lost.next().is_none())?;
--- a/crates/shared-state/tests/budgets.rs
+++ b/crates/shared-state/tests/budgets.rs
@@ -2,12 +2,14 @@
 //! at no moment do all together hold more than the whole.
 
 use oorandom::Rand64;
-use pulleystair_shared_state::Heard;
-use pulleystair_shared_state::budgets::{Budgets, DRIFT, KEPT, Kind, MARGIN, OWN};
+use pulleystair_shared_state::PeerState;
+use pulleystair_shared_state::budgets::{
+    BudgetKind, Budgets, LEASE_MARGIN, MAX_CLOCK_DRIFT, PARTS_PER_FRONT, RESERVED_PARTS,
+};
 use test_case::test_case;
 
 const SPAN: f64 = 1_000.0;
-const OF: (u64, Kind) = (7, Kind::Pace);
+const OF: (u64, BudgetKind) = (7, BudgetKind::Pace);
 
 /// What a front has ever said, with its incarnation then.
 type Said = Vec<(u64, f64, Vec<Vec<u8>>, Vec<Vec<u8>>)>;
@@ -25,7 +27,8 @@
 impl Fleet {
     fn new(count: usize, seed: u64) -> Fleet {
         let mut rnd = Rand64::new(seed.into());
-        let clocks = (0..count).map(|_| 1.0 + DRIFT * (2.0 * rnd.rand_float() - 1.0).signum()).collect();
+        let clocks =
+            (0..count).map(|_| 1.0 + MAX_CLOCK_DRIFT * (2.0 * rnd.rand_float() - 1.0).signum()).collect();
         let fronts = (0..count).map(|i| Budgets::new(0.0, i as u32, 1, count, SPAN)).collect();
         Fleet { now: 0.0, rnd, clocks, fronts, said: vec![Vec::new(); count], lives: vec![1; count] }
     }
@@ -50,24 +53,24 @@
                 if self.rnd.rand_float() < stale { self.rnd.rand_range(0..count as u64) as usize } else { 0 };
             words.push((other, self.said[other][count - 1 - back].clone()));
         }
-        let heard: Vec<Heard> = words
+        let heard: Vec<PeerState> = words
             .iter()
-            .map(|(other, (life, at, wishes, grants))| Heard {
+            .map(|(other, (life, at, wishes, grants))| PeerState {
                 origin: *other as u32,
                 incarnation: *life,
                 zone: None,
                 age: self.now - at,
-                wishes: wishes.iter().map(Vec::as_slice).collect(),
+                loan_requests: wishes.iter().map(Vec::as_slice).collect(),
                 grants: grants.iter().map(Vec::as_slice).collect(),
                 counts: Vec::new(),
                 judgements: Vec::new(),
             })
             .collect();
         let now = self.clock(front);
-        self.fronts[front].read(now, &heard);
+        self.fronts[front].merge(now, &heard);
         let (wishes, grants) = self.fronts[front].cells();
         self.said[front].push((self.lives[front], self.now, wishes, grants));
-        let whole = self.fronts.len() as u32 * OWN;
+        let whole = self.fronts.len() as u32 * PARTS_PER_FRONT;
         assert!(self.held() <= whole, "{} of {whole} at {}", self.held(), self.now);
     }
 
@@ -91,16 +94,16 @@
             let now = fleet.clock(front);
             match fleet.rnd.rand_range(0..100) {
                 0 => fleet.restart(front),
-                1..=5 => fleet.fronts[front].needs(now, OF, false),
+                1..=5 => fleet.fronts[front].request(now, OF, false),
                 // Two of them have a crowd.
-                _ if front < 2 => fleet.fronts[front].needs(now, OF, true),
+                _ if front < 2 => fleet.fronts[front].request(now, OF, true),
                 _ => {}
             }
             fleet.hears(front, lost, stale);
             most = most.max(fleet.fronts[front].parts(now, OF));
         }
     }
-    assert!(most > OWN, "nothing was lent");
+    assert!(most > PARTS_PER_FRONT, "nothing was lent");
 }
 
 #[test]
@@ -109,16 +112,16 @@
     fleet.now = 2.0 * SPAN;
     for _ in 0..40 {
         let now = fleet.clock(0);
-        fleet.fronts[0].needs(now, OF, true);
+        fleet.fronts[0].request(now, OF, true);
         (0..4).for_each(|front| fleet.hears(front, 0.0, 0.0));
         fleet.now += 50.0;
     }
     let now = fleet.clock(0);
-    assert!(fleet.fronts[0].parts(now, OF) > 3 * OWN, "{}", fleet.fronts[0].parts(now, OF));
+    assert!(fleet.fronts[0].parts(now, OF) > 3 * PARTS_PER_FRONT, "{}", fleet.fronts[0].parts(now, OF));
     // The crowd is over, and nobody hears anybody.
-    fleet.now += SPAN * (1.0 + MARGIN) * (1.0 + 2.0 * DRIFT);
+    fleet.now += SPAN * (1.0 + LEASE_MARGIN) * (1.0 + 2.0 * MAX_CLOCK_DRIFT);
     let parts: Vec<u32> = (0..4).map(|i| fleet.fronts[i].parts(fleet.clock(i), OF)).collect();
-    assert_eq!(parts, [OWN; 4]);
+    assert_eq!(parts, [PARTS_PER_FRONT; 4]);
 }
 
 #[test]
@@ -127,11 +130,11 @@
     fleet.now = 5.0 * SPAN;
     fleet.restart(1);
     let parts = |fleet: &Fleet| fleet.fronts[1].parts(fleet.clock(1), OF);
-    assert_eq!(parts(&fleet), KEPT);
+    assert_eq!(parts(&fleet), RESERVED_PARTS);
     fleet.now += SPAN;
-    assert_eq!(parts(&fleet), KEPT);
-    fleet.now += SPAN * (MARGIN + 3.0 * DRIFT);
-    assert_eq!(parts(&fleet), OWN);
+    assert_eq!(parts(&fleet), RESERVED_PARTS);
+    fleet.now += SPAN * (LEASE_MARGIN + 3.0 * MAX_CLOCK_DRIFT);
+    assert_eq!(parts(&fleet), PARTS_PER_FRONT);
 }
 
 #[test]
@@ -141,9 +144,9 @@
     for _ in 0..100 {
         fleet.now += 50.0;
         let now = fleet.clock(0);
-        fleet.fronts[0].needs(now, OF, true);
+        fleet.fronts[0].request(now, OF, true);
         fleet.hears(0, 1.0, 0.0);
-        assert_eq!(fleet.fronts[0].parts(fleet.clock(0), OF), OWN);
+        assert_eq!(fleet.fronts[0].parts(fleet.clock(0), OF), PARTS_PER_FRONT);
     }
 }
 
@@ -152,16 +155,16 @@
     let mut one = Budgets::new(0.0, 0, 1, 2, SPAN);
     let noise: Vec<u8> = (0..200).map(|i| (i * 37) as u8).collect();
     let bad: Vec<&[u8]> = vec![&noise, &[], &[255; 900]];
-    let heard = Heard {
+    let heard = PeerState {
         origin: 1,
         incarnation: 1,
         zone: None,
         age: 0.0,
-        wishes: bad.clone(),
+        loan_requests: bad.clone(),
         grants: bad.clone(),
         counts: bad.clone(),
         judgements: bad,
     };
-    one.read(2.0 * SPAN, &[heard]);
-    assert_eq!(one.parts(2.0 * SPAN, OF), OWN);
+    one.merge(2.0 * SPAN, &[heard]);
+    assert_eq!(one.parts(2.0 * SPAN, OF), PARTS_PER_FRONT);
 }
--- a/crates/whatif/src/aggregates.rs
+++ b/crates/whatif/src/aggregates.rs
@@ -21,7 +21,7 @@
 
 /// A bucket of time, a class of titles and, where there is room for it, the title by its checksum (0 for the rest).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Key {
+pub struct StratumKey {
     pub bucket: u64,
     pub product: u16,
     pub title: u32,
@@ -29,7 +29,7 @@
 
 /// Weighted sums of times, from which a mean and its error come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Weighed {
+pub struct WeightedSum {
     pub w: f64,
     pub w2: f64,
     pub wy: f64,
@@ -37,7 +37,7 @@
     pub w2yy: f64,
 }
 
-impl Weighed {
+impl WeightedSum {
     fn saw(&mut self, y: f64, w: f64) {
         self.w += w;
         self.w2 += w * w;
@@ -46,7 +46,7 @@
         self.w2yy += w * w * y * y;
     }
 
-    fn add(&mut self, o: &Weighed) {
+    fn add(&mut self, o: &WeightedSum) {
         self.w += o.w;
         self.w2 += o.w2;
         self.wy += o.wy;
@@ -77,18 +77,18 @@
 
 /// Plain sums of one figure a play.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Plain {
+pub struct PlainSum {
     pub sum: f64,
     pub squares: f64,
 }
 
-impl Plain {
+impl PlainSum {
     fn saw(&mut self, y: f64) {
         self.sum += y;
         self.squares += y * y;
     }
 
-    fn add(&mut self, o: &Plain) {
+    fn add(&mut self, o: &PlainSum) {
         self.sum += o.sum;
         self.squares += o.squares;
     }
@@ -110,10 +110,10 @@
 /// One policy's sums: by inverse chances, direct, doubly robust, and the last less what was.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PolicySums {
-    pub inverse: Weighed,
-    pub direct: Plain,
-    pub robust: Plain,
-    pub gain: Plain,
+    pub inverse: WeightedSum,
+    pub direct: PlainSum,
+    pub robust: PlainSum,
+    pub gain: PlainSum,
 }
 
 impl PolicySums {
@@ -136,7 +136,7 @@
 pub struct Stratum {
     pub n: u32,
     pub given_up: u32,
-    pub took: Plain,
+    pub took: PlainSum,
     pub policies: [PolicySums; 5],
 }
 
@@ -169,7 +169,7 @@
 pub struct ServerSums {
     pub n: u32,
     pub given_up: u32,
-    pub times: Weighed,
+    pub times: WeightedSum,
 }
 
 impl ServerSums {
@@ -189,7 +189,7 @@
 /// A cell holds one stratum, or some servers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum Cell {
-    Stratum(Key, Box<Stratum>),
+    Stratum(StratumKey, Box<Stratum>),
     Servers(Vec<(u64, u64, ServerSums)>),
 }
 
@@ -197,7 +197,7 @@
 const EACH: usize = 14;
 
 pub(crate) fn cells(
-    strata: &BTreeMap<Key, Stratum>,
+    strata: &BTreeMap<StratumKey, Stratum>,
     servers: &BTreeMap<(u64, u64), ServerSums>,
 ) -> Vec<Vec<u8>> {
     let servers: Vec<(u64, u64, ServerSums)> = servers.iter().map(|(id, s)| (id.0, id.1, *s)).collect();
@@ -208,12 +208,12 @@
 
 /// The sums of one front or of several, each front's added once.
 #[derive(Clone, Debug, Default)]
-pub struct Sums {
-    pub strata: BTreeMap<Key, Stratum>,
+pub struct Aggregates {
+    pub strata: BTreeMap<StratumKey, Stratum>,
     pub servers: BTreeMap<(u64, u64), ServerSums>,
 }
 
-impl Sums {
+impl Aggregates {
     /// Adds one front's cells; those that don't read, or can't be, are left out, with their count.
     pub fn add<'a>(&mut self, cells: impl IntoIterator<Item = &'a [u8]>) -> usize {
         let mut bad = 0;
@@ -230,7 +230,7 @@
     }
 
     /// All strata of a class, or of all, in one.
-    pub fn whole(&self, of: impl Fn(&Key) -> bool) -> Stratum {
+    pub fn whole(&self, of: impl Fn(&StratumKey) -> bool) -> Stratum {
         let mut out = Stratum::default();
         self.strata.iter().filter(|(key, _)| of(key)).for_each(|(_, it)| out.add(it));
         out
--- a/crates/whatif/src/censored.rs
+++ b/crates/whatif/src/censored.rs
@@ -6,23 +6,23 @@
 /// Whole ms in the histograms, to one digit in a hundred.
 const DIGITS: u8 = 2;
 
-pub struct Times {
+pub struct CensoredTimes {
     longest: f64,
     seen: Option<(Histogram<u64>, Histogram<u64>)>,
 }
 
-impl Times {
-    pub fn new(longest: f64) -> Times {
+impl CensoredTimes {
+    pub fn new(longest: f64) -> CensoredTimes {
         let longest = longest.clamp(2.0, 3_600_000.0);
         let make = || Histogram::new_with_bounds(1, longest as u64 + 1, DIGITS).ok();
-        Times { longest, seen: make().zip(make()) }
+        CensoredTimes { longest, seen: make().zip(make()) }
     }
 
     pub fn longest(&self) -> f64 {
         self.longest
     }
 
-    pub fn saw(&mut self, ms: f64, given_up: bool) {
+    pub fn record(&mut self, ms: f64, given_up: bool) {
         if let Some((came, gone)) = &mut self.seen {
             let ms = (ms.round() as u64).clamp(1, self.longest as u64);
             if given_up { gone.saturating_record(ms) } else { came.saturating_record(ms) }
--- a/crates/whatif/src/lib.rs
+++ b/crates/whatif/src/lib.rs
@@ -1,7 +1,7 @@
 //! What would set-ups have taken, had plays gone to other holders than those drawn? The mechanism draws at random, so the
 //! chance of each choice is known exactly, and outcomes can be weighed by it; no request is ever sent for this.
 //!
-//! [`Ledger`] is one front's own: the choices that are out, and bounded [`aggregates`] of those that ended. [`report`] is what
+//! [`OutcomeLog`] is one front's own: the choices that are out, and bounded [`aggregates`] of those that ended. [`report`] is what
 //! the sums of all fronts that are heard say: set-up times under a few policies, by class of title and by title, the
 //! servers that are slower than the others, and what the routing lost. No I/O.
 //!
@@ -15,8 +15,8 @@
 pub mod censored;
 pub mod report;
 
-use aggregates::{Key, POLICIES, Policy, ServerSums, Stratum};
-use censored::Times;
+use aggregates::{POLICIES, Policy, ServerSums, Stratum, StratumKey};
+use censored::CensoredTimes;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Choices that are out at a time, strata of a bucket and servers, at most; what is beyond is not counted, or goes to
@@ -42,7 +42,7 @@
 
 /// How an allocation ended: its set-up time, or how long it was waited for in vain; ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ended {
+pub enum SetUpResult {
     Playing(f64),
     GivenUp(f64),
 }
@@ -55,14 +55,14 @@
 }
 
 /// One front's own choices and sums.
-pub struct Ledger {
+pub struct OutcomeLog {
     zone: usize,
     /// How long a bucket of time is, ms.
     bucket: f64,
     out: BTreeMap<(u64, u32), Choice>,
     order: VecDeque<(u64, u32)>,
-    times: Times,
-    pub(crate) strata: BTreeMap<Key, Stratum>,
+    times: CensoredTimes,
+    pub(crate) strata: BTreeMap<StratumKey, Stratum>,
     pub(crate) servers: BTreeMap<(u64, u64), ServerSums>,
     /// Set-ups' mean by server, and of all: the model that the direct estimate goes by.
     means: BTreeMap<(u64, u64), (f64, f64)>,
@@ -102,15 +102,15 @@
     }
 }
 
-impl Ledger {
+impl OutcomeLog {
     /// Of a front in this zone; set-ups that take longer than `longest` count as that.
-    pub fn new(zone: usize, bucket: f64, longest: f64) -> Ledger {
-        Ledger {
+    pub fn new(zone: usize, bucket: f64, longest: f64) -> OutcomeLog {
+        OutcomeLog {
             zone,
             bucket: bucket.max(1.0),
             out: BTreeMap::new(),
             order: VecDeque::new(),
-            times: Times::new(longest),
+            times: CensoredTimes::new(longest),
             strata: BTreeMap::new(),
             servers: BTreeMap::new(),
             means: BTreeMap::new(),
@@ -119,7 +119,7 @@
     }
 
     /// A play's so-many-th allocation goes to this candidate. What can't have been drawn is not counted.
-    pub fn chosen(
+    pub fn record_choice(
         &mut self,
         play: u64,
         n: u32,
@@ -152,16 +152,16 @@
     }
 
     /// That allocation ended. One that is not known, or has ended before, counts no more.
-    pub fn ended(&mut self, wall: f64, play: u64, n: u32, how: Ended) {
+    pub fn record_result(&mut self, wall: f64, play: u64, n: u32, how: SetUpResult) {
         let Some(it) = self.out.remove(&(play, n)) else { return };
-        let (Ended::Playing(ms) | Ended::GivenUp(ms)) = how;
+        let (SetUpResult::Playing(ms) | SetUpResult::GivenUp(ms)) = how;
         if !ms.is_finite() || ms < 0.0 {
             return;
         }
-        let given_up = matches!(how, Ended::GivenUp(_));
+        let given_up = matches!(how, SetUpResult::GivenUp(_));
         // Reckoned before this outcome is known to the model, so that it does not vouch for itself.
         let took = if given_up { self.times.expected_after(ms) } else { self.times.longest().min(ms) };
-        self.times.saw(ms, given_up);
+        self.times.record(ms, given_up);
         let chosen = it.candidates[it.chosen];
         let models: Vec<f64> = it.candidates.iter().map(|c| self.model(c)).collect();
         let key = self.key(wall, it.product, it.title);
@@ -183,12 +183,12 @@
     }
 
     /// The bucket and the stratum, after room was made: two buckets are kept, and so many strata of each.
-    fn key(&mut self, wall: f64, product: u16, title: u32) -> Key {
+    fn key(&mut self, wall: f64, product: u16, title: u32) -> StratumKey {
         let bucket = (wall / self.bucket).max(0.0) as u64;
         self.strata.retain(|key, _| key.bucket + 1 >= bucket && key.bucket <= bucket);
-        let key = Key { bucket, product, title };
+        let key = StratumKey { bucket, product, title };
         let full = self.strata.keys().filter(|k| k.bucket == bucket).count() >= STRATA;
-        if full && !self.strata.contains_key(&key) { Key { title: 0, ..key } } else { key }
+        if full && !self.strata.contains_key(&key) { StratumKey { title: 0, ..key } } else { key }
     }
 
     /// A server is not listed any more, or started anew: what is known of it goes.
--- a/crates/whatif/src/report.rs
+++ b/crates/whatif/src/report.rs
@@ -1,6 +1,6 @@
 //! What the sums say, with how surely, and where they may not say.
 
-use crate::aggregates::{POLICIES, Plain, Policy, ServerSums, Stratum, Sums};
+use crate::aggregates::{Aggregates, POLICIES, PlainSum, Policy, ServerSums, Stratum};
 use serde::Serialize;
 
 /// Standard errors to either side of a 90% interval.
@@ -14,7 +14,7 @@
 
 /// How many fronts there are, and whose sums these are.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Over {
+pub struct Scope {
     pub fronts: usize,
     pub heard: usize,
     pub unheard: Vec<String>,
@@ -29,7 +29,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct OfPolicy {
+pub struct PolicyEstimate {
     pub policy: Policy,
     /// None where it may not be said.
     pub robust: Option<Estimate>,
@@ -42,7 +42,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct OfServer {
+pub struct ServerEstimate {
     pub server: u64,
     pub born: u64,
     pub plays: u32,
@@ -55,26 +55,26 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Report {
-    pub over: Over,
+    pub over: Scope,
     pub plays: u32,
     pub given_up: u32,
     pub undecided: bool,
     /// Why.
     pub because: Vec<String>,
-    pub policies: Vec<OfPolicy>,
-    pub servers: Vec<OfServer>,
+    pub policies: Vec<PolicyEstimate>,
+    pub servers: Vec<ServerEstimate>,
     /// The alternative that would have been better for sure, if any is.
     pub better: Option<Policy>,
 }
 
 /// An interval is wider by what part of the fleet it does not know.
-fn widened(over: &Over, (mean, error): (f64, f64), times: f64) -> Estimate {
+fn widened(over: &Scope, (mean, error): (f64, f64), times: f64) -> Estimate {
     let half = times * error * over.fronts as f64 / over.heard.max(1) as f64;
     Estimate { mean, low: mean - half, high: mean + half }
 }
 
 /// Why nothing may be said of these, if so.
-fn silent(over: &Over, n: f64, given_up: f64) -> Vec<String> {
+fn silent(over: &Scope, n: f64, given_up: f64) -> Vec<String> {
     let mut because = Vec::new();
     if over.heard * 2 <= over.fronts {
         because.push(format!("{} of {} fronts are heard", over.heard, over.fronts));
@@ -88,7 +88,7 @@
     because
 }
 
-pub fn policies(over: &Over, it: &Stratum) -> Vec<OfPolicy> {
+pub fn policies(over: &Scope, it: &Stratum) -> Vec<PolicyEstimate> {
     let n = f64::from(it.n);
     let quiet = !silent(over, n, f64::from(it.given_up)).is_empty();
     let of = |(policy, sums): (&Policy, &crate::aggregates::PolicySums)| {
@@ -96,8 +96,8 @@
         let say = |it: Option<(f64, f64)>| {
             it.filter(|_| !quiet && effective >= LEAST).map(|it| widened(over, it, NINETY))
         };
-        let plain = |it: &Plain| say(it.mean(n));
-        OfPolicy {
+        let plain = |it: &PlainSum| say(it.mean(n));
+        PolicyEstimate {
             policy: *policy,
             robust: plain(&sums.robust),
             inverse: say(sums.inverse.mean()),
@@ -112,7 +112,7 @@
 /// A server, its sums, its mean and the error of that.
 type Known<'a> = (&'a (u64, u64), &'a ServerSums, (f64, f64));
 
-fn servers(over: &Over, sums: &Sums) -> Vec<OfServer> {
+fn servers(over: &Scope, sums: &Aggregates) -> Vec<ServerEstimate> {
     let known: Vec<Known> = sums
         .servers
         .iter()
@@ -129,7 +129,7 @@
             let rest = (errors - error * error).max(0.0) / (others * others);
             (mean - (sum - mean) / others, (error * error + rest).sqrt())
         });
-        OfServer {
+        ServerEstimate {
             server: id.0,
             born: id.1,
             plays: it.n,
@@ -142,13 +142,14 @@
 }
 
 /// What all of it says, or what is said of one class or title.
-pub fn report(over: Over, sums: &Sums, of: impl Fn(&crate::aggregates::Key) -> bool) -> Report {
+pub fn report(over: Scope, sums: &Aggregates, of: impl Fn(&crate::aggregates::StratumKey) -> bool) -> Report {
     let whole = sums.whole(of);
     let because = silent(&over, f64::from(whole.n), f64::from(whole.given_up));
     let policies = policies(&over, &whole);
-    let sure =
-        |p: &&OfPolicy| p.gain.is_some_and(|gain| gain.mean + (gain.high - gain.mean) * NAMED / NINETY < 0.0);
-    let gain = |p: &&OfPolicy| p.gain.map_or(0.0, |gain| gain.mean);
+    let sure = |p: &&PolicyEstimate| {
+        p.gain.is_some_and(|gain| gain.mean + (gain.high - gain.mean) * NAMED / NINETY < 0.0)
+    };
+    let gain = |p: &&PolicyEstimate| p.gain.map_or(0.0, |gain| gain.mean);
     let better = policies.iter().filter(sure).min_by(|a, b| gain(a).total_cmp(&gain(b)));
     Report {
         plays: whole.n,
--- a/crates/whatif/tests/estimates.rs
+++ b/crates/whatif/tests/estimates.rs
@@ -1,18 +1,18 @@
 //! Estimates against days whose truth is known.
 
 use oorandom::Rand64;
-use pulleystair_whatif::aggregates::{Policy, Sums};
-use pulleystair_whatif::report::{Over, Report, report};
-use pulleystair_whatif::{Candidate, Ended, Ledger};
+use pulleystair_whatif::aggregates::{Aggregates, Policy};
+use pulleystair_whatif::report::{Report, Scope, report};
+use pulleystair_whatif::{Candidate, OutcomeLog, SetUpResult};
 use test_case::test_case;
 
 const SERVERS: usize = 6;
 
 /// A day of one front's plays: each goes by the weighted draw among four of six servers, two zones; the last server is
 /// slower by so much. Set-ups longer than `patience` are given up. The true mean under each policy comes with it.
-fn day(seed: u64, plays: usize, slower: f64, patience: f64) -> (Ledger, [f64; 2]) {
+fn day(seed: u64, plays: usize, slower: f64, patience: f64) -> (OutcomeLog, [f64; 2]) {
     let mut rnd = Rand64::new(seed.into());
-    let mut ledger = Ledger::new(0, 60_000.0, 10_000.0);
+    let mut ledger = OutcomeLog::new(0, 60_000.0, 10_000.0);
     let mut truth = [0.0; 2];
     for play in 0..plays {
         let first = rnd.rand_range(0..SERVERS as u64) as usize;
@@ -37,21 +37,24 @@
         let takes = |c: &Candidate| noise + if c.server == SERVERS as u64 - 1 { slower } else { 0.0 };
         truth[0] += from.iter().map(takes).sum::<f64>() / 4.0 / plays as f64;
         truth[1] += takes(&from[best]) / plays as f64;
-        ledger.chosen(play as u64, 1, 0, 0, chosen, from.clone());
+        ledger.record_choice(play as u64, 1, 0, 0, chosen, from.clone());
         let took = takes(&from[chosen]);
-        let how =
-            if took > patience && play % 2 == 0 { Ended::GivenUp(patience) } else { Ended::Playing(took) };
-        ledger.ended(1_000.0, play as u64, 1, how);
+        let how = if took > patience && play % 2 == 0 {
+            SetUpResult::GivenUp(patience)
+        } else {
+            SetUpResult::Playing(took)
+        };
+        ledger.record_result(1_000.0, play as u64, 1, how);
     }
     (ledger, truth)
 }
 
-fn over(heard: usize) -> Over {
-    Over { fronts: 8, heard, unheard: Vec::new() }
+fn over(heard: usize) -> Scope {
+    Scope { fronts: 8, heard, unheard: Vec::new() }
 }
 
-fn said(ledgers: &[&Ledger], heard: usize) -> Report {
-    let mut sums = Sums::default();
+fn said(ledgers: &[&OutcomeLog], heard: usize) -> Report {
+    let mut sums = Aggregates::default();
     for ledger in ledgers {
         assert_eq!(sums.add(ledger.cells().iter().map(Vec::as_slice)), 0);
     }
@@ -106,7 +109,7 @@
 
 #[test]
 fn intervals_widen_as_fronts_are_lost_and_half_of_them_say_nothing() {
-    let days: Vec<Ledger> = (0..8).map(|seed| day(seed, 100, 60.0, 1e9).0).collect();
+    let days: Vec<OutcomeLog> = (0..8).map(|seed| day(seed, 100, 60.0, 1e9).0).collect();
     let width = |count: usize| {
         let it = said(&days.iter().take(count).collect::<Vec<_>>(), count);
         it.policies[2].robust.map(|e| e.high - e.low)
@@ -123,7 +126,7 @@
 fn a_play_counts_once_however_often_its_end_is_told() {
     let (mut ledger, _) = day(1, 50, 0.0, 1e9);
     let before = ledger.cells();
-    (0..50).for_each(|play| ledger.ended(1_000.0, play, 1, Ended::Playing(9.0)));
+    (0..50).for_each(|play| ledger.record_result(1_000.0, play, 1, SetUpResult::Playing(9.0)));
     assert_eq!(ledger.cells(), before);
 }
 
@@ -131,7 +134,7 @@
 fn few_plays_and_sums_that_cannot_be_say_nothing() {
     let (few, _) = day(1, 10, 60.0, 1e9);
     assert!(said(&[&few], 8).undecided);
-    let mut sums = Sums::default();
+    let mut sums = Aggregates::default();
     let mut cells = few.cells();
     cells.push(vec![0xff; 40]);
     cells.push(vec![]);
@@ -140,22 +143,22 @@
 
 #[test]
 fn what_cannot_have_been_drawn_is_not_counted() {
-    let mut ledger = Ledger::new(0, 60_000.0, 1_000.0);
+    let mut ledger = OutcomeLog::new(0, 60_000.0, 1_000.0);
     let candidate = |chance| Candidate { server: 1, born: 1, zone: 0, chance, room: 1.0 };
-    ledger.chosen(1, 1, 0, 0, 0, vec![candidate(0.4)]);
-    ledger.chosen(2, 1, 0, 0, 1, vec![candidate(1.0), candidate(0.0)]);
-    ledger.chosen(3, 1, 0, 0, 7, vec![candidate(1.0)]);
-    (1..4).for_each(|play| ledger.ended(0.0, play, 1, Ended::Playing(5.0)));
+    ledger.record_choice(1, 1, 0, 0, 0, vec![candidate(0.4)]);
+    ledger.record_choice(2, 1, 0, 0, 1, vec![candidate(1.0), candidate(0.0)]);
+    ledger.record_choice(3, 1, 0, 0, 7, vec![candidate(1.0)]);
+    (1..4).for_each(|play| ledger.record_result(0.0, play, 1, SetUpResult::Playing(5.0)));
     assert!(ledger.cells().is_empty());
 }
 
 #[test]
 fn a_server_that_restarted_is_another() {
-    let mut ledger = Ledger::new(0, 60_000.0, 1_000.0);
+    let mut ledger = OutcomeLog::new(0, 60_000.0, 1_000.0);
     for born in [1, 2] {
         let from = vec![Candidate { server: 1, born, zone: 0, chance: 1.0, room: 1.0 }];
-        ledger.chosen(born, 1, 0, 0, 0, from);
-        ledger.ended(0.0, born, 1, Ended::Playing(5.0));
+        ledger.record_choice(born, 1, 0, 0, 0, from);
+        ledger.record_result(0.0, born, 1, SetUpResult::Playing(5.0));
     }
     let it = said(&[&ledger], 8);
     assert_eq!(it.servers.iter().map(|s| (s.born, s.plays)).collect::<Vec<_>>(), [(1, 1), (2, 1)]);
