--- a/crates/dns-discovery/src/lib.rs
+++ b/crates/dns-discovery/src/lib.rs
@@ -12,7 +12,7 @@
 /// What the list is asked for under.
 const SERVICE: &str = "_app._tcp.cluster.lan";
 /// Bytes of an answer at most: what a datagram can hold. Hundreds of servers fill more than 8 KiB.
-pub const MOST: usize = 64 << 10;
+pub const MAX_BYTES: usize = 64 << 10;
 /// The priority that says that a server drains.
 const DRAINING: u16 = 1;
 /// A record's weight for one of the list.
@@ -20,7 +20,7 @@
 
 /// A line of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct ServerEntry {
     pub id: String,
     pub address: SocketAddr,
     pub zone: String,
@@ -34,14 +34,14 @@
 
 /// The events of the start, in the order in which they came.
 #[derive(Debug, Deserialize)]
-pub struct Known {
+pub struct InitialEvents {
     pub rev: u32,
-    pub notices: Vec<Notice>,
+    pub notices: Vec<ListEvent>,
 }
 
 /// One of them: the list, whole or what changed of it.
 #[derive(Debug, Deserialize)]
-pub struct Notice {
+pub struct ListEvent {
     pub rev: u32,
     pool: Pool,
 }
@@ -78,10 +78,10 @@
     Terminated,
 }
 
-impl Notice {
+impl ListEvent {
     /// Whether it holds the whole list, and its lines.
-    pub fn lines(&self) -> (bool, Vec<Entry>) {
-        let entry = |told: &Told| Entry {
+    pub fn entries(&self) -> (bool, Vec<ServerEntry>) {
+        let entry = |told: &Told| ServerEntry {
             id: told.id.clone(),
             address: told.addr,
             zone: told.zone.clone(),
@@ -99,13 +99,13 @@
     }
 }
 
-impl Known {
+impl InitialEvents {
     /// What all the events come to, in their order: the list, and whether it is whole.
-    pub fn list(&self) -> (bool, Vec<Entry>) {
-        let (mut whole, mut list): (bool, Vec<Entry>) = (false, Vec::new());
+    pub fn list(&self) -> (bool, Vec<ServerEntry>) {
+        let (mut whole, mut list): (bool, Vec<ServerEntry>) = (false, Vec::new());
         let mut places: HashMap<String, usize> = HashMap::new();
         for notice in &self.notices {
-            let (all, entries) = notice.lines();
+            let (all, entries) = notice.entries();
             if all {
                 (whole, list) = (true, Vec::new());
                 places.clear();
@@ -126,7 +126,7 @@
 
 /// Why an answer of the name service was not taken.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum ResponseError {
     #[error("it can't be read: {0}")]
     Unread(String),
     #[error("it is no answer to what was asked")]
@@ -146,12 +146,12 @@
 const EVENTS: u32 = 1 << 16;
 
 /// Whether an answer of this serial is newer than what is known.
-pub fn follows(rev: Option<u32>, serial: u32) -> bool {
+pub fn is_newer(rev: Option<u32>, serial: u32) -> bool {
     rev.is_none_or(|rev| serial > rev && serial - rev <= EVENTS)
 }
 
 /// The question for the whole list, under an id that its answer is to have.
-pub fn question(id: u16) -> Vec<u8> {
+pub fn query(id: u16) -> Vec<u8> {
     let mut packet = Packet::new_query(id);
     let name = Name::new_unchecked(SERVICE);
     packet.questions.push(Question::new(name, QTYPE::TYPE(TYPE::SRV), QCLASS::CLASS(CLASS::IN), false));
@@ -159,27 +159,27 @@
 }
 
 /// The id of an answer, which says whose it is.
-pub fn id_of(bytes: &[u8]) -> Option<u16> {
+pub fn response_id(bytes: &[u8]) -> Option<u16> {
     bytes.first_chunk::<2>().map(|id| u16::from_be_bytes(*id))
 }
 
 /// The number of the last event that an answer holds, and the whole list.
-pub fn answer(bytes: &[u8]) -> Result<(u32, Vec<Entry>), Fault> {
-    let packet = Packet::parse(bytes).map_err(|e| Fault::Unread(e.to_string()))?;
+pub fn parse_response(bytes: &[u8]) -> Result<(u32, Vec<ServerEntry>), ResponseError> {
+    let packet = Packet::parse(bytes).map_err(|e| ResponseError::Unread(e.to_string()))?;
     if !packet.has_flags(PacketFlag::RESPONSE) {
-        return Err(Fault::Foreign);
+        return Err(ResponseError::Foreign);
     }
     if packet.has_flags(PacketFlag::TRUNCATION) {
-        return Err(Fault::Cut);
+        return Err(ResponseError::Cut);
     }
     if packet.rcode() != RCODE::NoError {
-        return Err(Fault::Failing(format!("{:?}", packet.rcode())));
+        return Err(ResponseError::Failing(format!("{:?}", packet.rcode())));
     }
     let serial = packet
         .name_servers
         .iter()
         .find_map(|r| if let RData::SOA(soa) = &r.rdata { Some(soa.serial) } else { None });
-    let serial = serial.ok_or(Fault::NoSerial)?;
+    let serial = serial.ok_or(ResponseError::NoSerial)?;
     let mut addresses = HashMap::new();
     let mut texts = HashMap::new();
     for record in packet.answers.iter().chain(&packet.additional_records) {
@@ -193,14 +193,14 @@
     for record in &packet.answers {
         let RData::SRV(srv) = &record.rdata else { continue };
         let target = srv.target.to_string();
-        let incomplete = || Fault::Incomplete(target.clone());
+        let incomplete = || ResponseError::Incomplete(target.clone());
         let address = addresses.get(&target).ok_or_else(incomplete)?;
         let text = texts.get(&target).ok_or_else(incomplete)?;
         let told = |name: &str| text.get(name).and_then(|v| v.as_deref()).ok_or_else(incomplete);
         let mut labels = target.split('.');
         let (Some(id), Some(zone)) = (labels.next(), labels.next()) else { return Err(incomplete()) };
         let started: f64 = told("started")?.parse().map_err(|_| incomplete())?;
-        list.push(Entry {
+        list.push(ServerEntry {
             id: id.to_string(),
             address: SocketAddr::V4(SocketAddrV4::new(*address, srv.port)),
             zone: zone.to_string(),
--- a/crates/dns-discovery/tests/known.rs
+++ b/crates/dns-discovery/tests/known.rs
@@ -1,9 +1,9 @@
 //! The events of a start as the one list that they come to.
 
 use pulleystair::Standing;
-use pulleystair_dns_discovery::Known;
+use pulleystair_dns_discovery::InitialEvents;
 
-fn known(notices: &str) -> Known {
+fn known(notices: &str) -> InitialEvents {
     serde_json::from_str(&format!(r#"{{"rev":9,"notices":[{notices}]}}"#)).expect("events")
 }
 
--- a/crates/edge/src/hands.rs
+++ b/crates/edge/src/hands.rs
@@ -99,7 +99,7 @@
 /// capped `utilization.link`.
 pub(crate) fn figures(load: Option<&str>) -> Vec<LoadMetric> {
     let Some(load) = load else { return Vec::new() };
-    let report = match pulleystair_orca::read(load) {
+    let report = match pulleystair_orca::parse(load) {
         Ok(report) => report,
         Err(e) => {
             debug!(target: "server", "{e}");
--- a/crates/fuzz-checks/src/lib.rs
+++ b/crates/fuzz-checks/src/lib.rs
@@ -126,7 +126,7 @@
 /// A load report holds finite figures or is refused.
 pub fn orca(bytes: &[u8]) {
     let Ok(text) = std::str::from_utf8(bytes) else { return };
-    if let Ok(report) = pulleystair_orca::read(text) {
+    if let Ok(report) = pulleystair_orca::parse(text) {
         let figures = report.named_metrics.values().chain(report.utilization.values());
         assert!(figures.copied().all(f64::is_finite), "{report:?}");
     }
@@ -173,11 +173,11 @@
 /// Viewers' messages, what a message reads as when it is written again, and its parameters within its bounds.
 pub fn signal(bytes: &[u8]) {
     cut_anyhow(bytes, |input| {
-        let read = protocol::Message::read(input).map_err(|e| e.to_string())?;
+        let read = protocol::Message::parse(input).map_err(|e| e.to_string())?;
         Ok(read.map(|(message, used)| {
             let parameters: Vec<_> = message.parameters().map_while(Result::ok).collect();
             if message.parameters().all(|p| p.is_ok()) {
-                let again = protocol::write(message.kind, message.session, &parameters);
+                let again = protocol::encode(message.kind, message.session, &parameters);
                 assert_eq!(again.as_deref(), Some(&input[..used]), "it is written as it was read");
             }
             let parameters: Vec<_> =
@@ -190,9 +190,9 @@
 /// Media servers' messages.
 pub fn rtsp(bytes: &[u8]) {
     cut_anyhow(bytes, |input| {
-        let read = rtsp::Message::read(input).map_err(|e| e.to_string())?;
+        let read = rtsp::Message::parse(input).map_err(|e| e.to_string())?;
         if let Some((message, used)) = &read {
-            assert!(*used <= rtsp::MOST && message.body.len() < *used);
+            assert!(*used <= rtsp::MAX_BYTES && message.body.len() < *used);
             assert!(message.report().all(|(_, value)| value.is_finite()));
         }
         Ok(read)
@@ -201,7 +201,7 @@
 
 /// Answers of the name service: read or refused, and never a list that is not whole.
 pub fn names(bytes: &[u8]) {
-    let Ok((_, list)) = dns::answer(bytes) else { return };
+    let Ok((_, list)) = dns::parse_response(bytes) else { return };
     for entry in list {
         assert!(!entry.id.is_empty() && entry.weight.is_finite() && entry.started.is_finite(), "{entry:?}");
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,7 +1,7 @@
 //! Who belongs to the fleet. Several sources of the list (a file, a registry) pour into one [`View`]; it settles order,
 //! duplicates, servers in two sources, lists that shrink suspiciously, and how far old lists are trusted. Free of I/O:
 //! callers hand in the time, ms, and what a source told; they ask for the list when [`Taken::changed`] says so, and call
-//! [`View::look`] when [`View::due`] has come.
+//! [`View::tick`] when [`View::next_deadline`] has come.
 //!
 //! [`endpoints`] decides which of a registry's endpoints is asked next and when, [`snapshot`] is the last list as bytes.
 //!
@@ -20,7 +20,7 @@
 
 /// How far lists are trusted.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct MembershipConfig {
     /// A list that loses more than this part of its servers in one step is held back for so long, ms; removals in it
     /// count once the source has told the same again after that.
     pub shrink: f64,
@@ -61,7 +61,7 @@
 
 /// What a source tells.
 #[derive(Clone, Debug)]
-pub enum News {
+pub enum Update {
     /// All servers as of a revision, so old when it was told, ms.
     Whole { revision: u64, age: f64, servers: Vec<Server> },
     /// What a revision changed.
@@ -135,7 +135,7 @@
 
 #[derive(Clone)]
 pub struct View {
-    terms: Terms,
+    terms: MembershipConfig,
     sources: Vec<Source>,
     members: BTreeMap<String, Member>,
     /// Servers on which sources differ, which a mere word from one of them may settle otherwise.
@@ -143,7 +143,7 @@
 }
 
 impl View {
-    pub fn new(terms: Terms, sources: usize) -> View {
+    pub fn new(terms: MembershipConfig, sources: usize) -> View {
         View {
             terms,
             sources: (0..sources).map(|_| Source::default()).collect(),
@@ -163,13 +163,13 @@
     }
 
     /// Takes what a source tells.
-    pub fn tell(&mut self, now: f64, source: usize, news: News) -> Taken {
+    pub fn apply(&mut self, now: f64, source: usize, news: Update) -> Taken {
         let stepped = self.in_step();
         let (mut touched, mut taken) = match news {
-            News::Whole { revision, age, servers } => self.whole(now, source, revision, age, servers),
-            News::Change { revision, put, gone } => self.change(now, source, revision, put, gone),
-            News::Alive => (BTreeSet::new(), Taken::default()),
-            News::Lost => {
+            Update::Whole { revision, age, servers } => self.whole(now, source, revision, age, servers),
+            Update::Change { revision, put, gone } => self.change(now, source, revision, put, gone),
+            Update::Alive => (BTreeSet::new(), Taken::default()),
+            Update::Lost => {
                 self.sources[source].in_step = false;
                 return Taken { whole_wanted: true, ..Taken::default() };
             }
@@ -287,7 +287,7 @@
     }
 
     /// When something becomes due by time alone.
-    pub fn due(&self) -> Option<f64> {
+    pub fn next_deadline(&self) -> Option<f64> {
         let holds = self.sources.iter().filter_map(|s| Some(s.held.as_ref()?.0 + self.terms.hold));
         let out =
             self.members.values().filter(|m| m.offer.is_some()).map(|m| m.out_until).filter(|t| *t > 0.0);
@@ -296,7 +296,7 @@
 
     /// Takes up what has become due; true where the list is another one now. A removal that was held back counts only
     /// if its source has been heard since: one that is cut off has not told it again.
-    pub fn look(&mut self, now: f64) -> bool {
+    pub fn tick(&mut self, now: f64) -> bool {
         let mut touched = BTreeSet::new();
         for source in 0..self.sources.len() {
             let it = &self.sources[source];
--- a/crates/membership/tests/explore.rs
+++ b/crates/membership/tests/explore.rs
@@ -5,11 +5,11 @@
 //! draining, by its newest word that arrived; none is lost for good, and the view converges: once the connection is
 //! back and all is delivered, it is what the registry is.
 
-use pulleystair_membership::{News, Server, Standing, Terms, View};
+use pulleystair_membership::{MembershipConfig, Server, Standing, Update, View};
 use std::collections::{BTreeMap, VecDeque};
 
-const TERMS: Terms =
-    Terms { shrink: 0.9, hold: 1000.0, flaps: 1000, flap_span: 5000.0, old: 2000.0, forget: 1e9 };
+const TERMS: MembershipConfig =
+    MembershipConfig { shrink: 0.9, hold: 1000.0, flaps: 1000, flap_span: 5000.0, old: 2000.0, forget: 1e9 };
 /// So many events in a row. Each more takes about eight times as long.
 const DEPTH: usize = 6;
 /// Registry and file.
@@ -81,9 +81,9 @@
         // m2 is there always, m1 is in the file too.
         let state: State = [0, 1, 2].map(|n| (n, Standing::Ready)).into();
         let mut view = View::new(TERMS, 2);
-        view.tell(0.0, REGISTRY, News::Whole { revision: 0, age: 0.0, servers: servers(&state) });
+        view.apply(0.0, REGISTRY, Update::Whole { revision: 0, age: 0.0, servers: servers(&state) });
         let file = vec![server(1, Standing::Ready)];
-        view.tell(0.0, FILE, News::Whole { revision: 0, age: 0.0, servers: file });
+        view.apply(0.0, FILE, Update::Whole { revision: 0, age: 0.0, servers: file });
         World {
             now: 0.0,
             history: vec![state],
@@ -95,15 +95,15 @@
         }
     }
 
-    fn tell(&mut self, news: News) {
-        self.view.tell(self.now, REGISTRY, news);
+    fn tell(&mut self, news: Update) {
+        self.view.apply(self.now, REGISTRY, news);
     }
 
-    fn change(&mut self, revision: usize) -> News {
+    fn change(&mut self, revision: usize) -> Update {
         let (before, after) = (&self.history[revision - 1], &self.history[revision]);
         let put = after.iter().filter(|(n, s)| before.get(n) != Some(s));
         let gone = before.keys().filter(|n| !after.contains_key(n));
-        News::Change {
+        Update::Change {
             revision: revision as u64,
             put: put.map(|(n, s)| server(*n, *s)).collect(),
             gone: gone.map(|n| format!("m{n}")).collect(),
@@ -156,7 +156,7 @@
             }
             Event::Break if self.connected => {
                 (self.connected, self.under_way) = (false, VecDeque::new());
-                self.tell(News::Lost);
+                self.tell(Update::Lost);
                 true
             }
             Event::Compact if self.compacted + 1 < self.history.len() => {
@@ -168,7 +168,7 @@
                 true
             }
             Event::FileHeard => {
-                self.view.tell(self.now, FILE, News::Alive);
+                self.view.apply(self.now, FILE, Update::Alive);
                 true
             }
             _ => false,
@@ -184,7 +184,7 @@
             }
             _ => {
                 self.arrived = self.history.len() - 1;
-                let news = News::Whole {
+                let news = Update::Whole {
                     revision: self.arrived as u64,
                     age: 0.0,
                     servers: servers(&self.history[self.arrived]),
@@ -220,9 +220,9 @@
             self.deliver(revision);
         }
         self.now += TERMS.hold + 1.0;
-        self.tell(News::Alive);
-        self.view.look(self.now);
-        self.view.tell(self.now + 1.0, FILE, News::Alive);
+        self.tell(Update::Alive);
+        self.view.tick(self.now);
+        self.view.apply(self.now + 1.0, FILE, Update::Alive);
         let list: State =
             self.view.list(self.now + 1.0).iter().map(|l| (l.server.cell, l.server.standing)).collect();
         let mut registry = self.history[self.history.len() - 1].clone();
--- a/crates/message-mutation/src/fields.rs
+++ b/crates/message-mutation/src/fields.rs
@@ -40,7 +40,7 @@
 pub fn count(kind: Kind, bytes: &[u8]) -> usize {
     match kind {
         // Its session, length and type, then its parameters.
-        Kind::Signal => match Message::read(bytes) {
+        Kind::Signal => match Message::parse(bytes) {
             Ok(Some((message, _))) => 3 + message.parameters().count(),
             _ => 0,
         },
@@ -76,8 +76,8 @@
 }
 
 fn set_signal(bytes: &[u8], field: usize, to: To, before: Option<&[u8]>) -> Option<Vec<u8>> {
-    let (message, _) = Message::read(bytes).ok()??;
-    let other = before.and_then(|b| Message::read(b).ok()?).map(|m| m.0);
+    let (message, _) = Message::parse(bytes).ok()??;
+    let other = before.and_then(|b| Message::parse(b).ok()?).map(|m| m.0);
     let mut parameters: Vec<(u8, &[u8])> = message.parameters().map_while(Result::ok).collect();
     let (mut session, mut kind) = (message.session, message.kind);
     match field {
@@ -92,7 +92,7 @@
             *value = pick(to, &b"0"[..], GREATEST.as_bytes(), other.and_then(|o| o.get(*code)))?;
         }
     }
-    protocol::write(kind, session, &parameters)
+    protocol::encode(kind, session, &parameters)
 }
 
 fn set_text(bytes: &[u8], field: usize, to: To, before: Option<&[u8]>) -> Option<Vec<u8>> {
--- a/crates/message-mutation/src/inbox.rs
+++ b/crates/message-mutation/src/inbox.rs
@@ -2,7 +2,7 @@
 
 use pulleystair::{Listing, LoadMetric, Standing};
 use pulleystair_rtsp as rtsp;
-use pulleystair_viewer_protocol::{Message, code, kind, write};
+use pulleystair_viewer_protocol::{Message, code, encode, kind};
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
 use simple_dns::{CLASS, Name, Packet, PacketFlag, ResourceRecord};
 
@@ -27,21 +27,21 @@
     let limit = format!("{}", it.limit);
     let parameters: Vec<(u8, &[u8])> = vec![
         (code::CLASS, CLASSES[it.product].as_bytes()),
-        (code::LIMIT, limit.as_bytes()),
+        (code::TIME_LIMIT, limit.as_bytes()),
         (code::TITLE, it.title.as_bytes()),
         (code::EXTRAS, extras.as_bytes()),
     ];
-    write(kind::SET_UP, it.play, &parameters).unwrap_or_default()
+    encode(kind::SET_UP, it.play, &parameters).unwrap_or_default()
 }
 
 /// A set-up that can be used.
 pub fn read_set_up(bytes: &[u8]) -> Option<SetUp> {
-    let (message, _) = Message::read(bytes).ok()??;
+    let (message, _) = Message::parse(bytes).ok()??;
     if message.kind != kind::SET_UP || message.parameters().any(|p| p.is_err()) {
         return None;
     }
     let product = CLASSES.iter().position(|c| Some(*c) == message.text(code::CLASS))?;
-    let limit: f64 = message.text(code::LIMIT)?.parse().ok()?;
+    let limit: f64 = message.text(code::TIME_LIMIT)?.parse().ok()?;
     let title = message.text(code::TITLE)?.to_string();
     let mut extras = [None; 3];
     for pair in message.text(code::EXTRAS)?.split(';') {
@@ -96,8 +96,8 @@
 
 /// An answer of the name service: its id, its serial, the servers by number.
 pub fn read_names(bytes: &[u8]) -> Option<(u16, u32, Lines)> {
-    let (serial, list) = pulleystair_dns_discovery::answer(bytes).ok()?;
-    let line = |it: &pulleystair_dns_discovery::Entry| {
+    let (serial, list) = pulleystair_dns_discovery::parse_response(bytes).ok()?;
+    let line = |it: &pulleystair_dns_discovery::ServerEntry| {
         let server = it.id.strip_prefix('m')?.parse::<usize>().ok().filter(|s| *s < 1_000)?;
         let zone = it.zone.strip_prefix('z')?.parse().ok()?;
         let standing = it.standing;
@@ -112,7 +112,7 @@
         };
         Some((server as u32, listing))
     };
-    Some((pulleystair_dns_discovery::id_of(bytes)?, serial, list.iter().filter_map(line).collect()))
+    Some((pulleystair_dns_discovery::response_id(bytes)?, serial, list.iter().filter_map(line).collect()))
 }
 
 /// A media server's answer to a set-up, or the end of a session that stood.
--- a/crates/message-mutation/src/post.rs
+++ b/crates/message-mutation/src/post.rs
@@ -118,7 +118,7 @@
     pub(crate) fn names(&mut self, f: usize, bytes: &[u8]) {
         let Some((id, serial, lines)) = inbox::read_names(bytes) else { return };
         let front = &mut self.fronts[f];
-        if !front.asked.contains(&id) || !pulleystair_dns_discovery::follows(front.rev, serial) {
+        if !front.asked.contains(&id) || !pulleystair_dns_discovery::is_newer(front.rev, serial) {
             return;
         }
         front.rev = Some(serial);
@@ -145,7 +145,7 @@
         if self.fronts[f].lines[server] != mail.line {
             return;
         }
-        let Ok(Some((message, _))) = rtsp::Message::read(&mail.bytes) else {
+        let Ok(Some((message, _))) = rtsp::Message::parse(&mail.bytes) else {
             self.fronts[f].lines[server] += 1;
             let open = |(play, s): (&u64, &Session)| (s.at == Some((server, false))).then_some(*play);
             let open: Vec<u64> = self.fronts[f].sessions.iter().filter_map(open).collect();
--- a/crates/node/src/asked.rs
+++ b/crates/node/src/asked.rs
@@ -65,7 +65,8 @@
             return Err("figures are missing");
         };
         // Of a session that plays no clock runs any more.
-        let limit: f64 = message.text(code::LIMIT).and_then(|t| t.parse().ok()).ok_or("no time limit")?;
+        let limit: f64 =
+            message.text(code::TIME_LIMIT).and_then(|t| t.parse().ok()).ok_or("no time limit")?;
         if at.is_none() && !(limit > 0.0 && limit <= LONGEST) {
             return Err("time limit out of range");
         }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -2,7 +2,7 @@
 
 use anyhow::{Context, anyhow};
 use pulleystair::{Settings, number};
-use pulleystair_dns_discovery::Known;
+use pulleystair_dns_discovery::InitialEvents;
 use pulleystair_settings::{settings_from_json, text_list};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
     seed: String,
     pub limits: Limits,
     pub resolver: SocketAddr,
-    pub known: Known,
+    pub known: InitialEvents,
     settings: serde_json::Value,
     #[serde(skip)]
     pub path: PathBuf,
--- a/crates/node/src/listing.rs
+++ b/crates/node/src/listing.rs
@@ -8,7 +8,7 @@
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
 use pulleystair::{Listing, Outcome, Standing};
-use pulleystair_dns_discovery::{self as dns, Entry};
+use pulleystair_dns_discovery::{self as dns, ServerEntry};
 use std::collections::VecDeque;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -66,7 +66,7 @@
             due: 0.0,
             rev,
             heard,
-            room: vec![0; dns::MOST],
+            room: vec![0; dns::MAX_BYTES],
             faults: 0,
         })
     }
@@ -97,7 +97,7 @@
             asking.ids.pop_front();
         }
         // What can't be sent now is asked again soon.
-        let _ = asking.socket.send(&dns::question(id));
+        let _ = asking.socket.send(&dns::query(id));
         let wait = ASK * (1.0 + UNEVEN * (2.0 * self.floor.rnd.rand_float() - 1.0));
         let due = self.floor.now() + wait;
         asking.due = due;
@@ -109,11 +109,11 @@
             let asking = &mut self.asking;
             let Ok(n) = asking.socket.recv(&mut asking.room) else { return };
             let came = &asking.room[..n];
-            if !dns::id_of(came).is_some_and(|id| asking.ids.contains(&id)) {
+            if !dns::response_id(came).is_some_and(|id| asking.ids.contains(&id)) {
                 debug!(target: "names", "answer to nothing that was asked");
                 continue;
             }
-            match dns::answer(came) {
+            match dns::parse_response(came) {
                 Err(e) => {
                     asking.faults += 1;
                     // A list that stands still for want of a whole answer is not to stand still in silence.
@@ -123,7 +123,7 @@
                 }
                 Ok((serial, list)) => {
                     asking.faults = 0;
-                    let newer = dns::follows(asking.rev, serial);
+                    let newer = dns::is_newer(asking.rev, serial);
                     let same = asking.rev == Some(serial);
                     // The list of the start is vouched for by the first answer that is not older.
                     if newer || same && !asking.heard {
@@ -136,7 +136,7 @@
         }
     }
 
-    fn take_list(&mut self, whole: bool, cached: bool, entries: &[Entry]) {
+    fn take_list(&mut self, whole: bool, cached: bool, entries: &[ServerEntry]) {
         let now = self.floor.now();
         let mut lines = Vec::new();
         let mut restarted = Vec::new();
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -72,7 +72,7 @@
     /// Takes the whole messages off; none where what came can't be read.
     fn server_messages(&mut self, key: ConnectionId, server: u32, input: &[u8]) -> Option<usize> {
         let mut used = 0;
-        let mut found = Message::read(input);
+        let mut found = Message::parse(input);
         loop {
             match found {
                 Ok(None) => return Some(used),
@@ -83,7 +83,7 @@
                 }
                 Ok(Some((message, n))) => {
                     used += n;
-                    found = Message::read(&input[used..]);
+                    found = Message::parse(&input[used..]);
                     // What follows an answer and can't be read spoils that too: its length did not fit.
                     if found.is_ok() {
                         self.server_message(key, server, &message);
@@ -207,7 +207,7 @@
         load: &[LoadMetric],
     ) {
         self.floor.no_more_open(key, play);
-        let Some(bytes) = protocol::write(kind::ANSWER, play, &[(code::DESCRIPTION, description)]) else {
+        let Some(bytes) = protocol::encode(kind::ANSWER, play, &[(code::DESCRIPTION, description)]) else {
             self.floor.cut(server, Some(key), play, WITHDRAWN);
             return self.attempt_ended(play, server, Outcome::Error, load);
         };
--- a/crates/node/src/to_viewers.rs
+++ b/crates/node/src/to_viewers.rs
@@ -30,9 +30,9 @@
         let pause = format!("{}", pause.ceil().max(0.0));
         let mut parameters: Vec<(u8, &[u8])> = vec![(code::CAUSE, std::slice::from_ref(&cause))];
         if pause != "0" {
-            parameters.push((code::STAY_AWAY, pause.as_bytes()));
+            parameters.push((code::RETRY_AFTER, pause.as_bytes()));
         }
-        if let Some(bytes) = protocol::write(kind::RELEASE, play, &parameters) {
+        if let Some(bytes) = protocol::encode(kind::RELEASE, play, &parameters) {
             self.write_viewer(key, &bytes);
         }
     }
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -185,7 +185,7 @@
     fn messages(&mut self, key: ConnectionId, input: &[u8]) -> Option<usize> {
         let mut used = 0;
         loop {
-            match Message::read(&input[used..]) {
+            match Message::parse(&input[used..]) {
                 Ok(None) => return Some(used),
                 Err(e) => {
                     debug!(target: "viewer", "closed: {e}");
@@ -229,16 +229,19 @@
                     self.prove(key);
                 }
             }
-            kind::TEST => {
+            kind::HEALTH_CHECK => {
                 let passed = u8::from(self.floor.stopping.is_none());
-                let bytes =
-                    pulleystair_viewer_protocol::write(kind::TESTED, play, &[(code::CAUSE, &[passed])]);
+                let bytes = pulleystair_viewer_protocol::encode(
+                    kind::HEALTH_CHECK_REPLY,
+                    play,
+                    &[(code::CAUSE, &[passed])],
+                );
                 self.floor.write_viewer(key, &bytes.unwrap_or_default());
                 if let Some(viewer) = self.floor.viewer(key) {
                     viewer.came = f64::INFINITY;
                 }
             }
-            kind::PROGRESS | kind::HEARD | kind::NOTE | kind::RUNG => {}
+            kind::PROGRESS | kind::ACK | kind::NOTE | kind::RUNG => {}
             _ => return false,
         }
         true
--- a/crates/orca/src/lib.rs
+++ b/crates/orca/src/lib.rs
@@ -8,7 +8,7 @@
 /// The header's name.
 pub const HEADER: &str = "endpoint-load-metrics";
 /// The longest report that is read, bytes; one with a dozen named metrics has under 400.
-pub const LONGEST: usize = 4096;
+pub const MAX_BYTES: usize = 4096;
 
 /// A load report. Utilisations are parts of one; `application_utilization` may go above it.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
@@ -26,8 +26,8 @@
 }
 
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
-    #[error("load report of {0} bytes, over {LONGEST}")]
+pub enum ParseError {
+    #[error("load report of {0} bytes, over {MAX_BYTES}")]
     TooLong(usize),
     #[error("load report in form {0:?}; JSON and TEXT are read")]
     Form(String),
@@ -40,25 +40,27 @@
 }
 
 /// Reads the value of the header.
-pub fn read(value: &str) -> Result<Report, Fault> {
-    if value.len() > LONGEST {
-        return Err(Fault::TooLong(value.len()));
+pub fn parse(value: &str) -> Result<Report, ParseError> {
+    if value.len() > MAX_BYTES {
+        return Err(ParseError::TooLong(value.len()));
     }
     let (form, rest) = value.split_once(' ').unwrap_or((value, ""));
     let report = match form {
-        "JSON" => serde_json::from_str(rest).map_err(|e| Fault::Json(e.to_string()))?,
+        "JSON" => serde_json::from_str(rest).map_err(|e| ParseError::Json(e.to_string()))?,
         "TEXT" => text(rest)?,
         // A form may be left out by those that only speak one.
-        _ if value.starts_with('{') => serde_json::from_str(value).map_err(|e| Fault::Json(e.to_string()))?,
-        _ => return Err(Fault::Form(form.chars().take(16).collect())),
+        _ if value.starts_with('{') => {
+            serde_json::from_str(value).map_err(|e| ParseError::Json(e.to_string()))?
+        }
+        _ => return Err(ParseError::Form(form.chars().take(16).collect())),
     };
     checked(report)
 }
 
-fn text(fields: &str) -> Result<Report, Fault> {
+fn text(fields: &str) -> Result<Report, ParseError> {
     let mut report = Report::default();
     for field in fields.split(',').map(str::trim).filter(|f| !f.is_empty()) {
-        let fault = || Fault::Field(field.chars().take(64).collect());
+        let fault = || ParseError::Field(field.chars().take(64).collect());
         let (name, number) = field.split_once('=').ok_or_else(fault)?;
         let number: f64 = number.trim().parse().map_err(|_| fault())?;
         match name.trim() {
@@ -79,7 +81,7 @@
     Ok(report)
 }
 
-fn checked(report: Report) -> Result<Report, Fault> {
+fn checked(report: Report) -> Result<Report, ParseError> {
     let maps = report.utilization.iter().chain(&report.named_metrics).map(|(k, v)| (k.as_str(), *v));
     let fields = [
         ("cpu_utilization", report.cpu_utilization),
@@ -90,7 +92,7 @@
     ];
     let fields = fields.iter().filter_map(|(k, v)| v.map(|v| (*k, v)));
     match fields.chain(maps).find(|(_, v)| !v.is_finite() || *v < 0.0) {
-        Some((name, value)) => Err(Fault::Number(name.to_string(), value.to_string())),
+        Some((name, value)) => Err(ParseError::Number(name.to_string(), value.to_string())),
         None => Ok(report),
     }
 }
@@ -117,7 +119,7 @@
     #[test_case("{\"named_metrics\":{\"link\":1.25,\"uplink\":0.5}}"; "form left out")]
     #[test_case("TEXT named_metrics.link=1.25, named_metrics.uplink=0.5,of_later_versions=3"; "unknown field")]
     fn all_forms_read_alike(value: &str) {
-        let report = read(value).unwrap();
+        let report = parse(value).unwrap();
         assert_eq!(report.named_metrics["link"], 1.25);
         assert_eq!(report.named_metrics["uplink"], 0.5);
     }
@@ -128,12 +130,12 @@
     #[test_case("TEXT named_metrics.link=NaN", "link = NaN"; "not finite")]
     #[test_case("JSON {\"named_metrics\":{\"link\":-1}}", "link = -1"; "below zero")]
     fn a_bad_report_says_what_is_wrong(value: &str, says: &str) {
-        let fault = read(value).unwrap_err().to_string();
+        let fault = parse(value).unwrap_err().to_string();
         assert!(fault.contains(says), "{fault}");
     }
 
     #[test]
     fn a_report_is_bounded() {
-        assert_eq!(read(&"x".repeat(LONGEST + 1)), Err(Fault::TooLong(LONGEST + 1)));
+        assert_eq!(parse(&"x".repeat(MAX_BYTES + 1)), Err(ParseError::TooLong(MAX_BYTES + 1)));
     }
 }
--- a/crates/registry/src/blocking.rs
+++ b/crates/registry/src/blocking.rs
@@ -2,8 +2,8 @@
 //! something has changed or the wait is over (Consul's HTTP interface: health endpoint, blocking queries, consistency
 //! modes). Each answer is whole.
 
-use crate::{Fault, MOST_BYTES, MOST_SERVERS, Told};
-use pulleystair_membership::{News, Server, Standing};
+use crate::{MOST_BYTES, MOST_SERVERS, RegistryError, Told};
+use pulleystair_membership::{Server, Standing, Update};
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -76,49 +76,50 @@
     }
 
     /// The connection broke, or the query is to begin anew.
-    pub fn lost(&mut self) -> News {
+    pub fn lost(&mut self) -> Update {
         self.index = 0;
-        News::Lost
+        Update::Lost
     }
 
     /// Takes an answer. An index that is lower than before, or not above 0, begins anew, as the interface asks of its
     /// clients; the view decides what to make of such a list.
-    pub fn answer(
+    pub fn on_response(
         &mut self,
         status: u16,
         header: impl Fn(&str) -> Option<String>,
         body: &[u8],
-    ) -> Result<News, Fault> {
+    ) -> Result<Update, RegistryError> {
         if status != 200 {
-            return Err(Fault::Status(status));
+            return Err(RegistryError::Status(status));
         }
         if body.len() > MOST_BYTES {
-            return Err(Fault::TooLarge(body.len()));
+            return Err(RegistryError::TooLarge(body.len()));
         }
         let number = |name: &'static str| header(name).and_then(|v| v.trim().parse::<u64>().ok());
-        let revision = number("X-Consul-Index").ok_or(Fault::Header("X-Consul-Index"))?;
+        let revision = number("X-Consul-Index").ok_or(RegistryError::Header("X-Consul-Index"))?;
         if header("X-Consul-KnownLeader").is_some_and(|v| v.trim() == "false") {
-            return Err(Fault::NoLeader);
+            return Err(RegistryError::NoLeader);
         }
         if revision == self.index && revision > 0 {
-            return Ok(News::Alive);
+            return Ok(Update::Alive);
         }
         let age = number("X-Consul-LastContact").unwrap_or(0) as f64;
-        let entries: Vec<Entry> = serde_json::from_slice(body).map_err(|e| Fault::Json(e.to_string()))?;
+        let entries: Vec<Entry> =
+            serde_json::from_slice(body).map_err(|e| RegistryError::Json(e.to_string()))?;
         if entries.len() > MOST_SERVERS {
-            return Err(Fault::TooMany);
+            return Err(RegistryError::TooMany);
         }
-        let servers: Result<Vec<Option<Server>>, Fault> = entries.into_iter().map(server).collect();
+        let servers: Result<Vec<Option<Server>>, RegistryError> = entries.into_iter().map(server).collect();
         let servers = servers?.into_iter().flatten().collect();
         self.index = if revision < self.index { 0 } else { revision };
-        Ok(News::Whole { revision, age, servers })
+        Ok(Update::Whole { revision, age, servers })
     }
 }
 
 /// An instance as a server: one that fails a check is not there, one under maintenance or warning drains.
-fn server(entry: Entry) -> Result<Option<Server>, Fault> {
+fn server(entry: Entry) -> Result<Option<Server>, RegistryError> {
     let Entry { node, service, checks } = entry;
-    let bad = |cause: String| Fault::Server(service.id.chars().take(64).collect(), cause);
+    let bad = |cause: String| RegistryError::Server(service.id.chars().take(64).collect(), cause);
     let at = if service.address.is_empty() { &node.address } else { &service.address };
     let ip: IpAddr =
         at.parse().map_err(|_| bad(format!("address is {:?}", at.chars().take(64).collect::<String>())))?;
@@ -156,12 +157,12 @@
         )
     }
 
-    fn ask(it: &mut Blocking, index: u64, body: &str) -> Result<News, Fault> {
-        it.answer(200, |name| (name == "X-Consul-Index").then(|| index.to_string()), body.as_bytes())
+    fn ask(it: &mut Blocking, index: u64, body: &str) -> Result<Update, RegistryError> {
+        it.on_response(200, |name| (name == "X-Consul-Index").then(|| index.to_string()), body.as_bytes())
     }
 
-    fn standings(news: News) -> Vec<(String, Standing)> {
-        let News::Whole { servers, .. } = news else { panic!("{news:?} is not whole") };
+    fn standings(news: Update) -> Vec<(String, Standing)> {
+        let Update::Whole { servers, .. } = news else { panic!("{news:?} is not whole") };
         servers.into_iter().map(|s| (s.name, s.standing)).collect()
     }
 
@@ -173,8 +174,8 @@
         assert_eq!(standings(ask(&mut it, 7, &list).unwrap()), [("m4".into(), Standing::Ready)]);
         assert_eq!(it.target(), "/v1/health/service/media?index=7&wait=60s&stale");
         assert!(it.patience() > 63_750.0, "the registry may add a sixteenth");
-        assert!(matches!(ask(&mut it, 7, &list), Ok(News::Alive)), "the wait was over");
-        assert!(matches!(ask(&mut it, 3, &list), Ok(News::Whole { revision: 3, .. })));
+        assert!(matches!(ask(&mut it, 7, &list), Ok(Update::Alive)), "the wait was over");
+        assert!(matches!(ask(&mut it, 3, &list), Ok(Update::Whole { revision: 3, .. })));
         assert_eq!(it.target(), "/v1/health/service/media?stale");
     }
 
@@ -213,19 +214,22 @@
     #[test]
     fn answers_without_index_or_leader_and_other_statuses_tell_nothing() {
         let mut it = Blocking::new("media", 60, false);
-        assert_eq!(it.answer(500, |_| None, b"").unwrap_err(), Fault::Status(500));
-        assert_eq!(it.answer(200, |_| None, b"[]").unwrap_err(), Fault::Header("X-Consul-Index"));
+        assert_eq!(it.on_response(500, |_| None, b"").unwrap_err(), RegistryError::Status(500));
+        assert_eq!(
+            it.on_response(200, |_| None, b"[]").unwrap_err(),
+            RegistryError::Header("X-Consul-Index")
+        );
         let headless = |name: &str| match name {
             "X-Consul-Index" => Some("9".to_string()),
             "X-Consul-KnownLeader" => Some("false".to_string()),
             _ => None,
         };
-        assert_eq!(it.answer(200, headless, b"[]").unwrap_err(), Fault::NoLeader);
+        assert_eq!(it.on_response(200, headless, b"[]").unwrap_err(), RegistryError::NoLeader);
         let stale = |name: &str| match name {
             "X-Consul-Index" => Some("9".to_string()),
             "X-Consul-LastContact" => Some("4500".to_string()),
             _ => None,
         };
-        assert!(matches!(it.answer(200, stale, b"[]"), Ok(News::Whole { age: 4500.0, .. })));
+        assert!(matches!(it.on_response(200, stale, b"[]"), Ok(Update::Whole { age: 4500.0, .. })));
     }
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,6 +1,6 @@
 //! The two published forms of registries, as what to ask and what an answer tells: [`blocking`] queries with an index, and
 //! [`watch`] from a revision. No I/O: a caller sends what it is handed, hands back what came, and passes the
-//! [`News`](pulleystair_membership::News) on to the view. What does not read is a [`Fault`], and the query goes on from
+//! [`Update`](pulleystair_membership::Update) on to the view. What does not read is a [`RegistryError`], and the query goes on from
 //! where it was.
 
 pub mod blocking;
@@ -16,7 +16,7 @@
 
 /// Why an answer tells nothing.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum RegistryError {
     #[error("answered {0}")]
     Status(u16),
     #[error("no {0} header with a number")]
@@ -52,8 +52,8 @@
 }
 
 impl Told {
-    fn server(self, name: &str, address: SocketAddr, standing: Standing) -> Result<Server, Fault> {
-        let bad = |cause: String| Fault::Server(name.chars().take(64).collect(), cause);
+    fn server(self, name: &str, address: SocketAddr, standing: Standing) -> Result<Server, RegistryError> {
+        let bad = |cause: String| RegistryError::Server(name.chars().take(64).collect(), cause);
         if !(self.weight.is_finite() && self.weight > 0.0) {
             return Err(bad(format!("weight is {}", self.weight)));
         }
--- a/crates/registry/src/watch.rs
+++ b/crates/registry/src/watch.rs
@@ -3,10 +3,10 @@
 //! server's name, its value a JSON object with `address`, `zone`, `kind`, `cell`, and where wanted `weight`, `started_ms` and
 //! `state` (`ready` or `draining`).
 
-use crate::{Fault, MOST_BYTES, MOST_SERVERS, Told};
+use crate::{MOST_BYTES, MOST_SERVERS, RegistryError, Told};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use pulleystair_membership::{News, Server, Standing};
+use pulleystair_membership::{Server, Standing, Update};
 use serde::{Deserialize, Deserializer};
 use serde_json::json;
 use std::net::SocketAddr;
@@ -125,7 +125,7 @@
         ("/v3/kv/range", json!({ "key": key, "range_end": range_end }).to_string())
     }
 
-    /// Target and body of the watch; its answer is a stream of lines for [`Watch::line`].
+    /// Target and body of the watch; its answer is a stream of lines for [`Watch::on_line`].
     pub fn watch(&self) -> (&'static str, String) {
         let (key, range_end) = self.keys();
         let from = self.revision.unwrap_or(0) + 1;
@@ -136,43 +136,44 @@
     }
 
     /// All is to be read anew.
-    pub fn lost(&mut self) -> News {
+    pub fn lost(&mut self) -> Update {
         self.revision = None;
-        News::Lost
+        Update::Lost
     }
 
     /// Takes the answer to the read of all.
-    pub fn read(&mut self, status: u16, body: &[u8]) -> Result<News, Fault> {
+    pub fn read(&mut self, status: u16, body: &[u8]) -> Result<Update, RegistryError> {
         if status != 200 {
-            return Err(Fault::Status(status));
+            return Err(RegistryError::Status(status));
         }
         if body.len() > MOST_BYTES {
-            return Err(Fault::TooLarge(body.len()));
+            return Err(RegistryError::TooLarge(body.len()));
         }
-        let range: Range = serde_json::from_slice(body).map_err(|e| Fault::Json(e.to_string()))?;
+        let range: Range = serde_json::from_slice(body).map_err(|e| RegistryError::Json(e.to_string()))?;
         if range.more || range.kvs.len() > MOST_SERVERS {
-            return Err(Fault::TooMany);
+            return Err(RegistryError::TooMany);
         }
-        let servers: Result<Vec<Server>, Fault> = range.kvs.iter().map(|pair| self.server(pair)).collect();
+        let servers: Result<Vec<Server>, RegistryError> =
+            range.kvs.iter().map(|pair| self.server(pair)).collect();
         let (revision, servers) = (range.header.revision, servers?);
         self.revision = Some(revision);
-        Ok(News::Whole { revision, age: 0.0, servers })
+        Ok(Update::Whole { revision, age: 0.0, servers })
     }
 
-    /// Takes a line of the watch. A revision that is compacted, or a watch that was cancelled, is [`News::Lost`]: all is to
+    /// Takes a line of the watch. A revision that is compacted, or a watch that was cancelled, is [`Update::Lost`]: all is to
     /// be read anew. A value that can't be read breaks the watch too, for what it would have changed is not known.
-    pub fn line(&mut self, line: &[u8]) -> Result<News, Fault> {
+    pub fn on_line(&mut self, line: &[u8]) -> Result<Update, RegistryError> {
         let read: Result<Line, _> = serde_json::from_slice(line);
         let told = match read {
             Ok(Line { result: Some(told), error: None }) => told,
             Ok(Line { error, .. }) => {
                 self.revision = None;
                 let cause = error.map_or("no result".into(), |e| e.to_string());
-                return Err(Fault::Cancelled(cause.chars().take(200).collect()));
+                return Err(RegistryError::Cancelled(cause.chars().take(200).collect()));
             }
             Err(e) => {
                 self.revision = None;
-                return Err(Fault::Json(e.to_string()));
+                return Err(RegistryError::Json(e.to_string()));
             }
         };
         if told.compact_revision > 0 {
@@ -180,7 +181,7 @@
         }
         if told.canceled {
             self.revision = None;
-            return Err(Fault::Cancelled(told.cancel_reason.chars().take(200).collect()));
+            return Err(RegistryError::Cancelled(told.cancel_reason.chars().take(200).collect()));
         }
         let revision = told.header.revision;
         if told.created || told.events.is_empty() {
@@ -188,7 +189,7 @@
             if let Some(known) = self.revision.filter(|_| !told.created) {
                 self.revision = Some(known.max(revision));
             }
-            return Ok(News::Alive);
+            return Ok(Update::Alive);
         }
         let (mut put, mut gone) = (Vec::new(), Vec::new());
         for event in &told.events {
@@ -209,20 +210,20 @@
             }
         }
         self.revision = self.revision.map(|known| known.max(revision));
-        Ok(News::Change { revision, put, gone })
+        Ok(Update::Change { revision, put, gone })
     }
 
-    fn name(&self, key: &str) -> Result<String, Fault> {
-        let bad = |cause: &str| Fault::Server(key.chars().take(64).collect(), cause.into());
+    fn name(&self, key: &str) -> Result<String, RegistryError> {
+        let bad = |cause: &str| RegistryError::Server(key.chars().take(64).collect(), cause.into());
         let key = STANDARD.decode(key).map_err(|_| bad("key is no base64"))?;
         let key = String::from_utf8(key).map_err(|_| bad("key is no text"))?;
         let name = key.strip_prefix(&self.prefix).filter(|name| !name.is_empty() && name.len() <= 64);
         name.map(str::to_string).ok_or_else(|| bad("key is not one that was asked for"))
     }
 
-    fn server(&self, pair: &Pair) -> Result<Server, Fault> {
+    fn server(&self, pair: &Pair) -> Result<Server, RegistryError> {
         let name = self.name(&pair.key)?;
-        let bad = |cause: String| Fault::Server(name.clone(), cause);
+        let bad = |cause: String| RegistryError::Server(name.clone(), cause);
         let value = STANDARD.decode(&pair.value).map_err(|_| bad("value is no base64".into()))?;
         let Value { address, state, told } =
             serde_json::from_slice(&value).map_err(|e| bad(e.to_string()))?;
@@ -251,13 +252,13 @@
         let body = json!({ "header": { "revision": "40" }, "kvs": [pair("m1", VALUE)], "count": "1" });
         let news = it.read(200, body.to_string().as_bytes()).unwrap();
         assert!(
-            matches!(news, News::Whole { revision: 40, ref servers, .. } if servers[0].standing == Standing::Draining)
+            matches!(news, Update::Whole { revision: 40, ref servers, .. } if servers[0].standing == Standing::Draining)
         );
         it
     }
 
-    fn line(it: &mut Watch, result: serde_json::Value) -> Result<News, Fault> {
-        it.line(json!({ "result": result }).to_string().as_bytes())
+    fn line(it: &mut Watch, result: serde_json::Value) -> Result<Update, RegistryError> {
+        it.on_line(json!({ "result": result }).to_string().as_bytes())
     }
 
     #[test]
@@ -272,14 +273,14 @@
         assert_eq!(request["range_end"].as_str(), Some(STANDARD.encode("/media0").as_str()));
         assert!(matches!(
             line(&mut it, json!({ "created": true, "header": { "revision": "45" } })),
-            Ok(News::Alive)
+            Ok(Update::Alive)
         ));
         assert_eq!(it.revision(), Some(40), "that a watch was made tells nothing of what it will say");
         let events = json!([{ "kv": pair("m2", VALUE) }, { "type": "DELETE", "kv": { "key": pair("m1", "")["key"] } }]);
         let news = line(&mut it, json!({ "header": { "revision": "47" }, "events": events })).unwrap();
-        let News::Change { revision: 47, put, gone } = news else { panic!("{news:?}") };
+        let Update::Change { revision: 47, put, gone } = news else { panic!("{news:?}") };
         assert_eq!((put[0].name.as_str(), gone), ("m2", vec!["m1".to_string()]));
-        assert!(matches!(line(&mut it, json!({ "header": { "revision": "60" } })), Ok(News::Alive)));
+        assert!(matches!(line(&mut it, json!({ "header": { "revision": "60" } })), Ok(Update::Alive)));
         assert_eq!(it.revision(), Some(60), "a note of progress");
     }
 
@@ -289,14 +290,16 @@
         let gone = json!({ "type": "DELETE", "kv": { "key": pair("m1", "")["key"] } });
         let events = json!([gone, { "type": "PUT", "kv": pair("m1", VALUE) }]);
         let news = line(&mut it, json!({ "header": { "revision": "50" }, "events": events })).unwrap();
-        assert!(matches!(news, News::Change { ref put, ref gone, .. } if put.len() == 1 && gone.is_empty()));
+        assert!(
+            matches!(news, Update::Change { ref put, ref gone, .. } if put.len() == 1 && gone.is_empty())
+        );
     }
 
     #[test]
     fn a_compacted_revision_has_all_read_anew() {
         let mut it = started();
         let told = json!({ "canceled": true, "compact_revision": "44", "header": { "revision": "60" } });
-        assert!(matches!(line(&mut it, told), Ok(News::Lost)));
+        assert!(matches!(line(&mut it, told), Ok(Update::Lost)));
         assert_eq!(it.revision(), None);
     }
 
@@ -309,14 +312,14 @@
     #[test_case(r#"{"result":{"header":{"revision":"many"}}}"#, "not read"; "a revision that is none")]
     fn what_can_not_be_read_breaks_the_watch(text: &str, says: &str) {
         let mut it = started();
-        let fault = it.line(text.as_bytes()).unwrap_err().to_string();
+        let fault = it.on_line(text.as_bytes()).unwrap_err().to_string();
         assert!(fault.contains(says), "{fault}");
         assert_eq!(it.revision(), None, "what it would have changed is not known");
     }
 
-    #[test_case(503, "", Fault::Status(503); "another status")]
-    #[test_case(200, r#"{"header":{"revision":"1"},"more":true}"#, Fault::TooMany; "only a part")]
-    fn a_bad_read_tells_nothing(status: u16, body: &str, fault: Fault) {
+    #[test_case(503, "", RegistryError::Status(503); "another status")]
+    #[test_case(200, r#"{"header":{"revision":"1"},"more":true}"#, RegistryError::TooMany; "only a part")]
+    fn a_bad_read_tells_nothing(status: u16, body: &str, fault: RegistryError) {
         assert_eq!(Watch::new("/media/").read(status, body.as_bytes()).unwrap_err(), fault);
     }
 }
--- a/crates/rtsp/src/lib.rs
+++ b/crates/rtsp/src/lib.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 /// Bytes of a message at most, head and body.
-pub const MOST: usize = 16 << 10;
+pub const MAX_BYTES: usize = 16 << 10;
 /// Bytes of a first line at most.
 const LINE: usize = 1024;
 /// Header fields at most.
@@ -15,7 +15,7 @@
 
 /// What was wrong with the bytes that a peer sent.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum ParseError {
     #[error("the first line has a byte {0:#04x}")]
     Byte(u8),
     #[error("the first line does not end within {LINE} bytes")]
@@ -52,8 +52,8 @@
     digits.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
-fn first_line(line: &str) -> Result<Start, Fault> {
-    let fault = || Fault::FirstLine(line.chars().take(60).collect());
+fn first_line(line: &str) -> Result<Start, ParseError> {
+    let fault = || ParseError::FirstLine(line.chars().take(60).collect());
     let (one, rest) = line.split_once(' ').ok_or_else(fault)?;
     if one == VERSION {
         let code = rest.split(' ').next().unwrap_or(rest);
@@ -70,14 +70,14 @@
 
 impl Message {
     /// The first message of these bytes and how many it takes; none while it has not come whole.
-    pub fn read(input: &[u8]) -> Result<Option<(Message, usize)>, Fault> {
+    pub fn parse(input: &[u8]) -> Result<Option<(Message, usize)>, ParseError> {
         let line = &input[..input.iter().position(|b| *b == b'\n').unwrap_or(input.len())];
         if line.len() > LINE {
-            return Err(Fault::Endless);
+            return Err(ParseError::Endless);
         }
         let printed = line.strip_suffix(b"\r").unwrap_or(line);
         if let Some(odd) = printed.iter().find(|b| !(b' '..=b'~').contains(*b)) {
-            return Err(Fault::Byte(*odd));
+            return Err(ParseError::Byte(*odd));
         }
         if line.len() == input.len() {
             return Ok(None);
@@ -87,29 +87,31 @@
         let mut room = [httparse::EMPTY_HEADER; FIELDS];
         let (used, found) = match httparse::parse_headers(head, &mut room) {
             Ok(httparse::Status::Complete(it)) => it,
-            Ok(httparse::Status::Partial) if input.len() >= MOST => {
-                return Err(Fault::Long(input.len() as u64));
+            Ok(httparse::Status::Partial) if input.len() >= MAX_BYTES => {
+                return Err(ParseError::Long(input.len() as u64));
             }
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(e) => return Err(Fault::Header(e)),
+            Err(e) => return Err(ParseError::Header(e)),
         };
         let text = |value: &[u8]| String::from_utf8_lossy(value).trim().to_string();
         let fields: Vec<(String, String)> =
             found.iter().map(|f| (f.name.to_string(), text(f.value))).collect();
         let mut lengths = fields.iter().filter(|f| f.0.eq_ignore_ascii_case("Content-Length"));
-        let (Some((_, length)), None) = (lengths.next(), lengths.next()) else { return Err(Fault::Length) };
+        let (Some((_, length)), None) = (lengths.next(), lengths.next()) else {
+            return Err(ParseError::Length);
+        };
         if length.is_empty() || !length.bytes().all(|b| b.is_ascii_digit()) {
-            return Err(Fault::Length);
+            return Err(ParseError::Length);
         }
         let length: u64 = length.parse().unwrap_or(u64::MAX);
         let body = line.len() + 1 + used;
         let whole = length.saturating_add(body as u64);
-        if whole > MOST as u64 {
-            return Err(Fault::Long(whole));
+        if whole > MAX_BYTES as u64 {
+            return Err(ParseError::Long(whole));
         }
         let whole = whole as usize;
         let mut message = Message { start, session: 0, fields, body: Vec::new() };
-        message.session = message.field("Session").and_then(id).ok_or(Fault::Session)?;
+        message.session = message.field("Session").and_then(id).ok_or(ParseError::Session)?;
         let Some(bytes) = input.get(body..whole) else { return Ok(None) };
         message.body = bytes.to_vec();
         Ok(Some((message, whole)))
--- a/crates/viewer-protocol/src/lib.rs
+++ b/crates/viewer-protocol/src/lib.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 /// Bytes of a message at most, its length included.
-pub const MOST: usize = 16 << 10;
+pub const MAX_BYTES: usize = 16 << 10;
 const LENGTH: usize = 2;
 /// Type and session, which every message has.
 const HEAD: usize = 9;
@@ -17,21 +17,21 @@
     pub const PROGRESS: u8 = 6;
     pub const ANSWER: u8 = 9;
     pub const RELEASE: u8 = 12;
-    pub const HEARD: u8 = 16;
+    pub const ACK: u8 = 16;
     pub const NOTE: u8 = 44;
     pub const MOVE: u8 = 51;
-    pub const TEST: u8 = 52;
-    pub const TESTED: u8 = 53;
+    pub const HEALTH_CHECK: u8 = 52;
+    pub const HEALTH_CHECK_REPLY: u8 = 53;
     pub const RUNG: u8 = 60;
 }
 
 /// What a parameter is, by its code.
 pub mod code {
     pub const CLASS: u8 = 3;
-    pub const LIMIT: u8 = 6;
+    pub const TIME_LIMIT: u8 = 6;
     pub const TITLE: u8 = 15;
     pub const EXTRAS: u8 = 18;
-    pub const STAY_AWAY: u8 = 21;
+    pub const RETRY_AFTER: u8 = 21;
     pub const HINT: u8 = 33;
     pub const CAUSE: u8 = 45;
     pub const DESCRIPTION: u8 = 48;
@@ -39,7 +39,7 @@
 
 /// What was wrong with the bytes that a peer sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum ParseError {
     #[error("a message says that it has {0} bytes, fewer than its type and session take")]
     Short(usize),
     #[error("a message says that it has {0} bytes, more than are taken")]
@@ -59,14 +59,14 @@
 
 impl<'a> Message<'a> {
     /// The first message of these bytes and how many it takes; none while it has not come whole.
-    pub fn read(input: &'a [u8]) -> Result<Option<(Message<'a>, usize)>, Fault> {
+    pub fn parse(input: &'a [u8]) -> Result<Option<(Message<'a>, usize)>, ParseError> {
         let Some(length) = input.first_chunk::<LENGTH>() else { return Ok(None) };
         let length = u16::from_be_bytes(*length) as usize;
         if length < HEAD {
-            return Err(Fault::Short(length));
+            return Err(ParseError::Short(length));
         }
-        if length + LENGTH > MOST {
-            return Err(Fault::Long(length));
+        if length + LENGTH > MAX_BYTES {
+            return Err(ParseError::Long(length));
         }
         let Some(body) = input.get(LENGTH..LENGTH + length) else { return Ok(None) };
         let mut session = [0; 8];
@@ -77,18 +77,18 @@
     }
 
     /// Its parameters in order, up to the first that can't be read.
-    pub fn parameters(&self) -> impl Iterator<Item = Result<(u8, &'a [u8]), Fault>> + use<'a> {
+    pub fn parameters(&self) -> impl Iterator<Item = Result<(u8, &'a [u8]), ParseError>> + use<'a> {
         let mut rest = self.parameters;
         std::iter::from_fn(move || {
             let (code, after) = rest.split_first()?;
             let Some((length, after)) = after.split_first_chunk::<2>() else {
                 rest = &[];
-                return Some(Err(Fault::Cut));
+                return Some(Err(ParseError::Cut));
             };
             let length = u16::from_be_bytes(*length) as usize;
             let Some((value, after)) = after.split_at_checked(length) else {
                 rest = &[];
-                return Some(Err(Fault::Overrun { code: *code, length, left: after.len() }));
+                return Some(Err(ParseError::Overrun { code: *code, length, left: after.len() }));
             };
             rest = after;
             Some(Ok((*code, value)))
@@ -112,9 +112,9 @@
 }
 
 /// A whole message; none where it would be larger than messages may be.
-pub fn write(kind: u8, session: u64, parameters: &[(u8, &[u8])]) -> Option<Vec<u8>> {
+pub fn encode(kind: u8, session: u64, parameters: &[(u8, &[u8])]) -> Option<Vec<u8>> {
     let length = HEAD + parameters.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
-    if length + LENGTH > MOST {
+    if length + LENGTH > MAX_BYTES {
         return None;
     }
     let mut out = Vec::with_capacity(LENGTH + length);
