--- a/crates/dash/benches/path.rs
+++ b/crates/dash/benches/path.rs
@@ -1,15 +1,15 @@
 //! What a manifest request costs in tokens and MPDs: `cargo bench -p pulleystair-dash`.
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
-use pulleystair_dash::mpd::{self, Entry as S, Period, Presentation, Segments};
-use pulleystair_dash::token::{Entry, Pass, Ring};
+use pulleystair_dash::mpd::{self, Period, Presentation, Segments, TimelineEntry as S};
+use pulleystair_dash::token::{EntryToken, KeyRing, SessionToken};
 use std::hint::black_box;
 
 const NOW: u64 = 1_764_600_000;
 
-fn ring(kids: &[&str]) -> Ring {
+fn ring(kids: &[&str]) -> KeyRing {
     let keys: Vec<(String, Vec<u8>)> = kids.iter().map(|kid| (kid.to_string(), vec![7; 32])).collect();
-    Ring::new(&keys).expect("long keys are a ring")
+    KeyRing::new(&keys).expect("long keys are a ring")
 }
 
 fn tokens(c: &mut Criterion) {
@@ -17,7 +17,7 @@
     let (product, title) = ("guide".to_string(), "forms-12".to_string());
     let jti = "0f3c7a5e9b1d4826".to_string();
     let sub = "viewer-81723".to_string();
-    let entry = Entry {
+    let entry = EntryToken {
         jti: jti.clone(),
         sub,
         product: product.clone(),
@@ -25,16 +25,18 @@
         top: 4,
         exp: NOW + 60,
     };
-    let pass = Pass { sid: jti, product: product.clone(), title: title.clone(), exp: NOW + 60 };
+    let pass = SessionToken { sid: jti, product: product.clone(), title: title.clone(), exp: NOW + 60 };
     let (entry, signed) = (ring.sign(&entry), ring.sign(&pass));
     let forged = format!("{}AA", &signed[..signed.len() - 2]);
     let mut group = c.benchmark_group("tokens");
     group.throughput(Throughput::Elements(1));
     group.bench_function("check an entry", |b| {
-        b.iter(|| ring.entry(black_box(&entry), NOW, &product, &title).is_ok())
+        b.iter(|| ring.verify_entry(black_box(&entry), NOW, &product, &title).is_ok())
+    });
+    group.bench_function("check a pass", |b| b.iter(|| ring.verify_session(black_box(&signed), NOW).is_ok()));
+    group.bench_function("refuse a forged pass", |b| {
+        b.iter(|| ring.verify_session(black_box(&forged), NOW).is_err())
     });
-    group.bench_function("check a pass", |b| b.iter(|| ring.pass(black_box(&signed), NOW).is_ok()));
-    group.bench_function("refuse a forged pass", |b| b.iter(|| ring.pass(black_box(&forged), NOW).is_err()));
     group.bench_function("sign a pass", |b| b.iter(|| ring.sign(black_box(&pass))));
     group.finish();
 }
@@ -54,10 +56,11 @@
     group.throughput(Throughput::Elements(1));
     for (name, it) in [("plain", &plain), ("of 300 timeline entries", &timeline)] {
         let text = it.write();
-        assert_eq!(mpd::read(&text).as_ref(), Ok(it));
+        assert_eq!(mpd::parse(&text).as_ref(), Ok(it));
         group.bench_function(format!("write a {name} one"), |b| b.iter(|| black_box(it).write()));
-        group
-            .bench_function(format!("read a {name} one"), |b| b.iter(|| mpd::read(black_box(&text)).is_ok()));
+        group.bench_function(format!("read a {name} one"), |b| {
+            b.iter(|| mpd::parse(black_box(&text)).is_ok())
+        });
     }
     group.finish();
 }
--- a/crates/dash/src/address.rs
+++ b/crates/dash/src/address.rs
@@ -17,7 +17,7 @@
 pub const TIME: &str = "/v1/time";
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Address<'a> {
+pub enum Route<'a> {
     Manifest {
         product: &'a str,
         title: &'a str,
@@ -26,7 +26,7 @@
     Segment {
         pass: &'a str,
         rung: usize,
-        which: Which,
+        which: SegmentId,
     },
     /// The manifest of a play that runs, anew.
     Again {
@@ -40,7 +40,7 @@
 
 /// Which of a title's segments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Which {
+pub enum SegmentId {
     Initialisation,
     /// Numbered from 1 through all Periods.
     Number(u64),
@@ -52,43 +52,43 @@
 }
 
 /// Where a play's segments are; goes into the manifest.
-pub fn base(pass: &str) -> String {
+pub fn base_path(pass: &str) -> String {
     format!("/s/{pass}/")
 }
 
 /// Where a play that runs has its manifest anew.
-pub fn again(pass: &str) -> String {
+pub fn refresh_path(pass: &str) -> String {
     format!("/s/{pass}/manifest.mpd")
 }
 
-pub fn manifest(product: &str, title: &str, entry: &str) -> String {
+pub fn manifest_path(product: &str, title: &str, entry: &str) -> String {
     format!("/v1/{product}/{title}/manifest.mpd?token={entry}")
 }
 
 /// Reads the target of a request; none where a front serves nothing there.
-pub fn read(target: &str) -> Option<Address<'_>> {
+pub fn parse(target: &str) -> Option<Route<'_>> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     if path == TIME {
-        return Some(Address::Time);
+        return Some(Route::Time);
     }
     let mut parts = path.strip_prefix('/')?.split('/');
     let address = match (parts.next()?, parts.next()?, parts.next()?, parts.next()) {
-        ("v1", product, title, Some("manifest.mpd")) if name(product) && name(title) => {
+        ("v1", product, title, Some("manifest.mpd")) if is_valid_name(product) && is_valid_name(title) => {
             let entry = query.split('&').find_map(|pair| pair.strip_prefix("token="));
-            Address::Manifest { product, title, entry }
+            Route::Manifest { product, title, entry }
         }
-        ("s", pass, "manifest.mpd", None) if !pass.is_empty() => Address::Again { pass },
-        ("s", pass, "", None) if !pass.is_empty() => Address::Session { pass },
+        ("s", pass, "manifest.mpd", None) if !pass.is_empty() => Route::Again { pass },
+        ("s", pass, "", None) if !pass.is_empty() => Route::Session { pass },
         ("s", pass, rung, Some(file)) if !pass.is_empty() => {
             let which = match file.strip_suffix(".m4s").map(|name| (name, name.split_once("-t"))) {
                 Some((_, Some((first, time)))) => {
-                    Which::Time { first: digits(first).filter(|n| *n > 0)?, time: digits(time)? }
+                    SegmentId::Time { first: digits(first).filter(|n| *n > 0)?, time: digits(time)? }
                 }
-                Some((number, None)) => Which::Number(digits(number).filter(|n| *n > 0)?),
-                None if file == "init.mp4" => Which::Initialisation,
+                Some((number, None)) => SegmentId::Number(digits(number).filter(|n| *n > 0)?),
+                None if file == "init.mp4" => SegmentId::Initialisation,
                 None => return None,
             };
-            Address::Segment { pass, rung: digits(rung)?.try_into().ok()?, which }
+            Route::Segment { pass, rung: digits(rung)?.try_into().ok()?, which }
         }
         _ => return None,
     };
@@ -96,7 +96,7 @@
 }
 
 /// Names of products, titles and servers as they stand in addresses: plain characters, 64 at most.
-pub fn name(text: &str) -> bool {
+pub fn is_valid_name(text: &str) -> bool {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
     !text.is_empty() && text.len() <= 64 && text.bytes().all(plain) && !text.starts_with('.')
 }
--- a/crates/dash/src/mpd.rs
+++ b/crates/dash/src/mpd.rs
@@ -14,13 +14,13 @@
 use quick_xml::writer::Writer;
 
 /// The largest MPD that is read, bytes; Periods, Representations of one, and timeline entries of one at most.
-pub const MOST_BYTES: usize = 1 << 20;
-pub const MOST_PERIODS: usize = 256;
-pub const MOST_RUNGS: usize = 64;
-pub const MOST_ENTRIES: usize = 20_000;
+pub const MAX_BYTES: usize = 1 << 20;
+pub const MAX_PERIODS: usize = 256;
+pub const MAX_RUNGS: usize = 64;
+pub const MAX_ENTRIES: usize = 20_000;
 /// Segments in all, and the longest presentation, ms.
-pub const MOST_SEGMENTS: u64 = 1_000_000;
-pub const LONGEST: u64 = 31 * 86_400_000;
+pub const MAX_SEGMENTS: u64 = 1_000_000;
+pub const MAX_DURATION_MS: u64 = 31 * 86_400_000;
 
 /// What a manifest tells of a play.
 #[derive(Clone, Debug, PartialEq)]
@@ -64,12 +64,12 @@
     /// All of a length, ms, addressed by number.
     Even { segment_ms: u64 },
     /// Each by its entry, in units of a second's `timescale`, and addressed by time or by number.
-    Timeline { timescale: u64, entries: Vec<Entry>, by_time: bool },
+    Timeline { timescale: u64, entries: Vec<TimelineEntry>, by_time: bool },
 }
 
 /// `S` of a SegmentTimeline: `repeat` more like the first, each `duration` long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct TimelineEntry {
     pub start: u64,
     pub duration: u64,
     pub repeat: u64,
@@ -78,7 +78,7 @@
 /// Why an MPD is not taken, and where: the element, and the byte that it is at.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{element} at byte {at}: {cause}")]
-pub struct Fault {
+pub struct MpdError {
     pub element: String,
     pub at: u64,
     pub cause: String,
@@ -359,7 +359,7 @@
     start_ms: Option<u64>,
     duration_ms: Option<u64>,
     template: Option<(u64, Option<u64>, bool)>,
-    entries: Option<Vec<Entry>>,
+    entries: Option<Vec<TimelineEntry>>,
     bandwidths: Vec<u64>,
 }
 
@@ -369,11 +369,11 @@
 }
 
 impl Reading {
-    fn fault<T>(&self, cause: impl Into<String>) -> Result<T, Fault> {
-        Err(Fault { element: self.element.clone(), at: self.at, cause: cause.into() })
+    fn fault<T>(&self, cause: impl Into<String>) -> Result<T, MpdError> {
+        Err(MpdError { element: self.element.clone(), at: self.at, cause: cause.into() })
     }
 
-    fn attribute(&self, start: &BytesStart, name: &str) -> Result<Option<String>, Fault> {
+    fn attribute(&self, start: &BytesStart, name: &str) -> Result<Option<String>, MpdError> {
         for attribute in start.attributes() {
             let Ok(attribute) = attribute else { return self.fault("an attribute is malformed") };
             if attribute.key.local_name().as_ref() == name.as_bytes() && attribute.key.prefix().is_none() {
@@ -391,7 +391,7 @@
         start: &BytesStart,
         name: &str,
         read: impl Fn(&str) -> Option<T>,
-    ) -> Result<Option<T>, Fault> {
+    ) -> Result<Option<T>, MpdError> {
         match self.attribute(start, name)? {
             None => Ok(None),
             Some(text) => match read(&text) {
@@ -404,16 +404,16 @@
         }
     }
 
-    fn number(&self, start: &BytesStart, name: &str) -> Result<Option<u64>, Fault> {
+    fn number(&self, start: &BytesStart, name: &str) -> Result<Option<u64>, MpdError> {
         self.by(start, name, |text| text.parse().ok().filter(|n| *n <= 1 << 53))
     }
 }
 
 /// Reads an MPD. What is not known is passed over or refused as the module says.
-pub fn read(text: &str) -> Result<Presentation, Fault> {
+pub fn parse(text: &str) -> Result<Presentation, MpdError> {
     let mut it = Reading { at: 0, element: "MPD".into() };
-    if text.len() > MOST_BYTES {
-        return it.fault(format!("{} bytes; {MOST_BYTES} at most", text.len()));
+    if text.len() > MAX_BYTES {
+        return it.fault(format!("{} bytes; {MAX_BYTES} at most", text.len()));
     }
     let mut reader = Reader::from_str(text);
     let mut path: Vec<String> = Vec::new();
@@ -471,8 +471,8 @@
                 ([], "MPD") if mpd.is_none() => mpd = Some(head(&it, start)?),
                 ([], _) => return it.fault("the root is one MPD"),
                 (["MPD"], "Period") => {
-                    if raw.len() == MOST_PERIODS {
-                        return it.fault(format!("more than {MOST_PERIODS} Periods"));
+                    if raw.len() == MAX_PERIODS {
+                        return it.fault(format!("more than {MAX_PERIODS} Periods"));
                     }
                     raw.push(Raw {
                         id: it.attribute(start, "id")?.unwrap_or_else(|| (raw.len() + 1).to_string()),
@@ -519,8 +519,8 @@
                         Some(n) if n > 0 => raw.bandwidths.push(n),
                         _ => return it.fault("bandwidth is missing"),
                     }
-                    if raw.bandwidths.len() > MOST_RUNGS {
-                        return it.fault(format!("more than {MOST_RUNGS} Representations"));
+                    if raw.bandwidths.len() > MAX_RUNGS {
+                        return it.fault(format!("more than {MAX_RUNGS} Representations"));
                     }
                 }
                 _ => {}
@@ -540,7 +540,7 @@
 }
 
 /// The attributes of the root.
-fn head(it: &Reading, start: &BytesStart) -> Result<Presentation, Fault> {
+fn head(it: &Reading, start: &BytesStart) -> Result<Presentation, MpdError> {
     let duration_ms = it.by(start, "mediaPresentationDuration", read_span)?;
     let live = match it.attribute(start, "type")?.as_deref() {
         Some("dynamic") => {
@@ -562,16 +562,16 @@
 }
 
 /// One `S` (5.3.9.6): without `t` it follows the one before; `r` of -1 goes on to an end that is not told here.
-fn entry(it: &Reading, start: &BytesStart, entries: &mut Vec<Entry>) -> Result<(), Fault> {
-    if entries.len() == MOST_ENTRIES {
-        return it.fault(format!("more than {MOST_ENTRIES} entries"));
+fn entry(it: &Reading, start: &BytesStart, entries: &mut Vec<TimelineEntry>) -> Result<(), MpdError> {
+    if entries.len() == MAX_ENTRIES {
+        return it.fault(format!("more than {MAX_ENTRIES} entries"));
     }
     let Some(duration) = it.number(start, "d")?.filter(|d| *d > 0) else {
         return it.fault("d is missing or 0");
     };
     let repeat = match it.by(start, "r", |text| text.parse::<i64>().ok())?.unwrap_or(0) {
         r if r < 0 => return it.fault("an open-ended repetition is not known here"),
-        r if r as u64 >= MOST_SEGMENTS => return it.fault(format!("over {MOST_SEGMENTS} segments")),
+        r if r as u64 >= MAX_SEGMENTS => return it.fault(format!("over {MAX_SEGMENTS} segments")),
         r => r as u64,
     };
     let follows = match entries.last() {
@@ -583,13 +583,13 @@
     if begins < follows {
         return it.fault(format!("t is {begins}, before the end of the one before, {follows}"));
     }
-    entries.push(Entry { start: begins, duration, repeat });
+    entries.push(TimelineEntry { start: begins, duration, repeat });
     Ok(())
 }
 
 /// Puts what was read together, and checks it as a whole.
-fn whole(it: &Reading, mut mpd: Presentation, raw: Vec<Raw>) -> Result<Presentation, Fault> {
-    let fault = |cause: String| Err(Fault { element: "MPD".into(), at: it.at, cause });
+fn whole(it: &Reading, mut mpd: Presentation, raw: Vec<Raw>) -> Result<Presentation, MpdError> {
+    let fault = |cause: String| Err(MpdError { element: "MPD".into(), at: it.at, cause });
     if raw.is_empty() {
         return fault("has no Period".into());
     }
@@ -633,11 +633,11 @@
     if mpd.live.is_none() && mpd.duration_ms.is_none() {
         return fault("a static one has a mediaPresentationDuration, or its last Period a duration".into());
     }
-    if mpd.duration_ms.is_some_and(|ms| ms > LONGEST) {
-        return fault(format!("longer than {LONGEST} ms"));
+    if mpd.duration_ms.is_some_and(|ms| ms > MAX_DURATION_MS) {
+        return fault(format!("longer than {MAX_DURATION_MS} ms"));
     }
-    if mpd.segments().is_some_and(|n| n > MOST_SEGMENTS) {
-        return fault(format!("over {MOST_SEGMENTS} segments"));
+    if mpd.segments().is_some_and(|n| n > MAX_SEGMENTS) {
+        return fault(format!("over {MAX_SEGMENTS} segments"));
     }
     Ok(mpd)
 }
--- a/crates/dash/src/token.rs
+++ b/crates/dash/src/token.rs
@@ -10,16 +10,16 @@
 use std::hash::{Hash, Hasher};
 
 /// The longest token that is read, bytes.
-pub const LONGEST: usize = 1024;
+pub const MAX_BYTES: usize = 1024;
 /// Bytes that a key must have, RFC 7518 section 3.2: no fewer than the hash's output.
 pub const KEY_BYTES: usize = 32;
 /// Keys that may be live at once: the one in service, the one that comes, the one that goes.
-pub const MOST_KEYS: usize = 3;
+pub const MAX_KEYS: usize = 3;
 /// Keys that were taken out and are still read, at most.
-pub const MOST_LEAVING: usize = 32;
+pub const MAX_LEAVING: usize = 32;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct EntryToken {
     /// The session: a request with the same one is the same play.
     pub jti: String,
     /// The viewer.
@@ -33,7 +33,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pass {
+pub struct SessionToken {
     /// The session it was made for.
     pub sid: String,
     pub product: String,
@@ -42,10 +42,10 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum TokenError {
     #[error("token missing")]
     Missing,
-    #[error("token over {LONGEST} bytes")]
+    #[error("token over {MAX_BYTES} bytes")]
     TooLong,
     #[error("token malformed")]
     Malformed,
@@ -59,28 +59,28 @@
     Foreign,
 }
 
-impl Fault {
+impl TokenError {
     /// The HTTP status that answers it.
     pub fn status(self) -> u16 {
         match self {
-            Fault::Expired => 410,
-            Fault::Foreign => 403,
+            TokenError::Expired => 410,
+            TokenError::Foreign => 403,
             _ => 401,
         }
     }
 }
 
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum KeyFault {
+pub enum KeyError {
     #[error("key {0:?} has {1} bytes, fewer than {KEY_BYTES}")]
     Short(String, usize),
     #[error("key {0:?} is there twice")]
     Twice(String),
-    #[error("{0} keys; 1 to {MOST_KEYS} are allowed")]
+    #[error("{0} keys; 1 to {MAX_KEYS} are allowed")]
     Count(usize),
     #[error("key {0:?} has another secret than before; a new secret needs a new id")]
     Changed(String),
-    #[error("{0} keys taken out are still in their overlap; {MOST_LEAVING} may be")]
+    #[error("{0} keys taken out are still in their overlap; {MAX_LEAVING} may be")]
     Leaving(usize),
 }
 
@@ -93,13 +93,13 @@
 }
 
 /// The live keys, the newest first, and those that were taken out and are read until their overlap ends.
-pub struct Ring {
+pub struct KeyRing {
     live: Vec<Key>,
     /// Until when each is read, s since 1970.
     leaving: Vec<(Key, u64)>,
 }
 
-impl fmt::Debug for Ring {
+impl fmt::Debug for KeyRing {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.debug_list().entries(self.live.iter().map(|k| &k.kid)).finish()
     }
@@ -111,18 +111,18 @@
     hash.finish()
 }
 
-impl Ring {
+impl KeyRing {
     /// Keys by their ids; the first one signs.
-    pub fn new(keys: &[(String, Vec<u8>)]) -> Result<Ring, KeyFault> {
-        if keys.is_empty() || keys.len() > MOST_KEYS {
-            return Err(KeyFault::Count(keys.len()));
+    pub fn new(keys: &[(String, Vec<u8>)]) -> Result<KeyRing, KeyError> {
+        if keys.is_empty() || keys.len() > MAX_KEYS {
+            return Err(KeyError::Count(keys.len()));
         }
         for (i, (kid, secret)) in keys.iter().enumerate() {
             if secret.len() < KEY_BYTES {
-                return Err(KeyFault::Short(kid.clone(), secret.len()));
+                return Err(KeyError::Short(kid.clone(), secret.len()));
             }
             if keys[..i].iter().any(|k| k.0 == *kid) {
-                return Err(KeyFault::Twice(kid.clone()));
+                return Err(KeyError::Twice(kid.clone()));
             }
         }
         let key = |(kid, secret): &(String, Vec<u8>)| Key {
@@ -131,27 +131,27 @@
             sign: EncodingKey::from_secret(secret),
             read: DecodingKey::from_secret(secret),
         };
-        Ok(Ring { live: keys.iter().map(key).collect(), leaving: Vec::new() })
+        Ok(KeyRing { live: keys.iter().map(key).collect(), leaving: Vec::new() })
     }
 
-    /// Whether [`Ring::replace`] would take these keys.
-    pub fn may_replace(&self, keys: &[(String, Vec<u8>)], now: u64) -> Result<(), KeyFault> {
-        let new = Ring::new(keys)?;
+    /// Whether [`KeyRing::replace`] would take these keys.
+    pub fn may_replace(&self, keys: &[(String, Vec<u8>)], now: u64) -> Result<(), KeyError> {
+        let new = KeyRing::new(keys)?;
         let mut known = self.live.iter().chain(self.leaving.iter().map(|(k, _)| k));
         if let Some(key) = known.find(|k| new.live.iter().any(|n| n.kid == k.kid && n.print != k.print)) {
-            return Err(KeyFault::Changed(key.kid.clone()));
+            return Err(KeyError::Changed(key.kid.clone()));
         }
         let stays = |key: &Key| new.live.iter().any(|n| n.kid == key.kid);
         let out = self.live.iter().filter(|k| !stays(k)).count();
         let leaving = out + self.leaving.iter().filter(|(k, until)| *until > now && !stays(k)).count();
-        if leaving > MOST_LEAVING { Err(KeyFault::Leaving(leaving)) } else { Ok(()) }
+        if leaving > MAX_LEAVING { Err(KeyError::Leaving(leaving)) } else { Ok(()) }
     }
 
     /// Puts other keys in service at `now`; those taken out are read for `overlap` s more, and one that comes back
     /// is live again. Nothing changes where the new set can't be.
-    pub fn replace(&mut self, keys: &[(String, Vec<u8>)], now: u64, overlap: u64) -> Result<(), KeyFault> {
+    pub fn replace(&mut self, keys: &[(String, Vec<u8>)], now: u64, overlap: u64) -> Result<(), KeyError> {
         self.may_replace(keys, now)?;
-        let new = Ring::new(keys)?;
+        let new = KeyRing::new(keys)?;
         let stays = |key: &Key| new.live.iter().any(|n| n.kid == key.kid);
         self.leaving.retain(|(k, until)| *until > now && !stays(k));
         let old = std::mem::take(&mut self.live);
@@ -171,19 +171,19 @@
         jsonwebtoken::encode(&header, claims, &key.sign).expect("plain claims are signed by any key")
     }
 
-    fn read<T: for<'a> Deserialize<'a>>(&self, token: &str, now: u64) -> Result<T, Fault> {
+    fn read<T: for<'a> Deserialize<'a>>(&self, token: &str, now: u64) -> Result<T, TokenError> {
         if token.is_empty() {
-            return Err(Fault::Missing);
+            return Err(TokenError::Missing);
         }
-        if token.len() > LONGEST {
-            return Err(Fault::TooLong);
+        if token.len() > MAX_BYTES {
+            return Err(TokenError::TooLong);
         }
-        let header = jsonwebtoken::decode_header(token).map_err(|_| Fault::Malformed)?;
+        let header = jsonwebtoken::decode_header(token).map_err(|_| TokenError::Malformed)?;
         if header.alg != Algorithm::HS256 {
-            return Err(Fault::Forged);
+            return Err(TokenError::Forged);
         }
         let key = header.kid.as_deref().and_then(|kid| self.key(kid, now));
-        let key = key.ok_or(Fault::UnknownKey)?;
+        let key = key.ok_or(TokenError::UnknownKey)?;
         let mut signature = Validation::new(Algorithm::HS256);
         // Times are compared here, by the caller's clock.
         signature.validate_exp = false;
@@ -191,31 +191,37 @@
         let token = jsonwebtoken::decode::<T>(token, &key.read, &signature);
         Ok(token
             .map_err(|e| match e.kind() {
-                jsonwebtoken::errors::ErrorKind::InvalidSignature => Fault::Forged,
-                _ => Fault::Malformed,
+                jsonwebtoken::errors::ErrorKind::InvalidSignature => TokenError::Forged,
+                _ => TokenError::Malformed,
             })?
             .claims)
     }
 
     /// Reads an entry token at `now`, s since 1970, for the product and title that are asked for.
-    pub fn entry(&self, token: &str, now: u64, product: &str, title: &str) -> Result<Entry, Fault> {
-        let entry: Entry = self.read(token, now)?;
+    pub fn verify_entry(
+        &self,
+        token: &str,
+        now: u64,
+        product: &str,
+        title: &str,
+    ) -> Result<EntryToken, TokenError> {
+        let entry: EntryToken = self.read(token, now)?;
         if entry.product != product || entry.title != title {
-            return Err(Fault::Foreign);
+            return Err(TokenError::Foreign);
         }
         if entry.jti.is_empty() || entry.jti.len() > 64 {
-            return Err(Fault::Malformed);
+            return Err(TokenError::Malformed);
         }
-        if entry.exp <= now { Err(Fault::Expired) } else { Ok(entry) }
+        if entry.exp <= now { Err(TokenError::Expired) } else { Ok(entry) }
     }
 
-    pub fn pass(&self, token: &str, now: u64) -> Result<Pass, Fault> {
-        let pass = self.signed_pass(token, now)?;
-        if pass.exp <= now { Err(Fault::Expired) } else { Ok(pass) }
+    pub fn verify_session(&self, token: &str, now: u64) -> Result<SessionToken, TokenError> {
+        let pass = self.verify_session_signature(token, now)?;
+        if pass.exp <= now { Err(TokenError::Expired) } else { Ok(pass) }
     }
 
     /// A pass that is ours, whether or not its time is up: a play that runs may have renewed it.
-    pub fn signed_pass(&self, token: &str, now: u64) -> Result<Pass, Fault> {
+    pub fn verify_session_signature(&self, token: &str, now: u64) -> Result<SessionToken, TokenError> {
         self.read(token, now)
     }
 }
--- a/crates/dash/tests/mpd.rs
+++ b/crates/dash/tests/mpd.rs
@@ -1,7 +1,7 @@
 //! Manifests written, read back, and read by an independent parser; bad ones refused by their place.
 
 use proptest::prelude::*;
-use pulleystair_dash::mpd::{Entry, Live, Period, Presentation, Segments, date, read};
+use pulleystair_dash::mpd::{Live, Period, Presentation, Segments, TimelineEntry, date, parse};
 use test_case::test_case;
 
 fn plain(duration_ms: u64, segment_ms: u64) -> Presentation {
@@ -93,7 +93,7 @@
 
 #[test]
 fn several_periods_by_time_and_by_number() {
-    let it = read(TWO).unwrap();
+    let it = parse(TWO).unwrap();
     assert_eq!((it.periods.len(), it.periods[1].start_ms, it.duration_ms), (2, 12_000, Some(60_500)));
     assert_eq!(it.periods[1].segments, Segments::Even { segment_ms: 4000 });
     assert_eq!(it.segments(), Some(5 + 13));
@@ -102,7 +102,7 @@
     assert_eq!([0, 901, 360_000, 1_080_900].map(|t| it.at_time(1, t)), [None; 4]);
     assert_eq!(it.at_time(6, 900), None, "the second Period goes by number");
     // What is written for players goes by numbers through all of it, and reads as the same.
-    let again = read(&it.write()).unwrap();
+    let again = parse(&it.write()).unwrap();
     assert_eq!(again, it);
     let mpd = dash_mpd::parse(&it.write()).expect("the independent parser reads it");
     let template = |p: usize| mpd.periods[p].adaptations[0].SegmentTemplate.clone().unwrap();
@@ -124,7 +124,7 @@
 #[test_case("<MPD><Period><AdaptationSet><Representation/></AdaptationSet></Period></MPD>", "Representation at byte 28: bandwidth is missing"; "no bandwidth")]
 #[test_case("<MPD mediaPresentationDuration='PT9S'><Period/></MPD>", "Period \"1\": has no SegmentTemplate"; "no template")]
 fn a_bad_manifest_is_refused_by_its_place(text: &str, says: &str) {
-    let fault = read(text).unwrap_err().to_string();
+    let fault = parse(text).unwrap_err().to_string();
     assert!(fault.contains(says), "{fault}");
 }
 
@@ -140,18 +140,18 @@
 #[test_case("id=\"b\"", "id=\"&nope;\"", "id is malformed"; "an unknown entity")]
 fn a_spoilt_manifest_is_refused_by_its_place(find: &str, put: &str, says: &str) {
     assert!(TWO.contains(find));
-    let fault = read(&TWO.replacen(find, put, 1)).unwrap_err().to_string();
+    let fault = parse(&TWO.replacen(find, put, 1)).unwrap_err().to_string();
     assert!(fault.contains(says), "{fault}");
 }
 
 #[test]
 fn what_is_too_much_is_refused() {
     let many = |what: &str, n: usize| TWO.replacen("<S d=", &format!("{}<S d=", what.repeat(n)), 1);
-    assert!(read(&many("<S d=\"1\"/>", 20_000)).unwrap_err().cause.contains("entries"));
-    assert!(read(&" ".repeat(2 << 20)).unwrap_err().cause.contains("bytes"));
-    assert!(read(&"<MPD>".repeat(100)).unwrap_err().cause.contains("deep"));
+    assert!(parse(&many("<S d=\"1\"/>", 20_000)).unwrap_err().cause.contains("entries"));
+    assert!(parse(&" ".repeat(2 << 20)).unwrap_err().cause.contains("bytes"));
+    assert!(parse(&"<MPD>".repeat(100)).unwrap_err().cause.contains("deep"));
     let periods = format!("<MPD>{}</MPD>", "<Period/>".repeat(300));
-    assert!(read(&periods).unwrap_err().cause.contains("Periods"));
+    assert!(parse(&periods).unwrap_err().cause.contains("Periods"));
 }
 
 #[test_case(0, "1970-01-01T00:00:00.000Z"; "the beginning")]
@@ -169,7 +169,7 @@
             .map(|(gap, duration, repeat)| {
                 let start = follows + gap;
                 follows = start + duration * (repeat + 1);
-                Entry { start, duration, repeat }
+                TimelineEntry { start, duration, repeat }
             })
             .collect()
     });
@@ -218,7 +218,7 @@
 proptest! {
     #[test]
     fn what_is_written_reads_as_the_same(it in presentation()) {
-        prop_assert_eq!(read(&it.write()), Ok(it));
+        prop_assert_eq!(parse(&it.write()), Ok(it));
     }
 
     /// Every time that a timeline names leads to a number of its own, in order, and no other time does.
@@ -248,6 +248,6 @@
 
     #[test]
     fn no_text_is_a_panic(text in "(<MPD|<Period|<S|[ a-zA-Z<>/=\"'0-9&;-]){0,60}") {
-        let _ = read(&text);
+        let _ = parse(&text);
     }
 }
--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/answers.rs
@@ -6,7 +6,7 @@
 use crate::sessions::{Final, Life};
 use pulleystair_dash::address;
 use pulleystair_dash::mpd::Presentation;
-use pulleystair_dash::token::{Fault, Pass};
+use pulleystair_dash::token::{SessionToken, TokenError};
 use std::time::{Duration, UNIX_EPOCH};
 use tracing::info;
 
@@ -137,7 +137,7 @@
     pub(crate) fn playing(&mut self, player: ConnectionId, pass: &str) -> Result<u64, Final> {
         let from = self.lines.get_mut(player).and_then(|line| line.peer_ip());
         let (now, limits) = (self.time_of_day(), &self.rundown.limits);
-        let pass = self.pass_keys.signed_pass(pass, (now / 1000.0) as u64);
+        let pass = self.pass_keys.verify_session_signature(pass, (now / 1000.0) as u64);
         let pass = pass.map_err(|fault| words(fault.status(), &fault.to_string()))?;
         let gone = || words(410, "this session does not play here");
         let play = self.book.by_id(&pass.sid).ok_or_else(gone)?;
@@ -155,7 +155,7 @@
         }
         let own = pass.exp as f64 * 1000.0 + limits.skew_ms;
         if now >= own.max(session.renewed) {
-            return Err(words(Fault::Expired.status(), &Fault::Expired.to_string()));
+            return Err(words(TokenError::Expired.status(), &TokenError::Expired.to_string()));
         }
         session.renewed = now + limits.pass_ms;
         Ok(play)
@@ -167,7 +167,7 @@
         let product = &self.rundown.products[session.product];
         let last = self.rundown.ladder.len() - 1;
         let top = session.top.min(product.top.unwrap_or(last)).min(last).max(product.floor);
-        let pass = Pass {
+        let pass = SessionToken {
             sid: session.id.clone(),
             product: product.name.clone(),
             title: title.name.clone(),
@@ -177,8 +177,8 @@
         let bits = |rung: &Rung| ((rung.rate_kb * product.scale * 8000.0).ceil() as u64).max(1);
         let bandwidths: Vec<u64> = self.rundown.ladder[..=top].iter().map(bits).collect();
         let mut presentation = Presentation::clone(&title.shape);
-        presentation.base = address::base(&pass);
-        presentation.location = presentation.live.is_some().then(|| address::again(&pass));
+        presentation.base = address::base_path(&pass);
+        presentation.location = presentation.live.is_some().then(|| address::refresh_path(&pass));
         presentation.periods.iter_mut().for_each(|period| period.bandwidths = bandwidths.clone());
         Some(Final { status: 200, body: presentation.write().into(), retry_after: None, location: None })
     }
--- a/crates/edge/src/config/check.rs
+++ b/crates/edge/src/config/check.rs
@@ -28,7 +28,7 @@
         };
         let named = |path: String, name: &str| {
             let allowed = "1 to 64 letters, digits, - _ .";
-            address::name(name).then_some(()).ok_or((path, format!("{name:?}"), allowed))
+            address::is_valid_name(name).then_some(()).ok_or((path, format!("{name:?}"), allowed))
         };
         count("zones", self.zones.len(), 1000)?;
         if !self.zones.contains(&self.zone) {
--- a/crates/edge/src/config/keys.rs
+++ b/crates/edge/src/config/keys.rs
@@ -1,8 +1,8 @@
 //! Keys of tokens, and where players reach the fronts.
 
 use super::*;
-use pulleystair_dash::token::Ring;
-use pulleystair_jsonnet::{Fault, load, refused};
+use pulleystair_dash::token::KeyRing;
+use pulleystair_jsonnet::{LoadError, invalid_value, load};
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 
@@ -25,17 +25,18 @@
 
 impl Keys {
     /// Reads the file, and the secrets that it names from its folder: those of entries and those of passes.
-    pub fn read(file: &Path) -> Result<(Keys, Secrets, Secrets), Fault> {
+    pub fn read(file: &Path) -> Result<(Keys, Secrets, Secrets), LoadError> {
         let keys: Keys = load(file)?;
         if keys.revoked.len() > MOST_REVOKED {
             let found = format!("{} of them", keys.revoked.len());
-            return Err(refused(file, "revoked", found, "at most 100000"));
+            return Err(invalid_value(file, "revoked", found, "at most 100000"));
         }
         let folder = file.parent().unwrap_or(Path::new(""));
         let secrets = |path: &str, keys: &[KeyFile]| {
-            let fault = |cause| Fault::Value { file: file.display().to_string(), path: path.into(), cause };
+            let fault =
+                |cause| LoadError::Value { file: file.display().to_string(), path: path.into(), cause };
             let secrets = secrets(folder, keys).map_err(fault)?;
-            Ring::new(&secrets).map_err(|e| fault(e.to_string()))?;
+            KeyRing::new(&secrets).map_err(|e| fault(e.to_string()))?;
             Ok(secrets)
         };
         let (entry, pass) = (secrets("entry", &keys.entry)?, secrets("pass", &keys.pass)?);
@@ -52,15 +53,17 @@
 }
 
 /// Reads where players reach the fronts of a fleet, so many of them.
-pub fn homes(file: &Path, fronts: usize) -> Result<Vec<String>, Fault> {
+pub fn homes(file: &Path, fronts: usize) -> Result<Vec<String>, LoadError> {
     let homes: Vec<String> = load(file)?;
     if homes.len() != fronts {
-        return Err(refused(file, "homes", format!("{} of them", homes.len()), "one for each front"));
+        return Err(invalid_value(file, "homes", format!("{} of them", homes.len()), "one for each front"));
     }
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"-.:[]".contains(&b);
     let bad = homes.iter().position(|at| at.is_empty() || at.len() > 255 || !at.bytes().all(plain));
     match bad {
-        Some(i) => Err(refused(file, &format!("[{i}]"), format!("{:?}", homes[i]), "HOST or HOST:PORT")),
+        Some(i) => {
+            Err(invalid_value(file, &format!("[{i}]"), format!("{:?}", homes[i]), "HOST or HOST:PORT"))
+        }
         None => Ok(homes),
     }
 }
@@ -81,8 +84,8 @@
 
 impl Config {
     /// The rings of entries and of passes, and the sessions revoked; a fault comes with its path.
-    pub fn key_rings(&self) -> Result<(Ring, Ring, Vec<String>), (&'static str, String)> {
-        let ring = |path, secrets: &Secrets| Ring::new(secrets).map_err(|e| (path, e.to_string()));
+    pub fn key_rings(&self) -> Result<(KeyRing, KeyRing, Vec<String>), (&'static str, String)> {
+        let ring = |path, secrets: &Secrets| KeyRing::new(secrets).map_err(|e| (path, e.to_string()));
         if let Some(file) = &self.keys {
             let (keys, entry, pass) = Keys::read(file).map_err(|e| ("keys", e.to_string()))?;
             return Ok((ring("keys", &entry)?, ring("keys", &pass)?, keys.revoked));
--- a/crates/edge/src/config/mod.rs
+++ b/crates/edge/src/config/mod.rs
@@ -10,7 +10,7 @@
 
 pub use keys::{KeyFile, Keys, homes};
 pub use limits::{Admission, Limits, Reads};
-use pulleystair_jsonnet::{Fault, load, refused};
+use pulleystair_jsonnet::{LoadError, invalid_value, load};
 use serde::{Deserialize, Serialize};
 pub use sharing::{Peer, Sharing};
 use std::net::SocketAddr;
@@ -205,9 +205,9 @@
 
 impl Config {
     /// Reads and checks a rundown; its paths come out relative to where the file is.
-    pub fn read(file: &Path) -> Result<Config, Fault> {
+    pub fn read(file: &Path) -> Result<Config, LoadError> {
         let mut it: Config = load(file)?;
-        it.check().map_err(|(path, found, allowed)| refused(file, &path, found, allowed))?;
+        it.check().map_err(|(path, found, allowed)| invalid_value(file, &path, found, allowed))?;
         let folder = file.parent().unwrap_or(Path::new(""));
         it.list = folder.join(&it.list);
         it.keys = it.keys.map(|keys| folder.join(keys));
@@ -219,17 +219,22 @@
             key.file = folder.join(&key.file);
         }
         if it.keys.is_some() && !(it.entry_keys.is_empty() && it.pass_keys.is_empty()) {
-            return Err(refused(file, "keys", "entry_keys or pass_keys beside it", "either, not both"));
+            return Err(invalid_value(file, "keys", "entry_keys or pass_keys beside it", "either, not both"));
         }
-        let fault =
-            |path: &str, cause| Fault::Value { file: file.display().to_string(), path: path.into(), cause };
+        let fault = |path: &str, cause| LoadError::Value {
+            file: file.display().to_string(),
+            path: path.into(),
+            cause,
+        };
         it.key_rings().map_err(|(path, cause)| fault(path, cause))?;
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
         if let Some(folder) = &it.tls.players {
-            pulleystair_tls::players(folder, now).map_err(|e| fault("tls.players", e.to_string()))?;
+            pulleystair_tls::load_player_config(folder, now)
+                .map_err(|e| fault("tls.players", e.to_string()))?;
         }
         if let Some(folder) = &it.tls.servers {
-            pulleystair_tls::servers(folder, now).map_err(|e| fault("tls.servers", e.to_string()))?;
+            pulleystair_tls::load_server_config(folder, now)
+                .map_err(|e| fault("tls.servers", e.to_string()))?;
         }
         Ok(it)
     }
--- a/crates/edge/src/config/sharing.rs
+++ b/crates/edge/src/config/sharing.rs
@@ -77,7 +77,7 @@
             let found = "one without the others".to_string();
             return Err(("fleet.name, listen, peers".into(), found, "all three, or none of them"));
         }
-        if let Some(name) = fleet.name.as_ref().filter(|name| !address::name(name)) {
+        if let Some(name) = fleet.name.as_ref().filter(|name| !address::is_valid_name(name)) {
             return Err(("fleet.name".into(), format!("{name:?}"), "1 to 64 letters, digits, - _ ."));
         }
         if !fleet.peers.is_empty() && fleet.peers.len() != self.fronts {
@@ -86,7 +86,7 @@
         }
         for (i, peer) in fleet.peers.iter().enumerate() {
             let path = |part: &str| format!("fleet.peers[{i}].{part}");
-            if !address::name(&peer.name) || fleet.peers[..i].iter().any(|p| p.name == peer.name) {
+            if !address::is_valid_name(&peer.name) || fleet.peers[..i].iter().any(|p| p.name == peer.name) {
                 let allowed = "1 to 64 letters, digits, - _ . that no other front has";
                 return Err((path("name"), format!("{:?}", peer.name), allowed));
             }
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -53,7 +53,7 @@
 }
 
 /// Reads the list that a rundown names.
-pub fn read_list(rundown: &Config) -> Result<List, pulleystair_jsonnet::Fault> {
+pub fn read_list(rundown: &Config) -> Result<List, pulleystair_jsonnet::LoadError> {
     List::read(&rundown.list, &known(rundown))
 }
 
--- a/crates/edge/src/errands.rs
+++ b/crates/edge/src/errands.rs
@@ -31,7 +31,7 @@
                 let name =
                     rustls::pki_types::ServerName::try_from(self.servers[server as usize].name.clone());
                 let name = name.map_err(io::Error::other)?;
-                let seal = rustls::ClientConnection::new(sealed.terms.clone(), name);
+                let seal = rustls::ClientConnection::new(sealed.config.clone(), name);
                 Some(seal.map_err(io::Error::other)?.into())
             }
             None => None,
--- a/crates/edge/src/floor.rs
+++ b/crates/edge/src/floor.rs
@@ -16,7 +16,7 @@
 use pulleystair_admission::read_retries::RetryBudget;
 use pulleystair_admission::wall_clock::WallClock;
 use pulleystair_connections::timers::Timers;
-use pulleystair_dash::token::Ring;
+use pulleystair_dash::token::KeyRing;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -70,8 +70,8 @@
 
 pub(crate) struct Floor {
     pub(crate) rundown: Config,
-    pub(crate) entry_keys: Ring,
-    pub(crate) pass_keys: Ring,
+    pub(crate) entry_keys: KeyRing,
+    pub(crate) pass_keys: KeyRing,
     pub(crate) keys: Option<Watched>,
     pub(crate) seals: Seals,
     pub(crate) revoked: HashSet<String>,
--- a/crates/edge/src/players.rs
+++ b/crates/edge/src/players.rs
@@ -9,7 +9,7 @@
 use crate::sessions::{Asked, Final, Life, Request};
 use pulleystair::Outcome;
 use pulleystair_admission::homes::home_front;
-use pulleystair_dash::address::{self, Address, Which};
+use pulleystair_dash::address::{self, Route, SegmentId};
 use pulleystair_dispatcher::PlayRequest;
 use std::io;
 use std::net::TcpListener;
@@ -42,7 +42,7 @@
                 let _ = socket2::SockRef::from(&stream).set_send_buffer_size(limits.send_buffer_bytes);
             }
             let seals = floor.seals.players.as_ref().filter(|_| !operator);
-            let seal = seals.map(|s| rustls::ServerConnection::new(s.terms.clone()));
+            let seal = seals.map(|s| rustls::ServerConnection::new(s.config.clone()));
             let Ok(seal) = seal.transpose() else { continue };
             let sealed = seal.is_some();
             let seal = seal.map(rustls::Connection::from);
@@ -138,33 +138,33 @@
             );
             return self.floor.answer(key, &answer);
         }
-        let answer = match (request.method.as_str(), address::read(&request.target)) {
+        let answer = match (request.method.as_str(), address::parse(&request.target)) {
             (_, None) => words(404, "nothing is served here"),
             ("OPTIONS", _) => words(204, ""),
-            ("GET" | "HEAD", Some(Address::Time)) => {
+            ("GET" | "HEAD", Some(Route::Time)) => {
                 words(200, &pulleystair_dash::mpd::date(self.floor.time_of_day() as u64))
             }
-            ("GET" | "HEAD", Some(Address::Again { pass })) => match self.floor.playing(key, pass) {
+            ("GET" | "HEAD", Some(Route::Again { pass })) => match self.floor.playing(key, pass) {
                 Ok(play) => self.floor.asked_again(play),
                 Err(answer) => answer,
             },
-            ("HEAD", Some(Address::Manifest { .. })) => {
+            ("HEAD", Some(Route::Manifest { .. })) => {
                 words(405, "HEAD would take no play: GET the manifest, or HEAD one that plays")
             }
-            ("GET", Some(Address::Manifest { product, title, entry })) => {
+            ("GET", Some(Route::Manifest { product, title, entry })) => {
                 let token = request.bearer.as_deref().or(entry).unwrap_or("");
                 match self.manifest(key, product, title, token) {
                     Some(answer) => answer,
                     None => return,
                 }
             }
-            ("GET" | "HEAD", Some(Address::Segment { pass, rung, which })) => {
+            ("GET" | "HEAD", Some(Route::Segment { pass, rung, which })) => {
                 match self.segment(key, pass, rung, which, request) {
                     Some(answer) => answer,
                     None => return,
                 }
             }
-            ("DELETE", Some(Address::Session { pass })) => match self.floor.playing(key, pass) {
+            ("DELETE", Some(Route::Session { pass })) => match self.floor.playing(key, pass) {
                 Ok(play) => {
                     self.finish(play, "viewer left");
                     words(200, "ended")
@@ -188,7 +188,7 @@
         let now = floor.now();
         let from = floor.lines.get_mut(key).and_then(|line| line.peer_ip());
         let by_slow_clocks = ((floor.time_of_day() - floor.rundown.limits.skew_ms) / 1000.0).max(0.0) as u64;
-        let entry = match floor.entry_keys.entry(token, by_slow_clocks, product, title) {
+        let entry = match floor.entry_keys.verify_entry(token, by_slow_clocks, product, title) {
             Ok(entry) if floor.revoked.contains(&entry.jti) => {
                 return Some(words(403, "this session was revoked"));
             }
@@ -216,7 +216,7 @@
                 let at = format!(
                     "//{}{}",
                     floor.homes[home],
-                    address::manifest(&entry.product, &entry.title, token)
+                    address::manifest_path(&entry.product, &entry.title, token)
                 );
                 let answer = words(307, "this session is at home at another front");
                 return Some(Final { location: Some(at.into()), ..answer });
@@ -316,7 +316,7 @@
         key: ConnectionId,
         pass: &str,
         rung: usize,
-        which: Which,
+        which: SegmentId,
         request: &http::Request,
     ) -> Option<Final> {
         let floor = &mut self.floor;
@@ -328,9 +328,9 @@
         let session = floor.book.get_mut(play)?;
         let shape = &session.show.shape;
         let number = match which {
-            Which::Initialisation => Some(0),
-            Which::Number(number) => Some(number),
-            Which::Time { first, time } => shape.at_time(first, time),
+            SegmentId::Initialisation => Some(0),
+            SegmentId::Number(number) => Some(number),
+            SegmentId::Time { first, time } => shape.at_time(first, time),
         };
         let number = number.filter(|_| rung < floor.rundown.ladder.len());
         let Some(number) = number else { return Some(words(404, "no such segment")) };
--- a/crates/edge/src/seals.rs
+++ b/crates/edge/src/seals.rs
@@ -4,12 +4,12 @@
 
 use crate::config::Tls;
 use crate::server_list::Watched;
-use pulleystair_tls::{Fault, Sealed};
+use pulleystair_tls::{CertificateError, Loaded};
 use rustls::{ClientConfig, ServerConfig};
 use std::path::Path;
 use tracing::{error, info, warn};
 
-type Read<T> = fn(&Path, u64) -> Result<Sealed<T>, Fault>;
+type Read<T> = fn(&Path, u64) -> Result<Loaded<T>, CertificateError>;
 
 /// One side's.
 struct Side<T> {
@@ -41,18 +41,26 @@
 }
 
 pub struct Seals {
-    pub players: Option<Sealed<ServerConfig>>,
-    pub servers: Option<Sealed<ClientConfig>>,
+    pub players: Option<Loaded<ServerConfig>>,
+    pub servers: Option<Loaded<ClientConfig>>,
     sides: (Option<Side<ServerConfig>>, Option<Side<ClientConfig>>),
 }
 
 impl Seals {
     /// Reads what is there at start; `now` is s since 1970.
-    pub fn read(tls: &Tls, now: u64) -> Result<Seals, Fault> {
-        let mut players =
-            Side::new("players", &tls.players, &pulleystair_tls::PLAYERS, pulleystair_tls::players);
-        let mut servers =
-            Side::new("servers", &tls.servers, &pulleystair_tls::SERVERS, pulleystair_tls::servers);
+    pub fn read(tls: &Tls, now: u64) -> Result<Seals, CertificateError> {
+        let mut players = Side::new(
+            "players",
+            &tls.players,
+            &pulleystair_tls::PLAYER_FILES,
+            pulleystair_tls::load_player_config,
+        );
+        let mut servers = Side::new(
+            "servers",
+            &tls.servers,
+            &pulleystair_tls::SERVER_FILES,
+            pulleystair_tls::load_server_config,
+        );
         Ok(Seals {
             players: players.as_mut().map(|side| side.first(now)).transpose()?,
             servers: servers.as_mut().map(|side| side.first(now)).transpose()?,
@@ -92,13 +100,13 @@
         Some(Side { name, folder, watched, read, told: Expiry::Far })
     }
 
-    fn first(&mut self, now: u64) -> Result<Sealed<T>, Fault> {
+    fn first(&mut self, now: u64) -> Result<Loaded<T>, CertificateError> {
         // Looked at before it is read: what is replaced meanwhile shows at the next look.
         self.watched.replaced();
         (self.read)(&self.folder, now)
     }
 
-    fn look(&mut self, sealed: &mut Sealed<T>, now: u64, near: u64) -> bool {
+    fn look(&mut self, sealed: &mut Loaded<T>, now: u64, near: u64) -> bool {
         let mut taken = false;
         if self.watched.replaced() {
             match (self.read)(&self.folder, now) {
--- a/crates/edge/src/server_list.rs
+++ b/crates/edge/src/server_list.rs
@@ -4,7 +4,7 @@
 use pulleystair::{Listing, Standing};
 use pulleystair_dash::address;
 use pulleystair_dash::mpd::{self, Presentation};
-use pulleystair_jsonnet::{Fault, load, refused};
+use pulleystair_jsonnet::{LoadError, invalid_value, load};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -102,11 +102,11 @@
         let file = folder.join(file);
         let told = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
         let size = std::fs::metadata(&file).map_err(|e| told(&e))?.len();
-        if size > mpd::MOST_BYTES as u64 {
-            return Err(told(&format!("{size} bytes; {} at most", mpd::MOST_BYTES)));
+        if size > mpd::MAX_BYTES as u64 {
+            return Err(told(&format!("{size} bytes; {} at most", mpd::MAX_BYTES)));
         }
         let text = std::fs::read_to_string(&file).map_err(|e| told(&e))?;
-        let shape = mpd::read(&text).map_err(|e| told(&e))?;
+        let shape = mpd::parse(&text).map_err(|e| told(&e))?;
         Ok(Title { shape: Rc::new(Presentation { title: self.name.clone(), ..shape }), ..self })
     }
 }
@@ -129,14 +129,14 @@
 const MOST: usize = 100_000;
 
 impl List {
-    pub fn read(file: &Path, known: &Known) -> Result<List, Fault> {
+    pub fn read(file: &Path, known: &Known) -> Result<List, LoadError> {
         let mut it: List = load(file)?;
-        it.check(known).map_err(|(path, found, allowed)| refused(file, &path, found, allowed))?;
+        it.check(known).map_err(|(path, found, allowed)| invalid_value(file, &path, found, allowed))?;
         let folder = file.parent().unwrap_or(Path::new(""));
         let titles = it.titles.into_iter().enumerate().map(|(i, title)| match title.manifest.clone() {
             None => Ok(title.shaped()),
             Some(manifest) => title.described(folder, &manifest).map_err(|found| {
-                refused(file, &format!("titles[{i}].manifest"), found, "a manifest that can be read")
+                invalid_value(file, &format!("titles[{i}].manifest"), found, "a manifest that can be read")
             }),
         });
         it.titles = titles.collect::<Result<_, _>>()?;
@@ -153,7 +153,7 @@
         let mut seen = HashMap::new();
         for (i, server) in self.servers.iter().enumerate() {
             let path = |name: &str| format!("servers[{i}].{name}");
-            if !address::name(&server.name) {
+            if !address::is_valid_name(&server.name) {
                 let allowed = "1 to 64 letters, digits, - _ .";
                 return Err((path("name"), format!("{:?}", server.name), allowed));
             }
@@ -183,7 +183,7 @@
         let mut seen = HashMap::new();
         for (i, title) in self.titles.iter().enumerate() {
             let path = |name: &str| format!("titles[{i}].{name}");
-            if !address::name(&title.name) {
+            if !address::is_valid_name(&title.name) {
                 let allowed = "1 to 64 letters, digits, - _ .";
                 return Err((path("name"), format!("{:?}", title.name), allowed));
             }
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -7,7 +7,7 @@
 use crate::floor::Server;
 use crate::server_list::{List, Watched};
 use pulleystair_admission::read_retries::RetryBudget;
-use pulleystair_jsonnet::Fault;
+use pulleystair_jsonnet::LoadError;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use tracing::{error, info};
@@ -26,7 +26,7 @@
             // One that could not be read may hold a drain: it is read as soon as it can be. One that was read and is
             // wrong stays wrong until it is replaced, and may be too large to be read at every look.
             Err(e) => {
-                if floor.watched.refused(&e, matches!(e, Fault::Unreadable { .. })) {
+                if floor.watched.refused(&e, matches!(e, LoadError::Unreadable { .. })) {
                     error!(target: "list", "list not taken, the one in hand stays: {e}");
                 }
             }
--- a/crates/edge/tests/crowds.rs
+++ b/crates/edge/tests/crowds.rs
@@ -6,7 +6,7 @@
 use house::{House, base, day, get, set_ups, text};
 use pulleystair_admission::homes::home_front;
 use pulleystair_dash::address;
-use pulleystair_dash::token::Entry;
+use pulleystair_dash::token::EntryToken;
 use pulleystair_fake_servers::content;
 use pulleystair_fake_servers::http::HttpPeer;
 use pulleystair_lab::fronts::portal;
@@ -162,8 +162,8 @@
 
 fn signed(house: &House, session: &str, exp: u64) -> String {
     let (product, title) = (house.day.products[FREE].name.clone(), house.titles[FREE].name.clone());
-    let entry = Entry { jti: session.into(), sub: "v".into(), product, title, top: 1, exp };
-    address::manifest(&entry.product, &entry.title, &portal().sign(&entry))
+    let entry = EntryToken { jti: session.into(), sub: "v".into(), product, title, top: 1, exp };
+    address::manifest_path(&entry.product, &entry.title, &portal().sign(&entry))
 }
 
 /// To the front, a portal whose clock was stepped and a front's own that was are the same: they disagree.
--- a/crates/edge/tests/house/mod.rs
+++ b/crates/edge/tests/house/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // Each file of stories uses a part of it.
 
 use pulleystair_dash::address;
-use pulleystair_dash::token::Entry;
+use pulleystair_dash::token::EntryToken;
 use pulleystair_fake_servers::http::{HttpPeer, Message};
 use pulleystair_fake_servers::model::ServerFaults;
 use pulleystair_fake_servers::recorder::Recorder;
@@ -148,7 +148,7 @@
     }
 
     fn token_to(&self, session: &str, product: usize, top: usize) -> String {
-        self.fronts.sign(&Entry {
+        self.fronts.sign(&EntryToken {
             jti: session.into(),
             sub: "viewer".into(),
             product: self.day.products[product].name.clone(),
@@ -160,14 +160,14 @@
 
     pub fn manifest(&self, session: &str, product: usize) -> String {
         let (of, title) = (&self.day.products[product].name, &self.titles[product].name);
-        address::manifest(of, title, &self.token(session, product))
+        address::manifest_path(of, title, &self.token(session, product))
     }
 
     /// The same for any of the day's titles, by its place among all.
     pub async fn ask_title(&self, front: usize, session: &str, title: usize) -> Asking {
         let of = &self.titles[title];
         let product = &self.day.products[of.product].name;
-        let token = self.fronts.sign(&Entry {
+        let token = self.fronts.sign(&EntryToken {
             jti: session.into(),
             sub: "viewer".into(),
             product: product.clone(),
@@ -175,7 +175,7 @@
             top: 1,
             exp: (self.log.now() / 1000.0) as u64 + 600,
         });
-        let target = address::manifest(product, &of.name, &token);
+        let target = address::manifest_path(product, &of.name, &token);
         self.write_asking(front, session, title, &target).await
     }
 
@@ -204,7 +204,7 @@
     /// Asks for a play of up to this rung, outside the log of requests.
     pub async fn ask_top(&self, session: &str, product: usize, top: usize) -> Message {
         let (of, title) = (&self.day.products[product].name, &self.titles[product].name);
-        self.get(&address::manifest(of, title, &self.token_to(session, product, top))).await
+        self.get(&address::manifest_path(of, title, &self.token_to(session, product, top))).await
     }
 
     pub async fn ask(&self, session: &str, product: usize) -> Message {
--- a/crates/edge/tests/keys.rs
+++ b/crates/edge/tests/keys.rs
@@ -3,7 +3,7 @@
 mod house;
 
 use house::{House, base, closed, day};
-use pulleystair_dash::token::{Entry, Ring};
+use pulleystair_dash::token::{EntryToken, KeyRing};
 use pulleystair_fake_servers::files::replace;
 use pulleystair_lab::fronts::portal;
 use serde_json::json;
@@ -12,18 +12,18 @@
 const FREE: usize = 0;
 const PAID: usize = 1;
 
-fn entry(house: &House) -> Entry {
+fn entry(house: &House) -> EntryToken {
     let (product, title) = (house.day.products[FREE].name.clone(), house.titles[FREE].name.clone());
-    Entry { jti: "s".into(), sub: "v".into(), product, title, top: 1, exp: u64::MAX >> 12 }
+    EntryToken { jti: "s".into(), sub: "v".into(), product, title, top: 1, exp: u64::MAX >> 12 }
 }
 
 #[tokio::test]
 async fn tokens_that_open_nothing_cost_no_allocation() {
     let house = House::open().await;
     let good = portal().sign(&entry(&house));
-    let forged = Ring::new(&[("portal-1".into(), vec![9; 32])]).unwrap().sign(&entry(&house));
-    let unknown = Ring::new(&[("portal-9".into(), vec![9; 32])]).unwrap().sign(&entry(&house));
-    let expired = portal().sign(&Entry { exp: 1, ..entry(&house) });
+    let forged = KeyRing::new(&[("portal-1".into(), vec![9; 32])]).unwrap().sign(&entry(&house));
+    let unknown = KeyRing::new(&[("portal-9".into(), vec![9; 32])]).unwrap().sign(&entry(&house));
+    let expired = portal().sign(&EntryToken { exp: 1, ..entry(&house) });
     let other = house.token("p", PAID);
     let title = &house.titles[FREE].name;
     for (token, status) in
@@ -40,7 +40,7 @@
         "GET /v1/free/{title}/manifest.mpd HTTP/1.1\r\nHost: f\r\nAuthorization: Bearer {good}\r\n\r\n"
     );
     assert_eq!(house.send(&bearer).await.unwrap().status, 200);
-    let theirs = portal().sign(&Entry { sub: "w".into(), ..entry(&house) });
+    let theirs = portal().sign(&EntryToken { sub: "w".into(), ..entry(&house) });
     let answer = house.get(&format!("/v1/free/{title}/manifest.mpd?token={theirs}")).await;
     assert_eq!(answer.status, 403, "another viewer's session");
     let log = house.log_of(0);
@@ -71,9 +71,9 @@
 
 /// Asks for a session with a token of this portal key; the status.
 async fn ask_with(house: &House, key: u8, session: &str) -> u16 {
-    let token = Ring::new(&[(format!("portal-{key}"), secret(key))])
+    let token = KeyRing::new(&[(format!("portal-{key}"), secret(key))])
         .expect("a ring")
-        .sign(&Entry { jti: session.into(), ..entry(house) });
+        .sign(&EntryToken { jti: session.into(), ..entry(house) });
     house.get(&format!("/v1/free/{}/manifest.mpd?token={token}", house.titles[FREE].name)).await.status
 }
 
--- a/crates/edge/tests/shared.rs
+++ b/crates/edge/tests/shared.rs
@@ -4,7 +4,7 @@
 mod house;
 
 use house::{House, base, day, get, one_server};
-use pulleystair_dash::token::{Entry, Ring};
+use pulleystair_dash::token::{EntryToken, KeyRing};
 use pulleystair_fake_servers::files::replace;
 use pulleystair_fake_servers::http::HttpPeer;
 use pulleystair_lab::environment::Listed;
@@ -219,8 +219,8 @@
 
 /// A token of this portal key for a session.
 fn token(house: &House, n: u8, session: &str) -> String {
-    let ring = Ring::new(&[(format!("portal-{n}"), vec![b'a' + n; 40])]).expect("a ring");
-    ring.sign(&Entry {
+    let ring = KeyRing::new(&[(format!("portal-{n}"), vec![b'a' + n; 40])]).expect("a ring");
+    ring.sign(&EntryToken {
         jti: session.into(),
         sub: "viewer".into(),
         product: house.day.products[FREE].name.clone(),
--- a/crates/fuzz-checks/src/lib.rs
+++ b/crates/fuzz-checks/src/lib.rs
@@ -2,9 +2,9 @@
 //! hold; the fuzz targets in `fuzz/` call them with what they make up, the tests with the corpora kept there.
 
 use jsonwebtoken::{Algorithm, EncodingKey, Header, encode};
-use pulleystair_dash::address::{self, Address};
+use pulleystair_dash::address::{self, Route};
 use pulleystair_dash::mpd;
-use pulleystair_dash::token::{Fault, LONGEST, Ring};
+use pulleystair_dash::token::{KeyRing, MAX_BYTES, TokenError};
 use pulleystair_dns_discovery as dns;
 use pulleystair_edge::http::{self, Body, Chunks};
 use pulleystair_gossip as gossip;
@@ -14,10 +14,10 @@
 /// An MPD that reads is written so that it reads as the same, and its segments can be asked for.
 pub fn mpd(bytes: &[u8]) {
     let Ok(text) = std::str::from_utf8(bytes) else { return };
-    let Ok(it) = mpd::read(text) else { return };
-    assert_eq!(mpd::read(&it.write()), Ok(it.clone()), "it reads as it was written");
+    let Ok(it) = mpd::parse(text) else { return };
+    assert_eq!(mpd::parse(&it.write()), Ok(it.clone()), "it reads as it was written");
     let segments = it.segments();
-    assert!(segments.is_none_or(|n| n > 0 && n <= mpd::MOST_SEGMENTS));
+    assert!(segments.is_none_or(|n| n > 0 && n <= mpd::MAX_SEGMENTS));
     for now in [0, 1, 1_764_600_716_250, u64::MAX] {
         if let Some((first, last)) = it.available(now) {
             assert!(first <= last && segments.is_none_or(|all| last <= all), "{first} to {last}");
@@ -31,8 +31,8 @@
 
 const KID: &str = "fuzzed";
 
-fn ring() -> Ring {
-    Ring::new(&[(KID.into(), vec![7; 32])]).expect("a long key is a ring")
+fn ring() -> KeyRing {
+    KeyRing::new(&[(KID.into(), vec![7; 32])]).expect("a long key is a ring")
 }
 
 /// A token that we did not sign opens nothing and is told why; claims that we signed are read or refused.
@@ -40,21 +40,25 @@
     let ring = ring();
     let text = String::from_utf8_lossy(bytes);
     let now = 1_764_600_000;
-    for fault in [ring.entry(&text, now, "guide", "forms").err(), ring.pass(&text, now).err()] {
+    for fault in
+        [ring.verify_entry(&text, now, "guide", "forms").err(), ring.verify_session(&text, now).err()]
+    {
         let Some(fault) = fault else { continue };
         assert!([401, 403, 410].contains(&fault.status()));
-        assert!(text.len() <= LONGEST || fault == Fault::TooLong);
+        assert!(text.len() <= MAX_BYTES || fault == TokenError::TooLong);
     }
     // Nobody but us has the key: what reads at all must be of our making, to the letter.
-    if let Ok(pass) = ring.signed_pass(&text, now) {
-        assert!(text.split('.').count() == 3 && ring.signed_pass(&ring.sign(&pass), now) == Ok(pass));
+    if let Ok(pass) = ring.verify_session_signature(&text, now) {
+        assert!(
+            text.split('.').count() == 3 && ring.verify_session_signature(&ring.sign(&pass), now) == Ok(pass)
+        );
     }
     // The same bytes as claims under a good signature, and under the wrong algorithm.
     let Ok(claims) = serde_json::from_slice::<serde_json::Value>(bytes) else { return };
     for algorithm in [Algorithm::HS256, Algorithm::HS512] {
         let header = Header { kid: Some(KID.into()), ..Header::new(algorithm) };
         let Ok(signed) = encode(&header, &claims, &EncodingKey::from_secret(&[7; 32])) else { continue };
-        let entry = ring.entry(&signed, now, "guide", "forms");
+        let entry = ring.verify_entry(&signed, now, "guide", "forms");
         assert!(algorithm == Algorithm::HS256 || entry.is_err(), "only one algorithm is taken");
         if let Ok(entry) = entry {
             assert!(entry.exp > now && !entry.jti.is_empty() && entry.jti.len() <= 64);
@@ -86,14 +90,14 @@
 }
 
 fn target(text: &str) {
-    match address::read(text) {
-        Some(Address::Manifest { product, title, .. }) => {
-            assert!(address::name(product) && address::name(title));
+    match address::parse(text) {
+        Some(Route::Manifest { product, title, .. }) => {
+            assert!(address::is_valid_name(product) && address::is_valid_name(title));
         }
-        Some(Address::Segment { pass, .. } | Address::Again { pass } | Address::Session { pass }) => {
+        Some(Route::Segment { pass, .. } | Route::Again { pass } | Route::Session { pass }) => {
             assert!(!pass.is_empty() && !pass.contains('/'));
         }
-        Some(Address::Time) | None => {}
+        Some(Route::Time) | None => {}
     }
 }
 
--- a/crates/jsonnet/src/lib.rs
+++ b/crates/jsonnet/src/lib.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum LoadError {
     #[error("{file}: can't be read: {cause}")]
     Unreadable { file: String, cause: std::io::Error },
     #[error("{file}: does not evaluate: {cause}")]
@@ -22,8 +22,8 @@
 }
 
 /// The largest files that are evaluated, and that are read as plain JSON, bytes.
-pub const LARGEST: u64 = 1 << 20;
-pub const LARGEST_JSON: u64 = 16 << 20;
+pub const MAX_BYTES: u64 = 1 << 20;
+pub const MAX_JSON_BYTES: u64 = 16 << 20;
 /// Nested calls at most, so that a template that calls itself ends with an error.
 const DEPTH: usize = 200;
 
@@ -54,39 +54,39 @@
 }
 
 /// Evaluates a Jsonnet file to JSON text.
-pub fn evaluate(file: &Path) -> Result<String, Fault> {
+pub fn evaluate(file: &Path) -> Result<String, LoadError> {
     let name = file.display().to_string();
-    let real = file.canonicalize().map_err(|cause| Fault::Unreadable { file: name.clone(), cause })?;
-    bounded(file, LARGEST)?;
+    let real = file.canonicalize().map_err(|cause| LoadError::Unreadable { file: name.clone(), cause })?;
+    bounded(file, MAX_BYTES)?;
     let root = real.parent().unwrap_or(Path::new("/")).to_path_buf();
     let state = EvaluationState::default();
     state.with_stdlib();
     state.set_max_stack(DEPTH);
     state.set_import_resolver(Box::new(WithinFolder { root, files: FileImportResolver::default() }));
-    let jsonnet = |e| Fault::Jsonnet { file: name.clone(), cause: state.stringify_err(&e) };
+    let jsonnet = |e| LoadError::Jsonnet { file: name.clone(), cause: state.stringify_err(&e) };
     let value = state.evaluate_file_raw(&real).map_err(jsonnet)?;
     let json = state.manifest(value).map_err(jsonnet)?;
     Ok(json.to_string())
 }
 
-fn bounded(file: &Path, most: u64) -> Result<(), Fault> {
+fn bounded(file: &Path, most: u64) -> Result<(), LoadError> {
     let name = file.display().to_string();
     match std::fs::metadata(file) {
-        Err(cause) => Err(Fault::Unreadable { file: name, cause }),
+        Err(cause) => Err(LoadError::Unreadable { file: name, cause }),
         Ok(meta) if meta.len() > most => {
             let cause = format!("has {} bytes, over {most}", meta.len());
-            Err(Fault::Value { file: name, path: ".".into(), cause })
+            Err(LoadError::Value { file: name, path: ".".into(), cause })
         }
         Ok(_) => Ok(()),
     }
 }
 
 /// Reads a file into a typed value: plain JSON where its name ends so, which large lists may be; else Jsonnet.
-pub fn load<T: DeserializeOwned>(file: &Path) -> Result<T, Fault> {
+pub fn load<T: DeserializeOwned>(file: &Path) -> Result<T, LoadError> {
     let json = if file.extension().is_some_and(|e| e == "json") {
-        bounded(file, LARGEST_JSON)?;
+        bounded(file, MAX_JSON_BYTES)?;
         std::fs::read_to_string(file)
-            .map_err(|cause| Fault::Unreadable { file: file.display().to_string(), cause })?
+            .map_err(|cause| LoadError::Unreadable { file: file.display().to_string(), cause })?
     } else {
         evaluate(file)?
     };
@@ -96,7 +96,7 @@
         let cause = e.to_string();
         let short = cause.split(" at line").next().unwrap_or_default().to_string();
         let cause = if e.is_data() { short } else { cause };
-        Fault::Value { file: file.display().to_string(), path, cause }
+        LoadError::Value { file: file.display().to_string(), path, cause }
     };
     let value =
         serde_path_to_error::deserialize(&mut reader).map_err(|e| fault(e.path().to_string(), e.inner()))?;
@@ -105,8 +105,8 @@
 }
 
 /// A fault found in a value that reads well but can't be: names file, path, what was found, what is allowed.
-pub fn refused(file: &Path, path: &str, found: impl std::fmt::Display, allowed: &str) -> Fault {
-    Fault::Value {
+pub fn invalid_value(file: &Path, path: &str, found: impl std::fmt::Display, allowed: &str) -> LoadError {
+    LoadError::Value {
         file: file.display().to_string(),
         path: path.to_string(),
         cause: format!("found {found}, allowed is {allowed}"),
--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -4,9 +4,9 @@
 
 use crate::environment::ms;
 use anyhow::{Context, Result};
-use pulleystair_dash::address::{self, Address, Which};
+use pulleystair_dash::address::{self, Route, SegmentId};
 use pulleystair_dash::mpd::Presentation;
-use pulleystair_dash::token::{Pass, Ring};
+use pulleystair_dash::token::{KeyRing, SessionToken};
 use pulleystair_fake_servers::http::{HttpPeer, Message};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -22,8 +22,8 @@
 struct Base {
     rundown: Value,
     list: PathBuf,
-    entries: Ring,
-    passes: Ring,
+    entries: KeyRing,
+    passes: KeyRing,
     run: String,
     rnd: Mutex<StdRng>,
     sessions: Mutex<HashMap<String, Arc<Session>>>,
@@ -41,11 +41,11 @@
     let it: Value = serde_json::from_slice(&std::fs::read(rundown)?)?;
     let keys = it["keys"].as_str().context("a rundown names its keys")?;
     let keys: Value = serde_json::from_slice(&std::fs::read(folder.join(keys))?)?;
-    let ring = |of: &str| -> Result<Ring> {
+    let ring = |of: &str| -> Result<KeyRing> {
         let key = &keys[of][0];
         let file = key["file"].as_str().context("a key has its file")?;
         let kid = key["kid"].as_str().unwrap_or("").to_string();
-        Ok(Ring::new(&[(kid, std::fs::read(folder.join(file))?)])?)
+        Ok(KeyRing::new(&[(kid, std::fs::read(folder.join(file))?)])?)
     };
     let since = SystemTime::now().duration_since(UNIX_EPOCH)?.as_millis();
     let base = Arc::new(Base {
@@ -82,14 +82,14 @@
     async fn serve(self: Arc<Base>, mut player: HttpPeer) -> std::io::Result<()> {
         let mut server = None;
         while let Some(request) = player.read_request().await? {
-            let reply = match (request.method.as_str(), address::read(&request.target)) {
-                ("GET", Some(Address::Manifest { product, title, entry })) => {
+            let reply = match (request.method.as_str(), address::parse(&request.target)) {
+                ("GET", Some(Route::Manifest { product, title, entry })) => {
                     self.manifest(product, title, entry.unwrap_or("")).await
                 }
-                ("GET", Some(Address::Segment { pass, which: Which::Number(number), .. })) => {
+                ("GET", Some(Route::Segment { pass, which: SegmentId::Number(number), .. })) => {
                     self.segment(pass, number, &mut server).await
                 }
-                ("DELETE", Some(Address::Session { pass })) => {
+                ("DELETE", Some(Route::Session { pass })) => {
                     if let Some(session) = self.session(pass) {
                         session.plays.lock().expect("no front dies while it holds a session").take();
                     }
@@ -107,12 +107,12 @@
     }
 
     fn session(&self, pass: &str) -> Option<Arc<Session>> {
-        let pass = self.passes.pass(pass, self.now()).ok()?;
+        let pass = self.passes.verify_session(pass, self.now()).ok()?;
         self.sessions.lock().expect("no front dies while it holds its sessions").get(&pass.sid).cloned()
     }
 
     async fn manifest(self: &Arc<Base>, product: &str, title: &str, token: &str) -> Vec<u8> {
-        let entry = match self.entries.entry(token, self.now(), product, title) {
+        let entry = match self.entries.verify_entry(token, self.now(), product, title) {
             Ok(entry) => entry,
             Err(fault) => return answer(fault.status(), "", b""),
         };
@@ -196,11 +196,11 @@
                 held.plays.lock().expect("no front dies while it holds a session").take();
             });
             let exp = self.now() + 600;
-            let pass = self.passes.sign(&Pass { sid: jti, product, title: title.clone(), exp });
+            let pass = self.passes.sign(&SessionToken { sid: jti, product, title: title.clone(), exp });
             let ladder = self.rundown["ladder"].as_array().into_iter().flatten();
             let ladder: Vec<f64> = ladder.filter_map(|r| r["rate_kb"].as_f64()).collect();
             let mut it = Presentation::plain(title, duration_ms, number(&known["segment_ms"]));
-            it.base = address::base(&pass);
+            it.base = address::base_path(&pass);
             let bits = ladder[..=floor.min(ladder.len() - 1)].iter().map(|kb| (kb * 8000.0).ceil() as u64);
             it.periods[0].bandwidths = bits.collect();
             return (200, it.write());
--- a/crates/lab/src/fronts.rs
+++ b/crates/lab/src/fronts.rs
@@ -3,7 +3,7 @@
 use crate::relays::Between;
 use crate::scenario::Day;
 use anyhow::{Context, Result, bail, ensure};
-use pulleystair_dash::token::{Entry, Ring};
+use pulleystair_dash::token::{EntryToken, KeyRing};
 use pulleystair_fake_servers::certificates::{Certificate, CertificateAuthority};
 use pulleystair_fake_servers::files::replace;
 use pulleystair_fake_servers::recorder::Recorder;
@@ -55,7 +55,7 @@
     /// What stands between fronts that share.
     pub between: Option<Between>,
     /// The portal's present key, and how many keys there were.
-    portal: Arc<Mutex<(Ring, usize)>>,
+    portal: Arc<Mutex<(KeyRing, usize)>>,
     /// Who vouches for fronts and servers, where they speak TLS.
     pub authority: Option<Arc<CertificateAuthority>>,
 }
@@ -64,12 +64,12 @@
 pub const FRONT: &str = "front";
 
 /// The portal's key, with which entry tokens are signed.
-pub fn portal() -> Ring {
+pub fn portal() -> KeyRing {
     ring(1)
 }
 
-fn ring(n: usize) -> Ring {
-    Ring::new(&[(format!("portal-{n}"), secret("entry", n))]).expect("one long key is a ring")
+fn ring(n: usize) -> KeyRing {
+    KeyRing::new(&[(format!("portal-{n}"), secret("entry", n))]).expect("one long key is a ring")
 }
 
 fn secret(of: &str, n: usize) -> Vec<u8> {
@@ -233,7 +233,7 @@
     }
 
     /// An entry token by the portal's present key.
-    pub fn sign(&self, entry: &Entry) -> String {
+    pub fn sign(&self, entry: &EntryToken) -> String {
         self.portal.lock().expect("nobody dies while holding the portal").0.sign(entry)
     }
 
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -9,7 +9,7 @@
 use crate::testbed::Set;
 use anyhow::{Context, Result, ensure};
 use pulleystair_dash::address;
-use pulleystair_dash::token::{Entry, Ring};
+use pulleystair_dash::token::{EntryToken, KeyRing};
 use pulleystair_fake_servers::http::HttpPeer;
 use pulleystair_fake_servers::server::FakeServers;
 use serde::Serialize;
@@ -90,7 +90,7 @@
     fronts: Fronts,
     front: SocketAddr,
     titles: Vec<Title>,
-    portal: Ring,
+    portal: KeyRing,
     next: AtomicU64,
     /// How players speak to the front, and a front's like to servers, under TLS.
     seals: Option<(TlsConnector, TlsConnector)>,
@@ -161,7 +161,7 @@
     async fn play(&self) -> Result<(u16, Vec<u8>)> {
         let n = self.next.fetch_add(1, Ordering::Relaxed);
         let title = &self.titles[n as usize % self.titles.len()].name;
-        let token = self.portal.sign(&Entry {
+        let token = self.portal.sign(&EntryToken {
             jti: format!("s{n}"),
             sub: "v".into(),
             product: "any".into(),
@@ -170,7 +170,7 @@
             exp: u64::MAX >> 12,
         });
         let mut peer = self.call_front().await?;
-        let target = address::manifest("any", title, &token);
+        let target = address::manifest_path("any", title, &token);
         peer.write(format!("GET {target} HTTP/1.1\r\nHost: f\r\n\r\n").as_bytes()).await?;
         let answer = peer.read_response().await?.context("the front closed")?;
         Ok((answer.status, answer.body))
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -2,7 +2,7 @@
 
 use anyhow::{Context, Result};
 use clap::{Parser, Subcommand};
-use pulleystair_dash::{address, token::Entry};
+use pulleystair_dash::{address, token::EntryToken};
 use pulleystair_lab::fronts::{Program, portal};
 use pulleystair_lab::testbed::Set;
 use pulleystair_lab::{baseline, load, report, scenario::Day, scenario_run};
@@ -77,7 +77,7 @@
     println!("then, with its address in place of FRONT, within the hour:");
     for (product, of) in set.day.products.iter().enumerate() {
         let Some(title) = set.titles.iter().find(|t| t.product == product) else { continue };
-        let entry = portal().sign(&Entry {
+        let entry = portal().sign(&EntryToken {
             jti: format!("by-hand-{product}"),
             sub: "by-hand".into(),
             product: of.name.clone(),
@@ -85,7 +85,7 @@
             top: set.day.ladder.len() - 1,
             exp: (set.log.now() / 1000.0) as u64 + 3600,
         });
-        println!("  {scheme}://FRONT{}", address::manifest(&of.name, &title.name, &entry));
+        println!("  {scheme}://FRONT{}", address::manifest_path(&of.name, &title.name, &entry));
     }
     Ok(tokio::signal::ctrl_c().await?)
 }
--- a/crates/lab/src/players.rs
+++ b/crates/lab/src/players.rs
@@ -6,7 +6,7 @@
 use crate::scenario::{Day, Kind};
 use anyhow::Result;
 use pulleystair_dash::address;
-use pulleystair_dash::token::Entry;
+use pulleystair_dash::token::EntryToken;
 use pulleystair_fake_servers::content;
 use pulleystair_fake_servers::http::{HttpPeer, Message};
 use pulleystair_fake_servers::recorder::Recorder;
@@ -195,7 +195,7 @@
 
     fn token(&self, session: &str, arrival: &Arrival) -> String {
         let title = &self.titles[arrival.title];
-        self.fronts.sign(&Entry {
+        self.fronts.sign(&EntryToken {
             jti: session.to_string(),
             sub: format!("v{:x}", arrival.seed),
             product: self.day.products[title.product].name.clone(),
@@ -244,7 +244,7 @@
         let product = &self.day.products[title.product];
         let Ok(mut peer) = self.call(address).await else { return Told::Cut };
         let request = self.requests.fetch_add(1, Ordering::Relaxed);
-        let target = address::manifest(&product.name, &title.name, &self.token(session, arrival));
+        let target = address::manifest_path(&product.name, &title.name, &self.token(session, arrival));
         self.log.record(Observed::Asked {
             request,
             session: session.to_string(),
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -2,7 +2,7 @@
 //! script are ms or, where the name says so, s; rates are kB a second.
 
 use pulleystair_fake_servers::model::{ServerFleetSpec, ServerSpec};
-use pulleystair_jsonnet::{Fault, load, refused};
+use pulleystair_jsonnet::{LoadError, invalid_value, load};
 use pulleystair_rule_checker::rules::{self, RuleParams};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -226,9 +226,9 @@
 }
 
 impl Day {
-    pub fn read(file: &Path) -> Result<Day, Fault> {
+    pub fn read(file: &Path) -> Result<Day, LoadError> {
         let day: Day = load(file)?;
-        day.check().map_err(|(path, found, allowed)| refused(file, &path, found, allowed))?;
+        day.check().map_err(|(path, found, allowed)| invalid_value(file, &path, found, allowed))?;
         Ok(day)
     }
 
--- a/crates/tls/src/lib.rs
+++ b/crates/tls/src/lib.rs
@@ -1,15 +1,15 @@
 //! Certificates and keys of a front, each side's in a folder of its own, as PEM files (RFC 7468).
 //!
-//! Towards players ([`players`]): `chain.pem` (the front's certificate, then those that vouch for it), `key.pem`, and
+//! Towards players ([`load_player_config`]): `chain.pem` (the front's certificate, then those that vouch for it), `key.pem`, and
 //! `authority.pem`, to which the chain must lead. Where there is a `viewers.pem`, players must show a certificate
 //! that leads to it.
 //!
-//! Towards media servers ([`servers`]): `authority.pem`, to which their certificates must lead; `chain.pem` and
+//! Towards media servers ([`load_server_config`]): `authority.pem`, to which their certificates must lead; `chain.pem` and
 //! `key.pem` where they ask for the front's.
 //!
 //! A folder is read and checked whole before anything of it is used: that each file reads, the key fits the
 //! certificate, nothing has expired or is not valid yet, and each chain is complete (RFC 5280, section 6.1). What
-//! was made before stays as it is, so a caller that is told of a [`Fault`] goes on with what it has.
+//! was made before stays as it is, so a caller that is told of a [`CertificateError`] goes on with what it has.
 //! No fault, and no `Debug` of what is here, holds any of a key.
 
 use rustls::crypto::{CryptoProvider, ring};
@@ -25,64 +25,64 @@
 use webpki::{EndEntityCert, KeyUsage};
 
 /// The largest file that is read, bytes, and the most certificates in one.
-pub const MOST_BYTES: u64 = 256 << 10;
-pub const MOST_CERTIFICATES: usize = 64;
+pub const MAX_BYTES: u64 = 256 << 10;
+pub const MAX_CERTIFICATES: usize = 64;
 
 /// The files of a folder, the one that must be there first.
-pub const PLAYERS: [&str; 4] = ["chain.pem", "key.pem", "authority.pem", "viewers.pem"];
-pub const SERVERS: [&str; 3] = ["authority.pem", "chain.pem", "key.pem"];
+pub const PLAYER_FILES: [&str; 4] = ["chain.pem", "key.pem", "authority.pem", "viewers.pem"];
+pub const SERVER_FILES: [&str; 3] = ["authority.pem", "chain.pem", "key.pem"];
 
 /// What is wrong with which file.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}: {cause}", file.display())]
-pub struct Fault {
+pub struct CertificateError {
     pub file: PathBuf,
     pub cause: String,
 }
 
-fn fault(file: &Path, cause: impl fmt::Display) -> Fault {
-    Fault { file: file.into(), cause: cause.to_string() }
+fn fault(file: &Path, cause: impl fmt::Display) -> CertificateError {
+    CertificateError { file: file.into(), cause: cause.to_string() }
 }
 
 /// What was read from a folder: the terms of its connections, and until when they hold, s since 1970.
 #[derive(Clone)]
-pub struct Sealed<T> {
-    pub terms: Arc<T>,
+pub struct Loaded<T> {
+    pub config: Arc<T>,
     /// When the first of the certificates runs out that are shown; none where none is.
     pub expires: Option<u64>,
     /// The serial number of the certificate that is shown, by which people tell sets apart.
     pub serial: String,
 }
 
-impl<T> fmt::Debug for Sealed<T> {
+impl<T> fmt::Debug for Loaded<T> {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.debug_struct("Sealed").field("expires", &self.expires).field("serial", &self.serial).finish()
+        f.debug_struct("Loaded").field("expires", &self.expires).field("serial", &self.serial).finish()
     }
 }
 
-fn bytes(file: &Path) -> Result<Vec<u8>, Fault> {
+fn bytes(file: &Path) -> Result<Vec<u8>, CertificateError> {
     let size = std::fs::metadata(file).map_err(|e| fault(file, e))?.len();
-    if size > MOST_BYTES {
-        return Err(fault(file, format!("{size} bytes; {MOST_BYTES} at most")));
+    if size > MAX_BYTES {
+        return Err(fault(file, format!("{size} bytes; {MAX_BYTES} at most")));
     }
     std::fs::read(file).map_err(|e| fault(file, e))
 }
 
-fn certificates(file: &Path) -> Result<Vec<CertificateDer<'static>>, Fault> {
+fn certificates(file: &Path) -> Result<Vec<CertificateDer<'static>>, CertificateError> {
     let text = bytes(file)?;
     let read: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(&text).collect();
     let read = read.map_err(|e| fault(file, format!("not read as PEM: {e}")))?;
     match read.len() {
         0 => Err(fault(file, "holds no certificate")),
-        n if n > MOST_CERTIFICATES => {
-            Err(fault(file, format!("{n} certificates; {MOST_CERTIFICATES} at most")))
+        n if n > MAX_CERTIFICATES => {
+            Err(fault(file, format!("{n} certificates; {MAX_CERTIFICATES} at most")))
         }
         _ => Ok(read),
     }
 }
 
 /// When the first of them runs out, s since 1970, and the serial number of the first.
-fn dates(file: &Path, chain: &[CertificateDer]) -> Result<(u64, String), Fault> {
+fn dates(file: &Path, chain: &[CertificateDer]) -> Result<(u64, String), CertificateError> {
     let (mut expires, mut serial) = (u64::MAX, String::new());
     for (at, der) in chain.iter().enumerate() {
         let of = |e: &dyn fmt::Display| fault(file, format!("certificate {} not read: {e}", at + 1));
@@ -97,7 +97,10 @@
 }
 
 /// The certificates of an authority, none of them expired.
-fn authority(file: &Path, now: u64) -> Result<(Vec<CertificateDer<'static>>, Arc<RootCertStore>), Fault> {
+fn authority(
+    file: &Path,
+    now: u64,
+) -> Result<(Vec<CertificateDer<'static>>, Arc<RootCertStore>), CertificateError> {
     let all = certificates(file)?;
     let (expires, _) = dates(file, &all)?;
     if expires <= now {
@@ -116,7 +119,7 @@
     authority: &(Vec<CertificateDer>, PathBuf),
     usage: KeyUsage,
     now: u64,
-) -> Result<(Arc<CertifiedKey>, u64, String), Fault> {
+) -> Result<(Arc<CertifiedKey>, u64, String), CertificateError> {
     let (chain_file, key_file) = (folder.join("chain.pem"), folder.join("key.pem"));
     let chain = certificates(&chain_file)?;
     let key = PrivateKeyDer::from_pem_slice(&bytes(&key_file)?);
@@ -177,7 +180,7 @@
 }
 
 /// Reads what is shown to players, as of `now`, s since 1970.
-pub fn players(folder: &Path, now: u64) -> Result<Sealed<ServerConfig>, Fault> {
+pub fn load_player_config(folder: &Path, now: u64) -> Result<Loaded<ServerConfig>, CertificateError> {
     let file = folder.join("authority.pem");
     let (roots, _) = authority(&file, now)?;
     let (own, expires, serial) = own(folder, &(roots, file), KeyUsage::server_auth(), now)?;
@@ -195,11 +198,11 @@
     // Players come again on new connections; a ticket spares them and the front the signature (RFC 8446, 2.2).
     terms.ticketer = ring::Ticketer::new().map_err(|e| fault(folder, e))?;
     terms.alpn_protocols = vec![b"http/1.1".to_vec()];
-    Ok(Sealed { terms: Arc::new(terms), expires: Some(expires), serial })
+    Ok(Loaded { config: Arc::new(terms), expires: Some(expires), serial })
 }
 
 /// Reads what media servers are known by, and what they are shown, as of `now`, s since 1970.
-pub fn servers(folder: &Path, now: u64) -> Result<Sealed<ClientConfig>, Fault> {
+pub fn load_server_config(folder: &Path, now: u64) -> Result<Loaded<ClientConfig>, CertificateError> {
     let file = folder.join("authority.pem");
     let (all, roots) = authority(&file, now)?;
     let terms = ClientConfig::builder_with_provider(provider());
@@ -208,9 +211,9 @@
     let shown = [folder.join("chain.pem"), folder.join("key.pem")];
     if shown.iter().all(|file| !file.exists()) {
         let terms = terms.with_no_client_auth();
-        return Ok(Sealed { terms: Arc::new(terms), expires: None, serial: String::new() });
+        return Ok(Loaded { config: Arc::new(terms), expires: None, serial: String::new() });
     }
     let (own, expires, serial) = own(folder, &(all, file), KeyUsage::client_auth(), now)?;
     let terms = terms.with_client_cert_resolver(Arc::new(Shows(own)));
-    Ok(Sealed { terms: Arc::new(terms), expires: Some(expires), serial })
+    Ok(Loaded { config: Arc::new(terms), expires: Some(expires), serial })
 }
--- a/crates/tls/tests/folders.rs
+++ b/crates/tls/tests/folders.rs
@@ -1,6 +1,6 @@
 //! Folders of certificates as operators put them there, good and bad.
 
-use pulleystair_tls::{players, servers};
+use pulleystair_tls::{load_player_config, load_server_config};
 use rcgen::{
     BasicConstraints, CertificateParams, CertifiedIssuer, ExtendedKeyUsagePurpose, IsCa, KeyPair,
     SerialNumber,
@@ -78,19 +78,22 @@
 #[test]
 fn a_good_folder_is_taken_for_either_side() {
     let made = Made::new();
-    let it = players(made.at(), seconds()).unwrap();
+    let it = load_player_config(made.at(), seconds()).unwrap();
     assert_eq!(it.serial, "beef");
     assert!(it.expires.is_some_and(|e| e > seconds() + 80_000 && e < seconds() + 90_000));
-    assert_eq!(servers(made.at(), seconds()).unwrap().serial, "beef");
+    assert_eq!(load_server_config(made.at(), seconds()).unwrap().serial, "beef");
     // Players must show theirs where the folder says whose.
     made.put("viewers.pem", &authority(day()).pem());
-    players(made.at(), seconds()).unwrap();
+    load_player_config(made.at(), seconds()).unwrap();
     // An authority alone will do towards servers, not towards players.
     std::fs::remove_file(made.at().join("chain.pem")).unwrap();
-    assert!(servers(made.at(), seconds()).unwrap_err().to_string().contains("chain.pem"), "half a set");
+    assert!(
+        load_server_config(made.at(), seconds()).unwrap_err().to_string().contains("chain.pem"),
+        "half a set"
+    );
     std::fs::remove_file(made.at().join("key.pem")).unwrap();
-    assert_eq!(servers(made.at(), seconds()).unwrap().expires, None);
-    assert!(players(made.at(), seconds()).unwrap_err().to_string().contains("chain.pem"));
+    assert_eq!(load_server_config(made.at(), seconds()).unwrap().expires, None);
+    assert!(load_player_config(made.at(), seconds()).unwrap_err().to_string().contains("chain.pem"));
 }
 
 #[test_case(|m| m.put("key.pem", &KeyPair::generate().unwrap().serialize_pem()), "key.pem: key does not fit"; "another key")]
@@ -112,7 +115,7 @@
 fn a_bad_folder_is_refused_by_file_and_cause(spoil: fn(&Made), cause: &str) {
     let made = Made::new();
     spoil(&made);
-    let fault = players(made.at(), seconds()).unwrap_err().to_string();
+    let fault = load_player_config(made.at(), seconds()).unwrap_err().to_string();
     assert!(fault.contains(cause), "{fault}");
 }
 
@@ -121,8 +124,8 @@
     let made = Made::new();
     let key = std::fs::read_to_string(made.at().join("key.pem")).unwrap();
     let secret = key.lines().nth(1).unwrap();
-    let it = players(made.at(), seconds()).unwrap();
+    let it = load_player_config(made.at(), seconds()).unwrap();
     made.put("key.pem", &key.replace("PRIVATE", "PUBLIC"));
-    let shown = format!("{it:?} {:?} {}", it.terms, players(made.at(), seconds()).unwrap_err());
+    let shown = format!("{it:?} {:?} {}", it.config, load_player_config(made.at(), seconds()).unwrap_err());
     assert!(!shown.contains(&secret[..16]), "{shown}");
 }
