--- a/crates/edge/tests/bounds.rs
+++ b/crates/edge/tests/bounds.rs
@@ -3,7 +3,7 @@
 mod house;
 
 use house::{House, day, get, patient, text};
-use pulleystair_lab::environment::Listed;
+use pulleystair_lab::environment::ListedState;
 use pulleystair_rule_checker::Observed;
 use serde_json::json;
 use test_case::test_case;
@@ -67,7 +67,7 @@
     });
     let house = House::of(day).await;
     // A list that is told anew vouches for its servers: none is taken for cold, which has a pace of its own.
-    house.stage.list(0, Listed::Ready { started: 0.0 });
+    house.stage.list(0, ListedState::Ready { started: 0.0 });
     house.says("list taken", 2).await;
     // Eight set-ups of 100 ms at once, for a second and a bit: under a hundred of three hundred.
     house.ail(|a| a.slow = 20.0);
--- a/crates/edge/tests/broken.rs
+++ b/crates/edge/tests/broken.rs
@@ -5,7 +5,7 @@
 mod house;
 
 use house::{House, day};
-use pulleystair_lab::environment::Listed;
+use pulleystair_lab::environment::ListedState;
 use pulleystair_rule_checker::Observed;
 use serde_json::{Value, json};
 use std::time::Duration;
@@ -39,7 +39,7 @@
     let deaf = "s/\"drain_grace_ms\": 400/\"drain_grace_ms\": 900000/; s/\"list_poll_ms\": 300/\"list_poll_ms\": 900000/";
     let house = told(day, deaf).await;
     for server in 0..4 {
-        house.stage.list(server, Listed::Draining { started: 0.0 });
+        house.stage.list(server, ListedState::Draining { started: 0.0 });
     }
     // The grace, and what may be seen late: the rule's own time.
     tokio::time::sleep(Duration::from_millis(700)).await;
--- a/crates/edge/tests/company/mod.rs
+++ b/crates/edge/tests/company/mod.rs
@@ -6,7 +6,7 @@
 use pulleystair_edge::status::query;
 use pulleystair_fleet_member::{AllocationResult, FleetConfig, FleetMember, GossipConfig, stable_id};
 use pulleystair_lab::fronts::name;
-use pulleystair_lab::testbed::Set;
+use pulleystair_lab::testbed::Testbed;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -121,7 +121,7 @@
 }
 
 /// A front's own list, in which some servers are to be had elsewhere.
-pub fn cut(_set: &Set, folder: &Path, front: usize, servers: &[(usize, SocketAddr)]) {
+pub fn cut(_set: &Testbed, folder: &Path, front: usize, servers: &[(usize, SocketAddr)]) {
     let own = format!("list-{front}.json");
     std::fs::copy(folder.join("list.json"), folder.join(&own)).expect("it is copied");
     change_json(&folder.join(&own), |list| {
--- a/crates/edge/tests/crowds.rs
+++ b/crates/edge/tests/crowds.rs
@@ -9,7 +9,7 @@
 use pulleystair_dash::token::EntryToken;
 use pulleystair_fake_servers::content;
 use pulleystair_fake_servers::http::HttpPeer;
-use pulleystair_lab::fronts::portal;
+use pulleystair_lab::fronts::portal_keys;
 use pulleystair_rule_checker::Observed;
 use serde_json::json;
 use std::sync::Arc;
@@ -163,7 +163,7 @@
 fn signed(house: &House, session: &str, exp: u64) -> String {
     let (product, title) = (house.day.products[FREE].name.clone(), house.titles[FREE].name.clone());
     let entry = EntryToken { jti: session.into(), sub: "v".into(), product, title, top: 1, exp };
-    address::manifest_path(&entry.product, &entry.title, &portal().sign(&entry))
+    address::manifest_path(&entry.product, &entry.title, &portal_keys().sign(&entry))
 }
 
 /// To the front, a portal whose clock was stepped and a front's own that was are the same: they disagree.
--- a/crates/edge/tests/days.rs
+++ b/crates/edge/tests/days.rs
@@ -2,8 +2,8 @@
 //! ever holds two allocations, and every segment is the one asked for, whatever the seed.
 
 use pulleystair_lab::fronts::Program;
-use pulleystair_lab::scenario::Day;
-use pulleystair_lab::scenario_run::{Outcome, play};
+use pulleystair_lab::scenario::Scenario;
+use pulleystair_lab::scenario_run::{RunResult, run};
 use pulleystair_rule_checker::Observed;
 use pulleystair_rule_checker::history::History;
 use serde_json::json;
@@ -11,9 +11,10 @@
 use test_case::test_case;
 
 /// The long day of the examples, pressed into seconds.
-fn short(seed: u64) -> Day {
+fn short(seed: u64) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/dash-day.jsonnet");
-    let mut day = serde_json::to_value(Day::read(&file).expect("the day reads")).expect("a day is plain");
+    let mut day =
+        serde_json::to_value(Scenario::read(&file).expect("the day reads")).expect("a day is plain");
     day["seed"] = json!(seed);
     day["seconds"] = json!(7);
     day["fronts"] = json!(2);
@@ -32,10 +33,10 @@
     serde_json::from_value(day).expect("the short day reads")
 }
 
-async fn played(day: &Day) -> Outcome {
+async fn played(day: &Scenario) -> RunResult {
     let folder = tempfile::tempdir().expect("a folder can be had");
     let program = Program::edge(env!("CARGO_BIN_EXE_pulleystair-edge").into());
-    play(day.clone(), program, folder.path()).await.expect("the day is played")
+    run(day.clone(), program, folder.path()).await.expect("the day is played")
 }
 
 #[test_case(1; "one seed")]
--- a/crates/edge/tests/failures.rs
+++ b/crates/edge/tests/failures.rs
@@ -6,7 +6,7 @@
 use house::{House, base, closed, day, get, patient, set_ups, text};
 use pulleystair_fake_servers::content;
 use pulleystair_fake_servers::http::HttpPeer;
-use pulleystair_lab::environment::Listed;
+use pulleystair_lab::environment::ListedState;
 use serde_json::json;
 use test_case::test_case;
 use tokio::io::AsyncReadExt;
@@ -85,7 +85,7 @@
     day["fleet"]["work_ms"] = json!(0);
     day["admission"] = json!({ "least": 1000, "most": 1000, "work_ms": 1e9, "behind_ms": 1e9 });
     let house = House::of(day).await;
-    house.stage.list(0, Listed::Ready { started: 0.0 });
+    house.stage.list(0, ListedState::Ready { started: 0.0 });
     house.says("list taken", 2).await;
     house.ail(|a| a.reset = 1.0);
     assert_eq!(house.crowd(400, PAID).await, 0);
@@ -285,7 +285,7 @@
     let asking = house.ask_at(0, "s", FREE).await;
     house.until("a set-up", |seen| set_ups(seen) == 1).await;
     for server in 0..4 {
-        house.stage.list(server, Listed::Draining { started: 0.0 });
+        house.stage.list(server, ListedState::Draining { started: 0.0 });
     }
     assert_eq!(asking.answer().await.status, 503);
     assert_eq!(house.ask("later", FREE).await.status, 503, "nobody may take it");
@@ -324,7 +324,7 @@
     assert_eq!(house.ask("s", FREE).await.status, 200, "the list in hand stays");
     std::fs::write(&file, whole.replace("\"weight\":1.0", "\"weight\":-1")).expect("the list is written");
     house.until_true("the front names the value", || says("servers[0].weight: found -1") >= 1).await;
-    house.stage.list(0, Listed::Draining { started: 0.0 });
+    house.stage.list(0, ListedState::Draining { started: 0.0 });
     house.until_true("the whole list is taken", || says("\"draining\":1") >= 1).await;
     house.kept();
 }
--- a/crates/edge/tests/house/mod.rs
+++ b/crates/edge/tests/house/mod.rs
@@ -8,8 +8,8 @@
 use pulleystair_fake_servers::model::ServerFaults;
 use pulleystair_fake_servers::recorder::Recorder;
 use pulleystair_lab::fronts::{FRONT, Program};
-use pulleystair_lab::scenario::Day;
-use pulleystair_lab::testbed::Set;
+use pulleystair_lab::scenario::Scenario;
+use pulleystair_lab::testbed::Testbed;
 use pulleystair_rule_checker::history::History;
 use pulleystair_rule_checker::rules::check;
 use pulleystair_rule_checker::{Observation, Observed};
@@ -26,7 +26,7 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 
 pub struct House {
-    set: Set,
+    set: Testbed,
     pub at: Vec<SocketAddr>,
     folder: tempfile::TempDir,
     requests: AtomicU64,
@@ -63,9 +63,9 @@
 }
 
 impl Deref for House {
-    type Target = Set;
+    type Target = Testbed;
 
-    fn deref(&self) -> &Set {
+    fn deref(&self) -> &Testbed {
         &self.set
     }
 }
@@ -94,10 +94,15 @@
     }
 
     /// A house of which only the first fronts are started, after its files were changed.
-    pub async fn some(day: Value, program: Program, count: usize, change: impl FnOnce(&Set, &Path)) -> House {
-        let day: Day = serde_json::from_value(day).expect("the day reads");
+    pub async fn some(
+        day: Value,
+        program: Program,
+        count: usize,
+        change: impl FnOnce(&Testbed, &Path),
+    ) -> House {
+        let day: Scenario = serde_json::from_value(day).expect("the day reads");
         let folder = tempfile::tempdir().expect("a folder can be had");
-        let set = Set::build(day, program, folder.path()).await.expect("the set is built");
+        let set = Testbed::build(day, program, folder.path()).await.expect("the set is built");
         change(&set, folder.path());
         let mut at = Vec::new();
         for front in 0..count {
--- a/crates/edge/tests/keys.rs
+++ b/crates/edge/tests/keys.rs
@@ -5,7 +5,7 @@
 use house::{House, base, closed, day};
 use pulleystair_dash::token::{EntryToken, KeyRing};
 use pulleystair_fake_servers::files::replace;
-use pulleystair_lab::fronts::portal;
+use pulleystair_lab::fronts::portal_keys;
 use serde_json::json;
 use std::time::Duration;
 
@@ -20,10 +20,10 @@
 #[tokio::test]
 async fn tokens_that_open_nothing_cost_no_allocation() {
     let house = House::open().await;
-    let good = portal().sign(&entry(&house));
+    let good = portal_keys().sign(&entry(&house));
     let forged = KeyRing::new(&[("portal-1".into(), vec![9; 32])]).unwrap().sign(&entry(&house));
     let unknown = KeyRing::new(&[("portal-9".into(), vec![9; 32])]).unwrap().sign(&entry(&house));
-    let expired = portal().sign(&EntryToken { exp: 1, ..entry(&house) });
+    let expired = portal_keys().sign(&EntryToken { exp: 1, ..entry(&house) });
     let other = house.token("p", PAID);
     let title = &house.titles[FREE].name;
     for (token, status) in
@@ -40,7 +40,7 @@
         "GET /v1/free/{title}/manifest.mpd HTTP/1.1\r\nHost: f\r\nAuthorization: Bearer {good}\r\n\r\n"
     );
     assert_eq!(house.send(&bearer).await.unwrap().status, 200);
-    let theirs = portal().sign(&EntryToken { sub: "w".into(), ..entry(&house) });
+    let theirs = portal_keys().sign(&EntryToken { sub: "w".into(), ..entry(&house) });
     let answer = house.get(&format!("/v1/free/{title}/manifest.mpd?token={theirs}")).await;
     assert_eq!(answer.status, 403, "another viewer's session");
     let log = house.log_of(0);
--- a/crates/edge/tests/sealed.rs
+++ b/crates/edge/tests/sealed.rs
@@ -116,7 +116,7 @@
     let mut kept = house.call(0).await.unwrap();
     let mut before = shown(&kept);
     for n in 1..=10 {
-        house.fronts.renew_papers().unwrap();
+        house.fronts.renew_certificates().unwrap();
         // One for each side.
         house.says("certificates taken", 2 * n).await;
         kept.write(get(&target).as_bytes()).await.unwrap();
@@ -136,10 +136,15 @@
     let folder = house.folder().join("players");
     let good = std::fs::read(folder.join("key.pem")).unwrap();
     // A key that fits no more, then an expired set, then half of a good one.
-    std::fs::write(folder.join("key.pem"), house.fronts.paper(soon(1000)).unwrap().key).unwrap();
+    std::fs::write(folder.join("key.pem"), house.fronts.certificate(soon(1000)).unwrap().key).unwrap();
     house.says("key does not fit", 1).await;
     assert_eq!(shown(&house.call(0).await.unwrap()), before);
-    house.fronts.paper(SystemTime::now() - Duration::from_secs(60)).unwrap().write_files(&folder).unwrap();
+    house
+        .fronts
+        .certificate(SystemTime::now() - Duration::from_secs(60))
+        .unwrap()
+        .write_files(&folder)
+        .unwrap();
     house.says("expired", 1).await;
     assert_eq!(shown(&house.call(0).await.unwrap()), before);
     std::fs::write(folder.join("key.pem"), &good[..good.len() / 2]).unwrap();
@@ -149,7 +154,7 @@
     let log = house.log_of(0);
     assert!(!log.contains("BEGIN") && !log.contains(&text_of(&good)[40..80]), "no key in the log");
     // A good set is taken after bad ones.
-    house.fronts.paper(soon(1000)).unwrap().write_files(&folder).unwrap();
+    house.fronts.certificate(soon(1000)).unwrap().write_files(&folder).unwrap();
     house.says("certificates taken", 1).await;
     assert_ne!(shown(&house.call(0).await.unwrap()), before);
     house.kept();
@@ -165,7 +170,7 @@
     day["products"][FREE]["seconds"] = json!([40, 40]);
     let house = House::of(day).await;
     let folder = house.folder().join("players");
-    house.fronts.paper(soon(3)).unwrap().write_files(&folder).unwrap();
+    house.fronts.certificate(soon(3)).unwrap().write_files(&folder).unwrap();
     house.says("certificates taken", 1).await;
     house.says("certificate runs out soon", 1).await;
     let mut kept = house.call(0).await.expect("it still holds");
@@ -178,7 +183,7 @@
     let new = house.fronts.connector().unwrap().unwrap();
     let refused = HttpPeer::connect(house.at[0], Some((&new, FRONT))).await;
     assert!(refused.is_err(), "players do not take it any more");
-    house.fronts.paper(soon(1000)).unwrap().write_files(&folder).unwrap();
+    house.fronts.certificate(soon(1000)).unwrap().write_files(&folder).unwrap();
     house.says("certificates taken", 2).await;
     assert_eq!(house.get(&target).await.status, 200);
     house.kept();
@@ -190,7 +195,7 @@
     day["limits"] = json!({ "keys_poll_ms": 3_600_000, "list_poll_ms": 300 });
     let house = House::of(day).await;
     let before = shown(&house.call(0).await.unwrap());
-    house.fronts.renew_papers().unwrap();
+    house.fronts.renew_certificates().unwrap();
     let process = house.fronts.process(0).unwrap().to_string();
     assert!(std::process::Command::new("kill").args(["-HUP", &process]).status().unwrap().success());
     house.says("certificates taken", 2).await;
--- a/crates/edge/tests/shared.rs
+++ b/crates/edge/tests/shared.rs
@@ -7,7 +7,7 @@
 use pulleystair_dash::token::{EntryToken, KeyRing};
 use pulleystair_fake_servers::files::replace;
 use pulleystair_fake_servers::http::HttpPeer;
-use pulleystair_lab::environment::Listed;
+use pulleystair_lab::environment::ListedState;
 use pulleystair_rule_checker::{Observation, Observed};
 use serde_json::json;
 use std::net::SocketAddr;
@@ -206,7 +206,7 @@
         tokio::task::yield_now().await;
     }
     for server in 0..4 {
-        house.stage.list(server, Listed::Draining { started: 0.0 });
+        house.stage.list(server, ListedState::Draining { started: 0.0 });
     }
     house.says("list not taken", 1).await;
     drop(held);
--- a/crates/edge/tests/stops.rs
+++ b/crates/edge/tests/stops.rs
@@ -7,7 +7,7 @@
 use pulleystair_fake_servers::content;
 use pulleystair_fake_servers::files::replace;
 use pulleystair_fake_servers::http::HttpPeer;
-use pulleystair_lab::environment::Listed;
+use pulleystair_lab::environment::ListedState;
 use pulleystair_rule_checker::{Observation, Observed};
 use serde_json::{Value, json};
 use std::process::Stdio;
@@ -182,7 +182,7 @@
 async fn a_drain_heard_of_before_a_kill_holds_after_it() {
     let mut house = House::open().await;
     for server in 0..3 {
-        house.stage.list(server, Listed::Draining { started: 0.0 });
+        house.stage.list(server, ListedState::Draining { started: 0.0 });
     }
     house.says("\"draining\":3", 1).await;
     house.restart(0).await;
--- a/crates/lab/src/environment.rs
+++ b/crates/lab/src/environment.rs
@@ -1,7 +1,7 @@
 //! The list of servers as fronts are given it, and the troubles of a day.
 
 use crate::fronts::Fronts;
-use crate::scenario::{Day, Kind, Trouble};
+use crate::scenario::{FaultEvent, Kind, Scenario};
 use anyhow::Result;
 use pulleystair_fake_servers::files::replace;
 use pulleystair_fake_servers::model::ServerFaults;
@@ -29,7 +29,7 @@
 }
 
 /// The titles of a day, each on some servers only.
-pub fn titles(day: &Day) -> Vec<Title> {
+pub fn titles(day: &Scenario) -> Vec<Title> {
     let mut rnd = StdRng::seed_from_u64(day.seed ^ 0x7171e5);
     let mut out = Vec::new();
     for (product, it) in day.products.iter().enumerate() {
@@ -51,22 +51,22 @@
 
 /// How a server stands on the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Listed {
+pub enum ListedState {
     Ready { started: f64 },
     Draining { started: f64 },
     Gone,
 }
 
 struct Board {
-    states: Vec<Listed>,
+    states: Vec<ListedState>,
     /// Servers that are out of service for a trouble: no other trouble takes them.
     taken: Vec<bool>,
 }
 
 /// Everything that a day's troubles act on.
 #[derive(Clone)]
-pub struct Stage {
-    day: Arc<Day>,
+pub struct Environment {
+    day: Arc<Scenario>,
     titles: Arc<Vec<Title>>,
     boxes: FakeServers,
     fronts: Fronts,
@@ -75,18 +75,19 @@
     board: Arc<Mutex<Board>>,
 }
 
-impl Stage {
+impl Environment {
     pub fn new(
-        day: Arc<Day>,
+        day: Arc<Scenario>,
         titles: Arc<Vec<Title>>,
         boxes: FakeServers,
         fronts: Fronts,
         log: Recorder,
         file: PathBuf,
-    ) -> Result<Stage> {
+    ) -> Result<Environment> {
         let count = day.fleet.servers;
-        let board = Board { states: vec![Listed::Ready { started: 0.0 }; count], taken: vec![false; count] };
-        let stage = Stage { day, titles, boxes, fronts, log, file, board: Arc::new(Mutex::new(board)) };
+        let board =
+            Board { states: vec![ListedState::Ready { started: 0.0 }; count], taken: vec![false; count] };
+        let stage = Environment { day, titles, boxes, fronts, log, file, board: Arc::new(Mutex::new(board)) };
         stage.write(&stage.board.lock().expect("nobody dies while holding the board"))?;
         Ok(stage)
     }
@@ -95,9 +96,9 @@
         let mut servers = Vec::new();
         for (server, state) in board.states.iter().enumerate() {
             let (word, started) = match state {
-                Listed::Ready { started } => ("ready", started),
-                Listed::Draining { started } => ("draining", started),
-                Listed::Gone => continue,
+                ListedState::Ready { started } => ("ready", started),
+                ListedState::Draining { started } => ("draining", started),
+                ListedState::Gone => continue,
             };
             servers.push(json!({
                 "name": format!("m{server}"),
@@ -130,14 +131,14 @@
 
     /// Lists a server anew, for all fronts at once. What is decided, logged and written is one step: another change
     /// must not put this one into the file before the log has it, or a front would seem to act on what nobody told.
-    pub fn list(&self, server: usize, state: Listed) {
+    pub fn list(&self, server: usize, state: ListedState) {
         let board = self.board.lock().expect("nobody dies while holding the board");
         self.put_up(board, server, state);
     }
 
-    fn put_up(&self, mut board: MutexGuard<Board>, server: usize, state: Listed) {
+    fn put_up(&self, mut board: MutexGuard<Board>, server: usize, state: ListedState) {
         board.states[server] = state;
-        self.log.record(Observed::Listed { server, ready: matches!(state, Listed::Ready { .. }) });
+        self.log.record(Observed::Listed { server, ready: matches!(state, ListedState::Ready { .. }) });
         if let Err(e) = self.write(&board) {
             eprintln!("pulleystair-lab: the list could not be written: {e}");
         }
@@ -173,7 +174,7 @@
             let board = stage.board.lock().expect("nobody dies while holding the board");
             let down = stage.boxes.model().servers[server].faults.down;
             if down {
-                stage.put_up(board, server, Listed::Gone);
+                stage.put_up(board, server, ListedState::Gone);
             }
         });
     }
@@ -181,25 +182,25 @@
     /// A server's process starts anew, cold, and the list tells so.
     pub fn restart(&self, server: usize) {
         self.boxes.restart(server, true);
-        self.list(server, Listed::Ready { started: self.log.now() });
+        self.list(server, ListedState::Ready { started: self.log.now() });
     }
 
     /// A server is replaced: it drains, ends, and comes back cold.
     async fn replace(&self, server: usize, notice: Duration, down: Duration) {
         let started = match self.board.lock().expect("nobody dies while holding the board").states[server] {
-            Listed::Ready { started } | Listed::Draining { started } => started,
-            Listed::Gone => 0.0,
+            ListedState::Ready { started } | ListedState::Draining { started } => started,
+            ListedState::Gone => 0.0,
         };
-        self.list(server, Listed::Draining { started });
+        self.list(server, ListedState::Draining { started });
         sleep(notice).await;
         self.boxes.stop(server);
-        self.list(server, Listed::Gone);
+        self.list(server, ListedState::Gone);
         sleep(down).await;
         self.restart(server);
     }
 
     /// Lets one trouble loose and sees it through. Surges and crowds are the players' part.
-    pub async fn trouble(&self, trouble: Trouble, seed: u64) {
+    pub async fn inject(&self, trouble: FaultEvent, seed: u64) {
         sleep(Duration::from_secs_f64(trouble.at_s)).await;
         let mut rnd = StdRng::seed_from_u64(seed);
         let length = Duration::from_secs_f64(trouble.length_s);
@@ -210,7 +211,8 @@
             Kind::Renew => {
                 let each = length / size.max(1.0) as u32;
                 for _ in 0..size as usize {
-                    let renewed = self.fronts.renew_papers().and(self.fronts.renew_keys(each / 2).await);
+                    let renewed =
+                        self.fronts.renew_certificates().and(self.fronts.renew_keys(each / 2).await);
                     if let Err(e) = renewed {
                         eprintln!("pulleystair-lab: keys could not be replaced: {e}");
                     }
--- a/crates/lab/src/fronts.rs
+++ b/crates/lab/src/fronts.rs
@@ -1,7 +1,7 @@
 //! Real fronts as processes: writes what they are given at start, starts, kills and stops them.
 
-use crate::relays::Between;
-use crate::scenario::Day;
+use crate::relays::Relays;
+use crate::scenario::Scenario;
 use anyhow::{Context, Result, bail, ensure};
 use pulleystair_dash::token::{EntryToken, KeyRing};
 use pulleystair_fake_servers::certificates::{Certificate, CertificateAuthority};
@@ -53,7 +53,7 @@
     all: Arc<Mutex<Vec<Front>>>,
     log: Recorder,
     /// What stands between fronts that share.
-    pub between: Option<Between>,
+    pub between: Option<Relays>,
     /// The portal's present key, and how many keys there were.
     portal: Arc<Mutex<(KeyRing, usize)>>,
     /// Who vouches for fronts and servers, where they speak TLS.
@@ -64,7 +64,7 @@
 pub const FRONT: &str = "front";
 
 /// The portal's key, with which entry tokens are signed.
-pub fn portal() -> KeyRing {
+pub fn portal_keys() -> KeyRing {
     ring(1)
 }
 
@@ -87,8 +87,8 @@
 }
 
 /// The rundown of one front of a day, where its fronts share also with its ways to the others.
-fn shared_rundown(day: &Day, front: usize, between: &Option<Between>) -> Result<serde_json::Value> {
-    let mut it = rundown(day, front);
+fn shared_rundown(day: &Scenario, front: usize, between: &Option<Relays>) -> Result<serde_json::Value> {
+    let mut it = front_config(day, front);
     if let (Some(between), Some(sharing)) = (between, &day.sharing) {
         let peer = |to: usize| json!({ "name": name(to), "at": between.way(front, to) });
         it["fleet"]["name"] = json!("laboratory");
@@ -101,7 +101,7 @@
 }
 
 /// The rundown of one front of a day.
-pub fn rundown(day: &Day, front: usize) -> serde_json::Value {
+pub fn front_config(day: &Scenario, front: usize) -> serde_json::Value {
     let fleet = &day.fleet;
     let links: f64 = fleet.link_kb * fleet.servers as f64;
     let products: Vec<serde_json::Value> = day
@@ -161,8 +161,8 @@
 
 impl Fronts {
     /// Writes keys and rundowns into the folder; the list must be there before a front starts.
-    pub fn new(day: &Day, program: Program, folder: &Path, log: Recorder) -> Result<Fronts> {
-        let between = day.sharing.as_ref().map(|_| Between::open(day.fronts, day.seed)).transpose()?;
+    pub fn new(day: &Scenario, program: Program, folder: &Path, log: Recorder) -> Result<Fronts> {
+        let between = day.sharing.as_ref().map(|_| Relays::open(day.fronts, day.seed)).transpose()?;
         for front in 0..day.fronts {
             let text = serde_json::to_string_pretty(&shared_rundown(day, front, &between)?)?;
             std::fs::write(folder.join(format!("front-{front}.json")), text)?;
@@ -185,7 +185,7 @@
                 replace(&folder.join(side).join("authority.pem"), authority.pem().as_bytes())?;
             }
         }
-        fronts.renew_papers()?;
+        fronts.renew_certificates()?;
         Ok(fronts)
     }
 
@@ -214,7 +214,7 @@
     }
 
     /// Replaces the fronts' certificates, where they have any.
-    pub fn renew_papers(&self) -> Result<()> {
+    pub fn renew_certificates(&self) -> Result<()> {
         let Some(authority) = &self.authority else { return Ok(()) };
         for side in ["players", "servers"] {
             authority.issue_long_lived(FRONT).write_files(&self.folder.join(side))?;
@@ -223,7 +223,7 @@
     }
 
     /// A certificate for fronts, good until then.
-    pub fn paper(&self, until: SystemTime) -> Option<Certificate> {
+    pub fn certificate(&self, until: SystemTime) -> Option<Certificate> {
         Some(self.authority.as_ref()?.issue(FRONT, until))
     }
 
--- a/crates/lab/src/host_load.rs
+++ b/crates/lab/src/host_load.rs
@@ -12,13 +12,13 @@
 const NAP: Duration = Duration::from_millis(5);
 
 /// Watches until it is asked.
-pub struct Machine {
+pub struct HostLoad {
     stop: Arc<AtomicBool>,
     naps: Vec<JoinHandle<f64>>,
 }
 
-impl Machine {
-    pub fn watch() -> Machine {
+impl HostLoad {
+    pub fn watch() -> HostLoad {
         let stop = Arc::new(AtomicBool::new(false));
         let allowed = sched_getaffinity(None).unwrap_or_default();
         let cores = (0..CpuSet::MAX_CPU).filter(|core| allowed.is_set(*core));
@@ -38,7 +38,7 @@
                 latest
             })
         });
-        Machine { naps: naps.collect(), stop }
+        HostLoad { naps: naps.collect(), stop }
     }
 
     /// The latest that anyone woke, ms.
@@ -49,7 +49,7 @@
 }
 
 /// A day that breaks off leaves nobody watching.
-impl Drop for Machine {
+impl Drop for HostLoad {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
     }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -3,10 +3,10 @@
 //! that falls behind shows; a generator that falls behind says so.
 
 use crate::environment::{Title, ms};
-use crate::fronts::{FRONT, Fronts, Program, portal};
+use crate::fronts::{FRONT, Fronts, Program, portal_keys};
 use crate::report::{Quantiles, quantiles};
-use crate::scenario::Day;
-use crate::testbed::Set;
+use crate::scenario::Scenario;
+use crate::testbed::Testbed;
 use anyhow::{Context, Result, ensure};
 use pulleystair_dash::address;
 use pulleystair_dash::token::{EntryToken, KeyRing};
@@ -55,7 +55,7 @@
     pub behind: bool,
 }
 
-fn day(tls: bool) -> Result<Day> {
+fn day(tls: bool) -> Result<Scenario> {
     Ok(serde_json::from_value(json!({
         "tls": tls, "seed": 1, "seconds": 1, "fronts": 1, "zones": ["here"],
         "fleet": {
@@ -97,9 +97,9 @@
 }
 
 pub async fn run(program: Program, folder: &Path, seconds: f64, tls: bool) -> Result<Costs> {
-    let set = Set::build(day(tls)?, program, folder).await?;
+    let set = Testbed::build(day(tls)?, program, folder).await?;
     let front = set.start().await?[0];
-    let Set { boxes, fronts, titles, .. } = set;
+    let Testbed { boxes, fronts, titles, .. } = set;
     let titles = titles.to_vec();
     let seals = match (fronts.connector()?, &fronts.authority) {
         (Some(players), Some(authority)) => {
@@ -109,7 +109,7 @@
         _ => None,
     };
     let next = AtomicU64::new(0);
-    let rig = Arc::new(Rig { boxes, fronts, front, titles, portal: portal(), next, seals });
+    let rig = Arc::new(Rig { boxes, fronts, front, titles, portal: portal_keys(), next, seals });
     // Warm: allocators, connections, and the decisions' first figures.
     rig.rate(200.0, 1.0).await?;
     let mut rates = vec![rig.rate(30.0, 2.0 * seconds).await?];
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -3,9 +3,9 @@
 use anyhow::{Context, Result};
 use clap::{Parser, Subcommand};
 use pulleystair_dash::{address, token::EntryToken};
-use pulleystair_lab::fronts::{Program, portal};
-use pulleystair_lab::testbed::Set;
-use pulleystair_lab::{baseline, load, report, scenario::Day, scenario_run};
+use pulleystair_lab::fronts::{Program, portal_keys};
+use pulleystair_lab::testbed::Testbed;
+use pulleystair_lab::{baseline, load, report, scenario::Scenario, scenario_run};
 use pulleystair_rule_checker::history::History;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -69,15 +69,15 @@
 }
 
 /// Servers until interrupted, and a way in for each product's first title.
-async fn boxes(day: Day, out: &Path) -> Result<()> {
-    let set = Set::build(day, Program::edge(PathBuf::new()), out).await?;
+async fn boxes(day: Scenario, out: &Path) -> Result<()> {
+    let set = Testbed::build(day, Program::edge(PathBuf::new()), out).await?;
     println!("{} servers run; list, keys and rundowns are in {}", set.day.fleet.servers, out.display());
     println!("a front: pulleystair-edge run {}", out.join("front-0.json").display());
     let scheme = if set.day.tls { "https" } else { "http" };
     println!("then, with its address in place of FRONT, within the hour:");
     for (product, of) in set.day.products.iter().enumerate() {
         let Some(title) = set.titles.iter().find(|t| t.product == product) else { continue };
-        let entry = portal().sign(&EntryToken {
+        let entry = portal_keys().sign(&EntryToken {
             jti: format!("by-hand-{product}"),
             sub: "by-hand".into(),
             product: of.name.clone(),
@@ -93,7 +93,7 @@
 fn run(command: Command) -> Result<bool> {
     match command.job {
         Job::Day { script, seed, out, edge, baseline } => {
-            let mut day = Day::read(&script)?;
+            let mut day = Scenario::read(&script)?;
             day.seed = seed.unwrap_or(day.seed);
             let program = if baseline {
                 Program { path: std::env::current_exe()?, words: vec!["baseline".into()] }
@@ -101,7 +101,7 @@
                 Program::edge(edge.map_or_else(beside, Ok)?)
             };
             let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-            let outcome = runtime.block_on(scenario_run::play(day.clone(), program, &out))?;
+            let outcome = runtime.block_on(scenario_run::run(day.clone(), program, &out))?;
             let it = report::report(&day, &outcome)?;
             print!("{}", it.text());
             std::fs::write(out.join("report.json"), serde_json::to_string_pretty(&it)?)?;
@@ -123,7 +123,7 @@
         }
         Job::Boxes { script, out } => {
             let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-            runtime.block_on(boxes(Day::read(&script)?, &out))?;
+            runtime.block_on(boxes(Scenario::read(&script)?, &out))?;
             Ok(true)
         }
         Job::Baseline { rundown } => {
--- a/crates/lab/src/players.rs
+++ b/crates/lab/src/players.rs
@@ -3,7 +3,7 @@
 
 use crate::environment::{Title, ms};
 use crate::fronts::{FRONT, Fronts};
-use crate::scenario::{Day, Kind};
+use crate::scenario::{Kind, Scenario};
 use anyhow::Result;
 use pulleystair_dash::address;
 use pulleystair_dash::token::EntryToken;
@@ -32,7 +32,7 @@
 
 /// One viewer's play as it came, all its tries included.
 #[derive(Clone, Debug, Default)]
-pub struct Watched {
+pub struct PlayerResult {
     pub product: usize,
     /// ms since the day began.
     pub came: f64,
@@ -62,7 +62,7 @@
 }
 
 /// All arrivals of a day: Poisson at the usual rate, more in surges and crowds.
-pub fn arrivals(day: &Day, titles: &[Title]) -> Vec<Arrival> {
+pub fn arrivals(day: &Scenario, titles: &[Title]) -> Vec<Arrival> {
     let mut rnd = StdRng::seed_from_u64(day.seed ^ 0xa221);
     let by_product =
         |p: usize| -> Vec<usize> { (0..titles.len()).filter(|t| titles[*t].product == p).collect() };
@@ -109,15 +109,15 @@
 }
 
 /// What all players of a day share.
-pub struct Room {
-    pub day: Arc<Day>,
+pub struct PlayerPool {
+    pub day: Arc<Scenario>,
     pub titles: Arc<Vec<Title>>,
     pub fronts: Fronts,
     /// How players speak to fronts, where that is under TLS.
     pub seal: Option<TlsConnector>,
     pub log: Recorder,
     pub requests: AtomicU64,
-    pub watched: Mutex<Vec<Watched>>,
+    pub watched: Mutex<Vec<PlayerResult>>,
 }
 
 /// How a manifest request ended.
@@ -128,13 +128,14 @@
     Silence,
 }
 
-impl Room {
+impl PlayerPool {
     /// Watches one play from its first request to its end, coming back as viewers do.
-    pub async fn watch(self: Arc<Room>, arrival: Arrival) {
+    pub async fn watch(self: Arc<PlayerPool>, arrival: Arrival) {
         let mut rnd = StdRng::seed_from_u64(arrival.seed);
         let title = &self.titles[arrival.title];
         let title_s = title.duration_ms as f64 / 1000.0;
-        let mut seen = Watched { product: title.product, came: arrival.at, title_s, ..Watched::default() };
+        let mut seen =
+            PlayerResult { product: title.product, came: arrival.at, title_s, ..PlayerResult::default() };
         let came = Instant::now();
         let players = &self.day.players;
         for come in 0..COMES {
@@ -284,7 +285,7 @@
         manifest: &[u8],
         arrival: &Arrival,
         leaves: bool,
-        seen: &mut Watched,
+        seen: &mut PlayerResult,
     ) -> bool {
         let title = &self.titles[arrival.title];
         let Some(form) = read_manifest(manifest) else { return false };
@@ -393,7 +394,7 @@
 
 /// Lets all arrivals come at their times, whatever becomes of them, and waits until all are through. Tells how
 /// late the latest of them set out, ms.
-pub async fn let_come(room: Arc<Room>, arrivals: Vec<Arrival>, start: Instant) -> Result<f64> {
+pub async fn run_arrivals(room: Arc<PlayerPool>, arrivals: Vec<Arrival>, start: Instant) -> Result<f64> {
     let mut late = 0.0f64;
     let mut all = Vec::new();
     for arrival in arrivals {
--- a/crates/lab/src/relays.rs
+++ b/crates/lab/src/relays.rs
@@ -12,7 +12,7 @@
 
 /// The way from one front to another.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Way {
+pub struct LinkConditions {
     pub open: bool,
     pub lost: f64,
     pub doubled: f64,
@@ -20,31 +20,31 @@
     pub late_ms: f64,
 }
 
-impl Default for Way {
-    fn default() -> Way {
-        Way { open: true, lost: 0.0, doubled: 0.0, late_ms: 0.0 }
+impl Default for LinkConditions {
+    fn default() -> LinkConditions {
+        LinkConditions { open: true, lost: 0.0, doubled: 0.0, late_ms: 0.0 }
     }
 }
 
 struct Weather {
-    ways: Vec<Vec<Way>>,
+    ways: Vec<Vec<LinkConditions>>,
     targets: Vec<Option<SocketAddr>>,
     rnd: StdRng,
     passed: Vec<Vec<u64>>,
 }
 
 #[derive(Clone)]
-pub struct Between {
+pub struct Relays {
     /// Where the front of the first index sends what is for the second.
     at: Arc<Vec<Vec<SocketAddr>>>,
     weather: Arc<Mutex<Weather>>,
 }
 
-impl Between {
+impl Relays {
     /// Relays between so many fronts; they end with the runtime.
-    pub fn open(count: usize, seed: u64) -> io::Result<Between> {
+    pub fn open(count: usize, seed: u64) -> io::Result<Relays> {
         let weather = Arc::new(Mutex::new(Weather {
-            ways: vec![vec![Way::default(); count]; count],
+            ways: vec![vec![LinkConditions::default(); count]; count],
             targets: vec![None; count],
             rnd: StdRng::seed_from_u64(seed ^ 0xbe72),
             passed: vec![vec![0; count]; count],
@@ -58,7 +58,7 @@
                 tokio::spawn(relay(UdpSocket::from_std(socket)?, from, to, weather.clone()));
             }
         }
-        Ok(Between { at: Arc::new(at), weather })
+        Ok(Relays { at: Arc::new(at), weather })
     }
 
     fn weather(&self) -> MutexGuard<'_, Weather> {
@@ -75,7 +75,7 @@
     }
 
     /// Changes the ways of all ordered pairs.
-    pub fn change(&self, change: impl Fn(usize, usize, &mut Way)) {
+    pub fn change(&self, change: impl Fn(usize, usize, &mut LinkConditions)) {
         let mut weather = self.weather();
         for (from, row) in weather.ways.iter_mut().enumerate() {
             row.iter_mut().enumerate().for_each(|(to, way)| change(from, to, way));
@@ -88,7 +88,7 @@
     }
 
     pub fn heal(&self) {
-        self.change(|_, _, way| *way = Way::default());
+        self.change(|_, _, way| *way = LinkConditions::default());
     }
 
     /// Datagrams that passed from one front to another.
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,8 +1,8 @@
 //! What a day came to: lines for a person, a JSON report, and a plot of the plays over time.
 
-use crate::players::Watched;
-use crate::scenario::Day;
-use crate::scenario_run::Outcome;
+use crate::players::PlayerResult;
+use crate::scenario::Scenario;
+use crate::scenario_run::RunResult;
 use anyhow::{Result, anyhow};
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
@@ -81,7 +81,7 @@
     })
 }
 
-pub fn report(day: &Day, outcome: &Outcome) -> Result<Report> {
+pub fn report(day: &Scenario, outcome: &RunResult) -> Result<Report> {
     let watched = &outcome.watched;
     let target = |p: usize| day.products[p].first_frame_target_ms;
     let product = |p: usize| {
@@ -102,7 +102,7 @@
         products.iter().zip(&day.products).map(|(p, d)| count(p) as f64 * d.importance).sum()
     };
     let best = day.ladder.iter().map(|r| r.earns).fold(0.0, f64::max);
-    let importance = |w: &Watched| day.products[w.product].importance;
+    let importance = |w: &PlayerResult| day.products[w.product].importance;
     let earned: f64 =
         watched.iter().map(|w| importance(w) * (w.earned_s - w.stalled_ms / 1000.0).max(0.0)).sum();
     let asked: f64 = watched.iter().map(|w| importance(w) * w.title_s * best).sum();
@@ -191,7 +191,7 @@
     }
 }
 
-fn by_second(day: &Day, outcome: &Outcome) -> Vec<[usize; 3]> {
+fn by_second(day: &Scenario, outcome: &RunResult) -> Vec<[usize; 3]> {
     let mut counts = vec![[0; 3]; day.seconds.ceil() as usize + 1];
     for w in &outcome.watched {
         let second = ((w.came / 1000.0) as usize).min(counts.len() - 1);
@@ -206,7 +206,7 @@
 }
 
 /// Plays each second by how they ended, with the troubles as bands.
-pub fn plot(day: &Day, outcome: &Outcome, file: &Path) -> Result<()> {
+pub fn plot(day: &Scenario, outcome: &RunResult, file: &Path) -> Result<()> {
     let counts = by_second(day, outcome);
     let most = counts.iter().map(|c| c.iter().sum::<usize>()).max().unwrap_or(0).max(1) as f64;
     let fault = |e: String| anyhow!("{}: {e}", file.display());
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Day {
+pub struct Scenario {
     pub seed: u64,
     pub seconds: f64,
     pub fronts: usize,
@@ -22,7 +22,7 @@
     pub rules: Rules,
     pub players: Players,
     #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<FaultEvent>,
     /// Limits of the fronts, as in a front's rundown.
     #[serde(default)]
     pub limits: serde_json::Map<String, serde_json::Value>,
@@ -161,7 +161,7 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+pub struct FaultEvent {
     pub kind: Kind,
     pub at_s: f64,
     pub length_s: f64,
@@ -225,9 +225,9 @@
     1.0
 }
 
-impl Day {
-    pub fn read(file: &Path) -> Result<Day, LoadError> {
-        let day: Day = load(file)?;
+impl Scenario {
+    pub fn read(file: &Path) -> Result<Scenario, LoadError> {
+        let day: Scenario = load(file)?;
         day.check().map_err(|(path, found, allowed)| invalid_value(file, &path, found, allowed))?;
         Ok(day)
     }
--- a/crates/lab/src/scenario_run.rs
+++ b/crates/lab/src/scenario_run.rs
@@ -2,10 +2,10 @@
 //! the rules checked.
 
 use crate::fronts::Program;
-use crate::host_load::Machine;
-use crate::players::{Room, Watched, arrivals, let_come};
-use crate::scenario::Day;
-use crate::testbed::Set;
+use crate::host_load::HostLoad;
+use crate::players::{PlayerPool, PlayerResult, arrivals, run_arrivals};
+use crate::scenario::Scenario;
+use crate::testbed::Testbed;
 use anyhow::Result;
 use pulleystair_rule_checker::Observation;
 use pulleystair_rule_checker::rules::{Breach, Coverage, check};
@@ -18,8 +18,8 @@
 /// How long fronts may take to stop after the last player has left.
 const STOP: Duration = Duration::from_secs(40);
 
-pub struct Outcome {
-    pub watched: Vec<Watched>,
+pub struct RunResult {
+    pub watched: Vec<PlayerResult>,
     pub seen: Vec<Observation>,
     pub breaches: Vec<Breach>,
     pub covered: Coverage,
@@ -30,11 +30,11 @@
 }
 
 /// Plays the day with `program` as its fronts, in a folder for what they are given and what they say.
-pub async fn play(day: Day, program: Program, folder: &Path) -> Result<Outcome> {
-    let set = Set::build(day, program, folder).await?;
+pub async fn run(day: Scenario, program: Program, folder: &Path) -> Result<RunResult> {
+    let set = Testbed::build(day, program, folder).await?;
     set.start().await?;
-    let Set { day, titles, fronts, stage, log, .. } = set;
-    let room = Arc::new(Room {
+    let Testbed { day, titles, fronts, stage, log, .. } = set;
+    let room = Arc::new(PlayerPool {
         day: day.clone(),
         titles: titles.clone(),
         fronts: fronts.clone(),
@@ -43,15 +43,15 @@
         requests: AtomicU64::new(1),
         watched: Mutex::default(),
     });
-    let machine = Machine::watch();
+    let machine = HostLoad::watch();
     let start = Instant::now();
     let mut troubles = Vec::new();
     for (i, trouble) in day.troubles.iter().enumerate() {
         let (stage, trouble) = (stage.clone(), trouble.clone());
         let seed = day.seed.wrapping_mul(31).wrapping_add(i as u64);
-        troubles.push(tokio::spawn(async move { stage.trouble(trouble, seed).await }));
+        troubles.push(tokio::spawn(async move { stage.inject(trouble, seed).await }));
     }
-    let set_out = let_come(room.clone(), arrivals(&day, &titles), start).await?;
+    let set_out = run_arrivals(room.clone(), arrivals(&day, &titles), start).await?;
     for trouble in troubles {
         trouble.await?;
     }
@@ -61,5 +61,5 @@
     let seen = log.observations();
     let (breaches, covered) = check(&seen, &day.terms());
     let watched = std::mem::take(&mut *room.watched.lock().expect("no player dies while it reports"));
-    Ok(Outcome { watched, seen, breaches, covered, lateness_ms, used })
+    Ok(RunResult { watched, seen, breaches, covered, lateness_ms, used })
 }
--- a/crates/lab/src/testbed.rs
+++ b/crates/lab/src/testbed.rs
@@ -1,8 +1,8 @@
 //! The set of a day: its stand-in servers, its list and its fronts, built but not yet started.
 
-use crate::environment::{Stage, Title, titles};
+use crate::environment::{Environment, Title, titles};
 use crate::fronts::{Fronts, Program};
-use crate::scenario::Day;
+use crate::scenario::Scenario;
 use anyhow::{Context, Result};
 use pulleystair_fake_servers::recorder::Recorder;
 use pulleystair_fake_servers::server::{self, FakeServers};
@@ -10,18 +10,18 @@
 use std::path::Path;
 use std::sync::Arc;
 
-pub struct Set {
-    pub day: Arc<Day>,
+pub struct Testbed {
+    pub day: Arc<Scenario>,
     pub titles: Arc<Vec<Title>>,
     pub boxes: FakeServers,
     pub fronts: Fronts,
-    pub stage: Stage,
+    pub stage: Environment,
     pub log: Recorder,
 }
 
-impl Set {
+impl Testbed {
     /// Starts the servers, and writes list, keys and rundowns into the folder.
-    pub async fn build(day: Day, program: Program, folder: &Path) -> Result<Set> {
+    pub async fn build(day: Scenario, program: Program, folder: &Path) -> Result<Testbed> {
         std::fs::create_dir_all(folder).with_context(|| format!("{} can't be made", folder.display()))?;
         let (day, log) = (Arc::new(day), Recorder::default());
         let titles = Arc::new(titles(&day));
@@ -43,8 +43,8 @@
         }
         let list = folder.join("list.json");
         let stage =
-            Stage::new(day.clone(), titles.clone(), boxes.clone(), fronts.clone(), log.clone(), list)?;
-        Ok(Set { day, titles, boxes, fronts, stage, log })
+            Environment::new(day.clone(), titles.clone(), boxes.clone(), fronts.clone(), log.clone(), list)?;
+        Ok(Testbed { day, titles, boxes, fronts, stage, log })
     }
 
     /// Starts all fronts; where each listens.
--- a/crates/message-mutation/src/fields.rs
+++ b/crates/message-mutation/src/fields.rs
@@ -1,7 +1,7 @@
 //! The fields of each kind of message, and how one is set to another value; all else of the message stays sound, its
 //! checksum too.
 
-use crate::{Kind, To};
+use crate::{FieldValue, Kind};
 use pulleystair_gossip::message::Message as Row;
 use pulleystair_viewer_protocol::{self as protocol, Message};
 use simple_dns::Packet;
@@ -55,7 +55,7 @@
     kind: Kind,
     bytes: &[u8],
     field: usize,
-    to: To,
+    to: FieldValue,
     before: Option<&[u8]>,
     fleet: u32,
 ) -> Option<Vec<u8>> {
@@ -67,15 +67,15 @@
     }
 }
 
-fn pick<T>(to: To, least: T, greatest: T, before: Option<T>) -> Option<T> {
+fn pick<T>(to: FieldValue, least: T, greatest: T, before: Option<T>) -> Option<T> {
     match to {
-        To::Least => Some(least),
-        To::Greatest => Some(greatest),
-        To::Neighbours => before,
+        FieldValue::Least => Some(least),
+        FieldValue::Greatest => Some(greatest),
+        FieldValue::Neighbours => before,
     }
 }
 
-fn set_signal(bytes: &[u8], field: usize, to: To, before: Option<&[u8]>) -> Option<Vec<u8>> {
+fn set_signal(bytes: &[u8], field: usize, to: FieldValue, before: Option<&[u8]>) -> Option<Vec<u8>> {
     let (message, _) = Message::parse(bytes).ok()??;
     let other = before.and_then(|b| Message::parse(b).ok()?).map(|m| m.0);
     let mut parameters: Vec<(u8, &[u8])> = message.parameters().map_while(Result::ok).collect();
@@ -95,7 +95,7 @@
     protocol::encode(kind, session, &parameters)
 }
 
-fn set_text(bytes: &[u8], field: usize, to: To, before: Option<&[u8]>) -> Option<Vec<u8>> {
+fn set_text(bytes: &[u8], field: usize, to: FieldValue, before: Option<&[u8]>) -> Option<Vec<u8>> {
     let all = values(bytes);
     let (name, range) = all.get(field)?.clone();
     let same = before.and_then(|b| values(b).into_iter().find(|v| v.0 == name).map(|v| &b[v.1]));
@@ -103,7 +103,7 @@
     Some([&bytes[..range.start], value, &bytes[range.end..]].concat())
 }
 
-fn set_names(bytes: &[u8], field: usize, to: To, before: Option<&[u8]>) -> Option<Vec<u8>> {
+fn set_names(bytes: &[u8], field: usize, to: FieldValue, before: Option<&[u8]>) -> Option<Vec<u8>> {
     let mut packet = Packet::parse(bytes).ok()?;
     let other = before.and_then(|b| Packet::parse(b).ok());
     fn serial<'a>(p: &'a mut Packet) -> Option<&'a mut u32> {
@@ -139,7 +139,7 @@
     packet.build_bytes_vec().ok()
 }
 
-fn set_row(bytes: &[u8], field: usize, to: To, before: Option<&[u8]>, fleet: u32) -> Option<Vec<u8>> {
+fn set_row(bytes: &[u8], field: usize, to: FieldValue, before: Option<&[u8]>, fleet: u32) -> Option<Vec<u8>> {
     let mut it = Row::decode(bytes, fleet).ok()?;
     let other = before.and_then(|b| Row::decode(b, fleet).ok());
     let o = other.as_ref();
--- a/crates/message-mutation/src/lib.rs
+++ b/crates/message-mutation/src/lib.rs
@@ -1,9 +1,9 @@
 //! A recorded run of a small fleet, replayed against the real code with exactly one message changed.
 //!
 //! [`world`] plays three fronts, each the real desk, decisions, fellow and codecs, four servers, their viewers and the name
-//! service in simulated time from one seed: everything that comes in to a front comes as bytes. [`Change`] says which
+//! service in simulated time from one seed: everything that comes in to a front comes as bytes. [`MutatedMessage`] says which
 //! message is changed, and how; [`fields`] how a field of each kind of message is set. What must hold after it is judged by
-//! [`world::Outcome`].
+//! [`world::RunResult`].
 
 pub mod fields;
 mod front;
@@ -27,7 +27,7 @@
 
 /// What a field is set to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum To {
+pub enum FieldValue {
     Least,
     Greatest,
     /// What it is in the message of this kind before.
@@ -35,7 +35,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum Mutation {
     Dropped,
     Doubled,
     /// By so many ms.
@@ -46,23 +46,32 @@
     Cut(usize),
     /// One bit, at so many 1/64 of its length.
     Bit(usize),
-    Field(usize, To),
+    Field(usize, FieldValue),
 }
 
 /// The message by its number in the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct MutatedMessage {
     pub at: usize,
-    pub how: How,
+    pub mutation: Mutation,
 }
 
 /// All changes of a message.
-pub fn changes(at: usize, kind: Kind, bytes: &[u8]) -> Vec<Change> {
-    let mut out = vec![How::Dropped, How::Doubled, How::Late(40), How::Late(700), How::Swapped];
-    out.extend([1, 4, 7].map(How::Cut));
-    out.extend([0, 9, 23, 41, 63].map(How::Bit));
+pub fn changes(at: usize, kind: Kind, bytes: &[u8]) -> Vec<MutatedMessage> {
+    let mut out = vec![
+        Mutation::Dropped,
+        Mutation::Doubled,
+        Mutation::Late(40),
+        Mutation::Late(700),
+        Mutation::Swapped,
+    ];
+    out.extend([1, 4, 7].map(Mutation::Cut));
+    out.extend([0, 9, 23, 41, 63].map(Mutation::Bit));
     for field in 0..fields::count(kind, bytes) {
-        out.extend([To::Least, To::Greatest, To::Neighbours].map(|to| How::Field(field, to)));
+        out.extend(
+            [FieldValue::Least, FieldValue::Greatest, FieldValue::Neighbours]
+                .map(|to| Mutation::Field(field, to)),
+        );
     }
-    out.into_iter().map(|how| Change { at, how }).collect()
+    out.into_iter().map(|how| MutatedMessage { at, mutation: how }).collect()
 }
--- a/crates/message-mutation/src/post.rs
+++ b/crates/message-mutation/src/post.rs
@@ -2,7 +2,7 @@
 //! desk has done.
 
 use crate::inbox::{self, SetUp};
-use crate::{How, Kind, fields};
+use crate::{Kind, Mutation, fields};
 use pulleystair::{Listing, LoadMetric, Outcome as End, Standing};
 use pulleystair_dispatcher::{Dispatcher, PlayRequest};
 use pulleystair_edge::http;
@@ -31,25 +31,25 @@
         let number = self.out.messages.len();
         self.out.messages.push((mail.kind, mail.bytes.clone()));
         let before = self.before.insert(mail.kind, mail.bytes.clone());
-        let how = self.change.filter(|c| c.at == number).map(|c| c.how);
+        let how = self.change.filter(|c| c.at == number).map(|c| c.mutation);
         let size = mail.bytes.len();
         match how {
-            Some(How::Dropped) => {}
-            Some(How::Doubled) => {
+            Some(Mutation::Dropped) => {}
+            Some(Mutation::Doubled) => {
                 self.take(mail.clone());
                 self.take(mail);
             }
-            Some(How::Late(ms)) => self.at(f64::from(ms), Event::Again(mail)),
-            Some(How::Swapped) => self.overtaken = Some(mail),
-            Some(How::Cut(eighths)) => {
+            Some(Mutation::Late(ms)) => self.at(f64::from(ms), Event::Again(mail)),
+            Some(Mutation::Swapped) => self.overtaken = Some(mail),
+            Some(Mutation::Cut(eighths)) => {
                 self.take(Mail { bytes: mail.bytes[..size * eighths / 8].to_vec(), ..mail })
             }
-            Some(How::Bit(part)) => {
+            Some(Mutation::Bit(part)) => {
                 let mut bytes = mail.bytes;
                 bytes[size * part / 64] ^= 1 << (part % 8);
                 self.take(Mail { bytes, ..mail });
             }
-            Some(How::Field(field, to)) => {
+            Some(Mutation::Field(field, to)) => {
                 let fleet =
                     mail.bytes.get(1..5).and_then(|b| b.try_into().ok()).map_or(0, u32::from_be_bytes);
                 if let Some(bytes) = fields::set(mail.kind, &mail.bytes, field, to, before.as_deref(), fleet)
--- a/crates/message-mutation/src/world.rs
+++ b/crates/message-mutation/src/world.rs
@@ -2,7 +2,7 @@
 //! come back cold, drain, fall silent; fronts share what they know. What players and servers see is a history.
 
 use crate::inbox::{self, SetUp};
-use crate::{Change, Kind};
+use crate::{Kind, MutatedMessage};
 use oorandom::Rand64;
 use pulleystair::{Listing, Outcome as End, ServerHint, Standing};
 use pulleystair_fleet_member::{policy_hint, stable_id};
@@ -59,13 +59,13 @@
 
 /// What the run came to.
 #[derive(Debug, Default)]
-pub struct Outcome {
+pub struct RunResult {
     pub messages: Vec<(Kind, Vec<u8>)>,
     pub breaches: Vec<(u8, String)>,
     pub requests: usize,
     /// The most that all fronts together ever held of a server's pace, and what they may.
     pub held: u32,
-    pub whole: u32,
+    pub total_parts: u32,
     pub lent: bool,
     /// At the end, by each front: the verdict's status, fronts that it calls other than in step, zones and servers doubted.
     pub status: Vec<u8>,
@@ -74,7 +74,7 @@
     pub listed: Vec<bool>,
     pub lost: Vec<bool>,
     /// Allocations of which each front's estimates speak, and those that there were.
-    pub said: Vec<u32>,
+    pub answers: Vec<u32>,
     pub sent: u32,
 }
 
@@ -89,15 +89,15 @@
     pub(crate) serial: u32,
     pub(crate) seen: Vec<Observation>,
     pub(crate) requests: u64,
-    pub(crate) change: Option<Change>,
+    pub(crate) change: Option<MutatedMessage>,
     /// The last message of each kind, and one that waits to be overtaken.
     pub(crate) before: BTreeMap<Kind, Vec<u8>>,
     pub(crate) overtaken: Option<Mail>,
-    pub(crate) out: Outcome,
+    pub(crate) out: RunResult,
 }
 
 impl World {
-    pub fn new(seed: u64, change: Option<Change>) -> World {
+    pub fn new(seed: u64, change: Option<MutatedMessage>) -> World {
         let listing = |s: usize| Listing {
             server: s,
             zone: s % 2,
@@ -120,7 +120,7 @@
             change,
             before: BTreeMap::new(),
             overtaken: None,
-            out: Outcome { whole: FRONTS as u32 * PARTS_PER_FRONT, ..Outcome::default() },
+            out: RunResult { total_parts: FRONTS as u32 * PARTS_PER_FRONT, ..RunResult::default() },
         };
         for f in 0..FRONTS {
             world.saw(Observed::Front { front: f, up: true });
@@ -145,7 +145,7 @@
         self.rnd.rand_float()
     }
 
-    pub fn run(mut self) -> Outcome {
+    pub fn run(mut self) -> RunResult {
         while let Some(((at, _), event)) = self.queue.pop_first() {
             self.now = at as f64 / 1_000.0;
             if self.now > END {
@@ -168,7 +168,7 @@
             self.out.listed.push(front.rev == Some(self.serial));
             self.out.doubted.push(front.fellow.health().doubted.len());
             self.out.lost.push(front.fellow.health().lost.is_some());
-            self.out.said.push(front.fellow.whatif(END, |_| true).plays);
+            self.out.answers.push(front.fellow.whatif(END, |_| true).plays);
         }
         let (breaches, covered) = check(&self.seen, &terms());
         self.out.breaches = breaches.into_iter().map(|b| (b.rule, format!("{b:?}"))).collect();
--- a/crates/message-mutation/tests/each.rs
+++ b/crates/message-mutation/tests/each.rs
@@ -1,8 +1,8 @@
 //! Every message of a recorded run times every change of it: after each, nobody panics, the six rules hold, no budget is
 //! more than the whole, and what was told wrongly is over by the end.
 
-use pulleystair_message_mutation::world::{FRONTS, Outcome, World};
-use pulleystair_message_mutation::{Change, How, Kind, changes};
+use pulleystair_message_mutation::world::{FRONTS, RunResult, World};
+use pulleystair_message_mutation::{Kind, MutatedMessage, Mutation, changes};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,14 +10,15 @@
 const SEED: u64 = 1;
 
 /// What is wrong after a change; nothing, if all is well.
-fn wrong(change: &Change, kind: Kind, out: &Outcome) -> Vec<String> {
+fn wrong(change: &MutatedMessage, kind: Kind, out: &RunResult) -> Vec<String> {
     let mut wrong = Vec::new();
     // A list that says otherwise is what a front is told, and what it goes by until the next; a lost or late one is not.
-    let told_otherwise = kind == Kind::Names && matches!(change.how, How::Field(..) | How::Bit(_));
+    let told_otherwise =
+        kind == Kind::Names && matches!(change.mutation, Mutation::Field(..) | Mutation::Bit(_));
     let rules = out.breaches.iter().filter(|(rule, _)| !(told_otherwise && matches!(rule, 3 | 4)));
     wrong.extend(rules.map(|(rule, what)| format!("rule {rule}: {what}")));
-    if out.held > out.whole {
-        wrong.push(format!("{} held of {}", out.held, out.whole));
+    if out.held > out.total_parts {
+        wrong.push(format!("{} held of {}", out.held, out.total_parts));
     }
     if out.status != [0; FRONTS] {
         wrong.push(format!("verdicts {:?}", out.status));
@@ -28,8 +29,8 @@
     if out.lost.contains(&true) || out.doubted.iter().any(|n| *n > 1) {
         wrong.push(format!("doubted {:?} lost {:?}", out.doubted, out.lost));
     }
-    if out.said.iter().any(|said| *said > out.sent) {
-        wrong.push(format!("{:?} plays said of {}", out.said, out.sent));
+    if out.answers.iter().any(|said| *said > out.sent) {
+        wrong.push(format!("{:?} plays said of {}", out.answers, out.sent));
     }
     wrong
 }
@@ -37,12 +38,15 @@
 #[test]
 fn no_single_message_changed_breaks_a_rule_a_bound_or_a_verdict() {
     let base = World::new(SEED, None).run();
-    assert_eq!(wrong(&Change { at: usize::MAX, how: How::Dropped }, Kind::Row, &base), Vec::<String>::new());
+    assert_eq!(
+        wrong(&MutatedMessage { at: usize::MAX, mutation: Mutation::Dropped }, Kind::Row, &base),
+        Vec::<String>::new()
+    );
     assert!(
-        base.requests > 80 && base.lent && base.said.iter().all(|n| *n > 60),
+        base.requests > 80 && base.lent && base.answers.iter().all(|n| *n > 60),
         "{} {:?}",
         base.requests,
-        base.said
+        base.answers
     );
     let mut all = Vec::new();
     for (at, (kind, bytes)) in base.messages.iter().enumerate() {
