--- a/crates/desk/tests/simulated.rs
+++ b/crates/dispatcher/tests/simulated.rs
@@ -4,11 +4,11 @@
 mod notebook;
 
 use notebook::{Deed, Notebook};
-use pulleystair::{CallSheet, Figure, Listing, Outcome, Standing, Value};
-use pulleystair_desk::{Desk, Wish};
-use pulleystair_witness::history::History;
-use pulleystair_witness::rules::{Budget, Effect, Group, Product, Terms};
-use pulleystair_witness::{Seen, What};
+use pulleystair::{Listing, LoadMetric, Outcome, Settings, Standing, Value};
+use pulleystair_dispatcher::{Dispatcher, PlayRequest};
+use pulleystair_rule_checker::history::History;
+use pulleystair_rule_checker::rules::{Budget, Effect, Group, Product, RuleParams};
+use pulleystair_rule_checker::{Observation, Observed};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use test_case::test_case;
@@ -51,17 +51,17 @@
     events: BinaryHeap<Reverse<(u64, u64)>>,
     what: BTreeMap<u64, Event>,
     next: u64,
-    desks: Vec<Desk>,
+    desks: Vec<Dispatcher>,
     plays: Vec<BTreeMap<u64, Play>>,
     listings: Vec<Listing>,
     up: Vec<bool>,
     silent: Vec<bool>,
     errors: Vec<f64>,
-    seen: Vec<Seen>,
+    seen: Vec<Observation>,
     requests: u64,
 }
 
-fn sheet(rank: usize) -> CallSheet {
+fn sheet(rank: usize) -> Settings {
     let numbers = [
         ("balancers", FRONTS as f64),
         ("rank", rank as f64),
@@ -92,7 +92,7 @@
         ("rules.budget_span", 5_000.0),
         ("rules.free_resends", 2.0),
     ];
-    let mut sheet: CallSheet =
+    let mut sheet: Settings =
         numbers.iter().map(|(name, value)| ((*name).to_string(), Value::Number(*value))).collect();
     for (product, effect) in ["read_like", "non_idempotent", "idempotency_key"].iter().enumerate() {
         sheet.insert(format!("products.{product}.importance"), Value::Number(1.0 + product as f64));
@@ -104,9 +104,9 @@
     sheet
 }
 
-fn terms() -> Terms {
+fn terms() -> RuleParams {
     let product = |effect, floor, seats| Product { limit: LIMIT, effect, floor, top: 2, seats };
-    Terms {
+    RuleParams {
         products: vec![
             product(Effect::Free, 0, 0),
             product(Effect::Paid, 1, 0),
@@ -116,12 +116,12 @@
         cold: 6_000.0,
         cold_from: 0.3,
         overload: 2.0,
-        fall: 1_000.0,
+        overload_window: 1_000.0,
         streams: vec![STREAMS; SERVERS],
         zones: (0..SERVERS).map(|s| s % 2).collect(),
         cells: (0..SERVERS).collect(),
         budget: Some(Budget { span: 5_000.0, share: 0.05, free: 2.0 }),
-        told: 200.0,
+        list_delay: 200.0,
         slack: 1.0,
     }
 }
@@ -147,7 +147,7 @@
             events: BinaryHeap::new(),
             what: BTreeMap::new(),
             next: 0,
-            desks: (0..FRONTS).map(|front| Desk::new(sheet(front), seed * 10 + front as u64)).collect(),
+            desks: (0..FRONTS).map(|front| Dispatcher::new(sheet(front), seed * 10 + front as u64)).collect(),
             plays: (0..FRONTS).map(|_| BTreeMap::new()).collect(),
             listings: (0..SERVERS).map(line).collect(),
             up: vec![true; SERVERS],
@@ -157,7 +157,7 @@
             requests: 0,
         };
         for front in 0..FRONTS {
-            day.saw(What::Front { front, up: true });
+            day.saw(Observed::Front { front, up: true });
             day.tell(front);
             day.after(day.now, 0.0, Event::Ask(front));
         }
@@ -169,8 +169,8 @@
         self.rnd.rand_float()
     }
 
-    fn saw(&mut self, what: What) {
-        self.seen.push(Seen { at: self.now, what });
+    fn saw(&mut self, what: Observed) {
+        self.seen.push(Observation { at: self.now, what });
     }
 
     fn after(&mut self, now: f64, wait: f64, event: Event) {
@@ -190,20 +190,20 @@
             .filter(|l| l.standing != Standing::Gone)
             .map(|l| (l.server as u32, *l))
             .collect();
-        self.call(front, |desk, now, _| desk.list(now, true, false, &lines));
+        self.call(front, |desk, now, _| desk.update_list(now, true, false, &lines));
     }
 
-    fn load(&mut self, server: usize) -> Vec<Figure> {
+    fn load(&mut self, server: usize) -> Vec<LoadMetric> {
         let at = |p: &&Play| p.at.is_some_and(|(s, _)| s == server);
         let there = self.plays.iter().flat_map(BTreeMap::values).filter(at).count() as f64;
-        vec![Figure::Link(there * 200.0 / 4_000.0), Figure::Streams(there)]
+        vec![LoadMetric::Link(there * 200.0 / 4_000.0), LoadMetric::Streams(there)]
     }
 
     /// Has a desk called, and does what it wants done, in order.
-    fn call(&mut self, front: usize, call: impl FnOnce(&mut Desk, f64, &mut Notebook)) {
+    fn call(&mut self, front: usize, call: impl FnOnce(&mut Dispatcher, f64, &mut Notebook)) {
         let mut notes = Notebook::default();
         call(&mut self.desks[front], self.now, &mut notes);
-        self.desks[front].turn_ends(self.now, &mut notes);
+        self.desks[front].end_turn(self.now, &mut notes);
         while let Some(deed) = notes.0.pop_front() {
             match deed {
                 Deed::Send { play, server, rung, time_out } => {
@@ -213,7 +213,7 @@
                 Deed::Step(play, rung) => {
                     if let Some(it) = self.plays[front].get(&play).filter(|it| it.at.is_some()) {
                         let allocation = Day::name(front, play, it.allocations);
-                        self.saw(What::Rung { allocation, rung });
+                        self.saw(Observed::Rung { allocation, rung });
                     }
                 }
                 Deed::Probe(server) => self.after(self.now, 5.0, Event::Probed(front, server)),
@@ -228,7 +228,7 @@
         let it = self.plays[front].get_mut(&play).expect("an answer is for a play in hand");
         assert!(!std::mem::replace(&mut it.answered, true), "answered once");
         let request = it.request;
-        self.saw(What::Answered { request, status });
+        self.saw(Observed::Answered { request, status });
     }
 
     fn send(&mut self, front: usize, play: u64, server: usize, rung: usize, time_out: f64) {
@@ -242,9 +242,9 @@
             return self.after(self.now, 1.0, Event::Ends(front, play, n, Outcome::Unreachable));
         }
         let (allocation, title) = (Day::name(front, play, n), format!("t{}", product));
-        self.saw(What::SetUp { server, allocation, session, product, title, rung });
+        self.saw(Observed::SetUp { server, allocation, session, product, title, rung });
         let dice = self.draw();
-        let streams = self.load(server)[1].amount();
+        let streams = self.load(server)[1].value();
         let (wait, outcome) = match dice {
             _ if self.silent[server] => return,
             _ if streams > STREAMS => (2.0, Outcome::Full),
@@ -267,13 +267,13 @@
             _ => None,
         };
         if let Some((ran, status)) = status {
-            self.saw(What::Done { allocation: allocation.clone(), ran, status });
+            self.saw(Observed::Done { allocation: allocation.clone(), ran, status });
         }
-        self.saw(What::Closed { allocation });
+        self.saw(Observed::Closed { allocation });
         let load =
             if self.up[server] && outcome != Outcome::TimedOut { self.load(server) } else { Vec::new() };
         self.call(front, |desk, now, hands| {
-            desk.ended(now, play, server as u32, outcome, playing, &load, hands)
+            desk.on_allocation_ended(now, play, server as u32, outcome, playing, &load, hands)
         });
     }
 
@@ -285,46 +285,57 @@
                 self.requests += 1;
                 let (request, product) = (self.requests, (self.draw() * 3.0) as usize);
                 let (session, title) = (format!("s{request}"), format!("t{product}"));
-                self.saw(What::Asked { request, session: session.clone(), front, product, title, top: 2 });
+                self.saw(Observed::Asked {
+                    request,
+                    session: session.clone(),
+                    front,
+                    product,
+                    title,
+                    top: 2,
+                });
                 let play = Play { session, product, request, allocations: 0, at: None, answered: false };
                 self.plays[front].insert(request, play);
-                let wish = Wish {
+                let wish = PlayRequest {
                     product,
                     title: product as u64,
                     first_cell: product,
                     holders: 4,
-                    top: 2,
-                    came: self.now,
-                    limit: self.now + LIMIT,
+                    max_rung: 2,
+                    arrived_at: self.now,
+                    deadline: self.now + LIMIT,
                 };
                 if self.draw() < 0.05 {
                     let wait = 400.0 * self.draw();
                     self.after(self.now, wait, Event::Leave(front, request));
                 }
-                self.call(front, |desk, now, hands| desk.take(now, request, &wish, hands));
+                self.call(front, |desk, now, hands| desk.add_play(now, request, &wish, hands));
             }
             Event::Leave(front, play) => {
                 if self.plays[front].get(&play).is_some_and(|it| !it.answered) {
                     self.plays[front].get_mut(&play).expect("it is there").answered = true;
-                    self.saw(What::Left { request: play });
-                    self.call(front, |desk, _, hands| desk.left(play, hands));
+                    self.saw(Observed::Left { request: play });
+                    self.call(front, |desk, _, hands| desk.on_viewer_left(play, hands));
                 }
             }
-            Event::Wake(front, mark) => self.call(front, |desk, now, hands| desk.rings(now, mark, hands)),
+            Event::Wake(front, mark) => self.call(front, |desk, now, hands| desk.on_timer(now, mark, hands)),
             Event::Ends(front, play, n, outcome) => {
                 let Some(it) = self.plays[front].get(&play) else { return };
                 let Some((server, playing)) = it.at.filter(|_| it.allocations == n) else { return };
                 if outcome == Outcome::Playing {
                     self.plays[front].get_mut(&play).expect("it is there").at = Some((server, true));
-                    self.saw(What::Done { allocation: Day::name(front, play, n), ran: true, status: 200 });
+                    self.saw(Observed::Done {
+                        allocation: Day::name(front, play, n),
+                        ran: true,
+                        status: 200,
+                    });
                     self.answer(front, play, 200);
                     let lasts = 1_000.0 + 6_000.0 * self.draw();
                     self.after(self.now, lasts, Event::Ends(front, play, n, Outcome::Finished));
                     self.after(self.now, lasts / 3.0, Event::Note(front, play));
                     let load = self.load(server);
                     self.call(front, |desk, now, hands| {
-                        desk.playing(now, play, hands);
-                        desk.report(now, server as u32, &load, hands);
+                        desk.on_playing(now, play, hands);
+                        desk.on_load_report(now, server as u32, &load, hands);
                     });
                 } else if playing == (outcome == Outcome::Finished) {
                     self.over(front, play, outcome);
@@ -333,23 +344,25 @@
             Event::Probed(front, server) => {
                 if self.up[server as usize] && !self.silent[server as usize] {
                     let load = self.load(server as usize);
-                    self.call(front, |desk, now, hands| desk.report(now, server, &load, hands));
+                    self.call(front, |desk, now, hands| desk.on_load_report(now, server, &load, hands));
                 }
             }
             Event::Note(front, play) => {
                 let Some((server, true)) = self.plays[front].get(&play).and_then(|it| it.at) else { return };
                 let figure = match (self.draw() * 4.0) as usize {
-                    0 => Figure::Delivered(0.5 + self.draw()),
-                    1 => Figure::Uplink(self.draw() * 1.6),
-                    _ => Figure::Link(self.draw() * 1.6),
+                    0 => LoadMetric::Delivered(0.5 + self.draw()),
+                    1 => LoadMetric::Uplink(self.draw() * 1.6),
+                    _ => LoadMetric::Link(self.draw() * 1.6),
                 };
-                self.call(front, |desk, now, hands| desk.note(now, play, server as u32, figure, hands));
+                self.call(front, |desk, now, hands| {
+                    desk.on_play_note(now, play, server as u32, figure, hands)
+                });
                 self.after(self.now, 700.0, Event::Note(front, play));
             }
             Event::Told(front) => self.tell(front),
             Event::Listed(server, standing) => {
                 self.listings[server].standing = standing;
-                self.saw(What::Listed { server, ready: standing == Standing::Ready });
+                self.saw(Observed::Listed { server, ready: standing == Standing::Ready });
                 for front in 0..FRONTS {
                     let late = 100.0 * self.draw();
                     self.after(self.now, late, Event::Told(front));
@@ -362,7 +375,7 @@
                 match (self.draw() * 4.0) as usize {
                     0 if self.up[server] => {
                         self.up[server] = false;
-                        self.saw(What::Stopped { server });
+                        self.saw(Observed::Stopped { server });
                         for front in 0..FRONTS {
                             let here = |(_, it): &(&u64, &Play)| it.at.is_some_and(|(s, _)| s == server);
                             let lost: Vec<u64> =
@@ -382,8 +395,8 @@
             }
             Event::Recovers(server) => {
                 (self.up[server], self.silent[server], self.errors[server]) = (true, false, 0.0);
-                self.listings[server].born = self.now;
-                self.saw(What::Started { server, cold: true });
+                self.listings[server].started_at = self.now;
+                self.saw(Observed::Started { server, cold: true });
                 self.after(self.now, 0.0, Event::Listed(server, Standing::Ready));
             }
         }
--- a/crates/edge/src/figures.rs
+++ b/crates/edge/src/active_config.rs
@@ -1,10 +1,10 @@
 //! What this front goes by, read back from what runs: the decisions, the limits, the list. Never from the files that it
 //! was to be read from.
 
+use crate::config::{Budget, Config, Rung};
 use crate::edge::Edge;
-use crate::listing::{List, State};
-use crate::rundown::{Budget, Rundown, Rung};
-use pulleystair::{CallSheet, POLICY, number};
+use crate::server_list::{List, State};
+use pulleystair::{POLICY, Settings, number};
 use pulleystair_drift::{Sections, digest, hex};
 use serde_json::{Value, json};
 
@@ -20,7 +20,7 @@
 }
 
 /// The decisions' sheet, as far as it says what the rundown says, in the rundown's words.
-fn as_rundown(was: &Rundown, sheet: &CallSheet) -> Rundown {
+fn as_rundown(was: &Config, sheet: &Settings) -> Config {
     let mut it = was.clone();
     let of = |name: &str, otherwise: f64| number(sheet, name, otherwise);
     it.ladder = (0..was.ladder.len())
@@ -54,12 +54,12 @@
 }
 
 /// The sections of a rundown, in its own words.
-pub fn sections(it: &Rundown, list: Value) -> Sections {
+pub fn sections(it: &Config, list: Value) -> Sections {
     let plain = |value: serde_json::Result<Value>| value.unwrap_or(Value::Null);
-    let by_name = |of: &dyn Fn(&crate::rundown::Product) -> Value| -> Value {
+    let by_name = |of: &dyn Fn(&crate::config::Product) -> Value| -> Value {
         it.products.iter().map(|p| (p.name.clone(), of(p))).collect::<serde_json::Map<_, _>>().into()
     };
-    let product = |p: &crate::rundown::Product| {
+    let product = |p: &crate::config::Product| {
         let mut value = plain(serde_json::to_value(p));
         if let Some(value) = value.as_object_mut() {
             ["name", "floor", "seats"].iter().for_each(|part| {
@@ -96,7 +96,7 @@
 }
 
 /// A figure of the rules by its path: its name on the call sheet, where it has one.
-pub(crate) fn on_the_sheet(it: &Rundown, path: &str) -> Option<String> {
+pub(crate) fn on_the_sheet(it: &Config, path: &str) -> Option<String> {
     let name = match path {
         "rules.budget.share" => "rules.budget_share",
         "rules.budget.free" => "rules.free_resends",
@@ -115,7 +115,7 @@
 impl Edge {
     /// What runs, less what this front holds itself to for being adrift.
     pub(crate) fn goes_by(&self) -> Sections {
-        let mut sheet = self.desk.goes_by();
+        let mut sheet = self.desk.active_settings();
         let mut rundown = self.floor.rundown.clone();
         let Some(company) = &self.floor.company else { return Sections::new() };
         for (path, (own, held)) in &company.held {
@@ -143,7 +143,7 @@
         }
         for (path, figure) in stricter {
             let own = match on_the_sheet(&self.floor.rundown, path) {
-                Some(name) => number(&self.desk.goes_by(), &name, f64::NAN),
+                Some(name) => number(&self.desk.active_settings(), &name, f64::NAN),
                 None => self.floor.rundown.rules.drain_grace_ms,
             };
             if own == *figure || held.get(path).is_some_and(|held| held.1 == *figure) {
@@ -160,7 +160,7 @@
 
     fn go_by(&mut self, path: &str, figure: f64) {
         match on_the_sheet(&self.floor.rundown, path) {
-            Some(name) => self.desk.go_by(&name, figure),
+            Some(name) => self.desk.override_setting(&name, figure),
             // A drain is heard of by a look at the list; those are no further apart than the grace.
             None => {
                 let limits = &mut self.floor.rundown.limits;
--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/answers.rs
@@ -1,12 +1,12 @@
 //! Answers written to players, and what their connections do meanwhile.
 
+use crate::config::Rung;
+use crate::connections::{ConnectionId, Doing, Role};
 use crate::http;
-use crate::lines::{Doing, Key, Role};
-use crate::rundown::Rung;
 use crate::sessions::{Final, Life};
 use pulleystair_dash::address;
 use pulleystair_dash::mpd::Presentation;
-use pulleystair_dash::token::{Fault, Pass};
+use pulleystair_dash::token::{SessionToken, TokenError};
 use std::time::{Duration, UNIX_EPOCH};
 use tracing::info;
 
@@ -27,22 +27,22 @@
         Final { retry_after: Some(self.retry_after()), ..words(503, why) }
     }
 
-    pub(crate) fn answer(&mut self, key: Key, answer: &Final) {
-        let keep_alive = self.lines.get(key).is_some_and(|line| !line.manner.last);
+    pub(crate) fn answer(&mut self, key: ConnectionId, answer: &Final) {
+        let keep_alive = self.lines.get_mut(key).is_some_and(|line| !line.options.last);
         self.write_answer(key, answer, keep_alive);
         self.answered(key);
     }
 
     /// Answers and closes.
-    pub(crate) fn leave(&mut self, key: Key, answer: &Final) {
+    pub(crate) fn leave(&mut self, key: ConnectionId, answer: &Final) {
         self.write_answer(key, answer, false);
-        if let Some(line) = self.lines.get(key) {
-            line.manner.last = true;
+        if let Some(line) = self.lines.get_mut(key) {
+            line.options.last = true;
         }
         self.answered(key);
     }
 
-    pub(crate) fn write_answer(&mut self, key: Key, answer: &Final, keep_alive: bool) {
+    pub(crate) fn write_answer(&mut self, key: ConnectionId, answer: &Final, keep_alive: bool) {
         let kind = if answer.status == 200 && answer.body.starts_with("<?xml") {
             "Content-Type: application/dash+xml"
         } else {
@@ -66,9 +66,9 @@
             _ => {}
         }
         let mut out = Vec::with_capacity(answer.body.len() + 256);
-        http::head(&mut out, answer.status, answer.body.len() as u64, keep_alive, &more);
-        if let Some(line) = self.lines.get(key) {
-            if !line.manner.bare && answer.status != 204 {
+        http::write_response_head(&mut out, answer.status, answer.body.len() as u64, keep_alive, &more);
+        if let Some(line) = self.lines.get_mut(key) {
+            if !line.options.bare && answer.status != 204 {
                 out.extend_from_slice(answer.body.as_bytes());
             }
             line.write(&out);
@@ -77,19 +77,19 @@
     }
 
     /// The answer on this connection is written, or waits in its buffer: on to the next request, or leave.
-    pub(crate) fn answered(&mut self, key: Key) {
+    pub(crate) fn answered(&mut self, key: ConnectionId) {
         let now = self.now();
         let limits = &self.rundown.limits;
         let (idle, slow, rate) = (limits.idle_ms, limits.slow_reader_ms, limits.slow_reader_kb);
-        let Some(line) = self.lines.get(key) else { return };
+        let Some(line) = self.lines.get_mut(key) else { return };
         let pending = line.pending();
-        let leaving = line.manner.last;
+        let leaving = line.options.last;
         if !line.input.is_empty() {
             self.woken.push(key);
         }
         line.role = Role::Player(if leaving { Doing::Leaving } else { Doing::Reading });
         if leaving && pending == 0 {
-            line.shut();
+            line.shutdown_write();
         }
         let due = match (pending, leaving) {
             (0, true) => now + LEAVE,
@@ -99,14 +99,14 @@
         self.set_due(key, due);
     }
 
-    pub(crate) fn wait_for(&mut self, key: Key, play: u64) {
-        if let Some(line) = self.lines.get(key) {
+    pub(crate) fn wait_for(&mut self, key: ConnectionId, play: u64) {
+        if let Some(line) = self.lines.get_mut(key) {
             line.role = Role::Player(Doing::Waiting(play));
-            line.due = f64::INFINITY;
+            line.deadline = f64::INFINITY;
         }
     }
 
-    pub(crate) fn player_gone(&mut self, key: Key) {
+    pub(crate) fn player_gone(&mut self, key: ConnectionId) {
         let now = self.now();
         let Some(Role::Player(doing)) = self.lines.close(key) else { return };
         self.players -= 1;
@@ -134,10 +134,10 @@
     ///
     /// Each use of a pass renews it: while its play runs it opens that play for `pass_ms` after its last use,
     /// whatever its own time was; a player that paused for longer asks for the manifest again.
-    pub(crate) fn playing(&mut self, player: Key, pass: &str) -> Result<u64, Final> {
-        let from = self.lines.get(player).and_then(|line| line.from());
+    pub(crate) fn playing(&mut self, player: ConnectionId, pass: &str) -> Result<u64, Final> {
+        let from = self.lines.get_mut(player).and_then(|line| line.peer_ip());
         let (now, limits) = (self.time_of_day(), &self.rundown.limits);
-        let pass = self.pass_keys.signed_pass(pass, (now / 1000.0) as u64);
+        let pass = self.pass_keys.verify_session_signature(pass, (now / 1000.0) as u64);
         let pass = pass.map_err(|fault| words(fault.status(), &fault.to_string()))?;
         let gone = || words(410, "this session does not play here");
         let play = self.book.by_id(&pass.sid).ok_or_else(gone)?;
@@ -155,7 +155,7 @@
         }
         let own = pass.exp as f64 * 1000.0 + limits.skew_ms;
         if now >= own.max(session.renewed) {
-            return Err(words(Fault::Expired.status(), &Fault::Expired.to_string()));
+            return Err(words(TokenError::Expired.status(), &TokenError::Expired.to_string()));
         }
         session.renewed = now + limits.pass_ms;
         Ok(play)
@@ -167,7 +167,7 @@
         let product = &self.rundown.products[session.product];
         let last = self.rundown.ladder.len() - 1;
         let top = session.top.min(product.top.unwrap_or(last)).min(last).max(product.floor);
-        let pass = Pass {
+        let pass = SessionToken {
             sid: session.id.clone(),
             product: product.name.clone(),
             title: title.name.clone(),
@@ -177,8 +177,8 @@
         let bits = |rung: &Rung| ((rung.rate_kb * product.scale * 8000.0).ceil() as u64).max(1);
         let bandwidths: Vec<u64> = self.rundown.ladder[..=top].iter().map(bits).collect();
         let mut presentation = Presentation::clone(&title.shape);
-        presentation.base = address::base(&pass);
-        presentation.location = presentation.live.is_some().then(|| address::again(&pass));
+        presentation.base = address::base_path(&pass);
+        presentation.location = presentation.live.is_some().then(|| address::refresh_path(&pass));
         presentation.periods.iter_mut().for_each(|period| period.bandwidths = bandwidths.clone());
         Some(Final { status: 200, body: presentation.write().into(), retry_after: None, location: None })
     }
--- a/crates/edge/src/rundown/check.rs
+++ b/crates/edge/src/config/check.rs
@@ -3,7 +3,7 @@
 use super::*;
 use pulleystair_dash::address;
 
-impl Rundown {
+impl Config {
     /// The first value that can't be: its path, what it is, what is allowed.
     pub(crate) fn check(&self) -> Result<(), (String, String, &'static str)> {
         let positive = |path: &str, x: f64| {
@@ -28,7 +28,7 @@
         };
         let named = |path: String, name: &str| {
             let allowed = "1 to 64 letters, digits, - _ .";
-            address::name(name).then_some(()).ok_or((path, format!("{name:?}"), allowed))
+            address::is_valid_name(name).then_some(()).ok_or((path, format!("{name:?}"), allowed))
         };
         count("zones", self.zones.len(), 1000)?;
         if !self.zones.contains(&self.zone) {
--- a/crates/edge/src/rundown/limits.rs
+++ b/crates/edge/src/config/limits.rs
@@ -1,6 +1,6 @@
 //! How much a front takes on, holds and waits for.
 
-use pulleystair_admission::{limit, queue, reads};
+use pulleystair_admission::{concurrency, queue, read_retries};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -114,8 +114,13 @@
 }
 
 impl Reads {
-    pub fn terms(&self) -> reads::Terms {
-        reads::Terms { tries: self.tries, span: self.span_ms, share: self.share, free: self.free }
+    pub fn retry_config(&self) -> read_retries::RetryConfig {
+        read_retries::RetryConfig {
+            tries: self.tries,
+            span: self.span_ms,
+            share: self.share,
+            free: self.free,
+        }
     }
 }
 
@@ -158,12 +163,12 @@
 }
 
 impl Admission {
-    pub fn limit(&self) -> limit::Terms {
+    pub fn limit_config(&self) -> concurrency::LimitConfig {
         let Admission { least, most, tolerance, slack_ms: slack, sample, work_ms: work, .. } = *self;
-        limit::Terms { least, most, tolerance, slack, sample, work }
+        concurrency::LimitConfig { least, most, tolerance, slack, sample, work }
     }
 
-    pub fn queue(&self) -> queue::Terms {
-        queue::Terms { most: self.queue, crowded: self.crowded_ms }
+    pub fn queue_config(&self) -> queue::QueueConfig {
+        queue::QueueConfig { most: self.queue, crowded: self.crowded_ms }
     }
 }
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -6,25 +6,25 @@
 //! ([`Floor::answer`]). Segments go by [`Edge::segment`] and [`Edge::errand`]. Files are looked at in `watch`.
 
 use crate::company::Company;
+use crate::config::Config;
+use crate::connections::{ConnectionId, Doing, Lines, Role, Stage};
 use crate::floor::{Clock, Floor, News, words};
-use crate::lines::{Doing, Key, Lines, Role, Stage};
-use crate::listing::{Known, List, Watched};
-use crate::rundown::Rundown;
 use crate::seals::Seals;
+use crate::server_list::{Known, List, Watched};
 use crate::sessions::{Book, Bounds, Life};
 use crate::tally::Tally;
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction};
 use pulleystair::Outcome;
-use pulleystair_admission::lag::Lag;
-use pulleystair_admission::limit::Limit;
-use pulleystair_admission::queue::Queue;
-use pulleystair_admission::reads::Fault;
-use pulleystair_admission::wall::Wall;
-use pulleystair_desk::Desk;
-use pulleystair_lines::Owner;
-use pulleystair_lines::clocks::Clocks;
+use pulleystair_admission::concurrency::ConcurrencyLimit;
+use pulleystair_admission::loop_lag::LoopLag;
+use pulleystair_admission::queue::AdmissionQueue;
+use pulleystair_admission::read_retries::ReadError;
+use pulleystair_admission::wall_clock::WallClock;
+use pulleystair_connections::ConnectionHandler;
+use pulleystair_connections::timers::Timers;
+use pulleystair_dispatcher::Dispatcher;
 use std::collections::{HashMap, VecDeque};
 use std::net::TcpListener;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -38,11 +38,11 @@
 const LAST_WORD: Duration = Duration::from_millis(20);
 
 pub struct Edge {
-    pub(crate) desk: Desk,
+    pub(crate) desk: Dispatcher,
     pub(crate) floor: Floor,
 }
 
-pub(crate) fn known(rundown: &Rundown) -> Known<'_> {
+pub(crate) fn known(rundown: &Config) -> Known<'_> {
     Known {
         zones: &rundown.zones,
         kinds: rundown.fleet.kinds.iter().map(|k| k.name.as_str()).collect(),
@@ -53,7 +53,7 @@
 }
 
 /// Reads the list that a rundown names.
-pub fn read_list(rundown: &Rundown) -> Result<List, pulleystair_templates::Fault> {
+pub fn read_list(rundown: &Config) -> Result<List, pulleystair_jsonnet::LoadError> {
     List::read(&rundown.list, &known(rundown))
 }
 
@@ -69,7 +69,7 @@
 }
 
 /// Starts a front and runs it until it is told to stop; `dropped` counts lines that its log could not take.
-pub fn run(rundown: Rundown, stop: Signals, dropped: ErrorCounter) -> anyhow::Result<()> {
+pub fn run(rundown: Config, stop: Signals, dropped: ErrorCounter) -> anyhow::Result<()> {
     let mut event_loop: EventLoop<'static, Edge> = EventLoop::try_new()?;
     let handle = event_loop.handle();
     let listener = TcpListener::bind(rundown.listen)
@@ -106,15 +106,15 @@
     })?;
     info!(target: "front", %address, servers = edge.floor.servers.len(), "listens");
     while !edge.floor.done() {
-        let wait = edge.floor.clocks.wait();
+        let wait = edge.floor.clocks.time_to_next();
         event_loop.dispatch(wait, &mut edge)?;
         edge.ring();
-        while edge.desk.turn_ends(edge.floor.now(), &mut edge.floor) {
+        while edge.desk.end_turn(edge.floor.now(), &mut edge.floor) {
             edge.settle();
         }
         let now = edge.floor.now();
-        edge.floor.lag.round_ends(now);
-        edge.floor.wall.look(now, since_1970().as_secs_f64() * 1000.0);
+        edge.floor.lag.turn_ended(now);
+        edge.floor.wall.sync(now, since_1970().as_secs_f64() * 1000.0);
     }
     info!(target: "front", left = edge.floor.book.held().len(), "stopped");
     // The last word is the sums. A log that is read, if slowly, is given the time to take them.
@@ -129,12 +129,12 @@
     Ok(())
 }
 
-impl Owner for Edge {
-    fn line_ready(&mut self, key: Key) {
+impl ConnectionHandler for Edge {
+    fn connection_ready(&mut self, key: ConnectionId) {
         let now = self.floor.now();
-        self.floor.lag.works(now);
+        self.floor.lag.work_started(now);
         self.accompany();
-        let Some(line) = self.floor.lines.get(key) else { return };
+        let Some(line) = self.floor.lines.get_mut(key) else { return };
         match &line.role {
             Role::Player(_) => self.player(key),
             Role::Allocation { .. } => self.allocation(key),
@@ -146,7 +146,7 @@
 
 impl Edge {
     fn new(
-        rundown: Rundown,
+        rundown: Config,
         handle: LoopHandle<'static, Edge>,
         dropped: ErrorCounter,
     ) -> anyhow::Result<Edge> {
@@ -166,11 +166,11 @@
             keys.replaced();
         });
         let (entry_keys, pass_keys, revoked) =
-            rundown.rings().map_err(|(path, cause)| anyhow::anyhow!("{path}: {cause}"))?;
+            rundown.key_rings().map_err(|(path, cause)| anyhow::anyhow!("{path}: {cause}"))?;
         let mut watched = Watched::new(rundown.list.clone());
         watched.replaced();
         let seals = Seals::read(&rundown.tls, since.as_secs())?;
-        let clocks = Clocks::new(since.as_secs_f64() * 1000.0);
+        let clocks = Timers::new(since.as_secs_f64() * 1000.0);
         let company = Company::join(&rundown, &handle, clocks.now(), seed)?;
         let floor = Floor {
             entry_keys,
@@ -179,11 +179,11 @@
             seals,
             revoked: revoked.into_iter().collect(),
             lines: Lines::new(handle.clone()),
-            queue: Queue::new(rundown.admission.queue()),
-            limit: Limit::new(rundown.admission.limit()),
+            queue: AdmissionQueue::new(rundown.admission.queue_config()),
+            limit: ConcurrencyLimit::new(rundown.admission.limit_config()),
             out: 0,
-            lag: Lag::default(),
-            wall: Wall::new(since.as_secs_f64() * 1000.0),
+            lag: LoopLag::default(),
+            wall: WallClock::new(since.as_secs_f64() * 1000.0),
             homes: Vec::new(),
             homes_file: rundown.homes.clone().map(Watched::new),
             handle,
@@ -210,7 +210,7 @@
             halted: false,
             rundown,
         };
-        let mut edge = Edge { desk: Desk::new(floor.rundown.call_sheet(), seed), floor };
+        let mut edge = Edge { desk: Dispatcher::new(floor.rundown.policy_settings(), seed), floor };
         let list = read_list(&edge.floor.rundown)?;
         // It may be older than what it tells of: a server that started anew since may not be listed so yet.
         edge.take_list(list, true);
@@ -229,7 +229,7 @@
                 self.allocation_ended(play, server, outcome, &[]);
             } else if let Some(player) = self.floor.woken.pop() {
                 self.player(player);
-            } else if !self.floor.queue.is_empty() && self.floor.out < self.floor.limit.now() {
+            } else if !self.floor.queue.is_empty() && self.floor.out < self.floor.limit.current() {
                 self.admit_waiting();
             } else {
                 return;
@@ -244,10 +244,10 @@
         self.accompany();
         loop {
             let now = self.floor.now();
-            let Some((due, clock)) = self.floor.clocks.pop(now) else { return };
-            self.floor.lag.rang(now, due);
+            let Some((due, clock)) = self.floor.clocks.pop_due(now) else { return };
+            self.floor.lag.timer_fired(now, due);
             match clock {
-                Clock::Desk(mark) => self.desk.rings(now, mark, &mut self.floor),
+                Clock::Desk(mark) => self.desk.on_timer(now, mark, &mut self.floor),
                 Clock::TimeOut(play, n) => self.time_out(now, play, n),
                 Clock::Line(key) => self.line_due(now, key),
                 Clock::Rung(play) => self.floor.rung_due(play),
@@ -283,19 +283,19 @@
             return;
         }
         let (Some(server), Some(key)) = (session.server, session.line) else { return };
-        let connected = floor.lines.get(key).and_then(|line| line.connected());
+        let connected = floor.lines.get_mut(key).and_then(|line| line.connected());
         let outcome = if connected == Some(true) { Outcome::TimedOut } else { Outcome::Unreachable };
         debug!(target: "play", play, server = floor.name(server), waited = now - session.came, "timed out");
         self.allocation_ended(play, server, outcome, &[]);
     }
 
-    fn line_due(&mut self, now: f64, key: Key) {
+    fn line_due(&mut self, now: f64, key: ConnectionId) {
         let floor = &mut self.floor;
-        let Some(line) = floor.lines.get(key) else { return };
-        if line.due > now {
+        let Some(line) = floor.lines.get_mut(key) else { return };
+        if line.deadline > now {
             return;
         }
-        line.due = f64::INFINITY;
+        line.deadline = f64::INFINITY;
         let connected = line.connected() == Some(true);
         match &line.role {
             Role::Player(Doing::Reading) if line.pending() == 0 && !line.input.is_empty() => {
@@ -314,8 +314,8 @@
             }
             Role::Allocation { .. } => {}
             Role::Errands { errand: None, .. } => floor.drop_errands_line(key),
-            Role::Errands { .. } if connected => floor.errand_failed(key, Fault::Stalled),
-            Role::Errands { .. } => floor.errand_failed(key, Fault::Unreachable),
+            Role::Errands { .. } if connected => floor.errand_failed(key, ReadError::Stalled),
+            Role::Errands { .. } => floor.errand_failed(key, ReadError::Unreachable),
         }
     }
 
@@ -364,12 +364,12 @@
     /// The time to run on has passed: what is in hand gets its final answer.
     fn give_up(&mut self) {
         for play in self.floor.book.held() {
-            if self.floor.queue.left(play) {
+            if self.floor.queue.remove(play) {
                 let answer = self.floor.away("this front has stopped");
                 self.floor.over(play, "front stopped", answer);
             }
         }
-        self.desk.time_is_up(self.floor.now(), &mut self.floor);
+        self.desk.expire_pending(self.floor.now(), &mut self.floor);
         self.settle();
         for play in self.floor.book.held() {
             self.finish(play, "front stopped");
--- a/crates/edge/src/errands.rs
+++ b/crates/edge/src/errands.rs
@@ -1,10 +1,10 @@
 //! Requests to media servers on pooled connections: segments, steps of rung and probes.
 
+use crate::connections::{ConnectionId, Errand, Role, What};
 use crate::http;
-use crate::lines::{Errand, Key, Role, What};
-use crate::reading::Head;
+use crate::segment_read::Head;
 use crate::sessions::{Final, Life};
-use pulleystair_admission::reads::{self, Next};
+use pulleystair_admission::read_retries::{self, ReadAction};
 use std::io;
 use tracing::debug;
 
@@ -23,15 +23,15 @@
         format!("{method} {target} HTTP/1.1\r\nHost: {address}\r\n{length}\r\n{body}").into_bytes()
     }
 
-    pub(crate) fn dial(&mut self, server: u32, role: Role) -> io::Result<Key> {
+    pub(crate) fn dial(&mut self, server: u32, role: Role) -> io::Result<ConnectionId> {
         let address = self.servers[server as usize].address;
-        let stream = pulleystair_lines::connect(address)?;
+        let stream = pulleystair_connections::connect(address)?;
         let seal = match &self.seals.servers {
             Some(sealed) => {
                 let name =
                     rustls::pki_types::ServerName::try_from(self.servers[server as usize].name.clone());
                 let name = name.map_err(io::Error::other)?;
-                let seal = rustls::ClientConnection::new(sealed.terms.clone(), name);
+                let seal = rustls::ClientConnection::new(sealed.config.clone(), name);
                 Some(seal.map_err(io::Error::other)?.into())
             }
             None => None,
@@ -75,12 +75,12 @@
         }
     }
 
-    pub(crate) fn begin(&mut self, key: Key, it: Errand) {
+    pub(crate) fn begin(&mut self, key: ConnectionId, it: Errand) {
         if let What::Segment { player, .. } = it.what {
             self.fetchers.insert(player, key);
         }
         let due = self.now() + self.rundown.limits.segment_ms;
-        if let Some(line) = self.lines.get(key)
+        if let Some(line) = self.lines.get_mut(key)
             && let Role::Errands { errand, .. } = &mut line.role
         {
             // What is wanted of it goes before the empty line that ends the head.
@@ -105,7 +105,7 @@
         while let Some(errand) = self.servers[server as usize].queue.pop_front() {
             self.errands_out -= 1;
             if let What::Segment { player, .. } = errand.what
-                && self.lines.get(player).is_none()
+                && self.lines.get_mut(player).is_none()
             {
                 continue;
             }
@@ -117,7 +117,7 @@
     }
 
     /// Closes a pooled connection; an errand that it is on is no longer wanted.
-    pub(crate) fn drop_errands_line(&mut self, key: Key) {
+    pub(crate) fn drop_errands_line(&mut self, key: ConnectionId) {
         if let Some(Role::Errands { server, errand, .. }) = self.lines.close(key) {
             let at = &mut self.servers[server as usize];
             at.lines -= 1;
@@ -131,7 +131,7 @@
 
     /// The errand got no answer, or not all of it. A segment's read may go on, on a new connection; a word or a
     /// probe only if it was sent on a connection that the server had closed meanwhile.
-    pub(crate) fn errand_failed(&mut self, key: Key, fault: reads::Fault) {
+    pub(crate) fn errand_failed(&mut self, key: ConnectionId, fault: read_retries::ReadError) {
         let Some(Role::Errands { server, errand, fresh }) = self.lines.close(key) else { return };
         let now = self.now();
         let at = &mut self.servers[server as usize];
@@ -139,16 +139,20 @@
         at.idle.retain(|k| *k != key);
         let Some(mut errand) = errand else { return };
         let begun = errand.left.is_some();
-        let stale = !fresh && !begun && matches!(fault, reads::Fault::Broken | reads::Fault::Unreachable);
-        let fault = if stale { reads::Fault::Stale } else { fault };
+        let stale = !fresh
+            && !begun
+            && matches!(fault, read_retries::ReadError::Broken | read_retries::ReadError::Unreachable);
+        let fault = if stale { read_retries::ReadError::Stale } else { fault };
         let next = match &errand.reading {
-            Some(reading) => at.budget.after(now, &self.rundown.reads.terms(), &reading.so_far(), fault),
-            None if stale => Next::Again { from: 0 },
-            None => Next::Answer(502),
+            Some(reading) => {
+                at.budget.next_action(now, &self.rundown.reads.retry_config(), &reading.so_far(), fault)
+            }
+            None if stale => ReadAction::Again { from: 0 },
+            None => ReadAction::Answer(502),
         };
         debug!(target: "server", server = self.name(server), what = ?errand.what, ?fault, ?next, "errand failed");
         match next {
-            Next::Again { .. } => {
+            ReadAction::Again { .. } => {
                 errand.left = None;
                 if let Some(reading) = errand.reading.as_mut().filter(|_| !stale) {
                     reading.tries += 1;
@@ -159,8 +163,10 @@
                 }
                 return;
             }
-            Next::Answer(status) => self.errand_lost(errand, status, "the media server did not answer well"),
-            Next::Cut => {
+            ReadAction::Answer(status) => {
+                self.errand_lost(errand, status, "the media server did not answer well")
+            }
+            ReadAction::Cut => {
                 if let What::Segment { player, .. } = errand.what {
                     self.player_cut(player);
                 }
@@ -170,8 +176,8 @@
     }
 
     /// So many bytes of the read on this connection have gone to its player.
-    pub(crate) fn gave(&mut self, key: Key, bytes: u64) {
-        if let Some(line) = self.lines.get(key)
+    pub(crate) fn gave(&mut self, key: ConnectionId, bytes: u64) {
+        if let Some(line) = self.lines.get_mut(key)
             && let Role::Errands { errand: Some(Errand { reading: Some(reading), .. }), .. } = &mut line.role
         {
             reading.gave(bytes);
@@ -179,7 +185,7 @@
     }
 
     /// A segment that broke off in the middle: its connection is closed, so that the player sees it is short.
-    pub(crate) fn player_cut(&mut self, player: Key) {
+    pub(crate) fn player_cut(&mut self, player: ConnectionId) {
         self.fetchers.remove(&player);
         self.player_gone(player);
     }
@@ -188,7 +194,7 @@
     pub(crate) fn errand_lost(&mut self, errand: Errand, status: u16, why: &str) {
         self.rung_was_told(errand.what, false);
         let What::Segment { player, play, .. } = errand.what else { return };
-        if errand.reading.is_some_and(|r| r.so_far().given.is_some()) {
+        if errand.reading.is_some_and(|r| r.so_far().bytes_relayed.is_some()) {
             return self.player_cut(player);
         }
         let over = self.book.get(play).is_none_or(|s| s.life() != Life::Playing);
@@ -200,10 +206,10 @@
         self.segment_answer(player, play, &answer);
     }
 
-    pub(crate) fn segment_answer(&mut self, player: Key, play: u64, answer: &Final) {
+    pub(crate) fn segment_answer(&mut self, player: ConnectionId, play: u64, answer: &Final) {
         self.fetchers.remove(&player);
         // A player that is gone was counted off when it went.
-        if self.lines.get(player).is_none() {
+        if self.lines.get_mut(player).is_none() {
             return;
         }
         if let Some(session) = self.book.get_mut(play) {
@@ -250,7 +256,7 @@
         self.tell_rung(play);
     }
 
-    pub(crate) fn segment_head(&mut self, player: Key, play: u64, of: &Head) {
+    pub(crate) fn segment_head(&mut self, player: ConnectionId, play: u64, of: &Head) {
         let Some(session) = self.book.get(play) else { return };
         let product = &self.rundown.products[session.product];
         let kbps = (self.rundown.ladder[session.rung].rate_kb * product.scale * 8.0).ceil() as u64;
@@ -267,9 +273,9 @@
         }
         let limits = &self.rundown.limits;
         let due = self.now() + limits.slow_reader_ms + of.length as f64 / limits.slow_reader_kb;
-        let Some(line) = self.lines.get(player) else { return };
+        let Some(line) = self.lines.get_mut(player) else { return };
         let mut out = Vec::new();
-        http::head(&mut out, of.status, of.length, !line.manner.last, &more);
+        http::write_response_head(&mut out, of.status, of.length, !line.options.last, &more);
         line.write(&out);
         self.set_due(player, due);
     }
--- a/crates/edge/src/floor.rs
+++ b/crates/edge/src/floor.rs
@@ -2,21 +2,21 @@
 //! and the answers written to players. It never calls the desk; what it finds while the desk is busy goes to
 //! [`Floor::news`], which [`crate::edge`] tells afterwards.
 
-use crate::lines::{Errand, Key, Lines, Role};
-use crate::listing::{Title, Watched};
-use crate::rundown::Rundown;
+use crate::config::Config;
+use crate::connections::{ConnectionId, Errand, Lines, Role};
 use crate::seals::Seals;
+use crate::server_list::{Title, Watched};
 use crate::sessions::{Book, Final};
 use crate::tally::Tally;
 use calloop::{LoopHandle, RegistrationToken};
 use pulleystair::Outcome;
-use pulleystair_admission::lag::Lag;
-use pulleystair_admission::limit::Limit;
-use pulleystair_admission::queue::Queue;
-use pulleystair_admission::reads::Budget;
-use pulleystair_admission::wall::Wall;
-use pulleystair_dash::token::Ring;
-use pulleystair_lines::clocks::Clocks;
+use pulleystair_admission::concurrency::ConcurrencyLimit;
+use pulleystair_admission::loop_lag::LoopLag;
+use pulleystair_admission::queue::AdmissionQueue;
+use pulleystair_admission::read_retries::RetryBudget;
+use pulleystair_admission::wall_clock::WallClock;
+use pulleystair_connections::timers::Timers;
+use pulleystair_dash::token::KeyRing;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -32,7 +32,7 @@
     Desk(u32),
     /// The time-out of a play's so-many-th allocation.
     TimeOut(u64, usize),
-    Line(Key),
+    Line(ConnectionId),
     Session(u64),
     /// The word of a step of this play was lost: it is told again.
     Rung(u64),
@@ -54,11 +54,11 @@
     pub(crate) zone: String,
     /// When its process started, ms since 1970.
     pub(crate) born: u64,
-    pub(crate) idle: Vec<Key>,
+    pub(crate) idle: Vec<ConnectionId>,
     pub(crate) lines: usize,
     pub(crate) queue: VecDeque<Errand>,
     /// Further tries of segments' reads there.
-    pub(crate) budget: Budget,
+    pub(crate) budget: RetryBudget,
 }
 
 /// An allocation's end that was found while the desk was busy.
@@ -69,9 +69,9 @@
 }
 
 pub(crate) struct Floor {
-    pub(crate) rundown: Rundown,
-    pub(crate) entry_keys: Ring,
-    pub(crate) pass_keys: Ring,
+    pub(crate) rundown: Config,
+    pub(crate) entry_keys: KeyRing,
+    pub(crate) pass_keys: KeyRing,
     pub(crate) keys: Option<Watched>,
     pub(crate) seals: Seals,
     pub(crate) revoked: HashSet<String>,
@@ -80,11 +80,11 @@
     pub(crate) door: Option<RegistrationToken>,
     pub(crate) book: Book,
     /// Who waits until a set-up more may be out, how many may be and are.
-    pub(crate) queue: Queue,
-    pub(crate) limit: Limit,
+    pub(crate) queue: AdmissionQueue,
+    pub(crate) limit: ConcurrencyLimit,
     pub(crate) out: usize,
-    pub(crate) lag: Lag,
-    pub(crate) wall: Wall,
+    pub(crate) lag: LoopLag,
+    pub(crate) wall: WallClock,
     /// Where the fronts of this fleet are to be had by players, by rank, and the file that tells; none where they
     /// may all set up any session.
     pub(crate) homes: Vec<String>,
@@ -97,14 +97,14 @@
     pub(crate) next_title: usize,
     pub(crate) servers: Vec<Server>,
     pub(crate) server_numbers: HashMap<String, u32>,
-    pub(crate) clocks: Clocks<Clock>,
+    pub(crate) clocks: Timers<Clock>,
     pub(crate) news: VecDeque<News>,
     pub(crate) players: usize,
     /// The pooled connection that fetches for a player, and how many errands are out or wait.
-    pub(crate) fetchers: HashMap<Key, Key>,
+    pub(crate) fetchers: HashMap<ConnectionId, ConnectionId>,
     pub(crate) errands_out: usize,
     /// Players with a further request at hand when their answer was written.
-    pub(crate) woken: Vec<Key>,
+    pub(crate) woken: Vec<ConnectionId>,
     /// Names this run of this front in the names of its allocations.
     pub(crate) run: String,
     pub(crate) tally: Tally,
@@ -130,25 +130,26 @@
 
     /// ms since 1970 as tokens and live titles have it.
     pub(crate) fn time_of_day(&self) -> f64 {
-        self.wall.at(self.now())
+        self.wall.time_at(self.now())
     }
 
     pub(crate) fn clock(&mut self, at: f64, clock: Clock) {
-        self.clocks.set(at, clock);
+        self.clocks.schedule(at, clock);
     }
 
     pub(crate) fn done(&self) -> bool {
         let idle = self.book.deciding() + self.book.playing() == 0 && self.errands_out == 0;
-        self.halted || self.stopping && idle && !self.lines.waits(|role| matches!(role, Role::Player(_)))
+        self.halted
+            || self.stopping && idle && !self.lines.any_pending(|role| matches!(role, Role::Player(_)))
     }
 
     pub(crate) fn name(&self, server: u32) -> &str {
         self.servers.get(server as usize).map_or("?", |s| s.name.as_str())
     }
 
-    pub(crate) fn set_due(&mut self, key: Key, due: f64) {
-        if let Some(line) = self.lines.get(key) {
-            line.due = due;
+    pub(crate) fn set_due(&mut self, key: ConnectionId, due: f64) {
+        if let Some(line) = self.lines.get_mut(key) {
+            line.deadline = due;
             self.clock(due, Clock::Line(key));
         }
     }
--- a/crates/edge/src/players.rs
+++ b/crates/edge/src/players.rs
@@ -1,16 +1,16 @@
 //! What players ask for: manifests, segments and the end of a play, from the first byte to the desk and back.
 
+use crate::config::Effect;
+use crate::connections::{ConnectionId, Doing, Errand, Manner, Role, What};
 use crate::edge::Edge;
 use crate::floor::{Clock, words};
 use crate::http;
-use crate::lines::{Doing, Errand, Key, Manner, Role, What};
-use crate::reading::Reading;
-use crate::rundown::Effect;
+use crate::segment_read::Reading;
 use crate::sessions::{Asked, Final, Life, Request};
 use pulleystair::Outcome;
-use pulleystair_admission::homes::home;
-use pulleystair_dash::address::{self, Address, Which};
-use pulleystair_desk::Wish;
+use pulleystair_admission::homes::home_front;
+use pulleystair_dash::address::{self, Route, SegmentId};
+use pulleystair_dispatcher::PlayRequest;
 use std::io;
 use std::net::TcpListener;
 use tracing::warn;
@@ -42,13 +42,13 @@
                 let _ = socket2::SockRef::from(&stream).set_send_buffer_size(limits.send_buffer_bytes);
             }
             let seals = floor.seals.players.as_ref().filter(|_| !operator);
-            let seal = seals.map(|s| rustls::ServerConnection::new(s.terms.clone()));
+            let seal = seals.map(|s| rustls::ServerConnection::new(s.config.clone()));
             let Ok(seal) = seal.transpose() else { continue };
             let sealed = seal.is_some();
             let seal = seal.map(rustls::Connection::from);
             let Ok(key) = floor.lines.open(stream, seal, Role::Player(Doing::Reading)) else { continue };
             floor.players += 1;
-            floor.lines.get(key).into_iter().for_each(|line| line.manner.operator = operator);
+            floor.lines.get_mut(key).into_iter().for_each(|line| line.options.operator = operator);
             if floor.players > floor.rundown.limits.connections {
                 let answer = floor.away("this front has all the connections it takes");
                 floor.leave(key, &answer);
@@ -62,13 +62,13 @@
     }
 
     /// Something happened on a player's connection.
-    pub(crate) fn player(&mut self, key: Key) {
+    pub(crate) fn player(&mut self, key: ConnectionId) {
         loop {
             let floor = &mut self.floor;
             let now = floor.now();
             let limits = &floor.rundown.limits;
             let (most, header, idle) = (limits.header_bytes, limits.header_ms, limits.idle_ms);
-            let Some(line) = floor.lines.get(key) else { return };
+            let Some(line) = floor.lines.get_mut(key) else { return };
             let Role::Player(doing) = line.role else { return };
             line.flush();
             if doing == Doing::Leaving {
@@ -76,16 +76,16 @@
                 line.read(most);
                 line.input.clear();
                 if line.pending() == 0 {
-                    line.shut();
+                    line.shutdown_write();
                 }
-                if line.ended {
+                if line.closed {
                     floor.player_gone(key);
                 }
                 return;
             }
             let before = line.input.len();
             let came = line.read(most);
-            if line.ended {
+            if line.closed {
                 floor.player_gone(key);
                 return;
             }
@@ -101,7 +101,7 @@
                 _ => return,
             }
             if line.input.is_empty() {
-                if line.has_shaken_hands() || line.due.is_infinite() {
+                if line.take_handshake_done() || line.deadline.is_infinite() {
                     floor.set_due(key, now + idle);
                 }
                 return;
@@ -109,8 +109,8 @@
             if came && before == 0 {
                 floor.set_due(key, now + header);
             }
-            let Some(line) = floor.lines.get(key) else { return };
-            match http::request(&line.input, most) {
+            let Some(line) = floor.lines.get_mut(key) else { return };
+            match http::parse_request(&line.input, most) {
                 Ok(None) => return,
                 Err(refusal) => {
                     floor.leave(key, &words(refusal.status, refusal.why));
@@ -118,10 +118,10 @@
                 }
                 Ok(Some((request, used))) => {
                     line.input.drain(..used);
-                    let operator = line.manner.operator;
-                    line.manner =
+                    let operator = line.options.operator;
+                    line.options =
                         Manner { last: !request.keep_alive, bare: request.method == "HEAD", operator };
-                    line.due = f64::INFINITY;
+                    line.deadline = f64::INFINITY;
                     self.request(key, &request);
                 }
             }
@@ -129,8 +129,8 @@
     }
 
     /// Answers one request, or begins to.
-    pub(crate) fn request(&mut self, key: Key, request: &http::Request) {
-        if self.floor.lines.get(key).is_some_and(|line| line.manner.operator) {
+    pub(crate) fn request(&mut self, key: ConnectionId, request: &http::Request) {
+        if self.floor.lines.get_mut(key).is_some_and(|line| line.options.operator) {
             let told = if request.target == "/fleet" { self.fleet_told() } else { None };
             let answer = told.map_or_else(
                 || words(404, "GET /fleet tells what this front knows of the fleet"),
@@ -138,33 +138,33 @@
             );
             return self.floor.answer(key, &answer);
         }
-        let answer = match (request.method.as_str(), address::read(&request.target)) {
+        let answer = match (request.method.as_str(), address::parse(&request.target)) {
             (_, None) => words(404, "nothing is served here"),
             ("OPTIONS", _) => words(204, ""),
-            ("GET" | "HEAD", Some(Address::Time)) => {
+            ("GET" | "HEAD", Some(Route::Time)) => {
                 words(200, &pulleystair_dash::mpd::date(self.floor.time_of_day() as u64))
             }
-            ("GET" | "HEAD", Some(Address::Again { pass })) => match self.floor.playing(key, pass) {
+            ("GET" | "HEAD", Some(Route::Again { pass })) => match self.floor.playing(key, pass) {
                 Ok(play) => self.floor.asked_again(play),
                 Err(answer) => answer,
             },
-            ("HEAD", Some(Address::Manifest { .. })) => {
+            ("HEAD", Some(Route::Manifest { .. })) => {
                 words(405, "HEAD would take no play: GET the manifest, or HEAD one that plays")
             }
-            ("GET", Some(Address::Manifest { product, title, entry })) => {
+            ("GET", Some(Route::Manifest { product, title, entry })) => {
                 let token = request.bearer.as_deref().or(entry).unwrap_or("");
                 match self.manifest(key, product, title, token) {
                     Some(answer) => answer,
                     None => return,
                 }
             }
-            ("GET" | "HEAD", Some(Address::Segment { pass, rung, which })) => {
+            ("GET" | "HEAD", Some(Route::Segment { pass, rung, which })) => {
                 match self.segment(key, pass, rung, which, request) {
                     Some(answer) => answer,
                     None => return,
                 }
             }
-            ("DELETE", Some(Address::Session { pass })) => match self.floor.playing(key, pass) {
+            ("DELETE", Some(Route::Session { pass })) => match self.floor.playing(key, pass) {
                 Ok(play) => {
                     self.finish(play, "viewer left");
                     words(200, "ended")
@@ -177,12 +177,18 @@
     }
 
     /// A request for a play: its answer, or none while it is being decided.
-    pub(crate) fn manifest(&mut self, key: Key, product: &str, title: &str, token: &str) -> Option<Final> {
+    pub(crate) fn manifest(
+        &mut self,
+        key: ConnectionId,
+        product: &str,
+        title: &str,
+        token: &str,
+    ) -> Option<Final> {
         let floor = &mut self.floor;
         let now = floor.now();
-        let from = floor.lines.get(key).and_then(|line| line.from());
+        let from = floor.lines.get_mut(key).and_then(|line| line.peer_ip());
         let by_slow_clocks = ((floor.time_of_day() - floor.rundown.limits.skew_ms) / 1000.0).max(0.0) as u64;
-        let entry = match floor.entry_keys.entry(token, by_slow_clocks, product, title) {
+        let entry = match floor.entry_keys.verify_entry(token, by_slow_clocks, product, title) {
             Ok(entry) if floor.revoked.contains(&entry.jti) => {
                 return Some(words(403, "this session was revoked"));
             }
@@ -205,12 +211,12 @@
         let limit = now + rundown.products[product].time_limit_ms;
         let once = rundown.products[product].effect != Effect::ReadLike;
         if once && !known && floor.homes.len() == rundown.fronts {
-            let home = home(&entry.jti, rundown.fronts);
+            let home = home_front(&entry.jti, rundown.fronts);
             if home != rundown.rank {
                 let at = format!(
                     "//{}{}",
                     floor.homes[home],
-                    address::manifest(&entry.product, &entry.title, token)
+                    address::manifest_path(&entry.product, &entry.title, token)
                 );
                 let answer = words(307, "this session is at home at another front");
                 return Some(Final { location: Some(at.into()), ..answer });
@@ -230,7 +236,7 @@
             floor.tally.away += 1;
             return Some(floor.away("this front is stopping"));
         }
-        let behind = floor.lag.behind(now, floor.rundown.admission.behind_ms);
+        let behind = floor.lag.exceeds(now, floor.rundown.admission.behind_ms);
         if behind && !known {
             floor.tally.away += 1;
             return Some(floor.away("this front is behind with its work"));
@@ -263,15 +269,15 @@
     /// A play is taken in hand, or waits where as many set-ups are out as may be.
     pub(crate) fn admit_or_wait(&mut self, now: f64, play: u64) {
         let floor = &mut self.floor;
-        if floor.queue.is_empty() && floor.out < floor.limit.now() {
+        if floor.queue.is_empty() && floor.out < floor.limit.current() {
             return self.admit(play);
         }
         let limit = floor.book.get(play).map_or(now, |s| s.limit);
         let until = limit - floor.rundown.admission.reserve_ms;
-        if let Some(gives_way) = floor.queue.wait(now, play, until) {
+        if let Some(gives_way) = floor.queue.push(now, play, until) {
             floor.crowded_out(gives_way);
         }
-        if let Some(due) = floor.queue.due() {
+        if let Some(due) = floor.queue.next_deadline() {
             floor.clock(due, Clock::Queue);
         }
     }
@@ -279,27 +285,27 @@
     pub(crate) fn admit(&mut self, play: u64) {
         let now = self.floor.now();
         let Some(session) = self.floor.book.get(play) else { return };
-        let wish = Wish {
+        let wish = PlayRequest {
             product: session.product,
             title: session.title as u64,
             first_cell: session.show.first_cell,
             holders: session.show.holders,
-            top: session.top.min(self.floor.rundown.ladder.len() - 1),
-            came: session.came,
-            limit: session.limit,
+            max_rung: session.top.min(self.floor.rundown.ladder.len() - 1),
+            arrived_at: session.came,
+            deadline: session.limit,
         };
-        self.desk.take(now, play, &wish, &mut self.floor);
-        self.floor.limit.decided(self.floor.now() - now);
+        self.desk.add_play(now, play, &wish, &mut self.floor);
+        self.floor.limit.on_decided(self.floor.now() - now);
     }
 
     /// Tells those for whom it is too late, and takes up whoever may be.
     pub(crate) fn admit_waiting(&mut self) {
         let now = self.floor.now();
-        for late in self.floor.queue.late(now) {
+        for late in self.floor.queue.take_expired(now) {
             self.floor.crowded_out(late);
         }
-        while self.floor.out < self.floor.limit.now() {
-            let Some(play) = self.floor.queue.next(now) else { return };
+        while self.floor.out < self.floor.limit.current() {
+            let Some(play) = self.floor.queue.pop(now) else { return };
             self.admit(play);
         }
     }
@@ -307,10 +313,10 @@
     /// A request for a segment: its answer, or none while it is fetched.
     pub(crate) fn segment(
         &mut self,
-        key: Key,
+        key: ConnectionId,
         pass: &str,
         rung: usize,
-        which: Which,
+        which: SegmentId,
         request: &http::Request,
     ) -> Option<Final> {
         let floor = &mut self.floor;
@@ -322,13 +328,13 @@
         let session = floor.book.get_mut(play)?;
         let shape = &session.show.shape;
         let number = match which {
-            Which::Initialisation => Some(0),
-            Which::Number(number) => Some(number),
-            Which::Time { first, time } => shape.at_time(first, time),
+            SegmentId::Initialisation => Some(0),
+            SegmentId::Number(number) => Some(number),
+            SegmentId::Time { first, time } => shape.at_time(first, time),
         };
         let number = number.filter(|_| rung < floor.rundown.ladder.len());
         let Some(number) = number else { return Some(words(404, "no such segment")) };
-        match shape.available(floor.wall.at(now) as u64) {
+        match shape.available(floor.wall.time_at(now) as u64) {
             _ if number == 0 => {}
             Some((first, _)) if number < first => return Some(words(404, "that segment is kept no more")),
             Some((_, last)) if number <= last => {}
@@ -345,14 +351,14 @@
         let rung = rung.min(session.rung);
         let n = session.allocations();
         let target = format!("{}/{rung}/{number}", floor.allocation(play, n));
-        if let Some(line) = floor.lines.get(key) {
+        if let Some(line) = floor.lines.get_mut(key) {
             line.role = Role::Player(Doing::Fetching(play));
         }
         let reads = &floor.rundown.reads;
         let mut reading = Reading::new(target, request.range, now + reads.patience_ms);
         (reading.bare, reading.unless) = (request.method == "HEAD", request.unless.clone());
-        let terms = reads.terms();
-        floor.servers[server as usize].budget.first(now, &terms);
+        let terms = reads.retry_config();
+        floor.servers[server as usize].budget.record_first(now, &terms);
         let what = What::Segment { player: key, play, number };
         let request = floor.request_to(server, reading.method(), &reading.target, "");
         let errand = Errand { reading: Some(reading), ..Errand::new(what, request) };
@@ -375,14 +381,14 @@
         let request = floor.request_to(server, "DELETE", &target, "");
         floor.run_errand(server, Errand::new(What::Word, request));
         floor.over(play, cause, words(410, "this play has ended"));
-        self.desk.ended(now, play, server, Outcome::Finished, true, &[], &mut self.floor);
+        self.desk.on_allocation_ended(now, play, server, Outcome::Finished, true, &[], &mut self.floor);
     }
 
     /// Gives up a play that is not decided: it waits for its turn, or is in the desk's hands.
     pub(crate) fn give_up_on(&mut self, play: u64, cause: &'static str, answer: Final) {
         self.floor.over(play, cause, answer);
-        if !self.floor.queue.left(play) {
-            self.desk.left(play, &mut self.floor);
+        if !self.floor.queue.remove(play) {
+            self.desk.on_viewer_left(play, &mut self.floor);
         }
     }
 
--- a/crates/edge/src/servers.rs
+++ b/crates/edge/src/servers.rs
@@ -1,14 +1,14 @@
 //! What comes from media servers: set-ups' answers, the notes on plays that run, and the answers to errands.
 
+use crate::connections::{ConnectionId, Doing, Role, Stage, What};
 use crate::edge::Edge;
 use crate::floor::words;
 use crate::hands::{figures, note_figures};
 use crate::http::{self, Body};
-use crate::lines::{Doing, Key, Role, Stage, What};
 use crate::sessions::Life;
 use crate::tally::LOST;
-use pulleystair::{Figure, Outcome};
-use pulleystair_admission::reads::Fault;
+use pulleystair::{LoadMetric, Outcome};
+use pulleystair_admission::read_retries::ReadError;
 use tracing::{debug, warn};
 
 /// A line of a server's notes at most, bytes.
@@ -19,9 +19,9 @@
 
 impl Edge {
     /// Something happened on an allocation's connection.
-    pub(crate) fn allocation(&mut self, key: Key) {
+    pub(crate) fn allocation(&mut self, key: ConnectionId) {
         let now = self.floor.now();
-        let Some(line) = self.floor.lines.get(key) else { return };
+        let Some(line) = self.floor.lines.get_mut(key) else { return };
         let connected = line.connected();
         if connected == Some(true) {
             line.flush();
@@ -29,8 +29,8 @@
         line.read(http::ANSWER_HEAD.max(2 * NOTE_LINE));
         // Reading may have been the end of a handshake, the good or the bad one.
         let connected = line.connected();
-        let ended = line.ended || connected == Some(false);
-        let unsealed = line.unsealed.take();
+        let ended = line.closed || connected == Some(false);
+        let unsealed = line.tls_error.take();
         let Role::Allocation { play, server, stage } = &mut line.role else { return };
         let (play, server) = (*play, *server);
         if let Stage::Asked = stage {
@@ -40,8 +40,8 @@
             if connected == Some(false) {
                 return self.allocation_ended(play, server, Outcome::Unreachable, &[]);
             }
-            let Some(line) = self.floor.lines.get(key) else { return };
-            match http::answer(&line.input) {
+            let Some(line) = self.floor.lines.get_mut(key) else { return };
+            match http::parse_response(&line.input) {
                 Ok(None) if ended => return self.allocation_ended(play, server, Outcome::Broken, &[]),
                 Ok(None) => return,
                 Err(e) => {
@@ -70,11 +70,11 @@
     }
 
     /// The first frame is at hand: whoever waits is answered.
-    pub(crate) fn plays(&mut self, now: f64, play: u64, server: u32, load: &[Figure]) {
+    pub(crate) fn plays(&mut self, now: f64, play: u64, server: u32, load: &[LoadMetric]) {
         let floor = &mut self.floor;
         floor.company_met(now, play, server, Outcome::Playing);
         let asked = floor.book.get(play).map_or(now, |s| s.sent);
-        floor.limit.set_up(now - asked, floor.out);
+        floor.limit.on_set_up(now - asked, floor.out);
         floor.out = floor.out.saturating_sub(1);
         if let Some(answer) = floor.manifest_of(play) {
             floor.tally.played += u64::from(floor.book.get(play).is_some_and(|s| s.life() == Life::Out));
@@ -84,21 +84,21 @@
             floor.session_clock(play);
             floor.tell_rung(play);
         }
-        self.desk.playing(now, play, &mut self.floor);
+        self.desk.on_playing(now, play, &mut self.floor);
         for figure in load {
             match figure {
-                Figure::Streams(_) => self.desk.report(now, server, &[*figure], &mut self.floor),
-                _ => self.desk.note(now, play, server, *figure, &mut self.floor),
+                LoadMetric::Streams(_) => self.desk.on_load_report(now, server, &[*figure], &mut self.floor),
+                _ => self.desk.on_play_note(now, play, server, *figure, &mut self.floor),
             }
         }
     }
 
     /// Reads the notes on a play that runs.
-    pub(crate) fn notes(&mut self, key: Key, play: u64, server: u32) {
+    pub(crate) fn notes(&mut self, key: ConnectionId, play: u64, server: u32) {
         loop {
             let now = self.floor.now();
-            let Some(line) = self.floor.lines.get(key) else { return };
-            let ended = line.ended;
+            let Some(line) = self.floor.lines.get_mut(key) else { return };
+            let ended = line.closed;
             let Role::Allocation { stage: Stage::Noting { chunks, text }, .. } = &mut line.role else {
                 return;
             };
@@ -112,7 +112,7 @@
             for note in &found {
                 match note_figures(note) {
                     Some(figures) => figures.into_iter().for_each(|figure| {
-                        self.desk.note(now, play, server, figure, &mut self.floor);
+                        self.desk.on_play_note(now, play, server, figure, &mut self.floor);
                     }),
                     None => debug!(target: "server", server = self.floor.name(server), "note not read"),
                 }
@@ -124,15 +124,15 @@
                 Ok(false) if ended => return self.allocation_ended(play, server, Outcome::Broken, &[]),
                 Ok(false) => {}
             }
-            let Some(line) = self.floor.lines.get(key) else { return };
-            if !line.read(2 * NOTE_LINE) && !line.ended {
+            let Some(line) = self.floor.lines.get_mut(key) else { return };
+            if !line.read(2 * NOTE_LINE) && !line.closed {
                 return;
             }
         }
     }
 
     /// An allocation is out no more: its connection is closed before the desk may send the play again.
-    pub(crate) fn allocation_ended(&mut self, play: u64, server: u32, outcome: Outcome, load: &[Figure]) {
+    pub(crate) fn allocation_ended(&mut self, play: u64, server: u32, outcome: Outcome, load: &[LoadMetric]) {
         let now = self.floor.now();
         let mut closed = false;
         let out = self.floor.book.get(play).is_some_and(|s| s.life() == Life::Out);
@@ -156,19 +156,19 @@
             let floor = &mut self.floor;
             // What is refused as too much, or not done in time, says that servers are behind.
             if matches!(outcome, Outcome::Full | Outcome::TimedOut) {
-                floor.limit.lost(floor.out);
+                floor.limit.on_lost(floor.out);
             }
             floor.out = floor.out.saturating_sub(1);
             floor.session_clock(play);
         }
-        self.desk.ended(now, play, server, outcome, closed, load, &mut self.floor);
-        self.floor.limit.decided(self.floor.now() - now);
+        self.desk.on_allocation_ended(now, play, server, outcome, closed, load, &mut self.floor);
+        self.floor.limit.on_decided(self.floor.now() - now);
     }
 
     /// A player has taken what it was sent: its server is read on.
-    pub(crate) fn relay_on(&mut self, player: Key) {
+    pub(crate) fn relay_on(&mut self, player: ConnectionId) {
         let floor = &mut self.floor;
-        let Some(line) = floor.lines.get(player) else { return };
+        let Some(line) = floor.lines.get_mut(player) else { return };
         let Role::Player(Doing::Fetching(_)) = line.role else { return };
         if let Some(key) = floor.fetchers.get(&player).copied() {
             self.errand(key);
@@ -176,18 +176,18 @@
     }
 
     /// Something happened on a pooled connection to a server.
-    pub(crate) fn errand(&mut self, key: Key) {
+    pub(crate) fn errand(&mut self, key: ConnectionId) {
         loop {
             let floor = &mut self.floor;
             let now = floor.now();
             let relay = floor.rundown.limits.relay_bytes;
-            let Some(line) = floor.lines.get(key) else { return };
+            let Some(line) = floor.lines.get_mut(key) else { return };
             let connected = line.connected();
             if connected == Some(true) {
                 line.flush();
             }
             let came = line.read(64 << 10);
-            let ended = line.ended || connected == Some(false);
+            let ended = line.closed || connected == Some(false);
             let Role::Errands { server, errand, .. } = &mut line.role else { return };
             let server = *server;
             let Some(it) = errand else {
@@ -198,18 +198,18 @@
                 return;
             };
             if it.left.is_none() {
-                let (answer, used) = match http::answer(&line.input) {
-                    Ok(None) if ended => return floor.errand_failed(key, Fault::Broken),
+                let (answer, used) = match http::parse_response(&line.input) {
+                    Ok(None) if ended => return floor.errand_failed(key, ReadError::Broken),
                     Ok(None) => return,
                     Err(e) => {
                         warn!(target: "server", server = floor.name(server), "answer not read: {e}");
-                        return floor.errand_failed(key, Fault::Malformed);
+                        return floor.errand_failed(key, ReadError::Malformed);
                     }
                     Ok(Some(it)) => it,
                 };
                 line.input.drain(..used);
                 let Body::Length(length) = answer.body else {
-                    return floor.errand_failed(key, Fault::Malformed);
+                    return floor.errand_failed(key, ReadError::Malformed);
                 };
                 let follows = it.reading.as_ref().map_or(length, |reading| reading.follows(length));
                 (it.left, it.last) = (Some(follows), !answer.keep_alive);
@@ -223,7 +223,7 @@
                     (_, Some(Err(fault))) => floor.errand_failed(key, fault),
                     _ => {}
                 }
-                self.desk.report(now, server, &load, &mut self.floor);
+                self.desk.on_load_report(now, server, &load, &mut self.floor);
                 continue;
             }
             let left = it.left.unwrap_or(0);
@@ -233,7 +233,7 @@
             it.left = Some(left - n as u64);
             let done = left == n as u64;
             if let What::Segment { player, .. } = what {
-                let Some(line) = floor.lines.get(player) else {
+                let Some(line) = floor.lines.get_mut(player) else {
                     // The player left in the middle: the rest is of no use.
                     return floor.drop_errands_line(key);
                 };
@@ -246,8 +246,8 @@
                 }
                 if full {
                     // Read on once the player has taken some; its own clock runs meanwhile.
-                    if let Some(line) = floor.lines.get(key) {
-                        line.due = f64::INFINITY;
+                    if let Some(line) = floor.lines.get_mut(key) {
+                        line.deadline = f64::INFINITY;
                     }
                     return;
                 }
@@ -258,7 +258,7 @@
                 return self.errand_done(key, server, what);
             }
             if ended {
-                return floor.errand_failed(key, Fault::Truncated);
+                return floor.errand_failed(key, ReadError::Truncated);
             }
             if !came {
                 return;
@@ -266,13 +266,13 @@
         }
     }
 
-    pub(crate) fn errand_done(&mut self, key: Key, server: u32, what: What) {
+    pub(crate) fn errand_done(&mut self, key: ConnectionId, server: u32, what: What) {
         let floor = &mut self.floor;
         let now = floor.now();
         let mut last = false;
-        if let Some(line) = floor.lines.get(key) {
+        if let Some(line) = floor.lines.get_mut(key) {
             // More than its length: that answer was right as far as it went, but the connection is not to be kept.
-            last = line.ended || !line.input.is_empty();
+            last = line.closed || !line.input.is_empty();
             if let Role::Errands { errand, fresh, .. } = &mut line.role {
                 last |= errand.as_ref().is_none_or(|e| e.last);
                 (*errand, *fresh) = (None, false);
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -1,13 +1,13 @@
 //! Files that are looked at while the front runs: the list, token keys, certificates and homes. Each is read and checked
 //! whole; of a bad one nothing is taken, and what is in hand stays.
 
+use crate::config::{Keys, homes};
+use crate::connections::ConnectionId;
 use crate::edge::{Edge, known, read_list};
 use crate::floor::Server;
-use crate::lines::Key;
-use crate::listing::{List, Watched};
-use crate::rundown::{Keys, homes};
-use pulleystair_admission::reads::Budget;
-use pulleystair_templates::Fault;
+use crate::server_list::{List, Watched};
+use pulleystair_admission::read_retries::RetryBudget;
+use pulleystair_jsonnet::LoadError;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use tracing::{error, info};
@@ -26,7 +26,7 @@
             // One that could not be read may hold a drain: it is read as soon as it can be. One that was read and is
             // wrong stays wrong until it is replaced, and may be too large to be read at every look.
             Err(e) => {
-                if floor.watched.refused(&e, matches!(e, Fault::Unreadable { .. })) {
+                if floor.watched.refused(&e, matches!(e, LoadError::Unreadable { .. })) {
                     error!(target: "list", "list not taken, the one in hand stays: {e}");
                 }
             }
@@ -46,13 +46,13 @@
                 servers.push(Server {
                     name: server.name.clone(),
                     address: server.address,
-                    id: pulleystair_fellow::number_of(&server.name),
+                    id: pulleystair_fleet_member::stable_id(&server.name),
                     zone: server.zone.clone(),
                     born: server.started_ms as u64,
                     idle: Vec::new(),
                     lines: 0,
                     queue: VecDeque::new(),
-                    budget: Budget::default(),
+                    budget: RetryBudget::default(),
                 });
             } else if servers[number as usize].address != server.address {
                 servers[number as usize].address = server.address;
@@ -78,9 +78,9 @@
             floor.titles.retain(|_, number| shows.contains_key(number));
         }
         floor.company_listed(&list);
-        let draining = list.servers.iter().filter(|s| s.state == crate::listing::State::Draining).count();
+        let draining = list.servers.iter().filter(|s| s.state == crate::server_list::State::Draining).count();
         info!(target: "list", servers = list.servers.len(), draining, titles = list.titles.len(), "list taken");
-        self.desk.list(now, true, old, &lines);
+        self.desk.update_list(now, true, old, &lines);
     }
 
     /// Puts replaced certificates in service. Connections of players live on; idle ones to servers are closed, for
@@ -89,7 +89,8 @@
         let floor = &mut self.floor;
         let near = (floor.rundown.limits.expiry_ms / 1000.0) as u64;
         if floor.seals.look((floor.time_of_day() / 1000.0) as u64, near) {
-            let idle: Vec<Key> = floor.servers.iter_mut().flat_map(|s| std::mem::take(&mut s.idle)).collect();
+            let idle: Vec<ConnectionId> =
+                floor.servers.iter_mut().flat_map(|s| std::mem::take(&mut s.idle)).collect();
             idle.into_iter().for_each(|key| floor.drop_errands_line(key));
         }
     }
--- a/crates/edge/tests/bounds.rs
+++ b/crates/edge/tests/bounds.rs
@@ -3,8 +3,8 @@
 mod house;
 
 use house::{House, day, get, patient, text};
-use pulleystair_lab::stage::Listed;
-use pulleystair_witness::What;
+use pulleystair_lab::environment::ListedState;
+use pulleystair_rule_checker::Observed;
 use serde_json::json;
 use test_case::test_case;
 use tokio::net::TcpStream;
@@ -15,14 +15,14 @@
 /// the front has closed may be seen to end a little after the next set-up is.
 fn most_out(house: &House) -> usize {
     const SEEN_LATE: f64 = 25.0;
-    let seen = house.log.taken();
+    let seen = house.log.observations();
     let mut spans: std::collections::BTreeMap<&str, (f64, f64)> = Default::default();
     for s in &seen {
         match &s.what {
-            What::SetUp { allocation, .. } => {
+            Observed::SetUp { allocation, .. } => {
                 spans.insert(allocation, (s.at, f64::INFINITY));
             }
-            What::Done { allocation, .. } | What::Closed { allocation } => {
+            Observed::Done { allocation, .. } | Observed::Closed { allocation } => {
                 spans.entry(allocation).and_modify(|span| span.1 = span.1.min(s.at));
             }
             _ => {}
@@ -67,7 +67,7 @@
     });
     let house = House::of(day).await;
     // A list that is told anew vouches for its servers: none is taken for cold, which has a pace of its own.
-    house.stage.list(0, Listed::Ready { started: 0.0 });
+    house.stage.list(0, ListedState::Ready { started: 0.0 });
     house.says("list taken", 2).await;
     // Eight set-ups of 100 ms at once, for a second and a bit: under a hundred of three hundred.
     house.ail(|a| a.slow = 20.0);
--- a/crates/edge/tests/company/mod.rs
+++ b/crates/edge/tests/company/mod.rs
@@ -2,11 +2,11 @@
 #![allow(dead_code)] // Each file of stories uses a part of it.
 
 use crate::house::{self, House};
-use pulleystair_edge::ask::ask;
-use pulleystair_edge::rundown::Rundown;
-use pulleystair_fellow::{Exchange, Fellow, Met, Terms, number_of};
+use pulleystair_edge::config::Config;
+use pulleystair_edge::status::query;
+use pulleystair_fleet_member::{AllocationResult, FleetConfig, FleetMember, GossipConfig, stable_id};
 use pulleystair_lab::fronts::name;
-use pulleystair_lab::set::Set;
+use pulleystair_lab::testbed::Testbed;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -44,14 +44,14 @@
     day
 }
 
-fn rundown(house: &House, front: usize) -> Rundown {
-    Rundown::read(&house.folder().join(format!("front-{front}.json"))).expect("its rundown reads")
+fn rundown(house: &House, front: usize) -> Config {
+    Config::read(&house.folder().join(format!("front-{front}.json"))).expect("its rundown reads")
 }
 
 /// What a front says when it is asked.
 pub fn told(house: &House, front: usize) -> Value {
     let rundown = rundown(house, front);
-    tokio::task::block_in_place(|| ask(&rundown)).expect("a front that runs answers")
+    tokio::task::block_in_place(|| query(&rundown)).expect("a front that runs answers")
 }
 
 /// Waits until something is so.
@@ -113,7 +113,7 @@
     let mut it: Value =
         serde_json::from_slice(&std::fs::read(file).expect("it is there")).expect("it is JSON");
     change(&mut it);
-    pulleystair_boxes::files::put(file, it.to_string()).expect("it is written");
+    pulleystair_fake_servers::files::replace(file, it.to_string()).expect("it is written");
 }
 
 pub fn change_rundown(folder: &Path, front: usize, change: impl FnOnce(&mut Value)) {
@@ -121,7 +121,7 @@
 }
 
 /// A front's own list, in which some servers are to be had elsewhere.
-pub fn cut(_set: &Set, folder: &Path, front: usize, servers: &[(usize, SocketAddr)]) {
+pub fn cut(_set: &Testbed, folder: &Path, front: usize, servers: &[(usize, SocketAddr)]) {
     let own = format!("list-{front}.json");
     std::fs::copy(folder.join("list.json"), folder.join(&own)).expect("it is copied");
     change_json(&folder.join(&own), |list| {
@@ -136,7 +136,8 @@
 /// That list is as all others again.
 pub fn mend(house: &House, front: usize) {
     let text = std::fs::read(house.folder().join("list.json")).expect("it is there");
-    pulleystair_boxes::files::put(&house.folder().join(format!("list-{front}.json")), text).expect("written");
+    pulleystair_fake_servers::files::replace(&house.folder().join(format!("list-{front}.json")), text)
+        .expect("written");
 }
 
 /// A front that the test plays: a real fellow behind a socket of its own, without plays.
@@ -152,11 +153,13 @@
 
 impl Fake {
     /// Says that all servers fail.
-    pub fn fails_all(fellow: &mut Fellow, now: f64) {
-        (0..8).for_each(|server| fellow.met(now, number_of(&format!("m{server}")), Met::TimedOut));
+    pub fn fails_all(fellow: &mut FleetMember, now: f64) {
+        (0..8).for_each(|server| {
+            fellow.on_result(now, stable_id(&format!("m{server}")), AllocationResult::TimedOut)
+        });
     }
 
-    pub fn start(house: &House, front: usize, zone: &str, act: fn(&mut Fellow, f64)) -> Fake {
+    pub fn start(house: &House, front: usize, zone: &str, act: fn(&mut FleetMember, f64)) -> Fake {
         Fake::of(house, front, zone, act)
     }
 
@@ -164,7 +167,7 @@
         house: &House,
         front: usize,
         zone: &str,
-        mut act: impl FnMut(&mut Fellow, f64) + Send + 'static,
+        mut act: impl FnMut(&mut FleetMember, f64) + Send + 'static,
     ) -> Fake {
         let between = house.fronts.between.clone().expect("they share");
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
@@ -173,26 +176,26 @@
         let rundown = rundown(house, front);
         let it = &rundown.sharing;
         let others: Vec<usize> = (0..rundown.fronts).filter(|i| *i != front).collect();
-        let terms = Terms {
-            exchange: Exchange {
+        let terms = FleetConfig {
+            gossip: GossipConfig {
                 fleet: "laboratory".into(),
                 name: name(front),
                 peers: others.iter().map(|i| name(*i)).collect(),
-                every: it.every_ms,
+                interval: it.every_ms,
                 fan_out: it.fan_out,
                 bytes_s: it.bytes_s,
-                doubted: it.doubted_ms,
-                unheard: it.unheard_ms,
+                doubted_after: it.doubted_ms,
+                unheard_after: it.unheard_ms,
             },
             zone: 0,
             zones: vec![zone.to_string()],
-            lend: it.lend_ms,
+            lease_ms: it.lend_ms,
             further_s: it.further_s,
             probes_s: it.probes_s,
-            hold: it.hold_ms,
+            alarm_delay: it.hold_ms,
             stricter: false,
             bucket: it.bucket_ms,
-            longest: 5_000.0,
+            max_set_up: 5_000.0,
         };
         let at: BTreeMap<String, SocketAddr> =
             others.iter().map(|i| (name(*i), between.way(front, *i))).collect();
@@ -200,7 +203,7 @@
             let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
             now.expect("a clock").as_secs_f64() * 1000.0
         };
-        let mut fellow = Fellow::new(terms, wall(), wall() as u64, front as u64).expect("it fits");
+        let mut fellow = FleetMember::new(terms, wall(), wall() as u64, front as u64).expect("it fits");
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = stop.clone();
         std::thread::spawn(move || {
@@ -208,10 +211,10 @@
             while !stopped.load(Ordering::Relaxed) {
                 let came = socket.recv_from(&mut room).map(|(n, _)| n);
                 let now = wall();
-                let mut out = came.map_or(Vec::new(), |n| fellow.came(now, &room[..n]));
-                if now >= fellow.due() {
+                let mut out = came.map_or(Vec::new(), |n| fellow.receive(now, &room[..n]));
+                if now >= fellow.next_deadline() {
                     act(&mut fellow, now);
-                    out.extend(fellow.look(now, now).1);
+                    out.extend(fellow.tick(now, now).1);
                 }
                 for it in out {
                     let _ = socket.send_to(&it.bytes, at[fellow.name(it.to)]);
--- a/crates/edge/tests/days.rs
+++ b/crates/edge/tests/days.rs
@@ -1,19 +1,20 @@
 //! Short days with all kinds of trouble over each other, under TLS: each request is answered once and in time, no play
 //! ever holds two allocations, and every segment is the one asked for, whatever the seed.
 
-use pulleystair_lab::day::{Outcome, play};
 use pulleystair_lab::fronts::Program;
-use pulleystair_lab::script::Day;
-use pulleystair_witness::What;
-use pulleystair_witness::history::History;
+use pulleystair_lab::scenario::Scenario;
+use pulleystair_lab::scenario_run::{RunResult, run};
+use pulleystair_rule_checker::Observed;
+use pulleystair_rule_checker::history::History;
 use serde_json::json;
 use std::path::Path;
 use test_case::test_case;
 
 /// The long day of the examples, pressed into seconds.
-fn short(seed: u64) -> Day {
+fn short(seed: u64) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/dash-day.jsonnet");
-    let mut day = serde_json::to_value(Day::read(&file).expect("the day reads")).expect("a day is plain");
+    let mut day =
+        serde_json::to_value(Scenario::read(&file).expect("the day reads")).expect("a day is plain");
     day["seed"] = json!(seed);
     day["seconds"] = json!(7);
     day["fronts"] = json!(2);
@@ -32,10 +33,10 @@
     serde_json::from_value(day).expect("the short day reads")
 }
 
-async fn played(day: &Day) -> Outcome {
+async fn played(day: &Scenario) -> RunResult {
     let folder = tempfile::tempdir().expect("a folder can be had");
     let program = Program::edge(env!("CARGO_BIN_EXE_pulleystair-edge").into());
-    play(day.clone(), program, folder.path()).await.expect("the day is played")
+    run(day.clone(), program, folder.path()).await.expect("the day is played")
 }
 
 #[test_case(1; "one seed")]
@@ -54,17 +55,17 @@
         eprintln!("played again, the machine was {:.0} ms late: {:?}", outcome.lateness_ms, outcome.breaches);
         outcome = played(&day).await;
     }
-    let count = |is: fn(&What) -> bool| outcome.seen.iter().filter(|s| is(&s.what)).count();
+    let count = |is: fn(&Observed) -> bool| outcome.seen.iter().filter(|s| is(&s.what)).count();
     let (asked, set_up) =
-        (count(|w| matches!(w, What::Asked { .. })), count(|w| matches!(w, What::SetUp { .. })));
-    let fetched = count(|w| matches!(w, What::Fetched { .. }));
+        (count(|w| matches!(w, Observed::Asked { .. })), count(|w| matches!(w, Observed::SetUp { .. })));
+    let fetched = count(|w| matches!(w, Observed::Fetched { .. }));
     assert!(asked > 50 && set_up > 30 && fetched > 50, "{asked} asked, {set_up} set-ups, {fetched} fetched");
     assert!(outcome.breaches.is_empty(), "{:.0} ms late: {:?}", outcome.lateness_ms, outcome.breaches);
     assert!(outcome.covered.further > 0 && outcome.covered.drains > 0, "{:?}", outcome.covered);
-    // With a folder named, the history is written there, to be kept in `crates/witness/histories`.
+    // With a folder named, the history is written there, to be kept in `crates/rule-checker/histories`.
     if let Some(folder) = std::env::var_os("PULLEYSTAIR_HISTORIES") {
         let what = format!("a short bad day under TLS, two fronts, seed {seed}");
-        let text = History::new(&what, &[], day.terms(), outcome.seen).text().expect("a history is plain");
+        let text = History::new(&what, &[], day.terms(), outcome.seen).to_text().expect("a history is plain");
         std::fs::write(Path::new(&folder).join(format!("day-{seed}.jsonl")), text).expect("it is written");
     }
 }
--- a/crates/edge/tests/house/mod.rs
+++ b/crates/edge/tests/house/mod.rs
@@ -2,17 +2,17 @@
 //! the sockets is checked by the rules at the end of every story.
 #![allow(dead_code)] // Each file of stories uses a part of it.
 
-use pulleystair_boxes::log::Log;
-use pulleystair_boxes::wire::{Message, Peer};
-use pulleystair_boxes::world::Ails;
 use pulleystair_dash::address;
-use pulleystair_dash::token::Entry;
+use pulleystair_dash::token::EntryToken;
+use pulleystair_fake_servers::http::{HttpPeer, Message};
+use pulleystair_fake_servers::model::ServerFaults;
+use pulleystair_fake_servers::recorder::Recorder;
 use pulleystair_lab::fronts::{FRONT, Program};
-use pulleystair_lab::script::Day;
-use pulleystair_lab::set::Set;
-use pulleystair_witness::history::History;
-use pulleystair_witness::rules::check;
-use pulleystair_witness::{Seen, What};
+use pulleystair_lab::scenario::Scenario;
+use pulleystair_lab::testbed::Testbed;
+use pulleystair_rule_checker::history::History;
+use pulleystair_rule_checker::rules::check;
+use pulleystair_rule_checker::{Observation, Observed};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::ops::Deref;
@@ -26,7 +26,7 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 
 pub struct House {
-    set: Set,
+    set: Testbed,
     pub at: Vec<SocketAddr>,
     folder: tempfile::TempDir,
     requests: AtomicU64,
@@ -63,9 +63,9 @@
 }
 
 impl Deref for House {
-    type Target = Set;
+    type Target = Testbed;
 
-    fn deref(&self) -> &Set {
+    fn deref(&self) -> &Testbed {
         &self.set
     }
 }
@@ -94,10 +94,15 @@
     }
 
     /// A house of which only the first fronts are started, after its files were changed.
-    pub async fn some(day: Value, program: Program, count: usize, change: impl FnOnce(&Set, &Path)) -> House {
-        let day: Day = serde_json::from_value(day).expect("the day reads");
+    pub async fn some(
+        day: Value,
+        program: Program,
+        count: usize,
+        change: impl FnOnce(&Testbed, &Path),
+    ) -> House {
+        let day: Scenario = serde_json::from_value(day).expect("the day reads");
         let folder = tempfile::tempdir().expect("a folder can be had");
-        let set = Set::build(day, program, folder.path()).await.expect("the set is built");
+        let set = Testbed::build(day, program, folder.path()).await.expect("the set is built");
         change(&set, folder.path());
         let mut at = Vec::new();
         for front in 0..count {
@@ -132,15 +137,15 @@
     }
 
     /// Changes what ails all servers.
-    pub fn ail(&self, change: impl Fn(&mut Ails)) {
-        self.boxes.world().servers.iter_mut().for_each(|s| change(&mut s.ails));
+    pub fn ail(&self, change: impl Fn(&mut ServerFaults)) {
+        self.boxes.model().servers.iter_mut().for_each(|s| change(&mut s.faults));
     }
 
     /// Changes what ails all servers but this one.
-    pub fn ail_all_but(&self, but: usize, change: impl Fn(&mut Ails)) {
-        let mut world = self.boxes.world();
+    pub fn ail_all_but(&self, but: usize, change: impl Fn(&mut ServerFaults)) {
+        let mut world = self.boxes.model();
         let others = world.servers.iter_mut().enumerate().filter(|(server, _)| *server != but);
-        others.for_each(|(_, s)| change(&mut s.ails));
+        others.for_each(|(_, s)| change(&mut s.faults));
     }
 
     pub fn token(&self, session: &str, product: usize) -> String {
@@ -148,7 +153,7 @@
     }
 
     fn token_to(&self, session: &str, product: usize, top: usize) -> String {
-        self.fronts.sign(&Entry {
+        self.fronts.sign(&EntryToken {
             jti: session.into(),
             sub: "viewer".into(),
             product: self.day.products[product].name.clone(),
@@ -160,14 +165,14 @@
 
     pub fn manifest(&self, session: &str, product: usize) -> String {
         let (of, title) = (&self.day.products[product].name, &self.titles[product].name);
-        address::manifest(of, title, &self.token(session, product))
+        address::manifest_path(of, title, &self.token(session, product))
     }
 
     /// The same for any of the day's titles, by its place among all.
     pub async fn ask_title(&self, front: usize, session: &str, title: usize) -> Asking {
         let of = &self.titles[title];
         let product = &self.day.products[of.product].name;
-        let token = self.fronts.sign(&Entry {
+        let token = self.fronts.sign(&EntryToken {
             jti: session.into(),
             sub: "viewer".into(),
             product: product.clone(),
@@ -175,7 +180,7 @@
             top: 1,
             exp: (self.log.now() / 1000.0) as u64 + 600,
         });
-        let target = address::manifest(product, &of.name, &token);
+        let target = address::manifest_path(product, &of.name, &token);
         self.write_asking(front, session, title, &target).await
     }
 
@@ -183,7 +188,7 @@
         let mut peer = self.call(front).await.expect("the front takes connections");
         let request = self.requests.fetch_add(1, Ordering::Relaxed);
         let of = &self.titles[title];
-        self.log.saw(What::Asked {
+        self.log.record(Observed::Asked {
             request,
             session: session.into(),
             front,
@@ -204,7 +209,7 @@
     /// Asks for a play of up to this rung, outside the log of requests.
     pub async fn ask_top(&self, session: &str, product: usize, top: usize) -> Message {
         let (of, title) = (&self.day.products[product].name, &self.titles[product].name);
-        self.get(&address::manifest(of, title, &self.token_to(session, product, top))).await
+        self.get(&address::manifest_path(of, title, &self.token_to(session, product, top))).await
     }
 
     pub async fn ask(&self, session: &str, product: usize) -> Message {
@@ -235,8 +240,8 @@
     }
 
     /// A connection to a front, under TLS where the day has it.
-    pub async fn call(&self, front: usize) -> std::io::Result<Peer> {
-        Peer::call(self.at[front], self.seal.as_ref().map(|seal| (seal, FRONT))).await
+    pub async fn call(&self, front: usize) -> std::io::Result<HttpPeer> {
+        HttpPeer::connect(self.at[front], self.seal.as_ref().map(|seal| (seal, FRONT))).await
     }
 
     pub fn log_of(&self, front: usize) -> String {
@@ -257,12 +262,12 @@
     pub async fn send(&self, text: &str) -> Option<Message> {
         let mut peer = self.call(0).await.ok()?;
         peer.write(text.as_bytes()).await.ok()?;
-        tokio::time::timeout(PATIENCE, peer.answer()).await.expect("the front does something").ok()?
+        tokio::time::timeout(PATIENCE, peer.read_response()).await.expect("the front does something").ok()?
     }
 
     /// Waits until something has been seen.
-    pub async fn until(&self, what: &str, seen: impl Fn(&[Seen]) -> bool) {
-        self.until_true(what, || seen(&self.log.taken())).await;
+    pub async fn until(&self, what: &str, seen: impl Fn(&[Observation]) -> bool) {
+        self.until_true(what, || seen(&self.log.observations())).await;
     }
 
     pub async fn until_true(&self, what: &str, so: impl Fn() -> bool) {
@@ -274,9 +279,9 @@
     }
 
     pub fn set_ups(&self) -> Vec<usize> {
-        let seen = self.log.taken();
-        let server = |s: &Seen| match s.what {
-            What::SetUp { server, .. } => Some(server),
+        let seen = self.log.observations();
+        let server = |s: &Observation| match s.what {
+            Observed::SetUp { server, .. } => Some(server),
             _ => None,
         };
         seen.iter().filter_map(server).collect()
@@ -284,28 +289,29 @@
 
     /// What has been seen so far, with the terms that it is held to.
     pub fn history(&self, what: &str, breaks: &[u8]) -> History {
-        History::new(what, breaks, self.day.terms(), self.log.taken())
+        History::new(what, breaks, self.day.terms(), self.log.observations())
     }
 
     /// All rules must have been kept, on a log that holds something.
     pub fn kept(&self) {
-        let (breaches, covered) = check(&self.log.taken(), &self.day.terms());
+        let (breaches, covered) = check(&self.log.observations(), &self.day.terms());
         assert!(covered.requests > 0, "nothing was checked");
         assert!(breaches.is_empty(), "{breaches:?}");
     }
 }
 
 pub struct Asking {
-    pub peer: Peer,
+    pub peer: HttpPeer,
     request: u64,
-    log: Log,
+    log: Recorder,
 }
 
 impl Asking {
     pub async fn answer(mut self) -> Message {
-        let answer = tokio::time::timeout(PATIENCE, self.peer.answer()).await.expect("an answer comes");
+        let answer =
+            tokio::time::timeout(PATIENCE, self.peer.read_response()).await.expect("an answer comes");
         let answer = answer.expect("the answer is whole").expect("the front answers");
-        self.log.saw(What::Answered { request: self.request, status: answer.status });
+        self.log.record(Observed::Answered { request: self.request, status: answer.status });
         answer
     }
 
@@ -315,24 +321,24 @@
     }
 
     /// That the connection broke, as a player sees it.
-    pub fn cut(&self) -> What {
-        What::Cut { request: self.request }
+    pub fn cut(&self) -> Observed {
+        Observed::Cut { request: self.request }
     }
 
     /// Closes without waiting for the answer.
     pub fn leave(self) {
-        self.log.saw(What::Left { request: self.request });
+        self.log.record(Observed::Left { request: self.request });
     }
 }
 
 /// How many set-ups servers have read.
-pub fn set_ups(seen: &[Seen]) -> usize {
-    seen.iter().filter(|s| matches!(s.what, What::SetUp { .. })).count()
+pub fn set_ups(seen: &[Observation]) -> usize {
+    seen.iter().filter(|s| matches!(s.what, Observed::SetUp { .. })).count()
 }
 
 /// How many set-ups servers have seen the end of.
-pub fn closed(seen: &[Seen]) -> usize {
-    seen.iter().filter(|s| matches!(s.what, What::Closed { .. })).count()
+pub fn closed(seen: &[Observation]) -> usize {
+    seen.iter().filter(|s| matches!(s.what, Observed::Closed { .. })).count()
 }
 
 /// That day with one server, which holds all, and short notes on it.
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -2,16 +2,16 @@
 //! bytes against a direct read. Arrivals are open-loop and latency counts from the intended time, so a front
 //! that falls behind shows; a generator that falls behind says so.
 
-use crate::fronts::{FRONT, Fronts, Program, portal};
+use crate::environment::{Title, ms};
+use crate::fronts::{FRONT, Fronts, Program, portal_keys};
 use crate::report::{Quantiles, quantiles};
-use crate::script::Day;
-use crate::set::Set;
-use crate::stage::{Title, ms};
+use crate::scenario::Scenario;
+use crate::testbed::Testbed;
 use anyhow::{Context, Result, ensure};
-use pulleystair_boxes::server::Boxes;
-use pulleystair_boxes::wire::Peer;
 use pulleystair_dash::address;
-use pulleystair_dash::token::{Entry, Ring};
+use pulleystair_dash::token::{EntryToken, KeyRing};
+use pulleystair_fake_servers::http::HttpPeer;
+use pulleystair_fake_servers::server::FakeServers;
 use serde::Serialize;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -55,7 +55,7 @@
     pub behind: bool,
 }
 
-fn day(tls: bool) -> Result<Day> {
+fn day(tls: bool) -> Result<Scenario> {
     Ok(serde_json::from_value(json!({
         "tls": tls, "seed": 1, "seconds": 1, "fronts": 1, "zones": ["here"],
         "fleet": {
@@ -86,30 +86,30 @@
 }
 
 struct Rig {
-    boxes: Boxes,
+    boxes: FakeServers,
     fronts: Fronts,
     front: SocketAddr,
     titles: Vec<Title>,
-    portal: Ring,
+    portal: KeyRing,
     next: AtomicU64,
     /// How players speak to the front, and a front's like to servers, under TLS.
     seals: Option<(TlsConnector, TlsConnector)>,
 }
 
 pub async fn run(program: Program, folder: &Path, seconds: f64, tls: bool) -> Result<Costs> {
-    let set = Set::build(day(tls)?, program, folder).await?;
+    let set = Testbed::build(day(tls)?, program, folder).await?;
     let front = set.start().await?[0];
-    let Set { boxes, fronts, titles, .. } = set;
+    let Testbed { boxes, fronts, titles, .. } = set;
     let titles = titles.to_vec();
     let seals = match (fronts.connector()?, &fronts.authority) {
         (Some(players), Some(authority)) => {
-            let paper = authority.lasting(FRONT);
+            let paper = authority.issue_long_lived(FRONT);
             Some((players, authority.connector(Some(&paper))?))
         }
         _ => None,
     };
     let next = AtomicU64::new(0);
-    let rig = Arc::new(Rig { boxes, fronts, front, titles, portal: portal(), next, seals });
+    let rig = Arc::new(Rig { boxes, fronts, front, titles, portal: portal_keys(), next, seals });
     // Warm: allocators, connections, and the decisions' first figures.
     rig.rate(200.0, 1.0).await?;
     let mut rates = vec![rig.rate(30.0, 2.0 * seconds).await?];
@@ -147,21 +147,21 @@
 }
 
 impl Rig {
-    async fn call_front(&self) -> std::io::Result<Peer> {
-        Peer::call(self.front, self.seals.as_ref().map(|seals| (&seals.0, FRONT))).await
+    async fn call_front(&self) -> std::io::Result<HttpPeer> {
+        HttpPeer::connect(self.front, self.seals.as_ref().map(|seals| (&seals.0, FRONT))).await
     }
 
-    async fn call_server(&self, server: usize) -> std::io::Result<Peer> {
+    async fn call_server(&self, server: usize) -> std::io::Result<HttpPeer> {
         let name = format!("m{server}");
         let seal = self.seals.as_ref().map(|seals| (&seals.1, name.as_str()));
-        Peer::call(self.boxes.addresses[server], seal).await
+        HttpPeer::connect(self.boxes.addresses[server], seal).await
     }
 
     /// Asks for a play on a connection of its own; its status and the manifest.
     async fn play(&self) -> Result<(u16, Vec<u8>)> {
         let n = self.next.fetch_add(1, Ordering::Relaxed);
         let title = &self.titles[n as usize % self.titles.len()].name;
-        let token = self.portal.sign(&Entry {
+        let token = self.portal.sign(&EntryToken {
             jti: format!("s{n}"),
             sub: "v".into(),
             product: "any".into(),
@@ -170,9 +170,9 @@
             exp: u64::MAX >> 12,
         });
         let mut peer = self.call_front().await?;
-        let target = address::manifest("any", title, &token);
+        let target = address::manifest_path("any", title, &token);
         peer.write(format!("GET {target} HTTP/1.1\r\nHost: f\r\n\r\n").as_bytes()).await?;
-        let answer = peer.answer().await?.context("the front closed")?;
+        let answer = peer.read_response().await?.context("the front closed")?;
         Ok((answer.status, answer.body))
     }
 
@@ -180,7 +180,7 @@
         let mut peer = self.call_front().await?;
         let base = base(manifest)?;
         peer.write(format!("DELETE {base} HTTP/1.1\r\nHost: f\r\n\r\n").as_bytes()).await?;
-        peer.answer().await?;
+        peer.read_response().await?;
         Ok(())
     }
 
@@ -193,7 +193,7 @@
         let head =
             format!("POST /plays/d-{n}-1 HTTP/1.1\r\nHost: b\r\nContent-Length: {}\r\n\r\n", body.len());
         peer.write((head + &body).as_bytes()).await?;
-        Ok(peer.answer_head().await?.context("the server closed")?.status)
+        Ok(peer.read_response_head().await?.context("the server closed")?.status)
     }
 
     /// Open-loop arrivals of one kind; latencies from the intended times, failures, and the latest start.
@@ -223,7 +223,7 @@
     async fn rate(self: &Arc<Rig>, per_s: f64, seconds: f64) -> Result<Rate> {
         let since = |due: Instant| due.elapsed().as_secs_f64() * 1000.0;
         let rig = self.clone();
-        let kept = Arc::new(Mutex::new(Vec::<Peer>::new()));
+        let kept = Arc::new(Mutex::new(Vec::<HttpPeer>::new()));
         let (bare, _, _) = self
             .arrive(per_s, seconds, move |due| {
                 let (rig, kept) = (rig.clone(), kept.clone());
@@ -234,7 +234,7 @@
                         None => rig.call_server(0).await.ok()?,
                     };
                     peer.write(b"GET /load HTTP/1.1\r\nHost: b\r\n\r\n").await.ok()?;
-                    peer.answer().await.ok()??;
+                    peer.read_response().await.ok()??;
                     let took = since(due);
                     kept.lock().expect("no exchange dies").push(peer);
                     Some(took)
@@ -298,7 +298,7 @@
             let head =
                 format!("POST /plays/r-{n}-1 HTTP/1.1\r\nHost: b\r\nContent-Length: {}\r\n\r\n", body.len());
             peer.write((head + &body).as_bytes()).await?;
-            peer.answer_head().await?.context("the server closed")?;
+            peer.read_response_head().await?.context("the server closed")?;
             held.push(peer);
             direct.push((self.call_server(n).await?, format!("/plays/r-{n}-1/0/1")));
         }
@@ -306,7 +306,7 @@
     }
 }
 
-async fn read_for(from: Vec<(Peer, String)>, seconds: f64) -> Result<f64> {
+async fn read_for(from: Vec<(HttpPeer, String)>, seconds: f64) -> Result<f64> {
     let start = Instant::now();
     let until = start + Duration::from_secs_f64(seconds);
     let mut all = Vec::new();
@@ -315,7 +315,7 @@
             let mut bytes = 0;
             while Instant::now() < until {
                 peer.write(format!("GET {target} HTTP/1.1\r\nHost: f\r\n\r\n").as_bytes()).await?;
-                let answer = peer.answer().await?.context("closed in the middle")?;
+                let answer = peer.read_response().await?.context("closed in the middle")?;
                 ensure!(answer.status == 200, "a segment was answered {}", answer.status);
                 bytes += answer.body.len();
             }
--- a/crates/lab/src/players.rs
+++ b/crates/lab/src/players.rs
@@ -1,16 +1,16 @@
 //! Players that come by a schedule, open-loop: each asks for a manifest, fetches segments as it plays, retries,
 //! leaves and comes back. They speak to fronts over sockets alone, and log what they see.
 
+use crate::environment::{Title, ms};
 use crate::fronts::{FRONT, Fronts};
-use crate::script::{Day, Kind};
-use crate::stage::{Title, ms};
+use crate::scenario::{Kind, Scenario};
 use anyhow::Result;
-use pulleystair_boxes::content;
-use pulleystair_boxes::log::Log;
-use pulleystair_boxes::wire::{Message, Peer};
 use pulleystair_dash::address;
-use pulleystair_dash::token::Entry;
-use pulleystair_witness::What;
+use pulleystair_dash::token::EntryToken;
+use pulleystair_fake_servers::content;
+use pulleystair_fake_servers::http::{HttpPeer, Message};
+use pulleystair_fake_servers::recorder::Recorder;
+use pulleystair_rule_checker::Observed;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Zipf};
@@ -32,7 +32,7 @@
 
 /// One viewer's play as it came, all its tries included.
 #[derive(Clone, Debug, Default)]
-pub struct Watched {
+pub struct PlayerResult {
     pub product: usize,
     /// ms since the day began.
     pub came: f64,
@@ -62,7 +62,7 @@
 }
 
 /// All arrivals of a day: Poisson at the usual rate, more in surges and crowds.
-pub fn arrivals(day: &Day, titles: &[Title]) -> Vec<Arrival> {
+pub fn arrivals(day: &Scenario, titles: &[Title]) -> Vec<Arrival> {
     let mut rnd = StdRng::seed_from_u64(day.seed ^ 0xa221);
     let by_product =
         |p: usize| -> Vec<usize> { (0..titles.len()).filter(|t| titles[*t].product == p).collect() };
@@ -109,15 +109,15 @@
 }
 
 /// What all players of a day share.
-pub struct Room {
-    pub day: Arc<Day>,
+pub struct PlayerPool {
+    pub day: Arc<Scenario>,
     pub titles: Arc<Vec<Title>>,
     pub fronts: Fronts,
     /// How players speak to fronts, where that is under TLS.
     pub seal: Option<TlsConnector>,
-    pub log: Log,
+    pub log: Recorder,
     pub requests: AtomicU64,
-    pub watched: Mutex<Vec<Watched>>,
+    pub watched: Mutex<Vec<PlayerResult>>,
 }
 
 /// How a manifest request ended.
@@ -128,13 +128,14 @@
     Silence,
 }
 
-impl Room {
+impl PlayerPool {
     /// Watches one play from its first request to its end, coming back as viewers do.
-    pub async fn watch(self: Arc<Room>, arrival: Arrival) {
+    pub async fn watch(self: Arc<PlayerPool>, arrival: Arrival) {
         let mut rnd = StdRng::seed_from_u64(arrival.seed);
         let title = &self.titles[arrival.title];
         let title_s = title.duration_ms as f64 / 1000.0;
-        let mut seen = Watched { product: title.product, came: arrival.at, title_s, ..Watched::default() };
+        let mut seen =
+            PlayerResult { product: title.product, came: arrival.at, title_s, ..PlayerResult::default() };
         let came = Instant::now();
         let players = &self.day.players;
         for come in 0..COMES {
@@ -189,13 +190,13 @@
         self.watched.lock().expect("no player dies while it reports").push(seen);
     }
 
-    async fn call(&self, address: SocketAddr) -> std::io::Result<Peer> {
-        Peer::call(address, self.seal.as_ref().map(|seal| (seal, FRONT))).await
+    async fn call(&self, address: SocketAddr) -> std::io::Result<HttpPeer> {
+        HttpPeer::connect(address, self.seal.as_ref().map(|seal| (seal, FRONT))).await
     }
 
     fn token(&self, session: &str, arrival: &Arrival) -> String {
         let title = &self.titles[arrival.title];
-        self.fronts.sign(&Entry {
+        self.fronts.sign(&EntryToken {
             jti: session.to_string(),
             sub: format!("v{:x}", arrival.seed),
             product: self.day.products[title.product].name.clone(),
@@ -244,8 +245,8 @@
         let product = &self.day.products[title.product];
         let Ok(mut peer) = self.call(address).await else { return Told::Cut };
         let request = self.requests.fetch_add(1, Ordering::Relaxed);
-        let target = address::manifest(&product.name, &title.name, &self.token(session, arrival));
-        self.log.saw(What::Asked {
+        let target = address::manifest_path(&product.name, &title.name, &self.token(session, arrival));
+        self.log.record(Observed::Asked {
             request,
             session: session.to_string(),
             front,
@@ -256,20 +257,20 @@
         let wait = patience.unwrap_or(ms(product.time_limit_ms + LISTEN));
         let answer = timeout(wait, async {
             peer.write(format!("GET {target} HTTP/1.1\r\nHost: front\r\n\r\n").as_bytes()).await?;
-            peer.answer().await
+            peer.read_response().await
         });
         match answer.await {
             Ok(Ok(Some(answer))) => {
-                self.log.saw(What::Answered { request, status: answer.status });
+                self.log.record(Observed::Answered { request, status: answer.status });
                 Told::Answer(answer)
             }
             Ok(_) => {
-                self.log.saw(What::Cut { request });
+                self.log.record(Observed::Cut { request });
                 Told::Cut
             }
             Err(_) => {
                 if patience.is_some() {
-                    self.log.saw(What::Left { request });
+                    self.log.record(Observed::Left { request });
                 }
                 Told::Silence
             }
@@ -284,7 +285,7 @@
         manifest: &[u8],
         arrival: &Arrival,
         leaves: bool,
-        seen: &mut Watched,
+        seen: &mut PlayerResult,
     ) -> bool {
         let title = &self.titles[arrival.title];
         let Some(form) = read_manifest(manifest) else { return false };
@@ -302,13 +303,13 @@
                     .replace("$RepresentationID$", &rung.to_string())
                     .replace("$Number$", &number.to_string());
             let Some(body) = self.fetch(address, &path, &mut line, segment * 8).await else { return false };
-            let got = content::read(&body);
+            let got = content::parse(&body);
             if let Some(got) = &got {
                 seen.rungs += got.rung;
                 seen.earned_s += self.day.ladder[got.rung].earns * segment.as_secs_f64();
             }
             let (title, session) = (title.name.clone(), session.to_string());
-            self.log.saw(What::Fetched { session, title, number, rung, got });
+            self.log.record(Observed::Fetched { session, title, number, rung, got });
             seen.segments += 1;
             let now = Instant::now();
             if number > 1 && now > shown {
@@ -326,7 +327,7 @@
                 let _ = peer
                     .write(format!("DELETE {} HTTP/1.1\r\nHost: front\r\n\r\n", form.base).as_bytes())
                     .await;
-                let _ = timeout(ms(1000.0), peer.answer()).await;
+                let _ = timeout(ms(1000.0), peer.read_response()).await;
             }
         } else {
             sleep_until(shown).await;
@@ -339,7 +340,7 @@
         &self,
         address: SocketAddr,
         path: &str,
-        line: &mut Option<Peer>,
+        line: &mut Option<HttpPeer>,
         patience: Duration,
     ) -> Option<Vec<u8>> {
         for attempt in 0..TRIES {
@@ -352,7 +353,7 @@
             };
             let answer = timeout(patience, async {
                 peer.write(format!("GET {path} HTTP/1.1\r\nHost: front\r\n\r\n").as_bytes()).await?;
-                peer.answer().await
+                peer.read_response().await
             });
             match answer.await {
                 Ok(Ok(Some(answer))) => {
@@ -393,7 +394,7 @@
 
 /// Lets all arrivals come at their times, whatever becomes of them, and waits until all are through. Tells how
 /// late the latest of them set out, ms.
-pub async fn let_come(room: Arc<Room>, arrivals: Vec<Arrival>, start: Instant) -> Result<f64> {
+pub async fn run_arrivals(room: Arc<PlayerPool>, arrivals: Vec<Arrival>, start: Instant) -> Result<f64> {
     let mut late = 0.0f64;
     let mut all = Vec::new();
     for arrival in arrivals {
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,9 +1,9 @@
 //! A day's script: the fleet, the products, the players who come and what goes wrong when. Times in the
 //! script are ms or, where the name says so, s; rates are kB a second.
 
-use pulleystair_boxes::world::{Build, Ground};
-use pulleystair_templates::{Fault, load, refused};
-use pulleystair_witness::rules::{self, Terms};
+use pulleystair_fake_servers::model::{ServerFleetSpec, ServerSpec};
+use pulleystair_jsonnet::{LoadError, invalid_value, load};
+use pulleystair_rule_checker::rules::{self, RuleParams};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Day {
+pub struct Scenario {
     pub seed: u64,
     pub seconds: f64,
     pub fronts: usize,
@@ -22,7 +22,7 @@
     pub rules: Rules,
     pub players: Players,
     #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<FaultEvent>,
     /// Limits of the fronts, as in a front's rundown.
     #[serde(default)]
     pub limits: serde_json::Map<String, serde_json::Value>,
@@ -161,7 +161,7 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+pub struct FaultEvent {
     pub kind: Kind,
     pub at_s: f64,
     pub length_s: f64,
@@ -225,10 +225,10 @@
     1.0
 }
 
-impl Day {
-    pub fn read(file: &Path) -> Result<Day, Fault> {
-        let day: Day = load(file)?;
-        day.check().map_err(|(path, found, allowed)| refused(file, &path, found, allowed))?;
+impl Scenario {
+    pub fn read(file: &Path) -> Result<Scenario, LoadError> {
+        let day: Scenario = load(file)?;
+        day.check().map_err(|(path, found, allowed)| invalid_value(file, &path, found, allowed))?;
         Ok(day)
     }
 
@@ -280,11 +280,11 @@
     }
 
     /// The servers as they are built, off what fronts are told by the spread.
-    pub fn builds(&self) -> Vec<Build> {
+    pub fn builds(&self) -> Vec<ServerSpec> {
         let mut rnd = StdRng::seed_from_u64(self.seed ^ 0xb111d);
         let mut off = |x: f64| x * (1.0 + self.fleet.spread * (2.0 * rnd.random::<f64>() - 1.0));
         (0..self.fleet.servers)
-            .map(|server| Build {
+            .map(|server| ServerSpec {
                 zone: self.zone_of(server),
                 cell: server,
                 cores: self.fleet.cores,
@@ -297,10 +297,10 @@
             .collect()
     }
 
-    pub fn ground(&self) -> Ground {
+    pub fn ground(&self) -> ServerFleetSpec {
         let mut rnd = StdRng::seed_from_u64(self.seed ^ 0x94a2);
         let mut off = |x: f64| x * (1.0 + self.fleet.spread * (2.0 * rnd.random::<f64>() - 1.0));
-        Ground {
+        ServerFleetSpec {
             ladder: self.ladder.iter().map(|r| r.rate_kb).collect(),
             uplinks_kb: (0..self.fleet.racks).map(|_| off(self.fleet.rack_link_kb)).collect(),
             shared_part: self.fleet.shared_part,
@@ -318,7 +318,7 @@
     }
 
     /// What the checker holds the run to.
-    pub fn terms(&self) -> Terms {
+    pub fn terms(&self) -> RuleParams {
         let product = |p: &Product| rules::Product {
             limit: p.time_limit_ms,
             effect: match p.effect {
@@ -338,13 +338,13 @@
             seats: p.seats,
         };
         let servers = 0..self.fleet.servers;
-        Terms {
+        RuleParams {
             products: self.products.iter().map(product).collect(),
             drain_grace: self.rules.drain_grace_ms,
             cold: self.rules.cold_ms,
             cold_from: self.rules.cold_from,
             overload: self.rules.overload_factor,
-            fall: self.rules.fall_ms,
+            overload_window: self.rules.fall_ms,
             streams: vec![self.fleet.streams as f64; self.fleet.servers],
             zones: servers.clone().map(|s| self.zone_of(s)).collect(),
             cells: servers.collect(),
@@ -353,7 +353,7 @@
                 share: b.share,
                 free: b.free,
             }),
-            told: 100.0,
+            list_delay: 100.0,
             slack: 150.0,
         }
     }
--- a/crates/mutated/src/fields.rs
+++ b/crates/message-mutation/src/fields.rs
@@ -1,9 +1,9 @@
 //! The fields of each kind of message, and how one is set to another value; all else of the message stays sound, its
 //! checksum too.
 
-use crate::{Kind, To};
+use crate::{FieldValue, Kind};
 use pulleystair_gossip::message::Message as Row;
-use pulleystair_signal::{self as signal, Message};
+use pulleystair_viewer_protocol::{self as protocol, Message};
 use simple_dns::Packet;
 use simple_dns::rdata::RData;
 use std::ops::Range;
@@ -40,7 +40,7 @@
 pub fn count(kind: Kind, bytes: &[u8]) -> usize {
     match kind {
         // Its session, length and type, then its parameters.
-        Kind::Signal => match Message::read(bytes) {
+        Kind::Signal => match Message::parse(bytes) {
             Ok(Some((message, _))) => 3 + message.parameters().count(),
             _ => 0,
         },
@@ -55,7 +55,7 @@
     kind: Kind,
     bytes: &[u8],
     field: usize,
-    to: To,
+    to: FieldValue,
     before: Option<&[u8]>,
     fleet: u32,
 ) -> Option<Vec<u8>> {
@@ -67,17 +67,17 @@
     }
 }
 
-fn pick<T>(to: To, least: T, greatest: T, before: Option<T>) -> Option<T> {
+fn pick<T>(to: FieldValue, least: T, greatest: T, before: Option<T>) -> Option<T> {
     match to {
-        To::Least => Some(least),
-        To::Greatest => Some(greatest),
-        To::Neighbours => before,
+        FieldValue::Least => Some(least),
+        FieldValue::Greatest => Some(greatest),
+        FieldValue::Neighbours => before,
     }
 }
 
-fn set_signal(bytes: &[u8], field: usize, to: To, before: Option<&[u8]>) -> Option<Vec<u8>> {
-    let (message, _) = Message::read(bytes).ok()??;
-    let other = before.and_then(|b| Message::read(b).ok()?).map(|m| m.0);
+fn set_signal(bytes: &[u8], field: usize, to: FieldValue, before: Option<&[u8]>) -> Option<Vec<u8>> {
+    let (message, _) = Message::parse(bytes).ok()??;
+    let other = before.and_then(|b| Message::parse(b).ok()?).map(|m| m.0);
     let mut parameters: Vec<(u8, &[u8])> = message.parameters().map_while(Result::ok).collect();
     let (mut session, mut kind) = (message.session, message.kind);
     match field {
@@ -92,10 +92,10 @@
             *value = pick(to, &b"0"[..], GREATEST.as_bytes(), other.and_then(|o| o.get(*code)))?;
         }
     }
-    signal::write(kind, session, &parameters)
+    protocol::encode(kind, session, &parameters)
 }
 
-fn set_text(bytes: &[u8], field: usize, to: To, before: Option<&[u8]>) -> Option<Vec<u8>> {
+fn set_text(bytes: &[u8], field: usize, to: FieldValue, before: Option<&[u8]>) -> Option<Vec<u8>> {
     let all = values(bytes);
     let (name, range) = all.get(field)?.clone();
     let same = before.and_then(|b| values(b).into_iter().find(|v| v.0 == name).map(|v| &b[v.1]));
@@ -103,7 +103,7 @@
     Some([&bytes[..range.start], value, &bytes[range.end..]].concat())
 }
 
-fn set_names(bytes: &[u8], field: usize, to: To, before: Option<&[u8]>) -> Option<Vec<u8>> {
+fn set_names(bytes: &[u8], field: usize, to: FieldValue, before: Option<&[u8]>) -> Option<Vec<u8>> {
     let mut packet = Packet::parse(bytes).ok()?;
     let other = before.and_then(|b| Packet::parse(b).ok());
     fn serial<'a>(p: &'a mut Packet) -> Option<&'a mut u32> {
@@ -139,9 +139,9 @@
     packet.build_bytes_vec().ok()
 }
 
-fn set_row(bytes: &[u8], field: usize, to: To, before: Option<&[u8]>, fleet: u32) -> Option<Vec<u8>> {
-    let mut it = Row::read(bytes, fleet).ok()?;
-    let other = before.and_then(|b| Row::read(b, fleet).ok());
+fn set_row(bytes: &[u8], field: usize, to: FieldValue, before: Option<&[u8]>, fleet: u32) -> Option<Vec<u8>> {
+    let mut it = Row::decode(bytes, fleet).ok()?;
+    let other = before.and_then(|b| Row::decode(b, fleet).ok());
     let o = other.as_ref();
     let known = o.and_then(|o| o.known.first());
     let change = o.and_then(|o| o.changes.first());
@@ -178,5 +178,5 @@
             cell.value = pick(to, Vec::new(), vec![0xff; cell.value.len()], was)?;
         }
     }
-    Some(it.write(fleet))
+    Some(it.encode(fleet))
 }
--- a/crates/mutated/src/front.rs
+++ b/crates/message-mutation/src/front.rs
@@ -1,11 +1,11 @@
 //! One front of the small world: what it is told, what it holds, and what its desk wants done.
 
-use pulleystair::{CallSheet, Value};
-use pulleystair_desk::{Desk, Hands};
+use pulleystair::{Settings, Value};
+use pulleystair_dispatcher::{Actions, Dispatcher};
 use pulleystair_drift::Sections;
-use pulleystair_drift::approved::{Chain, Document, Stage};
-use pulleystair_fellow::{Exchange, Fellow, Terms as Share};
-use pulleystair_witness::rules::{Budget, Effect, Group, Product, Terms};
+use pulleystair_drift::approved::{ApprovedVersion, RolloutStage, VersionChain};
+use pulleystair_fleet_member::{FleetConfig, FleetMember, GossipConfig};
+use pulleystair_rule_checker::rules::{Budget, Effect, Group, Product, RuleParams};
 use serde_json::json;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -24,8 +24,8 @@
 #[derive(Default)]
 pub(crate) struct Deeds(pub(crate) VecDeque<Deed>);
 
-impl Hands for Deeds {
-    fn chose(&mut self, _: u64, odds: &[(u32, f64, f64)]) {
+impl Actions for Deeds {
+    fn record_candidates(&mut self, _: u64, odds: &[(u32, f64, f64)]) {
         self.0.push_back(Deed::Chose(odds.to_vec()));
     }
     fn send(&mut self, play: u64, server: u32, rung: usize, time_out: f64) {
@@ -34,22 +34,22 @@
     fn withdraw(&mut self, play: u64) {
         self.0.push_back(Deed::Withdraw(play));
     }
-    fn step(&mut self, play: u64, rung: usize) {
+    fn set_rung(&mut self, play: u64, rung: usize) {
         self.0.push_back(Deed::Step(play, rung));
     }
     fn probe(&mut self, server: u32) {
         self.0.push_back(Deed::Probe(server));
     }
-    fn declined(&mut self, play: u64, _: f64) {
+    fn decline(&mut self, play: u64, _: f64) {
         self.0.push_back(Deed::Answer(play, 503));
     }
-    fn failed(&mut self, play: u64) {
+    fn fail(&mut self, play: u64) {
         self.0.push_back(Deed::Answer(play, 504));
     }
-    fn wake(&mut self, mark: u32, wait: f64) {
+    fn set_timer(&mut self, mark: u32, wait: f64) {
         self.0.push_back(Deed::Wake(mark, wait));
     }
-    fn follow(&mut self) {}
+    fn watch_list(&mut self) {}
 }
 
 pub(crate) struct Session {
@@ -63,8 +63,8 @@
 }
 
 pub(crate) struct Front {
-    pub(crate) desk: Desk,
-    pub(crate) fellow: Fellow,
+    pub(crate) desk: Dispatcher,
+    pub(crate) fellow: FleetMember,
     pub(crate) sessions: BTreeMap<u64, Session>,
     pub(crate) rev: Option<u32>,
     pub(crate) asked: VecDeque<u16>,
@@ -77,7 +77,7 @@
     format!("f{front}")
 }
 
-pub(crate) fn sheet(rank: usize) -> CallSheet {
+pub(crate) fn sheet(rank: usize) -> Settings {
     let numbers = [
         ("balancers", FRONTS as f64),
         ("rank", rank as f64),
@@ -102,7 +102,7 @@
         ("rules.budget_span", 5_000.0),
         ("rules.free_resends", 3.0),
     ];
-    let mut sheet: CallSheet = numbers.iter().map(|(n, x)| ((*n).to_string(), Value::Number(*x))).collect();
+    let mut sheet: Settings = numbers.iter().map(|(n, x)| ((*n).to_string(), Value::Number(*x))).collect();
     for (i, effect) in ["read_like", "non_idempotent", "idempotency_key"].iter().enumerate() {
         let texts = [("effect", *effect), ("key_scope", "zone")];
         let numbers = [("importance", 1.0), ("first_frame_target", 500.0), ("repeat_window", 900.0)];
@@ -112,9 +112,9 @@
     sheet
 }
 
-pub(crate) fn terms() -> Terms {
+pub(crate) fn terms() -> RuleParams {
     let product = |effect, floor| Product { limit: LIMIT, effect, floor, top: 1, seats: 0 };
-    Terms {
+    RuleParams {
         products: vec![
             product(Effect::Free, 0),
             product(Effect::Paid, 1),
@@ -124,43 +124,43 @@
         cold: COLD,
         cold_from: 0.3,
         overload: 2.0,
-        fall: 1_000.0,
+        overload_window: 1_000.0,
         streams: vec![STREAMS; SERVERS],
         zones: (0..SERVERS).map(|s| s % 2).collect(),
         cells: (0..SERVERS).collect(),
         budget: Some(Budget { span: 5_000.0, share: 0.1, free: 3.0 }),
         // An answer of the name service may be lost: it is asked for every 150 ms.
-        told: 400.0,
+        list_delay: 400.0,
         slack: 1.0,
     }
 }
 
 pub(crate) fn front(rank: usize, seed: u64) -> Front {
-    let exchange = Exchange {
+    let exchange = GossipConfig {
         fleet: "mutated".into(),
         name: name(rank),
         peers: (0..FRONTS).filter(|f| *f != rank).map(name).collect(),
-        every: 250.0,
+        interval: 250.0,
         fan_out: 1,
         bytes_s: 64_000.0,
-        doubted: 900.0,
-        unheard: 1_600.0,
+        doubted_after: 900.0,
+        unheard_after: 1_600.0,
     };
-    let share = Share {
-        exchange,
+    let share = FleetConfig {
+        gossip: exchange,
         zone: rank % 2,
         zones: vec!["z0".into(), "z1".into()],
-        lend: 600.0,
+        lease_ms: 600.0,
         further_s: 50.0,
         probes_s: 50.0,
-        hold: 0.0,
+        alarm_delay: 0.0,
         stricter: false,
         bucket: 60_000.0,
-        longest: LIMIT,
+        max_set_up: LIMIT,
     };
     let sections = Sections::from([("rules".into(), json!({ "drain_grace_ms": 300 }))]);
-    let stage = Stage { fronts: vec![], from_ms: 0.0, by_ms: 0.0 };
-    let document = Document {
+    let stage = RolloutStage { fronts: vec![], from_ms: 0.0, by_ms: 0.0 };
+    let document = ApprovedVersion {
         number: 1,
         parent: None,
         sections: sections.clone(),
@@ -168,13 +168,13 @@
         by: "the story".into(),
         at_ms: 0.0,
     };
-    let mut chain = Chain::default();
+    let mut chain = VersionChain::default();
     chain.append(document).expect("it is the first");
-    let mut fellow = Fellow::new(share, 0.0, 1_000, seed + rank as u64).expect("it fits");
-    fellow.approved(chain).expect("it is the first");
-    fellow.active(sections);
+    let mut fellow = FleetMember::new(share, 0.0, 1_000, seed + rank as u64).expect("it fits");
+    fellow.set_approved(chain).expect("it is the first");
+    fellow.set_active(sections);
     Front {
-        desk: Desk::new(sheet(rank), seed * 10 + rank as u64),
+        desk: Dispatcher::new(sheet(rank), seed * 10 + rank as u64),
         fellow,
         sessions: BTreeMap::new(),
         // Its file of the start, as a node has it.
--- a/crates/mutated/src/inbox.rs
+++ b/crates/message-mutation/src/inbox.rs
@@ -1,8 +1,8 @@
 //! What a front of this small world reads from bytes, by the real codecs; and the messages that are written to it.
 
-use pulleystair::{Figure, Listing, Standing};
+use pulleystair::{Listing, LoadMetric, Standing};
 use pulleystair_rtsp as rtsp;
-use pulleystair_signal::{Message, code, kind, write};
+use pulleystair_viewer_protocol::{Message, code, encode, kind};
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
 use simple_dns::{CLASS, Name, Packet, PacketFlag, ResourceRecord};
 
@@ -27,21 +27,21 @@
     let limit = format!("{}", it.limit);
     let parameters: Vec<(u8, &[u8])> = vec![
         (code::CLASS, CLASSES[it.product].as_bytes()),
-        (code::LIMIT, limit.as_bytes()),
+        (code::TIME_LIMIT, limit.as_bytes()),
         (code::TITLE, it.title.as_bytes()),
         (code::EXTRAS, extras.as_bytes()),
     ];
-    write(kind::SET_UP, it.play, &parameters).unwrap_or_default()
+    encode(kind::SET_UP, it.play, &parameters).unwrap_or_default()
 }
 
 /// A set-up that can be used.
 pub fn read_set_up(bytes: &[u8]) -> Option<SetUp> {
-    let (message, _) = Message::read(bytes).ok()??;
+    let (message, _) = Message::parse(bytes).ok()??;
     if message.kind != kind::SET_UP || message.parameters().any(|p| p.is_err()) {
         return None;
     }
     let product = CLASSES.iter().position(|c| Some(*c) == message.text(code::CLASS))?;
-    let limit: f64 = message.text(code::LIMIT)?.parse().ok()?;
+    let limit: f64 = message.text(code::TIME_LIMIT)?.parse().ok()?;
     let title = message.text(code::TITLE)?.to_string();
     let mut extras = [None; 3];
     for pair in message.text(code::EXTRAS)?.split(';') {
@@ -68,7 +68,7 @@
         let a = A { address: 0x0a00_0001 + line.server as u32 };
         packet.additional_records.push(ResourceRecord::new(host.clone(), CLASS::IN, 0, RData::A(a)));
         let mut text = TXT::new();
-        let born = format!("started={}", line.born);
+        let born = format!("started={}", line.started_at);
         let cell = format!("cell={}", line.cell);
         for part in ["kind=std", &cell, &born] {
             if let Ok(string) = part.try_into() {
@@ -96,16 +96,23 @@
 
 /// An answer of the name service: its id, its serial, the servers by number.
 pub fn read_names(bytes: &[u8]) -> Option<(u16, u32, Lines)> {
-    let (serial, list) = pulleystair_names::answer(bytes).ok()?;
-    let line = |it: &pulleystair_names::Entry| {
+    let (serial, list) = pulleystair_dns_discovery::parse_response(bytes).ok()?;
+    let line = |it: &pulleystair_dns_discovery::ServerEntry| {
         let server = it.id.strip_prefix('m')?.parse::<usize>().ok().filter(|s| *s < 1_000)?;
         let zone = it.zone.strip_prefix('z')?.parse().ok()?;
         let standing = it.standing;
-        let listing =
-            Listing { server, zone, kind: 0, cell: it.cell, standing, weight: it.weight, born: it.started };
+        let listing = Listing {
+            server,
+            zone,
+            kind: 0,
+            cell: it.cell,
+            standing,
+            weight: it.weight,
+            started_at: it.started,
+        };
         Some((server as u32, listing))
     };
-    Some((pulleystair_names::id_of(bytes)?, serial, list.iter().filter_map(line).collect()))
+    Some((pulleystair_dns_discovery::response_id(bytes)?, serial, list.iter().filter_map(line).collect()))
 }
 
 /// A media server's answer to a set-up, or the end of a session that stood.
@@ -125,10 +132,10 @@
     rtsp::request("ANNOUNCE", "s", 4, play, &[("X-Why", "l"), ("Figure", &format!("{figure:.3}"))], b"")
 }
 
-pub fn report(message: &rtsp::Message) -> Vec<Figure> {
+pub fn report(message: &rtsp::Message) -> Vec<LoadMetric> {
     let figure = |(name, x): (&str, f64)| match name {
-        "x0" => Some(Figure::Link(x)),
-        "x1" => Some(Figure::Streams(x)),
+        "x0" => Some(LoadMetric::Link(x)),
+        "x1" => Some(LoadMetric::Streams(x)),
         _ => None,
     };
     message.report().filter_map(figure).collect()
--- a/crates/mutated/src/post.rs
+++ b/crates/message-mutation/src/post.rs
@@ -2,16 +2,16 @@
 //! desk has done.
 
 use crate::inbox::{self, SetUp};
-use crate::{How, Kind, fields};
-use pulleystair::{Figure, Listing, Outcome as End, Standing};
-use pulleystair_desk::{Desk, Wish};
+use crate::{Kind, Mutation, fields};
+use pulleystair::{Listing, LoadMetric, Outcome as End, Standing};
+use pulleystair_dispatcher::{Dispatcher, PlayRequest};
 use pulleystair_edge::http;
-use pulleystair_fellow::{Candidate, Listed, number_of};
+use pulleystair_fleet_member::{Candidate, ListedServer, stable_id};
 use pulleystair_gossip::message::Origin;
 use pulleystair_gossip::origin_of;
 use pulleystair_rtsp as rtsp;
-use pulleystair_shared::Server;
-use pulleystair_witness::What;
+use pulleystair_rule_checker::Observed;
+use pulleystair_shared_state::Server;
 
 use crate::front::{Deed, Deeds, Session, name};
 use crate::world::{BY_HTTP, COLD, Event, FRONTS, LIMIT, Mail, RECORDED, SERVERS, STREAMS, World};
@@ -31,25 +31,25 @@
         let number = self.out.messages.len();
         self.out.messages.push((mail.kind, mail.bytes.clone()));
         let before = self.before.insert(mail.kind, mail.bytes.clone());
-        let how = self.change.filter(|c| c.at == number).map(|c| c.how);
+        let how = self.change.filter(|c| c.at == number).map(|c| c.mutation);
         let size = mail.bytes.len();
         match how {
-            Some(How::Dropped) => {}
-            Some(How::Doubled) => {
+            Some(Mutation::Dropped) => {}
+            Some(Mutation::Doubled) => {
                 self.take(mail.clone());
                 self.take(mail);
             }
-            Some(How::Late(ms)) => self.at(f64::from(ms), Event::Again(mail)),
-            Some(How::Swapped) => self.overtaken = Some(mail),
-            Some(How::Cut(eighths)) => {
+            Some(Mutation::Late(ms)) => self.at(f64::from(ms), Event::Again(mail)),
+            Some(Mutation::Swapped) => self.overtaken = Some(mail),
+            Some(Mutation::Cut(eighths)) => {
                 self.take(Mail { bytes: mail.bytes[..size * eighths / 8].to_vec(), ..mail })
             }
-            Some(How::Bit(part)) => {
+            Some(Mutation::Bit(part)) => {
                 let mut bytes = mail.bytes;
                 bytes[size * part / 64] ^= 1 << (part % 8);
                 self.take(Mail { bytes, ..mail });
             }
-            Some(How::Field(field, to)) => {
+            Some(Mutation::Field(field, to)) => {
                 let fleet =
                     mail.bytes.get(1..5).and_then(|b| b.try_into().ok()).map_or(0, u32::from_be_bytes);
                 if let Some(bytes) = fields::set(mail.kind, &mail.bytes, field, to, before.as_deref(), fleet)
@@ -73,7 +73,7 @@
             Kind::Names => self.names(mail.to, &mail.bytes),
             Kind::Row => {
                 let now = self.now;
-                let out = self.fronts[mail.to].fellow.came(now, &mail.bytes);
+                let out = self.fronts[mail.to].fellow.receive(now, &mail.bytes);
                 self.datagrams(mail.to, out);
             }
             Kind::Rtsp => self.wire(&mail),
@@ -81,7 +81,7 @@
         }
     }
 
-    pub(crate) fn datagrams(&mut self, from: usize, out: Vec<pulleystair_fellow::Out>) {
+    pub(crate) fn datagrams(&mut self, from: usize, out: Vec<pulleystair_fleet_member::Datagram>) {
         for it in out {
             let to = (0..FRONTS).find(|f| origin_of(&name(*f)) as Origin == it.to);
             let Some(to) = to else { continue };
@@ -100,43 +100,43 @@
         let (request, now) = (self.requests, self.now);
         let SetUp { play, product, title, limit, first_cell, holders, top } = it;
         let session = format!("{f}-{play:x}");
-        self.saw(What::Asked { request, session, front: f, product, title: title.clone(), top });
-        let wish = Wish {
+        self.saw(Observed::Asked { request, session, front: f, product, title: title.clone(), top });
+        let wish = PlayRequest {
             product,
-            title: number_of(&title),
+            title: stable_id(&title),
             first_cell,
             holders,
-            top,
-            came: now,
-            limit: now + limit.min(LIMIT),
+            max_rung: top,
+            arrived_at: now,
+            deadline: now + limit.min(LIMIT),
         };
         let it = Session { request, product, title, n: 0, at: None, sent: 0.0, answered: false };
         self.fronts[f].sessions.insert(play, it);
-        self.call(f, |desk, now, hands| desk.take(now, play, &wish, hands));
+        self.call(f, |desk, now, hands| desk.add_play(now, play, &wish, hands));
     }
 
     pub(crate) fn names(&mut self, f: usize, bytes: &[u8]) {
         let Some((id, serial, lines)) = inbox::read_names(bytes) else { return };
         let front = &mut self.fronts[f];
-        if !front.asked.contains(&id) || !pulleystair_names::follows(front.rev, serial) {
+        if !front.asked.contains(&id) || !pulleystair_dns_discovery::is_newer(front.rev, serial) {
             return;
         }
         front.rev = Some(serial);
-        let listed = |(server, line): &(u32, Listing)| Listed {
+        let listed = |(server, line): &(u32, Listing)| ListedServer {
             server: Server {
-                id: number_of(&format!("m{server}")),
+                id: stable_id(&format!("m{server}")),
                 zone: line.zone,
                 cell: line.cell,
                 link: line.weight,
             },
-            born: line.born as u64,
-            cold_until: line.born + COLD,
+            born: line.started_at as u64,
+            cold_until: line.started_at + COLD,
         };
         let ready = lines.iter().filter(|l| l.1.standing == Standing::Ready);
-        let servers: Vec<Listed> = ready.map(listed).collect();
+        let servers: Vec<ListedServer> = ready.map(listed).collect();
         let all = servers.iter().map(|s| s.server.id).collect();
-        front.fellow.list(&servers, vec![all]);
-        self.call(f, |desk, now, _| desk.list(now, true, false, &lines));
+        front.fellow.update_list(&servers, vec![all]);
+        self.call(f, |desk, now, _| desk.update_list(now, true, false, &lines));
     }
 
     /// What a server says on its connection. What can't be read costs the set-ups that are open on it.
@@ -145,7 +145,7 @@
         if self.fronts[f].lines[server] != mail.line {
             return;
         }
-        let Ok(Some((message, _))) = rtsp::Message::read(&mail.bytes) else {
+        let Ok(Some((message, _))) = rtsp::Message::parse(&mail.bytes) else {
             self.fronts[f].lines[server] += 1;
             let open = |(play, s): (&u64, &Session)| (s.at == Some((server, false))).then_some(*play);
             let open: Vec<u64> = self.fronts[f].sessions.iter().filter_map(open).collect();
@@ -165,8 +165,8 @@
             (rtsp::Start::Request(method), Some((_, true))) if method == "ANNOUNCE" => {
                 if let Some(figure) = message.number("Figure").filter(|_| message.field("X-Why") == Some("l"))
                 {
-                    let figure = Figure::Link(figure);
-                    self.call(f, |desk, _, hands| desk.note(now, play, server as u32, figure, hands));
+                    let figure = LoadMetric::Link(figure);
+                    self.call(f, |desk, _, hands| desk.on_play_note(now, play, server as u32, figure, hands));
                 }
             }
             _ => {}
@@ -180,7 +180,7 @@
         if !out {
             return;
         }
-        match http::answer(&mail.bytes) {
+        match http::parse_response(&mail.bytes) {
             Ok(Some((answer, _))) if answer.status == 200 => self.stands(f, play, &[]),
             Ok(Some((answer, _))) => self.turned_away(f, play, answer.status, &[]),
             // The connection is its own: what does not come whole has broken off.
@@ -188,63 +188,65 @@
         }
     }
 
-    pub(crate) fn stands(&mut self, f: usize, play: u64, load: &[Figure]) {
+    pub(crate) fn stands(&mut self, f: usize, play: u64, load: &[LoadMetric]) {
         let Some(it) = self.fronts[f].sessions.get_mut(&play) else { return };
         let Some((server, _)) = it.at else { return };
         it.at = Some((server, true));
         let allocation = format!("{f}-{play:x}-{}", it.n);
         self.met(f, play, server, End::Playing);
-        self.saw(What::Done { allocation, ran: true, status: 200 });
+        self.saw(Observed::Done { allocation, ran: true, status: 200 });
         self.answer(f, play, 200);
         let load = load.to_vec();
         self.call(f, |desk, now, hands| {
-            desk.playing(now, play, hands);
-            desk.report(now, server as u32, &load, hands);
+            desk.on_playing(now, play, hands);
+            desk.on_load_report(now, server as u32, &load, hands);
         });
     }
 
-    pub(crate) fn turned_away(&mut self, f: usize, play: u64, status: u16, load: &[Figure]) {
+    pub(crate) fn turned_away(&mut self, f: usize, play: u64, status: u16, load: &[LoadMetric]) {
         let Some(it) = self.fronts[f].sessions.get(&play) else { return };
         let full = status == 453 || status == 429;
         let allocation = format!("{f}-{play:x}-{}", it.n);
-        self.saw(What::Done { allocation, ran: !full, status: if full { 429 } else { 502 } });
+        self.saw(Observed::Done { allocation, ran: !full, status: if full { 429 } else { 502 } });
         self.over(f, play, if full { End::Full } else { End::Error }, load);
     }
 
     /// An allocation is out no more, or a play has ended.
-    pub(crate) fn over(&mut self, f: usize, play: u64, outcome: End, load: &[Figure]) {
+    pub(crate) fn over(&mut self, f: usize, play: u64, outcome: End, load: &[LoadMetric]) {
         let Some(it) = self.fronts[f].sessions.get_mut(&play) else { return };
         let Some((server, playing)) = it.at.take() else { return };
         let allocation = format!("{f}-{play:x}-{}", it.n);
         if !playing {
             self.met(f, play, server, outcome);
         }
-        self.saw(What::Closed { allocation });
+        self.saw(Observed::Closed { allocation });
         let load = load.to_vec();
-        self.call(f, |desk, now, hands| desk.ended(now, play, server as u32, outcome, playing, &load, hands));
+        self.call(f, |desk, now, hands| {
+            desk.on_allocation_ended(now, play, server as u32, outcome, playing, &load, hands)
+        });
     }
 
     pub(crate) fn met(&mut self, f: usize, play: u64, server: usize, outcome: End) {
         let now = self.now;
         let Some(it) = self.fronts[f].sessions.get(&play) else { return };
         let (n, waited) = (it.n, now - it.sent);
-        let id = number_of(&format!("m{server}"));
-        self.fronts[f].fellow.out_no_more(now, now, id, (play, n), outcome, waited);
+        let id = stable_id(&format!("m{server}"));
+        self.fronts[f].fellow.on_allocation_result(now, now, id, (play, n), outcome, waited);
     }
 
     pub(crate) fn answer(&mut self, f: usize, play: u64, status: u16) {
         let Some(it) = self.fronts[f].sessions.get_mut(&play) else { return };
         assert!(!std::mem::replace(&mut it.answered, true), "answered twice");
         let request = it.request;
-        self.saw(What::Answered { request, status });
+        self.saw(Observed::Answered { request, status });
     }
 
     // ---- what the desk has done ----
 
-    pub(crate) fn call(&mut self, f: usize, call: impl FnOnce(&mut Desk, f64, &mut Deeds)) {
+    pub(crate) fn call(&mut self, f: usize, call: impl FnOnce(&mut Dispatcher, f64, &mut Deeds)) {
         let mut deeds = Deeds::default();
         call(&mut self.fronts[f].desk, self.now, &mut deeds);
-        self.fronts[f].desk.turn_ends(self.now, &mut deeds);
+        self.fronts[f].desk.end_turn(self.now, &mut deeds);
         while let Some(deed) = deeds.0.pop_front() {
             match deed {
                 Deed::Chose(odds) => self.fronts[f].drawn = odds,
@@ -255,14 +257,14 @@
                 Deed::Step(play, rung) => {
                     if let Some(it) = self.fronts[f].sessions.get(&play).filter(|it| it.at.is_some()) {
                         let allocation = format!("{f}-{play:x}-{}", it.n);
-                        self.saw(What::Rung { allocation, rung });
+                        self.saw(Observed::Rung { allocation, rung });
                     }
                 }
                 Deed::Answer(play, status) => self.answer(f, play, status),
                 Deed::Wake(mark, wait) => self.at(wait, Event::Wake(f, mark)),
                 Deed::Probe(server) => {
                     let now = self.now;
-                    self.fronts[f].fellow.probed(now, number_of(&format!("m{server}")));
+                    self.fronts[f].fellow.on_probed(now, stable_id(&format!("m{server}")));
                 }
             }
         }
@@ -278,7 +280,7 @@
         (it.at, it.sent) = (Some((server, false)), now);
         let (n, product, title) = (it.n, it.product, it.title.clone());
         let candidate = |(s, chance, room): &(u32, f64, f64)| Candidate {
-            server: number_of(&format!("m{s}")),
+            server: stable_id(&format!("m{s}")),
             born: 0,
             zone: *s as usize % 2,
             chance: *chance,
@@ -286,9 +288,9 @@
         };
         let chosen = front.drawn.iter().position(|d| d.0 as usize == server);
         let candidates = front.drawn.iter().map(candidate).collect();
-        front.fellow.sent(now, number_of(&format!("m{server}")), n > 1);
+        front.fellow.on_sent(now, stable_id(&format!("m{server}")), n > 1);
         if let Some(chosen) = chosen {
-            front.fellow.ledger.chosen(play, n, product as u16, 1, chosen, candidates);
+            front.fellow.outcomes.record_choice(play, n, product as u16, 1, chosen, candidates);
         }
         self.out.sent += 1;
         self.at(time_out, Event::TimeOut(f, play, n));
@@ -296,7 +298,7 @@
             return self.at(1.0, Event::Unreachable(f, play, n));
         }
         let (allocation, session) = (format!("{f}-{play:x}-{n}"), format!("{f}-{play:x}"));
-        self.saw(What::SetUp { server, allocation, session, product, title, rung });
+        self.saw(Observed::SetUp { server, allocation, session, product, title, rung });
         if self.hosts[server].silent {
             return;
         }
--- a/crates/mutated/src/world.rs
+++ b/crates/message-mutation/src/world.rs
@@ -2,13 +2,13 @@
 //! come back cold, drain, fall silent; fronts share what they know. What players and servers see is a history.
 
 use crate::inbox::{self, SetUp};
-use crate::{Change, Kind};
+use crate::{Kind, MutatedMessage};
 use oorandom::Rand64;
-use pulleystair::{Given, Listing, Outcome as End, Standing};
-use pulleystair_fellow::{number_of, told};
-use pulleystair_shared::budgets::OWN;
-use pulleystair_witness::rules::check;
-use pulleystair_witness::{Seen, What};
+use pulleystair::{Listing, Outcome as End, ServerHint, Standing};
+use pulleystair_fleet_member::{policy_hint, stable_id};
+use pulleystair_rule_checker::rules::check;
+use pulleystair_rule_checker::{Observation, Observed};
+use pulleystair_shared_state::budgets::PARTS_PER_FRONT;
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::front::{Front, Session, front, terms};
@@ -59,13 +59,13 @@
 
 /// What the run came to.
 #[derive(Debug, Default)]
-pub struct Outcome {
+pub struct RunResult {
     pub messages: Vec<(Kind, Vec<u8>)>,
     pub breaches: Vec<(u8, String)>,
     pub requests: usize,
     /// The most that all fronts together ever held of a server's pace, and what they may.
     pub held: u32,
-    pub whole: u32,
+    pub total_parts: u32,
     pub lent: bool,
     /// At the end, by each front: the verdict's status, fronts that it calls other than in step, zones and servers doubted.
     pub status: Vec<u8>,
@@ -74,7 +74,7 @@
     pub listed: Vec<bool>,
     pub lost: Vec<bool>,
     /// Allocations of which each front's estimates speak, and those that there were.
-    pub said: Vec<u32>,
+    pub answers: Vec<u32>,
     pub sent: u32,
 }
 
@@ -87,17 +87,17 @@
     pub(crate) hosts: [Host; SERVERS],
     pub(crate) list: Vec<Listing>,
     pub(crate) serial: u32,
-    pub(crate) seen: Vec<Seen>,
+    pub(crate) seen: Vec<Observation>,
     pub(crate) requests: u64,
-    pub(crate) change: Option<Change>,
+    pub(crate) change: Option<MutatedMessage>,
     /// The last message of each kind, and one that waits to be overtaken.
     pub(crate) before: BTreeMap<Kind, Vec<u8>>,
     pub(crate) overtaken: Option<Mail>,
-    pub(crate) out: Outcome,
+    pub(crate) out: RunResult,
 }
 
 impl World {
-    pub fn new(seed: u64, change: Option<Change>) -> World {
+    pub fn new(seed: u64, change: Option<MutatedMessage>) -> World {
         let listing = |s: usize| Listing {
             server: s,
             zone: s % 2,
@@ -120,10 +120,10 @@
             change,
             before: BTreeMap::new(),
             overtaken: None,
-            out: Outcome { whole: FRONTS as u32 * OWN, ..Outcome::default() },
+            out: RunResult { total_parts: FRONTS as u32 * PARTS_PER_FRONT, ..RunResult::default() },
         };
         for f in 0..FRONTS {
-            world.saw(What::Front { front: f, up: true });
+            world.saw(Observed::Front { front: f, up: true });
             world.at(0.0, Event::Asks(f));
             world.at(1.0, Event::Fellow(f));
             world.at(20.0, Event::Comes(f));
@@ -132,8 +132,8 @@
         world
     }
 
-    pub(crate) fn saw(&mut self, what: What) {
-        self.seen.push(Seen { at: self.now, what });
+    pub(crate) fn saw(&mut self, what: Observed) {
+        self.seen.push(Observation { at: self.now, what });
     }
 
     pub(crate) fn at(&mut self, wait: f64, event: Event) {
@@ -145,7 +145,7 @@
         self.rnd.rand_float()
     }
 
-    pub fn run(mut self) -> Outcome {
+    pub fn run(mut self) -> RunResult {
         while let Some(((at, _), event)) = self.queue.pop_first() {
             self.now = at as f64 / 1_000.0;
             if self.now > END {
@@ -153,12 +153,12 @@
             }
             self.event(event);
             let parts = |s: usize| -> u32 {
-                let id = number_of(&format!("m{s}"));
-                self.fronts.iter().map(|f| f.fellow.parts(self.now, id)).sum()
+                let id = stable_id(&format!("m{s}"));
+                self.fronts.iter().map(|f| f.fellow.budget_parts(self.now, id)).sum()
             };
             let held = (0..SERVERS).map(parts).max().unwrap_or(0);
             self.out.held = self.out.held.max(held);
-            self.out.lent |= self.fronts[0].fellow.parts(self.now, number_of("m0")) > OWN;
+            self.out.lent |= self.fronts[0].fellow.budget_parts(self.now, stable_id("m0")) > PARTS_PER_FRONT;
         }
         self.now = END;
         for f in 0..FRONTS {
@@ -166,9 +166,9 @@
             let fleet = front.fellow.drift(END, END).expect("a version is approved");
             self.out.status.push(fleet.status());
             self.out.listed.push(front.rev == Some(self.serial));
-            self.out.doubted.push(front.fellow.belief().doubted.len());
-            self.out.lost.push(front.fellow.belief().lost.is_some());
-            self.out.said.push(front.fellow.whatif(END, |_| true).plays);
+            self.out.doubted.push(front.fellow.health().doubted.len());
+            self.out.lost.push(front.fellow.health().lost.is_some());
+            self.out.answers.push(front.fellow.whatif(END, |_| true).plays);
         }
         let (breaches, covered) = check(&self.seen, &terms());
         self.out.breaches = breaches.into_iter().map(|b| (b.rule, format!("{b:?}"))).collect();
@@ -182,7 +182,7 @@
         match event {
             Event::Mail(mail) => self.mail(mail),
             Event::Again(mail) => self.take(mail),
-            Event::Wake(f, mark) => self.call(f, |desk, now, hands| desk.rings(now, mark, hands)),
+            Event::Wake(f, mark) => self.call(f, |desk, now, hands| desk.on_timer(now, mark, hands)),
             Event::Comes(f) => self.comes(f),
             Event::TimeOut(f, play, n) => {
                 let out = |s: &Session| s.n == n && matches!(s.at, Some((_, false)));
@@ -253,16 +253,16 @@
     fn look(&mut self, f: usize) {
         let now = self.now;
         let front = &mut self.fronts[f];
-        let id = |s: &u32| number_of(&format!("m{s}"));
-        front.fellow.waits(now, front.desk.waited_for().iter().map(id));
-        let counts = front.desk.counts();
-        front.fellow.counts(counts.iter().map(|((s, p), c)| ((id(s), *p as u16), *c)).collect());
-        let (given, out) = front.fellow.look(now, now);
-        let due = front.fellow.due();
+        let id = |s: &u32| stable_id(&format!("m{s}"));
+        front.fellow.on_waiting(now, front.desk.awaited_servers().iter().map(id));
+        let counts = front.desk.play_counts();
+        front.fellow.set_play_counts(counts.iter().map(|((s, p), c)| ((id(s), *p as u16), *c)).collect());
+        let (given, out) = front.fellow.tick(now, now);
+        let due = front.fellow.next_deadline();
         let numbers: BTreeMap<u64, u32> = (0..SERVERS as u32).map(|s| (id(&s), s)).collect();
-        let given: Vec<(u32, Given)> =
-            given.iter().filter_map(|it| Some((*numbers.get(&it.server)?, told(it)))).collect();
-        self.call(f, |desk, now, _| desk.given(now, &given));
+        let given: Vec<(u32, ServerHint)> =
+            given.iter().filter_map(|it| Some((*numbers.get(&it.server)?, policy_hint(it)))).collect();
+        self.call(f, |desk, now, _| desk.apply_hints(now, &given));
         self.datagrams(f, out);
         self.at((due - now).max(0.001), Event::Fellow(f));
     }
@@ -270,7 +270,7 @@
     fn listed(&mut self, server: usize, standing: Standing) {
         self.serial += 1;
         self.list[server].standing = standing;
-        self.saw(What::Listed { server, ready: standing == Standing::Ready });
+        self.saw(Observed::Listed { server, ready: standing == Standing::Ready });
     }
 
     fn trouble(&mut self, i: usize) {
@@ -278,7 +278,7 @@
             // The first server dies and comes back cold; the second drains; the third falls silent for a while.
             0 => {
                 self.hosts[0].up = false;
-                self.saw(What::Stopped { server: 0 });
+                self.saw(Observed::Stopped { server: 0 });
                 for f in 0..FRONTS {
                     let here =
                         |(play, s): (&u64, &Session)| s.at.is_some_and(|at| at.0 == 0).then_some(*play);
@@ -290,8 +290,8 @@
             }
             1 => {
                 self.hosts[0].up = true;
-                self.saw(What::Started { server: 0, cold: true });
-                self.list[0].born = self.now;
+                self.saw(Observed::Started { server: 0, cold: true });
+                self.list[0].started_at = self.now;
                 self.listed(0, Standing::Ready);
             }
             2 => self.listed(1, Standing::Draining),
--- a/crates/node/src/asked.rs
+++ b/crates/node/src/asked.rs
@@ -2,16 +2,16 @@
 
 use crate::floor::{Session, WITHDRAWN};
 use crate::node::Node;
-use pulleystair_desk::Wish;
-use pulleystair_lines::Key;
-use pulleystair_signal::{Message, code};
+use pulleystair_connections::ConnectionId;
+use pulleystair_dispatcher::PlayRequest;
+use pulleystair_viewer_protocol::{Message, code};
 
 /// The longest time that a viewer may say that it waits, ms.
 const LONGEST: f64 = 600_000.0;
 
 /// A set-up as it was read.
 pub(crate) struct Asked {
-    pub(crate) wish: Wish,
+    pub(crate) wish: PlayRequest,
     pub(crate) class: String,
     pub(crate) title: String,
     pub(crate) description: Vec<u8>,
@@ -30,7 +30,7 @@
         let terms = &self.floor.terms;
         let class = message.text(code::CLASS).ok_or("no class")?;
         let product = terms.products.iter().position(|p| p == class).ok_or("unknown class")?;
-        if !self.desk.sells(product) {
+        if !self.desk.has_product(product) {
             return Err("unknown class");
         }
         let title = message.text(code::TITLE).ok_or("no title")?;
@@ -65,24 +65,25 @@
             return Err("figures are missing");
         };
         // Of a session that plays no clock runs any more.
-        let limit: f64 = message.text(code::LIMIT).and_then(|t| t.parse().ok()).ok_or("no time limit")?;
+        let limit: f64 =
+            message.text(code::TIME_LIMIT).and_then(|t| t.parse().ok()).ok_or("no time limit")?;
         if at.is_none() && !(limit > 0.0 && limit <= LONGEST) {
             return Err("time limit out of range");
         }
-        let wish = Wish {
+        let wish = PlayRequest {
             product,
             title: number,
             first_cell,
             holders,
-            top,
-            came: now,
-            limit: now + limit.clamp(0.0, LONGEST),
+            max_rung: top,
+            arrived_at: now,
+            deadline: now + limit.clamp(0.0, LONGEST),
         };
         Ok(Asked { wish, class: class.to_string(), title: title.to_string(), description, at })
     }
 }
 
-pub(crate) fn session(viewer: Key, from: Option<std::net::IpAddr>, asked: Asked) -> Session {
+pub(crate) fn session(viewer: ConnectionId, from: Option<std::net::IpAddr>, asked: Asked) -> Session {
     Session {
         viewer,
         from,
--- a/crates/node/src/listing.rs
+++ b/crates/node/src/listing.rs
@@ -1,14 +1,14 @@
 //! The list of media servers: what is known at the start, and the name service asked for the rest, again and again.
 
+use crate::config::Config;
 use crate::floor::{Clock, Floor, News};
 use crate::node::Node;
-use crate::posting::Posting;
 use crate::shares::{SOON, lacks};
 use anyhow::Context;
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
 use pulleystair::{Listing, Outcome, Standing};
-use pulleystair_names::{self as names, Entry};
+use pulleystair_dns_discovery::{self as dns, ServerEntry};
 use std::collections::VecDeque;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -66,7 +66,7 @@
             due: 0.0,
             rev,
             heard,
-            room: vec![0; names::MOST],
+            room: vec![0; dns::MAX_BYTES],
             faults: 0,
         })
     }
@@ -97,7 +97,7 @@
             asking.ids.pop_front();
         }
         // What can't be sent now is asked again soon.
-        let _ = asking.socket.send(&names::question(id));
+        let _ = asking.socket.send(&dns::query(id));
         let wait = ASK * (1.0 + UNEVEN * (2.0 * self.floor.rnd.rand_float() - 1.0));
         let due = self.floor.now() + wait;
         asking.due = due;
@@ -109,11 +109,11 @@
             let asking = &mut self.asking;
             let Ok(n) = asking.socket.recv(&mut asking.room) else { return };
             let came = &asking.room[..n];
-            if !names::id_of(came).is_some_and(|id| asking.ids.contains(&id)) {
+            if !dns::response_id(came).is_some_and(|id| asking.ids.contains(&id)) {
                 debug!(target: "names", "answer to nothing that was asked");
                 continue;
             }
-            match names::answer(came) {
+            match dns::parse_response(came) {
                 Err(e) => {
                     asking.faults += 1;
                     // A list that stands still for want of a whole answer is not to stand still in silence.
@@ -123,7 +123,7 @@
                 }
                 Ok((serial, list)) => {
                     asking.faults = 0;
-                    let newer = names::follows(asking.rev, serial);
+                    let newer = dns::is_newer(asking.rev, serial);
                     let same = asking.rev == Some(serial);
                     // The list of the start is vouched for by the first answer that is not older.
                     if newer || same && !asking.heard {
@@ -136,7 +136,7 @@
         }
     }
 
-    fn take_list(&mut self, whole: bool, cached: bool, entries: &[Entry]) {
+    fn take_list(&mut self, whole: bool, cached: bool, entries: &[ServerEntry]) {
         let now = self.floor.now();
         let mut lines = Vec::new();
         let mut restarted = Vec::new();
@@ -155,17 +155,17 @@
                 cell: entry.cell,
                 standing: entry.standing,
                 weight: entry.weight,
-                born: entry.started,
+                started_at: entry.started,
             };
             lines.push((number, listing));
             let Some(server) = self.floor.servers.get_mut(&number) else { continue };
             let moved = server.address.is_some_and(|a| a != entry.address);
-            if server.address.is_some() && (moved || listing.born > server.listing.born) {
-                restarted.push((number, if moved { f64::INFINITY } else { listing.born }));
+            if server.address.is_some() && (moved || listing.started_at > server.listing.started_at) {
+                restarted.push((number, if moved { f64::INFINITY } else { listing.started_at }));
             }
             (server.address, server.listing) = (Some(entry.address), listing);
         }
-        self.desk.list(now, whole, cached, &lines);
+        self.desk.update_list(now, whole, cached, &lines);
         for (number, born) in restarted {
             self.restarted(number, born);
         }
@@ -211,14 +211,14 @@
     }
 
     fn turn_to_file(&mut self) -> anyhow::Result<()> {
-        let posting = Posting::read(&self.floor.posting.path)?;
+        let posting = Config::read(&self.floor.posting.path)?;
         let old = &self.floor.posting;
         // Another node's file, and maybe another customer's: nothing of it is this one's.
         if (&posting.name, posting.listen) != (&old.name, old.listen) {
             let (name, listen) = (&old.name, old.listen);
             anyhow::bail!("name, listen: {:?} at {}, not {name:?} at {listen}", posting.name, posting.listen);
         }
-        if posting.sheet != old.sheet {
+        if posting.policy_settings != old.policy_settings {
             warn!(target: "node", "settings: they have changed; those of the start stay in force until a restart");
         }
         let was = std::mem::replace(&mut self.floor.posting.resolver, posting.resolver);
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -4,10 +4,10 @@
 use crate::ended::Word;
 use crate::floor::{ASK, ENDED, FAILED, GIVE_UP, OWED, READ, Role, Server, Session, WITHDRAWN};
 use crate::node::{LOOK, Node};
-use pulleystair::{Figure, Outcome};
-use pulleystair_lines::Key;
+use pulleystair::{LoadMetric, Outcome};
+use pulleystair_connections::ConnectionId;
 use pulleystair_rtsp::{Message, Start};
-use pulleystair_signal::{self as signal, code, kind};
+use pulleystair_viewer_protocol::{self as protocol, code, kind};
 use tracing::{debug, info};
 
 /// Reads of a line in one turn.
@@ -20,10 +20,10 @@
 const CALLS: u32 = 2;
 
 impl Node {
-    pub(crate) fn wire_ready(&mut self, key: Key) {
+    pub(crate) fn wire_ready(&mut self, key: ConnectionId) {
         for _ in 0..TURN {
             let now = self.floor.now();
-            let Some(line) = self.floor.lines.get(key) else { return };
+            let Some(line) = self.floor.lines.get_mut(key) else { return };
             match line.connected() {
                 Some(false) => return self.wire_lost(key),
                 None => return,
@@ -36,25 +36,25 @@
                 (wire.heard, wire.stirred) = (now, now);
             }
             self.look_before_sending(key);
-            let Some(line) = self.floor.lines.get(key) else { return };
+            let Some(line) = self.floor.lines.get_mut(key) else { return };
             line.flush();
             let came = line.read(READ);
-            let ended = line.ended;
+            let ended = line.closed;
             let Role::Server(wire) = &mut line.role else { return };
             if came || newly {
                 (wire.heard, wire.stirred) = (now, now);
-                line.due = f64::INFINITY;
+                line.deadline = f64::INFINITY;
                 if let Some(server) = self.floor.servers.get_mut(&number) {
                     (server.heard, server.lost) = (now, 0);
                 }
             }
-            let Some(line) = self.floor.lines.get(key) else { return };
+            let Some(line) = self.floor.lines.get_mut(key) else { return };
             if !line.input.is_empty() {
                 let input = std::mem::take(&mut line.input);
                 match self.server_messages(key, number, &input) {
                     Some(used) => {
-                        let Some(line) = self.floor.lines.get(key) else { return };
-                        line.put_back(input, used);
+                        let Some(line) = self.floor.lines.get_mut(key) else { return };
+                        line.unread(input, used);
                     }
                     None => return self.wire_lost(key),
                 }
@@ -70,9 +70,9 @@
     }
 
     /// Takes the whole messages off; none where what came can't be read.
-    fn server_messages(&mut self, key: Key, server: u32, input: &[u8]) -> Option<usize> {
+    fn server_messages(&mut self, key: ConnectionId, server: u32, input: &[u8]) -> Option<usize> {
         let mut used = 0;
-        let mut found = Message::read(input);
+        let mut found = Message::parse(input);
         loop {
             match found {
                 Ok(None) => return Some(used),
@@ -83,12 +83,12 @@
                 }
                 Ok(Some((message, n))) => {
                     used += n;
-                    found = Message::read(&input[used..]);
+                    found = Message::parse(&input[used..]);
                     // What follows an answer and can't be read spoils that too: its length did not fit.
                     if found.is_ok() {
                         self.server_message(key, server, &message);
                         self.settle();
-                        if self.floor.lines.get(key).is_none() {
+                        if self.floor.lines.get_mut(key).is_none() {
                             return Some(used);
                         }
                     }
@@ -97,11 +97,13 @@
         }
     }
 
-    fn server_message(&mut self, key: Key, server: u32, message: &Message) {
+    fn server_message(&mut self, key: ConnectionId, server: u32, message: &Message) {
         let now = self.floor.now();
         let play = message.session;
-        let load: Vec<Figure> =
-            message.report().filter_map(|(name, value)| pulleystair_sheet::figure(name, value)).collect();
+        let load: Vec<LoadMetric> = message
+            .report()
+            .filter_map(|(name, value)| pulleystair_settings::load_metric(name, value))
+            .collect();
         // An answer for a viewer that has gone by now is not for it any more.
         let waits = |s: &&Session| !s.playing && message.cseq() != Some(ASK);
         if let (Start::Answer(200), Some(session)) =
@@ -117,7 +119,7 @@
             Start::Answer(100..=199) => {}
             Start::Answer(_) if message.cseq() == Some(GIVE_UP) => {}
             Start::Answer(_) if message.cseq() == Some(ASK) => {
-                self.desk.report(now, server, &load, &mut self.floor);
+                self.desk.on_load_report(now, server, &load, &mut self.floor);
             }
             Start::Answer(200) if out => self.plays(now, key, server, play, &message.body, &load),
             // Of an attempt given up on another line; the same id is out there again, or stands, and an end would be taken for its.
@@ -158,12 +160,30 @@
                         return;
                     };
                     match why {
-                        "d" => self.desk.note(now, play, server, Figure::Delivered(amount), &mut self.floor),
-                        "l" => self.desk.note(now, play, server, Figure::Link(amount), &mut self.floor),
-                        "u" => self.desk.note(now, play, server, Figure::Uplink(amount), &mut self.floor),
+                        "d" => self.desk.on_play_note(
+                            now,
+                            play,
+                            server,
+                            LoadMetric::Delivered(amount),
+                            &mut self.floor,
+                        ),
+                        "l" => self.desk.on_play_note(
+                            now,
+                            play,
+                            server,
+                            LoadMetric::Link(amount),
+                            &mut self.floor,
+                        ),
+                        "u" => self.desk.on_play_note(
+                            now,
+                            play,
+                            server,
+                            LoadMetric::Uplink(amount),
+                            &mut self.floor,
+                        ),
                         "r" => {
                             let rung = amount.max(0.0) as usize;
-                            self.desk.rung_told(play, rung);
+                            self.desk.set_adopted_rung(play, rung);
                             if let Some(session) = self.floor.sessions.get_mut(&play) {
                                 (session.rung, session.rung_sent) = (rung, rung);
                             }
@@ -177,9 +197,17 @@
     }
 
     /// The set-up was answered: its viewer gets the description as it came.
-    fn plays(&mut self, now: f64, key: Key, server: u32, play: u64, description: &[u8], load: &[Figure]) {
+    fn plays(
+        &mut self,
+        now: f64,
+        key: ConnectionId,
+        server: u32,
+        play: u64,
+        description: &[u8],
+        load: &[LoadMetric],
+    ) {
         self.floor.no_more_open(key, play);
-        let Some(bytes) = signal::write(kind::ANSWER, play, &[(code::DESCRIPTION, description)]) else {
+        let Some(bytes) = protocol::encode(kind::ANSWER, play, &[(code::DESCRIPTION, description)]) else {
             self.floor.cut(server, Some(key), play, WITHDRAWN);
             return self.attempt_ended(play, server, Outcome::Error, load);
         };
@@ -195,13 +223,13 @@
         if let Some(server) = self.floor.servers.get_mut(&server) {
             server.playing += 1;
         }
-        self.desk.playing(now, play, &mut self.floor);
-        self.desk.report(now, server, load, &mut self.floor);
+        self.desk.on_playing(now, play, &mut self.floor);
+        self.desk.on_load_report(now, server, load, &mut self.floor);
         self.floor.send_rung(play);
     }
 
     /// A session that stood is over, by its server's word or loss: the viewer is told, unless it ended it itself.
-    pub(crate) fn stood(&mut self, play: u64, server: u32, outcome: Outcome, cause: u8, load: &[Figure]) {
+    pub(crate) fn stood(&mut self, play: u64, server: u32, outcome: Outcome, cause: u8, load: &[LoadMetric]) {
         let now = self.floor.now();
         let Some(session) = self.floor.sessions.remove(&play) else { return };
         self.floor.ended.note(now, play, Word::Both);
@@ -216,14 +244,14 @@
         if outcome != Outcome::Withdrawn || cause != WITHDRAWN {
             self.floor.release(play, session.viewer, session.from, cause);
         }
-        self.desk.ended(now, play, server, outcome, true, load, &mut self.floor);
+        self.desk.on_allocation_ended(now, play, server, outcome, true, load, &mut self.floor);
         self.settle();
     }
 
     /// A session that stood is over by its viewer's word.
     pub(crate) fn over(&mut self, play: u64) {
         let now = self.floor.now();
-        self.desk.left(play, &mut self.floor);
+        self.desk.on_viewer_left(play, &mut self.floor);
         // The desk has had it withdrawn; that is told as news, and the session is gone by then.
         let Some(session) = self.floor.sessions.remove(&play) else { return };
         self.floor.ended.note(now, play, Word::Both);
@@ -232,15 +260,15 @@
                 server.playing = server.playing.saturating_sub(1);
             }
             self.floor.news.retain(|news| news.play != play);
-            self.desk.ended(now, play, number, Outcome::Withdrawn, true, &[], &mut self.floor);
+            self.desk.on_allocation_ended(now, play, number, Outcome::Withdrawn, true, &[], &mut self.floor);
         }
     }
 
     /// A connection to a server could not be made, was lost, or brought what can't be read.
-    pub(crate) fn wire_lost(&mut self, key: Key) {
-        let Some(line) = self.floor.lines.get(key) else { return };
+    pub(crate) fn wire_lost(&mut self, key: ConnectionId) {
+        let Some(line) = self.floor.lines.get_mut(key) else { return };
         let up = line.connected() == Some(true);
-        let gone = line.gone();
+        let gone = line.bytes_sent();
         let Role::Server(wire) = &mut line.role else { return };
         let (number, open) = (wire.server, std::mem::take(&mut wire.open));
         self.floor.drop_wire(key);
