--- a/crates/dispatcher/src/indices.rs
+++ b/crates/dispatcher/src/indices.rs
@@ -1,9 +1,9 @@
-//! Small indices for what the host knows by ids of its own.
+//! Small indices for servers and titles, which the host knows by its own ids.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Small indices for a host's ids, in order of first sight; one that is given back is the next new id's.
+/// Small indices for a host's ids, assigned in order of first use. A released index is assigned to the next new id.
 #[derive(Default)]
 pub(crate) struct Indices<K> {
     pub(crate) by_id: HashMap<K, usize>,
@@ -12,7 +12,8 @@
 }
 
 impl<K: Copy + Eq + Hash> Indices<K> {
-    pub(crate) fn of(&mut self, id: K) -> usize {
+    /// The index of this id, assigned now if it has none.
+    pub(crate) fn get_or_assign(&mut self, id: K) -> usize {
         *self.by_id.entry(id).or_insert_with(|| {
             let index = self.free.pop().unwrap_or(self.ids.len());
             if index == self.ids.len() {
@@ -23,32 +24,34 @@
         })
     }
 
-    pub(crate) fn give_back(&mut self, index: usize) {
+    pub(crate) fn release(&mut self, index: usize) {
         self.by_id.remove(&self.ids[index]);
         self.free.push(index);
     }
 }
 
-/// Indices for titles with plays in hand; one that has none any more gives its index back.
+/// Indices for titles with open plays; the index of a title without any is released.
 #[derive(Default)]
 pub(crate) struct Titles {
     pub(crate) indices: Indices<u64>,
-    /// For each index: how many plays of the title are in hand.
-    pub(crate) held: Vec<usize>,
+    /// Number of open plays of the title, for each index.
+    pub(crate) play_counts: Vec<usize>,
 }
 
 impl Titles {
-    pub(crate) fn take(&mut self, id: u64) -> usize {
-        let index = self.indices.of(id);
-        self.held.resize(self.indices.ids.len(), 0);
-        self.held[index] += 1;
+    /// Counts a play of this title and returns the title's index.
+    pub(crate) fn add_play(&mut self, id: u64) -> usize {
+        let index = self.indices.get_or_assign(id);
+        self.play_counts.resize(self.indices.ids.len(), 0);
+        self.play_counts[index] += 1;
         index
     }
 
-    pub(crate) fn give_back(&mut self, index: usize) {
-        self.held[index] -= 1;
-        if self.held[index] == 0 {
-            self.indices.give_back(index);
+    /// Ends the count of a play of the title with this index.
+    pub(crate) fn remove_play(&mut self, index: usize) {
+        self.play_counts[index] -= 1;
+        if self.play_counts[index] == 0 {
+            self.indices.release(index);
         }
     }
 }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,400 +1,413 @@
-//! One front's desk: it keeps the plays in hand, their timers and the small indices, puts the decisions'
-//! three questions and has the answers carried out by its host's [`Actions`].
+//! The dispatcher of one front: keeps the open plays, their timers and their small indices, asks the placement logic
+//! where plays go, and has the host carry the answers out through [`Actions`].
 //!
-//! It is the only caller of [`pulleystair::logic`], and the same for the bench's adapter as for the real
-//! front. It does no I/O and decides nothing: a host hands it the time and what happened, by plain calls.
-//! All times are milliseconds with fractions, all on the host's one clock.
+//! It is the only caller of [`pulleystair::logic`], and serves the simulator's adapter and the real front alike. It does no
+//! I/O and makes no decisions: its host calls it with the time and what happened. All times are milliseconds as
+//! floating-point numbers on the host's clock.
 
-mod hands;
+mod actions;
 mod indices;
 
-pub use hands::{Actions, PlayRequest};
+pub use actions::{Actions, PlayRequest};
 use indices::{Indices, Titles};
 use pulleystair::logic::Policy;
 use pulleystair::{Listing, LoadMetric, Next, Outcome, Placement, Play, RungChanges, ServerHint, Settings};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// The timer that reminds a front to ask for its list; all others are slots of plays.
-const FOLLOW: u32 = u32::MAX;
-/// The timer of a round that is not through.
-const ROUND: u32 = u32::MAX - 1;
-/// So many waiting plays are asked about anew in one turn, and in each ms, at most: a crowd that waits must not hold up the rest.
-const AT_ONCE: f64 = 32.0;
-const EACH_MS: f64 = 1.0;
+/// The timer after which discovery is asked for the server list again. Other timers are numbers of play slots.
+const LIST_TIMER: u32 = u32::MAX;
+/// The timer after which the rest of the waiting plays is placed again.
+const RECHECK_TIMER: u32 = u32::MAX - 1;
+/// Limits on how many waiting plays are placed again in one turn and per ms, so that many waiting plays do not delay
+/// other work.
+const MAX_RECHECKS_PER_TURN: f64 = 32.0;
+const RECHECKS_PER_MS: f64 = 1.0;
 
+/// The open plays of one front, and the placement logic that decides about them.
 pub struct Dispatcher {
-    front: Policy,
+    policy: Policy,
     plays: Vec<Play>,
-    /// For each slot of `plays`: the host's id, and when its timer is due.
+    /// For each slot of `plays`: the host's id of the play, and when the play's timer is due.
     slots: Vec<(u64, Option<f64>)>,
-    free: Vec<usize>,
+    free_slots: Vec<usize>,
     by_id: HashMap<u64, usize>,
-    /// Plays with no answer and no allocation out, and whether a fact was told since the last round of questions about them.
+    /// Plays without an answer and without an allocation out, and whether a fact has come in since they were last queued to
+    /// be placed again.
     waiting: BTreeSet<usize>,
-    told: bool,
-    /// The rest of a round, whether its timer runs, how many may be asked about now, and when that was reckoned.
-    round: VecDeque<usize>,
-    runs: bool,
-    may_ask: (f64, f64),
+    has_new_facts: bool,
+    /// Waiting plays still to be placed again, whether the timer for them is set, and how many may be placed now with the
+    /// time at which that number was computed.
+    recheck_queue: VecDeque<usize>,
+    recheck_timer_set: bool,
+    recheck_allowance: (f64, f64),
     servers: Indices<u32>,
     titles: Titles,
 }
 
 impl Dispatcher {
-    pub fn new(sheet: Settings, seed: u64) -> Dispatcher {
+    /// Creates a dispatcher without plays; `seed` determines the random draws of the placement logic.
+    pub fn new(settings: Settings, seed: u64) -> Dispatcher {
         Dispatcher {
-            front: Policy::new(sheet, seed),
+            policy: Policy::new(settings, seed),
             plays: Vec::new(),
             slots: Vec::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
             by_id: HashMap::new(),
             waiting: BTreeSet::new(),
-            told: false,
-            round: VecDeque::new(),
-            runs: false,
-            may_ask: (AT_ONCE, 0.0),
+            has_new_facts: false,
+            recheck_queue: VecDeque::new(),
+            recheck_timer_set: false,
+            recheck_allowance: (MAX_RECHECKS_PER_TURN, 0.0),
             servers: Indices::default(),
             titles: Titles::default(),
         }
     }
 
-    /// Whether the call sheet names this product; a play of another can't be taken.
+    /// Whether the settings name this product. A play of any other product must not be added.
     pub fn has_product(&self, product: usize) -> bool {
-        self.front.has_product(product)
+        self.policy.has_product(product)
     }
 
-    /// A play in hand, for a host's records.
-    pub fn play(&self, id: u64) -> Option<&Play> {
-        self.by_id.get(&id).map(|ply| &self.plays[*ply])
+    /// The open play with this id, for the host's records.
+    pub fn play(&self, play_id: u64) -> Option<&Play> {
+        self.by_id.get(&play_id).map(|play_index| &self.plays[*play_index])
     }
 
-    /// How many plays are in hand: asked for, out or playing.
+    /// Number of open plays: waiting, set up or playing.
     pub fn play_count(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Asks discovery for changes, now or later, where the front says that it must be asked.
+    /// Asks discovery for changes of the server list where it has to be asked: now, or after a delay if the
+    /// last call failed.
     pub fn watch_list(&mut self, failed: bool, actions: &mut impl Actions) {
-        match self.front.list_watch_delay(failed) {
+        match self.policy.list_watch_delay(failed) {
             Some(0.0) => actions.watch_list(),
-            Some(pause) => actions.set_timer(FOLLOW, pause),
+            Some(delay) => actions.set_timer(LIST_TIMER, delay),
             None => {}
         }
     }
 
-    /// The list of servers, whole or its changes; `cached` where it may be old. A line's own index is not
-    /// read: its server goes by the id beside it.
-    pub fn update_list(&mut self, now: f64, whole: bool, cached: bool, lines: &[(u32, Listing)]) {
-        let lines: Vec<Listing> =
-            lines.iter().map(|(id, line)| Listing { server: self.servers.of(*id), ..*line }).collect();
-        self.front.update_list(now, whole, cached, &lines);
-        self.told = true;
+    /// Takes the server list, whole or its changes; `is_cached` if it may be old. The index within an entry is ignored: the
+    /// server is identified by the id beside the entry.
+    pub fn update_list(&mut self, now: f64, is_whole: bool, is_cached: bool, entries: &[(u32, Listing)]) {
+        let entries: Vec<Listing> = entries
+            .iter()
+            .map(|(id, entry)| Listing { server: self.servers.get_or_assign(*id), ..*entry })
+            .collect();
+        self.policy.update_list(now, is_whole, is_cached, &entries);
+        self.has_new_facts = true;
     }
 
-    /// What other fronts let this one know of servers. A given's own index is not read.
-    pub fn apply_hints(&mut self, now: f64, given: &[(u32, ServerHint)]) {
-        for (id, it) in given {
-            let server = self.servers.of(*id);
-            self.front.apply_hint(now, &ServerHint { server, ..*it });
-            self.told = true;
+    /// Takes what other fronts let this one know of servers. The index within a hint is ignored.
+    pub fn apply_hints(&mut self, now: f64, hints: &[(u32, ServerHint)]) {
+        for (id, hint) in hints {
+            let server = self.servers.get_or_assign(*id);
+            self.policy.apply_hint(now, &ServerHint { server, ..*hint });
+            self.has_new_facts = true;
         }
     }
 
-    /// All that the decisions go by now.
+    /// All settings in effect.
     pub fn active_settings(&self) -> Settings {
-        self.front.active_settings()
+        self.policy.active_settings()
     }
 
+    /// Uses another value for a setting from now on.
     pub fn override_setting(&mut self, name: &str, value: f64) {
-        self.front.override_setting(name, value);
-        self.told = true;
+        self.policy.override_setting(name, value);
+        self.has_new_facts = true;
     }
 
-    /// Servers that plays wait for a turn at.
+    /// The servers in whose queues plays wait.
     pub fn awaited_servers(&self) -> BTreeSet<u32> {
-        self.waiting.iter().filter_map(|ply| Some(self.servers.ids[self.plays[*ply].waiting_for?])).collect()
+        self.waiting
+            .iter()
+            .filter_map(|play_index| Some(self.servers.ids[self.plays[*play_index].waiting_for?]))
+            .collect()
     }
 
-    /// Set-ups out and plays that run, by server and product.
+    /// Numbers of set-ups under way and of running plays, by server and product.
     pub fn play_counts(&self) -> BTreeMap<(u32, usize), (u32, u32)> {
-        let mut out: BTreeMap<(u32, usize), (u32, u32)> = BTreeMap::new();
-        for play in self.by_id.values().map(|ply| &self.plays[*ply]) {
+        let mut counts: BTreeMap<(u32, usize), (u32, u32)> = BTreeMap::new();
+        for play in self.by_id.values().map(|play_index| &self.plays[*play_index]) {
             let Some(server) = play.server else { continue };
-            let count = out.entry((self.servers.ids[server], play.product)).or_default();
+            let count = counts.entry((self.servers.ids[server], play.product)).or_default();
             if play.playing { count.1 += 1 } else { count.0 += 1 }
         }
-        out
+        counts
     }
 
-    /// A server is listed as gone and its id will not come again: what is known of it is given back, unless a play in hand
-    /// still goes by it. True once nothing is left.
-    pub fn forget_server(&mut self, id: u32) -> bool {
-        let Some(&s) = self.servers.by_id.get(&id) else { return true };
-        let named = |play: &Play| {
-            play.server == Some(s) || play.tried.contains(&s) || play.ran_at.is_some_and(|(at, _)| at == s)
+    /// Drops what is known of a server that is gone and whose id will not be used again, unless an open play still refers to
+    /// it. Returns true once nothing is left of the server.
+    pub fn forget_server(&mut self, server_id: u32) -> bool {
+        let Some(&server_index) = self.servers.by_id.get(&server_id) else { return true };
+        let refers_to_server = |play: &Play| {
+            play.server == Some(server_index)
+                || play.tried.contains(&server_index)
+                || play.may_have_run.is_some_and(|(server, _)| server == server_index)
         };
-        if self.by_id.values().any(|ply| named(&self.plays[*ply])) {
+        if self.by_id.values().any(|play_index| refers_to_server(&self.plays[*play_index])) {
             return false;
         }
-        self.front.forget_server(s);
-        self.servers.give_back(s);
+        self.policy.forget_server(server_index);
+        self.servers.release(server_index);
         true
     }
 
-    /// How many plays are out to a server or play there, for a host's records.
-    pub fn play_count_at(&self, id: u32) -> usize {
-        let Some(&s) = self.servers.by_id.get(&id) else { return 0 };
-        self.by_id.values().filter(|ply| self.plays[**ply].server == Some(s)).count()
+    /// Number of set-ups and running plays on a server, for the host's records.
+    pub fn play_count_at(&self, server_id: u32) -> usize {
+        let Some(&server_index) = self.servers.by_id.get(&server_id) else { return 0 };
+        self.by_id.values().filter(|play_index| self.plays[**play_index].server == Some(server_index)).count()
     }
 
-    /// A viewer asks for a play that has not been in hand before.
-    pub fn add_play(&mut self, now: f64, id: u64, wish: &PlayRequest, actions: &mut impl Actions) {
-        let ply = self.keep(id, wish);
-        self.front.add_play(now, &mut self.plays[ply]);
-        self.ask(now, ply, actions);
+    /// Takes a viewer's request for a play with a new id, and places the play.
+    pub fn add_play(&mut self, now: f64, play_id: u64, request: &PlayRequest, actions: &mut impl Actions) {
+        let play_index = self.insert_play(play_id, request);
+        self.policy.add_play(now, &mut self.plays[play_index]);
+        self.place_play(now, play_index, actions);
     }
 
-    /// A play that ran at this server before this front started.
-    pub fn adopt(&mut self, now: f64, id: u64, wish: &PlayRequest, server: u32, actions: &mut impl Actions) {
-        let server = self.servers.of(server);
-        let ply = self.keep(id, wish);
-        self.plays[ply].server = Some(server);
-        self.front.adopt(now, &mut self.plays, ply);
-        self.set_timer(now, ply, actions);
+    /// Takes a play that ran on this server before this front started.
+    pub fn adopt(
+        &mut self,
+        now: f64,
+        play_id: u64,
+        request: &PlayRequest,
+        server: u32,
+        actions: &mut impl Actions,
+    ) {
+        let server = self.servers.get_or_assign(server);
+        let play_index = self.insert_play(play_id, request);
+        self.plays[play_index].server = Some(server);
+        self.policy.adopt(now, &mut self.plays, play_index);
+        self.update_timer(now, play_index, actions);
     }
 
-    /// The allocation that was out plays.
-    pub fn on_playing(&mut self, now: f64, id: u64, actions: &mut impl Actions) {
-        if let Some(&ply) = self.by_id.get(&id) {
-            self.front.after_outcome(now, &mut self.plays, ply, Outcome::Playing, false);
-            self.told = true;
-            self.set_timer(now, ply, actions);
+    /// The allocation that was out has succeeded: the play runs.
+    pub fn on_playing(&mut self, now: f64, play_id: u64, actions: &mut impl Actions) {
+        if let Some(&play_index) = self.by_id.get(&play_id) {
+            self.policy.after_outcome(now, &mut self.plays, play_index, Outcome::Playing, false);
+            self.has_new_facts = true;
+            self.update_timer(now, play_index, actions);
         }
     }
 
-    /// An allocation ended, with what the server told of its load. `closed`: the play has ended with it.
+    /// An allocation has ended; `load` is what the server reported with it. `closed`: the play has ended too.
     #[allow(clippy::too_many_arguments)]
     pub fn on_allocation_ended(
         &mut self,
         now: f64,
-        id: u64,
+        play_id: u64,
         server: u32,
         outcome: Outcome,
         closed: bool,
         load: &[LoadMetric],
         actions: &mut impl Actions,
     ) {
-        let at = self.servers.of(server);
-        let ply = self.by_id.get(&id).copied();
-        let next = ply.map(|ply| (ply, self.front.after_outcome(now, &mut self.plays, ply, outcome, closed)));
-        self.told = true;
-        self.figures(now, at, None, load, actions);
+        let server_index = self.servers.get_or_assign(server);
+        let play_index = self.by_id.get(&play_id).copied();
+        let next = play_index.map(|play_index| {
+            (play_index, self.policy.after_outcome(now, &mut self.plays, play_index, outcome, closed))
+        });
+        self.has_new_facts = true;
+        self.apply_load(now, server_index, None, load, actions);
         match next {
-            Some((ply, Next::Place)) => self.ask(now, ply, actions),
-            Some((ply, Next::Nothing)) => self.release(ply),
+            Some((play_index, Next::Place)) => self.place_play(now, play_index, actions),
+            Some((play_index, Next::Nothing)) => self.release_if_finished(play_index),
             None => {}
         }
     }
 
-    /// The viewer left, or the play's end was reported from elsewhere.
-    pub fn on_viewer_left(&mut self, id: u64, actions: &mut impl Actions) {
-        if let Some(&ply) = self.by_id.get(&id) {
-            self.front.on_viewer_left(&mut self.plays, ply);
-            if self.plays[ply].server.is_some() {
-                actions.withdraw(id);
+    /// The viewer has left, or the play's end was reported from elsewhere.
+    pub fn on_viewer_left(&mut self, play_id: u64, actions: &mut impl Actions) {
+        if let Some(&play_index) = self.by_id.get(&play_id) {
+            self.policy.on_viewer_left(&mut self.plays, play_index);
+            if self.plays[play_index].server.is_some() {
+                actions.withdraw(play_id);
             }
-            self.release(ply);
+            self.release_if_finished(play_index);
         }
     }
 
-    /// The host stops and can hold nothing any longer: for all that has no answer yet, the time is up.
+    /// Ends the time of all plays without an answer, because the host stops and can hold nothing any longer.
     pub fn expire_pending(&mut self, now: f64, actions: &mut impl Actions) {
-        let mut open: Vec<usize> =
-            self.by_id.values().copied().filter(|ply| !self.plays[*ply].playing).collect();
-        open.sort_unstable();
-        for ply in open {
-            self.plays[ply].deadline = now;
-            if self.plays[ply].server.is_some() {
-                actions.withdraw(self.slots[ply].0);
+        let mut pending: Vec<usize> =
+            self.by_id.values().copied().filter(|play_index| !self.plays[*play_index].playing).collect();
+        pending.sort_unstable();
+        for play_index in pending {
+            self.plays[play_index].deadline = now;
+            if self.plays[play_index].server.is_some() {
+                actions.withdraw(self.slots[play_index].0);
             } else {
-                self.ask(now, ply, actions);
+                self.place_play(now, play_index, actions);
             }
         }
     }
 
-    /// A timer rings.
-    pub fn on_timer(&mut self, now: f64, mark: u32, actions: &mut impl Actions) {
-        let ply = mark as usize;
-        if mark == ROUND {
-            self.runs = false;
-        } else if mark == FOLLOW {
+    /// A timer set by [`Actions::set_timer`] has fired.
+    pub fn on_timer(&mut self, now: f64, timer: u32, actions: &mut impl Actions) {
+        let play_index = timer as usize;
+        if timer == RECHECK_TIMER {
+            self.recheck_timer_set = false;
+        } else if timer == LIST_TIMER {
             self.watch_list(false, actions);
-        } else if self.slots.get(ply).and_then(|s| s.1).is_some_and(|due| due <= now) {
-            self.slots[ply].1 = None;
-            self.ask(now, ply, actions);
+        } else if self.slots.get(play_index).and_then(|s| s.1).is_some_and(|due_at| due_at <= now) {
+            self.slots[play_index].1 = None;
+            self.place_play(now, play_index, actions);
         }
     }
 
-    /// To be called at the end of each turn of the host's. Facts that were told in it may have taken a waiting play's last hope, or
-    /// brought its turn: all that wait are asked about anew, once for all facts of the turn; a crowd over several turns. True if
-    /// any were.
+    /// To be called at the end of each turn of the host's event loop. The facts of the turn may have made a wait hopeless or
+    /// ended it, so all waiting plays are placed again, once for all facts of the turn; many waiting plays are spread over
+    /// several turns. Returns whether any play was placed.
     pub fn end_turn(&mut self, now: f64, actions: &mut impl Actions) -> bool {
-        if self.round.is_empty() && std::mem::take(&mut self.told) {
-            self.round.extend(&self.waiting);
+        if self.recheck_queue.is_empty() && std::mem::take(&mut self.has_new_facts) {
+            self.recheck_queue.extend(&self.waiting);
         }
-        let mut asked = false;
-        self.may_ask = ((self.may_ask.0 + (now - self.may_ask.1) * EACH_MS).clamp(0.0, AT_ONCE), now);
-        while self.may_ask.0 >= 1.0 {
-            let Some(ply) = self.round.pop_front() else { break };
-            if self.waiting.contains(&ply) {
-                self.may_ask.0 -= 1.0;
-                self.ask(now, ply, actions);
-                asked = true;
+        let mut any_placed = false;
+        self.recheck_allowance = (
+            (self.recheck_allowance.0 + (now - self.recheck_allowance.1) * RECHECKS_PER_MS)
+                .clamp(0.0, MAX_RECHECKS_PER_TURN),
+            now,
+        );
+        while self.recheck_allowance.0 >= 1.0 {
+            let Some(play_index) = self.recheck_queue.pop_front() else { break };
+            if self.waiting.contains(&play_index) {
+                self.recheck_allowance.0 -= 1.0;
+                self.place_play(now, play_index, actions);
+                any_placed = true;
             }
         }
-        if !self.round.is_empty() && !self.runs {
-            self.runs = true;
-            actions.set_timer(ROUND, 1.0);
+        if !self.recheck_queue.is_empty() && !self.recheck_timer_set {
+            self.recheck_timer_set = true;
+            actions.set_timer(RECHECK_TIMER, 1.0);
         }
-        asked
+        any_placed
     }
 
-    /// What a server tells of its load, in an answer or a probe's.
+    /// Takes a server's load, reported in an answer to a set-up or a probe.
     pub fn on_load_report(&mut self, now: f64, server: u32, load: &[LoadMetric], actions: &mut impl Actions) {
-        let server = self.servers.of(server);
-        self.figures(now, server, None, load, actions);
+        let server = self.servers.get_or_assign(server);
+        self.apply_load(now, server, None, load, actions);
     }
 
-    /// What a server tells on one of its plays.
+    /// Takes a server's note about one of its running plays.
     pub fn on_play_note(
         &mut self,
         now: f64,
-        id: u64,
+        play_id: u64,
         server: u32,
-        figure: LoadMetric,
+        metric: LoadMetric,
         actions: &mut impl Actions,
     ) {
-        let server = self.servers.of(server);
-        if let Some(&ply) = self.by_id.get(&id) {
-            self.figures(now, server, Some(ply), &[figure], actions);
+        let server = self.servers.get_or_assign(server);
+        if let Some(&play_index) = self.by_id.get(&play_id) {
+            self.apply_load(now, server, Some(play_index), &[metric], actions);
         }
     }
 
-    /// The rung of an adopted play.
-    pub fn set_adopted_rung(&mut self, id: u64, rung: usize) {
-        if let Some(&ply) = self.by_id.get(&id) {
-            self.front.set_adopted_rung(&mut self.plays, ply, rung);
+    /// Sets the rung on which an adopted play runs.
+    pub fn set_adopted_rung(&mut self, play_id: u64, rung: usize) {
+        if let Some(&play_index) = self.by_id.get(&play_id) {
+            self.policy.set_adopted_rung(&mut self.plays, play_index, rung);
         }
     }
 
-    fn keep(&mut self, id: u64, wish: &PlayRequest) -> usize {
-        let PlayRequest {
-            product,
-            first_cell,
-            holders,
-            max_rung: top,
-            arrived_at: came,
-            deadline: limit,
-            ..
-        } = *wish;
-        let title = self.titles.take(wish.title);
-        let play = Play {
-            product,
-            title,
-            first_cell,
-            holders,
-            max_rung: top,
-            arrived_at: came,
-            deadline: limit,
-            ..Play::default()
-        };
-        let ply = self.free.pop().unwrap_or(self.plays.len());
-        if ply == self.plays.len() {
+    /// Stores a new play and returns its slot.
+    fn insert_play(&mut self, play_id: u64, request: &PlayRequest) -> usize {
+        let PlayRequest { product, first_cell, holders, max_rung, arrived_at, deadline, .. } = *request;
+        let title = self.titles.add_play(request.title);
+        let play =
+            Play { product, title, first_cell, holders, max_rung, arrived_at, deadline, ..Play::default() };
+        let play_index = self.free_slots.pop().unwrap_or(self.plays.len());
+        if play_index == self.plays.len() {
             self.plays.push(play);
-            self.slots.push((id, None));
+            self.slots.push((play_id, None));
         } else {
-            self.plays[ply] = play;
-            self.slots[ply] = (id, None);
+            self.plays[play_index] = play;
+            self.slots[play_index] = (play_id, None);
         }
-        self.by_id.insert(id, ply);
-        ply
+        self.by_id.insert(play_id, play_index);
+        play_index
     }
 
-    /// Asks where a play goes, and has it carried out.
-    fn ask(&mut self, now: f64, ply: usize, actions: &mut impl Actions) {
-        let id = self.slots[ply].0;
-        let was = self.plays[ply].rung;
-        let (place, steps) = self.front.place(now, &mut self.plays, ply);
-        self.steps(now, &steps, actions);
-        match place {
-            Placement::Send { server, rung, time_out, candidates: odds } => {
-                let odds: Vec<_> =
-                    odds.iter().map(|o| (self.servers.ids[o.server], o.chance, o.room)).collect();
-                actions.record_candidates(id, &odds);
-                actions.send(id, self.servers.ids[server], rung, time_out);
+    /// Has the placement logic place a play, and the host carry the decision out.
+    fn place_play(&mut self, now: f64, play_index: usize, actions: &mut impl Actions) {
+        let play_id = self.slots[play_index].0;
+        let old_rung = self.plays[play_index].rung;
+        let (placement, rung_changes) = self.policy.place(now, &mut self.plays, play_index);
+        self.apply_rung_changes(now, &rung_changes, actions);
+        match placement {
+            Placement::Send { server, rung, time_out, candidates } => {
+                let candidates: Vec<_> =
+                    candidates.iter().map(|o| (self.servers.ids[o.server], o.chance, o.room)).collect();
+                actions.record_candidates(play_id, &candidates);
+                actions.send(play_id, self.servers.ids[server], rung, time_out);
             }
-            Placement::Keep { rung } if rung != was => actions.set_rung(id, rung),
+            Placement::Keep { rung } if rung != old_rung => actions.set_rung(play_id, rung),
             Placement::Keep { .. } => {}
-            Placement::Wait { probe: sound_out } => {
-                sound_out.iter().for_each(|server| actions.probe(self.servers.ids[*server]));
+            Placement::Wait { probe } => {
+                probe.iter().for_each(|server| actions.probe(self.servers.ids[*server]));
             }
-            Placement::Declined { retry_after: pause } => actions.decline(id, pause),
-            Placement::Failed => actions.fail(id),
+            Placement::Declined { retry_after } => actions.decline(play_id, retry_after),
+            Placement::Failed => actions.fail(play_id),
         }
-        self.set_timer(now, ply, actions);
-        let play = &self.plays[ply];
+        self.update_timer(now, play_index, actions);
+        let play = &self.plays[play_index];
         if play.finished || play.playing || play.server.is_some() {
-            self.waiting.remove(&ply);
+            self.waiting.remove(&play_index);
         } else {
-            self.waiting.insert(ply);
+            self.waiting.insert(play_index);
         }
-        self.release(ply);
+        self.release_if_finished(play_index);
     }
 
-    /// What a server told, of itself or on play `of`.
-    fn figures(
+    /// Takes load metrics that a server reported of itself, or in a note about the play `noted_play`.
+    fn apply_load(
         &mut self,
         now: f64,
         server: usize,
-        of: Option<usize>,
+        noted_play: Option<usize>,
         load: &[LoadMetric],
         actions: &mut impl Actions,
     ) {
-        self.told |= !load.is_empty();
-        for figure in load {
-            let steps = self.front.on_load_metric(now, &mut self.plays, server, of, *figure);
-            self.steps(now, &steps, actions);
+        self.has_new_facts |= !load.is_empty();
+        for metric in load {
+            let rung_changes = self.policy.on_load_metric(now, &mut self.plays, server, noted_play, *metric);
+            self.apply_rung_changes(now, &rung_changes, actions);
         }
     }
 
-    fn steps(&mut self, now: f64, steps: &RungChanges, actions: &mut impl Actions) {
-        for (ply, rung) in steps {
-            actions.set_rung(self.slots[*ply].0, *rung);
-            self.set_timer(now, *ply, actions);
+    /// Has the host change the rungs of these plays.
+    fn apply_rung_changes(&mut self, now: f64, rung_changes: &RungChanges, actions: &mut impl Actions) {
+        for (play_index, rung) in rung_changes {
+            actions.set_rung(self.slots[*play_index].0, *rung);
+            self.update_timer(now, *play_index, actions);
         }
     }
 
-    /// Sets the play's timer anew where the wait has changed; stale ones are passed over when they ring.
-    fn set_timer(&mut self, now: f64, ply: usize, actions: &mut impl Actions) {
-        let due = self.front.time_to_recheck(now, &self.plays[ply]).map(|wait| (wait, now + wait));
-        if due.map(|d| d.1) != self.slots[ply].1 {
-            self.slots[ply].1 = due.map(|d| d.1);
-            if let Some((wait, _)) = due {
-                actions.set_timer(ply as u32, wait);
+    /// Sets the play's timer again if its time has changed. Outdated timers are ignored when they fire.
+    fn update_timer(&mut self, now: f64, play_index: usize, actions: &mut impl Actions) {
+        let due_at = self.policy.time_to_recheck(now, &self.plays[play_index]).map(|wait| (wait, now + wait));
+        if due_at.map(|d| d.1) != self.slots[play_index].1 {
+            self.slots[play_index].1 = due_at.map(|d| d.1);
+            if let Some((wait, _)) = due_at {
+                actions.set_timer(play_index as u32, wait);
             }
         }
     }
 
-    /// Gives up the slot of a play that is over and has nothing out.
-    fn release(&mut self, ply: usize) {
-        if self.plays[ply].finished
-            && self.plays[ply].server.is_none()
-            && self.by_id.remove(&self.slots[ply].0).is_some()
+    /// Frees the slot of a play that is finished and has no allocation out.
+    fn release_if_finished(&mut self, play_index: usize) {
+        if self.plays[play_index].finished
+            && self.plays[play_index].server.is_none()
+            && self.by_id.remove(&self.slots[play_index].0).is_some()
         {
-            self.slots[ply].1 = None;
-            self.waiting.remove(&ply);
-            self.titles.give_back(self.plays[ply].title);
-            self.free.push(ply);
+            self.slots[play_index].1 = None;
+            self.waiting.remove(&play_index);
+            self.titles.remove_play(self.plays[play_index].title);
+            self.free_slots.push(play_index);
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,14 +1,14 @@
-//! pulleystair decides where the plays of a media fleet go and on which rung they run.
+//! pulleystair decides where the plays of a media fleet are placed and on which rung they run.
 //!
-//! This file holds the plain values that a caller and the decisions exchange; the decisions are
-//! in [`logic`]. A caller keeps the plays and the timers, and hands both in with each call.
-//! All times are milliseconds with fractions; servers, titles and plays go by small indices.
+//! This file holds the plain values that a caller and the placement logic exchange; the logic itself is
+//! in [`logic`]. The caller keeps the plays and the timers, and passes both in with each call.
+//! All times are milliseconds as floating-point numbers; servers, titles and plays are identified by small indices.
 
 pub mod logic;
 
 use std::collections::BTreeMap;
 
-/// The text of the decisions that this program was built with, for a digest of it.
+/// Source text of the placement logic that this program was built with, from which callers compute a digest.
 pub const POLICY: [&str; 6] = [
     include_str!("logic/mod.rs"),
     include_str!("logic/placing.rs"),
@@ -18,60 +18,67 @@
     include_str!("logic/rungs.rs"),
 ];
 
-/// What the operators hand over at start: flat names such as `products.0.importance`.
+/// The operators' settings, read at start: flat names such as `products.0.importance`.
 pub type Settings = BTreeMap<String, Value>;
 
+/// The value of one setting.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     Number(f64),
     Text(String),
 }
 
-/// A number of the call sheet, or this one where it has none of that name.
+/// The numeric setting of this name, or `default` where the settings have no number of that name.
 pub fn number(settings: &Settings, name: &str, default: f64) -> f64 {
     if let Some(Value::Number(n)) = settings.get(name) { *n } else { default }
 }
 
-/// A viewer's session, kept by the caller in a slice and named by its index there.
+/// A viewer's session. The caller keeps all plays in a slice, and a play is identified by its index there.
 #[derive(Clone, Debug, Default)]
 pub struct Play {
+    /// Index of the product.
     pub product: usize,
+    /// Index of the title.
     pub title: usize,
-    /// The title's holders are `holders` cells in a row from `first_cell`.
+    /// The title's holders are the servers of `holders` consecutive cells from `first_cell` on.
     pub first_cell: usize,
     pub holders: usize,
     /// Highest rung that the viewer can use.
     pub max_rung: usize,
     pub arrived_at: f64,
-    /// The clock time at which the viewer gives up on a set-up.
+    /// The time at which the viewer gives up waiting for a set-up.
     pub deadline: f64,
 
-    // The rest is written by the decisions; a caller reads `finished` and `server`.
-    /// Has had its final answer, or has ended.
+    // The fields below are written by the placement logic; a caller reads `finished` and `server`.
+    /// The play has had its final answer, or has ended.
     pub finished: bool,
-    /// The server that an allocation is out to, or that it plays at.
+    /// The server that an allocation is out to, or that the play runs on.
     pub server: Option<usize>,
     pub playing: bool,
     pub rung: usize,
+    /// Number of allocations so far.
     pub allocations: usize,
-    /// The first server that an earlier allocation may have run at, and when it was sent there.
-    pub ran_at: Option<(usize, f64)>,
+    /// The first server that an earlier allocation may have run on, and when that allocation was sent.
+    pub may_have_run: Option<(usize, f64)>,
+    /// Servers whose allocation of this play has ended.
     pub tried: Vec<usize>,
-    /// Those of them that answered an error; whose it was shows once the play is served elsewhere.
+    /// Those of `tried` that answered an error. Whether the server or the play caused the error is known once the play
+    /// is served elsewhere.
     pub errored_on: Vec<usize>,
     /// Servers were probed for its next allocation.
     pub probed: bool,
-    /// The cold or doubted server that it waits for.
+    /// The cold or doubted server in whose queue the play waits.
     pub waiting_for: Option<usize>,
     pub sent_at: f64,
     pub started_at: f64,
+    /// When the play is to be placed again, or checked for a step up.
     pub recheck_at: f64,
 }
 
-/// Changes of rung: plays and the rung that each now has.
+/// Changes of rung: indices of plays and the rung that each now has.
 pub type RungChanges = Vec<(usize, usize)>;
 
-/// A holder that could have been drawn: its chance, and the room that it was weighed by.
+/// A holder that could have been drawn: its chance, and the room (kB) that it was weighted by.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HolderChance {
     pub server: usize,
@@ -79,42 +86,33 @@
     pub room: f64,
 }
 
-/// What is known of a server by other fronts.
+/// What other fronts let this one know of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerHint {
     pub server: usize,
-    /// Doubted on hearsay.
+    /// Other fronts doubt the server.
     pub doubted: bool,
-    /// This front's part of its pace over its unaided part; 1 where nothing is lent.
+    /// This front's part of the server's pace over its part without loans; 1 where nothing is lent or borrowed.
     pub pace: f64,
-    /// Further allocations and probes go there no closer than this, ms.
+    /// Minimum distance between further allocations (those after a play's first) to the server, ms.
     pub further_gap: f64,
+    /// Minimum distance between probes of the server, ms.
     pub probe_gap: f64,
 }
 
-/// Where a play goes.
+/// The decision where a play goes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Placement {
-    Send {
-        server: usize,
-        rung: usize,
-        time_out: f64,
-        candidates: Vec<HolderChance>,
-    },
-    /// It is to be asked about again once `time_to_recheck` has passed, and after a turn in which the decisions were told
-    /// a fact, which may have taken its last hope; meanwhile these servers are to be probed.
-    Wait {
-        probe: Vec<usize>,
-    },
-    /// It plays, on this rung.
-    Keep {
-        rung: usize,
-    },
-    /// Never, and nothing of it ran: the viewer may come back, best after `retry_after`.
-    Declined {
-        retry_after: f64,
-    },
-    /// Never, and an allocation of it may have run.
+    /// Set the play up on this server and rung; `time_out` is in ms.
+    Send { server: usize, rung: usize, time_out: f64, candidates: Vec<HolderChance> },
+    /// The play has to wait. Place it again once `time_to_recheck` has passed, and after each turn in which the logic
+    /// was given a new fact, since that may have made the wait hopeless. Meanwhile probe these servers.
+    Wait { probe: Vec<usize> },
+    /// The play runs, and continues on this rung.
+    Keep { rung: usize },
+    /// Final: the play is not placed, and no allocation of it ran. The viewer may retry, preferably after `retry_after` ms.
+    Declined { retry_after: f64 },
+    /// Final: the play is not placed, and an allocation of it may have run.
     Failed,
 }
 
@@ -135,27 +133,28 @@
 /// What to do with a play after an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Ask at once where it goes now.
+    /// Place the play again at once.
     Place,
     Nothing,
 }
 
-/// What a server, or a note about one, tells of its load.
+/// One value of a server's load, reported by the server or by a note about one of its plays.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LoadMetric {
-    /// Share of its rate that each play there gets.
+    /// Share of its rate that each play on the server gets.
     Delivered(f64),
-    /// Asked of the link over what the link gives.
+    /// Demand on the server's link over the link's capacity.
     Link(f64),
-    /// The same, but never shown above 1.
+    /// The same, but capped at 1.
     LinkCapped(f64),
-    /// Asked of the rack's uplink over what it gives.
+    /// Demand on the rack's uplink over the uplink's capacity.
     Uplink(f64),
     /// Streams that the server runs or sets up.
     Streams(f64),
 }
 
 impl LoadMetric {
+    /// The number, whichever metric it is.
     pub fn value(self) -> f64 {
         use LoadMetric::{Delivered, Link, LinkCapped, Streams, Uplink};
         let (Delivered(x) | Link(x) | LinkCapped(x) | Uplink(x) | Streams(x)) = self;
@@ -163,6 +162,7 @@
     }
 }
 
+/// A server's state in the server list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Standing {
     Ready,
@@ -171,7 +171,7 @@
     Gone,
 }
 
-/// A line of the list of servers.
+/// An entry of the server list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Listing {
     pub server: usize,
@@ -179,7 +179,8 @@
     pub kind: usize,
     pub cell: usize,
     pub standing: Standing,
+    /// Capacity of the server's link, in multiples of the setting `extra.link_unit_kb`.
     pub weight: f64,
-    /// Clock time of the latest start; 0 for long ago.
+    /// Time of the latest start; 0 for long ago.
     pub started_at: f64,
 }
--- a/src/logic/facts.rs
+++ b/src/logic/facts.rs
@@ -1,220 +1,242 @@
-//! What a front is told: the list, servers' load, plays that come and leave, and what follows on an outcome.
+//! Takes in the facts that a front learns: the server list, servers' load, plays that arrive and leave, and the outcomes of
+//! allocations; and draws the consequences. The dispatcher calls these methods. Times are in ms, loads in kB.
 
-use super::{JITTER, Policy, room::Pipe, room::Server, room::meeting};
+use super::{Policy, QUIET_JITTER_MS, room::Link, room::Server, room::fronts_on_link};
 use crate::{Listing, LoadMetric, Next, Outcome, Play, RungChanges, ServerHint, Standing, number};
 
-/// Asked over given from which a link counts as short: figures err by as much, and plays end by themselves.
-const SHORT: f64 = 1.04;
+/// Demand over capacity from which a link counts as overloaded: metrics err by as much, and plays end by themselves.
+const OVERLOAD_UTILIZATION: f64 = 1.04;
 
 impl Policy {
-    /// The list of servers, whole or its changes. A cached one may be old: all on it count as just started
-    /// until discovery speaks, lest a front that restarts rush a server that restarted meanwhile.
-    pub fn update_list(&mut self, now: f64, whole: bool, cached: bool, lines: &[Listing]) {
-        let unit = self.rule("extra.link_unit_kb", 1.0);
-        self.since = self.since.min(now);
-        if whole {
+    /// Takes the server list, whole or its changes. A cached list may be old: all servers on it count as just started
+    /// until discovery answers, so that a front that restarts does not overload a server that restarted meanwhile.
+    pub fn update_list(&mut self, now: f64, is_whole: bool, is_cached: bool, entries: &[Listing]) {
+        let link_unit_kb = self.number_setting("extra.link_unit_kb", 1.0);
+        self.listing_since = self.listing_since.min(now);
+        if is_whole {
             self.servers.iter_mut().for_each(|s| s.listing.standing = Standing::Gone);
         }
-        for line in lines {
-            self.know(line.server);
-            let s = &mut self.servers[line.server];
-            if line.started_at > s.listing.started_at && s.listing.weight > 0.0 {
-                (s.link.asked, s.streams) = (None, 0.0);
-                s.outcomes.clear();
-                s.hearsay = false;
+        for entry in entries {
+            self.ensure_server(entry.server);
+            let server = &mut self.servers[entry.server];
+            if entry.started_at > server.listing.started_at && server.listing.weight > 0.0 {
+                (server.link.measured_kb, server.streams) = (None, 0.0);
+                server.results.clear();
+                server.doubted_by_others = false;
             }
-            s.cold_since = if cached { now } else { s.cold_since.max(line.started_at) };
-            (s.rack, s.link.size) = (line.cell % self.racks.len(), (line.weight * unit).max(1.0));
-            s.link.fronts = meeting(self.fronts, &self.ladder, s.link.size);
-            s.listing = *line;
-            s.places = number(&self.sheet, &format!("extra.places_by_kind.{}", line.kind), f64::MAX);
+            server.cold_since = if is_cached { now } else { server.cold_since.max(entry.started_at) };
+            (server.rack, server.link.capacity_kb) =
+                (entry.cell % self.uplinks.len(), (entry.weight * link_unit_kb).max(1.0));
+            server.link.front_count =
+                fronts_on_link(self.front_count, &self.ladder_kb, server.link.capacity_kb);
+            server.listing = *entry;
+            server.max_streams =
+                number(&self.settings, &format!("extra.places_by_kind.{}", entry.kind), f64::MAX);
         }
         self.cells.iter_mut().for_each(Vec::clear);
-        let count = self.cells.len();
+        let cell_count = self.cells.len();
         for s in (0..self.servers.len()).filter(|s| self.servers[*s].listing.standing != Standing::Gone) {
-            self.cells[self.servers[s].listing.cell % count].push(s);
+            self.cells[self.servers[s].listing.cell % cell_count].push(s);
         }
-        if cached {
-            self.cached = now;
-        } else if whole {
-            let vouched = self.servers.iter_mut().filter(|s| s.cold_since == self.cached);
-            vouched.for_each(|s| s.cold_since = s.listing.started_at);
+        if is_cached {
+            self.cached_list_at = now;
+        } else if is_whole {
+            let confirmed = self.servers.iter_mut().filter(|s| s.cold_since == self.cached_list_at);
+            confirmed.for_each(|s| s.cold_since = s.listing.started_at);
         }
     }
 
-    /// What other fronts let this one know; a wait for a server's pace goes on at the new one.
-    pub fn apply_hint(&mut self, now: f64, it: &ServerHint) {
-        self.know(it.server);
-        let before = self.gap(now, it.server);
-        let s = &mut self.servers[it.server];
-        let new = it.doubted && !s.hearsay;
-        (s.hearsay, s.lent) = (it.doubted, it.pace.max(0.01) - 1.0);
-        (s.further_gap, s.probe_gap) = (it.further_gap, it.probe_gap);
-        let gap = self.gap(now, it.server);
-        let first = if new { gap * (self.rank + 1.0) / self.fronts } else { 0.0 };
-        let s = &mut self.servers[it.server];
-        s.next_pace = now + ((s.next_pace - now).max(0.0) * gap / before).max(first);
+    /// Takes what other fronts let this one know of a server. The rest of a wait for the server's pace is scaled to the new
+    /// pace.
+    pub fn apply_hint(&mut self, now: f64, hint: &ServerHint) {
+        self.ensure_server(hint.server);
+        let old_gap = self.play_gap(now, hint.server);
+        let server = &mut self.servers[hint.server];
+        let newly_doubted = hint.doubted && !server.doubted_by_others;
+        (server.doubted_by_others, server.lent_pace) = (hint.doubted, hint.pace.max(0.01) - 1.0);
+        (server.further_gap, server.probe_gap) = (hint.further_gap, hint.probe_gap);
+        let new_gap = self.play_gap(now, hint.server);
+        let first_trial_delay =
+            if newly_doubted { new_gap * (self.rank + 1.0) / self.front_count } else { 0.0 };
+        let server = &mut self.servers[hint.server];
+        server.next_play_at =
+            now + ((server.next_play_at - now).max(0.0) * new_gap / old_gap).max(first_trial_delay);
     }
 
-    /// A server is gone for good: its index may be another's from now on.
-    pub fn forget_server(&mut self, s: usize) {
-        if let Some(server) = self.servers.get_mut(s) {
+    /// Drops what is known of a server that is gone for good; its index may be given to another server.
+    pub fn forget_server(&mut self, server_index: usize) {
+        if let Some(server) = self.servers.get_mut(server_index) {
             *server = Server::default();
         }
     }
 
-    /// What a server told of itself, or a note about it on play `of`. Answers the steps down it asks for.
+    /// Takes a load metric that a server reported of itself, or in a note about the play `noted_play`. Returns the steps
+    /// down that follow.
     pub fn on_load_metric(
         &mut self,
         now: f64,
         plays: &mut [Play],
-        s: usize,
-        of: Option<usize>,
-        it: LoadMetric,
+        server_index: usize,
+        noted_play: Option<usize>,
+        metric: LoadMetric,
     ) -> RungChanges {
-        let x = it.value();
-        if s >= self.servers.len() || !x.is_finite() || x < 0.0 {
+        let value = metric.value();
+        if server_index >= self.servers.len() || !value.is_finite() || value < 0.0 {
             return Vec::new();
         }
-        // The note at set-up is of now; all else is as late as notes are.
-        let fresh = of.is_some_and(|ply| plays[ply].started_at == now);
-        let taken = if fresh { now } else { now - self.rule("extra.seen_after", 1000.0) };
-        let rack = self.servers[s].rack;
-        let known = self.servers[s].link.share();
-        match it {
-            LoadMetric::Streams(_) => self.servers[s].streams = x,
-            LoadMetric::Uplink(_) => self.racks[rack].measured(now, taken, x),
+        // A note at set-up describes the present; all other metrics are as late as notes are.
+        let is_current = noted_play.is_some_and(|play_index| plays[play_index].started_at == now);
+        let measured_at =
+            if is_current { now } else { now - self.number_setting("extra.seen_after", 1000.0) };
+        let rack = self.servers[server_index].rack;
+        let link_utilization = self.servers[server_index].link.utilization();
+        match metric {
+            LoadMetric::Streams(_) => self.servers[server_index].streams = value,
+            LoadMetric::Uplink(_) => self.uplinks[rack].record_measurement(now, measured_at, value),
             LoadMetric::Link(_) | LoadMetric::LinkCapped(_) => {
-                // A capped figure tells of a full link only that it is full.
-                let x = if matches!(it, LoadMetric::LinkCapped(_)) && x >= 1.0 { known.max(1.0) } else { x };
-                self.mean += (x.min(1.0) - self.mean) / 16.0;
-                self.servers[s].link.measured(now, taken, x);
+                // A capped metric says of a full link only that it is full, not by how much it is overloaded.
+                let value = if matches!(metric, LoadMetric::LinkCapped(_)) && value >= 1.0 {
+                    link_utilization.max(1.0)
+                } else {
+                    value
+                };
+                self.mean_utilization += (value.min(1.0) - self.mean_utilization) / 16.0;
+                self.servers[server_index].link.record_measurement(now, measured_at, value);
             }
             LoadMetric::Delivered(_) => {
-                // A rack is short for all its servers: one that delivers short beside a rack with room is
-                // short itself. Guards against a silent server's notes cutting its whole rack.
-                let by_rack = self.racks[rack].share() > known.max(0.9);
-                let pipe = if by_rack { &mut self.racks[rack] } else { &mut self.servers[s].link };
-                if x < 0.98 || pipe.share() > 1.0 {
-                    pipe.measured(now, taken, if x < 0.98 { 1.0 / x.max(0.05) } else { 1.0 });
+                // An overloaded uplink affects all servers of the rack: a server that delivers too little on an uplink
+                // with room is itself overloaded. Guards against the notes of a silent server cutting its whole rack.
+                let by_uplink = self.uplinks[rack].utilization() > link_utilization.max(0.9);
+                let link =
+                    if by_uplink { &mut self.uplinks[rack] } else { &mut self.servers[server_index].link };
+                if value < 0.98 || link.utilization() > 1.0 {
+                    link.record_measurement(
+                        now,
+                        measured_at,
+                        if value < 0.98 { 1.0 / value.max(0.05) } else { 1.0 },
+                    );
                 }
             }
         }
-        // Short of room: this front's plays there give up their part, as every other front's do.
-        let mut steps = Vec::new();
-        let (uplink, pipe) = self.shorter(s, Pipe::steady_share);
-        let share = pipe.steady_share();
-        if share > SHORT {
-            let scope = self.scope(s, uplink);
-            let own: f64 = scope.iter().map(|s| self.own(plays, *s)).sum();
-            let mut excess = own * (1.0 - SHORT / share);
-            let cut = ((share - 1.0) * pipe.size - excess).max(0.0);
-            let pipe = if uplink { &mut self.racks[rack] } else { &mut self.servers[s].link };
-            pipe.cut = (now, pipe.cut.1 + cut);
-            while excess > 0.0 {
-                let Some((_, freed, unit)) = self.cheapest(plays, &scope) else { break };
-                // Rungs are coarse: the last step is left to chance, or all fronts together would overshoot.
-                if freed > excess && self.rnd.rand_float() > excess / freed {
+        // On overload, this front's plays on the link give up their share of the excess, as every other front's do.
+        let mut rung_changes = Vec::new();
+        let (is_uplink, link) = self.fuller_link(server_index, Link::adjusted_utilization);
+        let utilization = link.adjusted_utilization();
+        if utilization > OVERLOAD_UTILIZATION {
+            let servers = self.servers_on_link(server_index, is_uplink);
+            let own_load_kb: f64 = servers.iter().map(|s| self.own_load_kb(plays, *s)).sum();
+            let mut excess_kb = own_load_kb * (1.0 - OVERLOAD_UTILIZATION / utilization);
+            let others_cut_kb = ((utilization - 1.0) * link.capacity_kb - excess_kb).max(0.0);
+            let link = if is_uplink { &mut self.uplinks[rack] } else { &mut self.servers[server_index].link };
+            link.others_cut = (now, link.others_cut.1 + others_cut_kb);
+            while excess_kb > 0.0 {
+                let Some((_, freed_kb, group)) = self.cheapest_step_down(plays, &servers) else { break };
+                // Rungs are coarse: whether the last step is made is drawn at random, or all fronts together would
+                // free too much.
+                if freed_kb > excess_kb && self.rng.rand_float() > excess_kb / freed_kb {
                     break;
                 }
-                excess -= freed;
-                self.step_down(now, plays, &unit, freed, &mut steps);
+                excess_kb -= freed_kb;
+                self.step_down(now, plays, &group, freed_kb, &mut rung_changes);
             }
         }
-        steps
+        rung_changes
     }
 
-    /// A play was taken.
+    /// Takes a new play, which starts on its product's lowest rung and counts for the allocation budget.
     pub fn add_play(&mut self, now: f64, play: &mut Play) {
-        if self.sheet.contains_key("rules.budget_share") {
-            self.taken.push_back(now);
-            self.forget_taken(now);
+        if self.settings.contains_key("rules.budget_share") {
+            self.arrivals.push_back(now);
+            self.drop_old_arrivals(now);
         }
         play.recheck_at = now;
-        play.rung = self.products[play.product].floor;
+        play.rung = self.products[play.product].min_rung;
     }
 
-    /// A play that was under way before this front started.
-    pub fn adopt(&mut self, now: f64, plays: &mut [Play], ply: usize) {
-        plays[ply].rung = self.products[plays[ply].product].floor;
-        (plays[ply].playing, plays[ply].allocations) = (true, 1);
-        // Its last change is past, so only the jitter is left of its quiet spell.
-        plays[ply].recheck_at = now + JITTER * self.rnd.rand_float();
-        if let Some(s) = plays[ply].server {
-            self.know(s);
-            self.servers[s].plays.push(ply);
+    /// Takes a play that ran before this front started.
+    pub fn adopt(&mut self, now: f64, plays: &mut [Play], play_index: usize) {
+        plays[play_index].rung = self.products[plays[play_index].product].min_rung;
+        (plays[play_index].playing, plays[play_index].allocations) = (true, 1);
+        // Its last change of rung is past, so only the random part of its quiet period is waited for.
+        plays[play_index].recheck_at = now + QUIET_JITTER_MS * self.rng.rand_float();
+        if let Some(server_index) = plays[play_index].server {
+            self.ensure_server(server_index);
+            self.servers[server_index].plays.push(play_index);
         }
-        *self.seats.entry((plays[ply].product, plays[ply].title)).or_default() += 1;
+        *self.seats_taken.entry((plays[play_index].product, plays[play_index].title)).or_default() += 1;
     }
 
-    /// The viewer left; an allocation may still be out.
-    pub fn on_viewer_left(&mut self, plays: &mut [Play], ply: usize) {
-        self.leave_queue(plays, ply);
-        plays[ply].finished = true;
+    /// Marks the play as finished because its viewer left; an allocation may still be out.
+    pub fn on_viewer_left(&mut self, plays: &mut [Play], play_index: usize) {
+        self.leave_queue(plays, play_index);
+        plays[play_index].finished = true;
     }
 
-    /// What to do after an outcome of the play's latest allocation. `closed`: the play has ended with it.
+    /// Takes an outcome of the play's latest allocation and returns what to do next. `closed`: the play has ended with it.
     pub fn after_outcome(
         &mut self,
         now: f64,
         plays: &mut [Play],
-        ply: usize,
-        what: Outcome,
+        play_index: usize,
+        outcome: Outcome,
         closed: bool,
     ) -> Next {
-        let Some(s) = plays[ply].server else {
+        let Some(server_index) = plays[play_index].server else {
             if closed {
-                self.on_viewer_left(plays, ply);
+                self.on_viewer_left(plays, play_index);
             }
             return Next::Nothing;
         };
-        if what == Outcome::Playing {
-            (plays[ply].playing, plays[ply].started_at) = (true, now);
-            plays[ply].recheck_at = now + self.spell();
-            self.servers[s].heard(true);
-            // Served here, so errors met elsewhere were the servers' own. Guards against plays that nobody
-            // can serve making every server doubted; a server that fails is found out one set-up later.
-            std::mem::take(&mut plays[ply].errored_on).iter().for_each(|e| self.servers[*e].heard(false));
+        if outcome == Outcome::Playing {
+            (plays[play_index].playing, plays[play_index].started_at) = (true, now);
+            plays[play_index].recheck_at = now + self.draw_quiet_period();
+            self.servers[server_index].record_result(true);
+            // The play is served here, so errors on other servers were the servers' own. Guards against plays that no
+            // server can serve making every server doubted; a failing server is found one set-up later.
+            std::mem::take(&mut plays[play_index].errored_on)
+                .iter()
+                .for_each(|e| self.servers[*e].record_result(false));
             return Next::Nothing;
         }
-        match what {
-            Outcome::Error => plays[ply].errored_on.push(s),
+        match outcome {
+            Outcome::Error => plays[play_index].errored_on.push(server_index),
             Outcome::TimedOut | Outcome::Unreachable | Outcome::Broken => {
-                // The process may be gone and come back cold before the list tells.
-                self.servers[s].heard(false);
-                self.servers[s].cold_since = now;
+                // The process may have been lost, and come back cold before the list shows it.
+                self.servers[server_index].record_result(false);
+                self.servers[server_index].cold_since = now;
             }
-            Outcome::Full => self.servers[s].link.measured(now, now, 1.0),
+            Outcome::Full => self.servers[server_index].link.record_measurement(now, now, 1.0),
             _ => {}
         }
-        let kb = self.adds(plays, s, &plays[ply], ply, plays[ply].rung);
-        self.load(now, s, -kb);
-        self.servers[s].plays.retain(|p| *p != ply);
-        let seats = self.seats.entry((plays[ply].product, plays[ply].title)).or_default();
+        let kb =
+            self.added_load_kb(plays, server_index, &plays[play_index], play_index, plays[play_index].rung);
+        self.change_load(now, server_index, -kb);
+        self.servers[server_index].plays.retain(|p| *p != play_index);
+        let seats = self.seats_taken.entry((plays[play_index].product, plays[play_index].title)).or_default();
         *seats = seats.saturating_sub(1);
-        let play = &mut plays[ply];
-        if !matches!(what, Outcome::Full | Outcome::Unreachable | Outcome::NeverSent) {
-            play.ran_at.get_or_insert((s, play.sent_at));
+        let play = &mut plays[play_index];
+        if !matches!(outcome, Outcome::Full | Outcome::Unreachable | Outcome::NeverSent) {
+            play.may_have_run.get_or_insert((server_index, play.sent_at));
         }
         (play.server, play.probed, play.recheck_at) = (None, false, now);
-        play.tried.push(s);
-        play.rung = self.products[play.product].floor;
+        play.tried.push(server_index);
+        play.rung = self.products[play.product].min_rung;
         play.finished |= closed || play.playing;
         if play.finished { Next::Nothing } else { Next::Place }
     }
 
-    /// How long until the play is to be asked about again; none while an allocation is out.
+    /// Time (ms) until the play is to be placed again; none while an allocation is out and once the play is finished.
     pub fn time_to_recheck(&self, now: f64, play: &Play) -> Option<f64> {
-        let due = !play.finished && (play.playing || play.server.is_none());
-        due.then(|| (play.recheck_at - now).max(0.0))
+        let is_pending = !play.finished && (play.playing || play.server.is_none());
+        is_pending.then(|| (play.recheck_at - now).max(0.0))
     }
 
-    /// Plays taken longer ago than the budget's span no longer count in it.
-    pub(super) fn forget_taken(&mut self, now: f64) -> f64 {
-        let span = self.rule("rules.budget_span", 0.0);
-        while self.taken.front().is_some_and(|t| *t <= now - span) {
-            self.taken.pop_front();
+    /// Drops arrivals older than the allocation budget's span, and returns that span in ms.
+    pub(super) fn drop_old_arrivals(&mut self, now: f64) -> f64 {
+        let span_ms = self.number_setting("rules.budget_span", 0.0);
+        while self.arrivals.front().is_some_and(|t| *t <= now - span_ms) {
+            self.arrivals.pop_front();
         }
-        span
+        span_ms
     }
 }
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -1,9 +1,11 @@
-//! All decisions of one front. A caller makes a [`Policy`] from its call sheet and seed, tells it facts
-//! (`update_list`, `apply_hint`, `add_play`, `adopt`, `on_load_metric`, `on_viewer_left`, ...), and asks three things of it: `place` (where to
-//! send this play, or not yet, or never), `after_outcome` (what to do after this outcome) and `time_to_recheck` (how long until
-//! it is to be asked about again). `placing` has a play's ordinary path, `facts` what is told and what
-//! follows, `room` links and what they carry, `pace` turns at cold and doubted servers, `rungs` the steps of
-//! quality; `shown` decides nothing.
+//! All decisions of one front. The caller creates a [`Policy`] from its settings and a seed, passes it facts
+//! (`update_list`, `apply_hint`, `add_play`, `adopt`, `on_load_metric`, `on_viewer_left`, ...), and asks it three questions:
+//! `place` (where to send this play, or that it has to wait, or that it is refused), `after_outcome` (what to do after an
+//! allocation's outcome) and `time_to_recheck` (how long until the play is to be placed again).
+//!
+//! `placing` holds the ordinary path of a play, `facts` takes in the facts and draws the consequences, `room` models links
+//! and their load, `pace` limits the rate of plays to cold and doubted servers, `rungs` chooses and changes rungs, and
+//! `shown` shows and overrides settings and decides nothing. Times are in ms, rates and capacities in kB.
 
 mod facts;
 mod pace;
@@ -13,148 +15,175 @@
 mod shown;
 
 use crate::{Settings, Value, number};
-use room::{Pipe, Server, meeting};
+use room::{Link, Server, fronts_on_link};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Quiet spell before a step up, and the random addition to it, ms.
-const QUIET: f64 = 5_000.0;
-const JITTER: f64 = 5_000.0;
+/// Quiet period before a step up, and the random addition to it.
+const QUIET_MS: f64 = 5_000.0;
+const QUIET_JITTER_MS: f64 = 5_000.0;
 
-/// How long a front recalls which servers its plays asked for, ms.
-const MEMORY: f64 = 60_000.0;
+/// Time constant with which a front forgets which servers its plays requested.
+const REQUEST_MEMORY_MS: f64 = 60_000.0;
 
+/// One product's settings.
 struct Product {
     importance: f64,
-    target: f64,
+    /// First-frame target, ms.
+    first_frame_target: f64,
+    /// Whether a set-up may be repeated: `read_like`, `idempotency_key` or `non_idempotent`.
     effect: String,
-    group: String,
+    /// Where a repeated set-up with the same key is recognised: `all`, `zone` or `cell`.
+    key_scope: String,
+    /// How long after its first sending a keyed set-up may be repeated, ms.
     repeat_window: f64,
-    floor: usize,
-    top: usize,
-    scale: f64,
-    live: bool,
-    seats: usize,
+    min_rung: usize,
+    max_rung: usize,
+    /// Factor on the ladder's rates.
+    rate_scale: f64,
+    is_live: bool,
+    /// Plays of one title at a time; 0 for no limit.
+    seat_limit: usize,
 }
 
+/// The placement decisions of one front, and their state.
 pub struct Policy {
-    sheet: Settings,
-    rnd: oorandom::Rand64,
-    fronts: f64,
+    settings: Settings,
+    rng: oorandom::Rand64,
+    front_count: f64,
+    /// This front's number among the fronts, from 0.
     rank: f64,
-    ladder: Vec<f64>,
-    earns: Vec<f64>,
+    /// Rate of each rung, kB.
+    ladder_kb: Vec<f64>,
+    /// Value of each rung to a viewer (`extra.rung_worth`).
+    rung_values: Vec<f64>,
     products: Vec<Product>,
     /// The part of its rate that a further viewer adds to a live stream.
-    shared: f64,
+    join_share: f64,
     servers: Vec<Server>,
     /// The listed servers of each cell, and the uplink of each rack.
     cells: Vec<Vec<usize>>,
-    racks: Vec<Pipe>,
-    /// Running mean of the links' shares heard, which stands in for servers that are not measured.
-    mean: f64,
-    fleet: f64,
-    /// What this front set up of late, kB, and how many plays wanted a server; both fade over RECENT.
-    recent: (f64, f64),
-    wanted: f64,
-    seats: BTreeMap<(usize, usize), usize>,
-    taken: VecDeque<f64>,
-    further: VecDeque<f64>,
-    /// When a cached list made all servers count as cold.
-    cached: f64,
-    /// Since when it has listed servers, and so counts what is asked of them.
-    since: f64,
+    uplinks: Vec<Link>,
+    /// Running mean of the reported link utilizations, assumed for servers without a measurement.
+    mean_utilization: f64,
+    /// Capacity of all servers' links.
+    total_capacity_kb: f64,
+    /// Load that this front set up recently (kB) and the time up to which it has decayed, and the number of recent
+    /// requests for a server; both decay over RECENT_MS.
+    recent_set_up_kb: (f64, f64),
+    recent_requests: f64,
+    /// Seats taken, by product and title.
+    seats_taken: BTreeMap<(usize, usize), usize>,
+    /// When plays arrived and when further allocations were sent, within the span of the allocation budget.
+    arrivals: VecDeque<f64>,
+    further_allocations: VecDeque<f64>,
+    /// When a cached list made all servers count as cold; -1 for never.
+    cached_list_at: f64,
+    /// Since when this front has had a server list, and so counts the requests for servers.
+    listing_since: f64,
 }
 
-fn text(sheet: &Settings, name: &str) -> String {
-    if let Some(Value::Text(t)) = sheet.get(name) { t.clone() } else { String::new() }
+fn text_setting(settings: &Settings, name: &str) -> String {
+    if let Some(Value::Text(t)) = settings.get(name) { t.clone() } else { String::new() }
 }
 
-fn row(sheet: &Settings, name: &str) -> Vec<f64> {
-    let given = (0..).take_while(|i| sheet.contains_key(&format!("{name}.{i}")));
-    given.map(|i| number(sheet, &format!("{name}.{i}"), 0.0)).collect()
+/// The numbers `name.0`, `name.1`, ... up to the first that is not set.
+fn number_list(settings: &Settings, name: &str) -> Vec<f64> {
+    let indices = (0..).take_while(|i| settings.contains_key(&format!("{name}.{i}")));
+    indices.map(|i| number(settings, &format!("{name}.{i}"), 0.0)).collect()
 }
 
 impl Policy {
-    pub fn new(sheet: Settings, seed: u64) -> Policy {
-        let mut ladder = row(&sheet, "extra.ladder_kb");
-        let mut earns = row(&sheet, "extra.rung_worth");
-        ladder.resize(ladder.len().max(1), 0.0);
-        earns.resize(ladder.len(), 0.0);
+    /// A front's decisions by these settings; `seed` determines all random draws.
+    pub fn new(settings: Settings, seed: u64) -> Policy {
+        let mut ladder_kb = number_list(&settings, "extra.ladder_kb");
+        let mut rung_values = number_list(&settings, "extra.rung_worth");
+        ladder_kb.resize(ladder_kb.len().max(1), 0.0);
+        rung_values.resize(ladder_kb.len(), 0.0);
         let product = |i: usize| {
-            let of = |part: &str, other: f64| number(&sheet, &format!("products.{i}.{part}"), other);
-            let extra = |part: &str, other: f64| number(&sheet, &format!("extra.{part}.{i}"), other);
+            let number_of =
+                |part: &str, default: f64| number(&settings, &format!("products.{i}.{part}"), default);
+            let extra_of =
+                |part: &str, default: f64| number(&settings, &format!("extra.{part}.{i}"), default);
             Product {
-                importance: of("importance", 1.0),
-                target: of("first_frame_target", 1000.0),
-                effect: text(&sheet, &format!("products.{i}.effect")),
-                group: text(&sheet, &format!("products.{i}.key_scope")),
-                repeat_window: of("repeat_window", 0.0),
-                floor: (extra("class_floor", 0.0) as usize).min(ladder.len() - 1),
-                top: extra("top_by_class", 99.0) as usize,
-                scale: extra("class_scale", 1.0),
-                live: extra("class_live", 0.0) > 0.0,
-                seats: extra("seats", 0.0) as usize,
+                importance: number_of("importance", 1.0),
+                first_frame_target: number_of("first_frame_target", 1000.0),
+                effect: text_setting(&settings, &format!("products.{i}.effect")),
+                key_scope: text_setting(&settings, &format!("products.{i}.key_scope")),
+                repeat_window: number_of("repeat_window", 0.0),
+                min_rung: (extra_of("class_floor", 0.0) as usize).min(ladder_kb.len() - 1),
+                max_rung: extra_of("top_by_class", 99.0) as usize,
+                rate_scale: extra_of("class_scale", 1.0),
+                is_live: extra_of("class_live", 0.0) > 0.0,
+                seat_limit: extra_of("seats", 0.0) as usize,
             }
         };
-        let named = |i: &usize| sheet.contains_key(&format!("products.{i}.name"));
-        let worth = |i: &usize| sheet.contains_key(&format!("products.{i}.importance"));
-        let count = (0..).take_while(|i| named(i) || worth(i)).count();
-        let products = (0..count).map(product).collect();
-        let racks = number(&sheet, "extra.cabinets", 1.0).clamp(1.0, 65_536.0) as usize;
-        // A rack's share of all uplinks goes by its part of the cells.
-        let (mean, cells) = (number(&sheet, "extra.rack_link_kb", 1.0), number(&sheet, "extra.places", 1.0));
-        let fronts = number(&sheet, "balancers", 1.0).max(1.0);
-        let rack = |r: usize| {
-            let own = ((cells - r as f64) / racks as f64).ceil();
-            let size = (mean * racks as f64 * own / cells).max(1.0);
-            Pipe { size, fronts: meeting(fronts, &ladder, size), ..Pipe::default() }
+        let has_name = |i: &usize| settings.contains_key(&format!("products.{i}.name"));
+        let has_importance = |i: &usize| settings.contains_key(&format!("products.{i}.importance"));
+        let product_count = (0..).take_while(|i| has_name(i) || has_importance(i)).count();
+        let products = (0..product_count).map(product).collect();
+        let rack_count = number(&settings, "extra.cabinets", 1.0).clamp(1.0, 65_536.0) as usize;
+        // Uplink capacity is divided among the racks by their numbers of cells.
+        let (mean_uplink_kb, cell_count) =
+            (number(&settings, "extra.rack_link_kb", 1.0), number(&settings, "extra.places", 1.0));
+        let front_count = number(&settings, "balancers", 1.0).max(1.0);
+        let uplink = |rack: usize| {
+            let rack_cells = ((cell_count - rack as f64) / rack_count as f64).ceil();
+            let capacity_kb = (mean_uplink_kb * rack_count as f64 * rack_cells / cell_count).max(1.0);
+            Link {
+                capacity_kb,
+                front_count: fronts_on_link(front_count, &ladder_kb, capacity_kb),
+                ..Link::default()
+            }
         };
         Policy {
-            racks: (0..racks).map(rack).collect(),
-            rnd: oorandom::Rand64::new(seed.into()),
-            fronts,
-            rank: number(&sheet, "rank", 0.0),
-            earns,
-            ladder,
+            uplinks: (0..rack_count).map(uplink).collect(),
+            rng: oorandom::Rand64::new(seed.into()),
+            front_count,
+            rank: number(&settings, "rank", 0.0),
+            rung_values,
+            ladder_kb,
             products,
-            shared: number(&sheet, "extra.join", 1.0),
+            join_share: number(&settings, "extra.join", 1.0),
             servers: Vec::new(),
-            cells: vec![Vec::new(); cells.clamp(1.0, 65_536.0) as usize],
-            mean: 0.5,
-            recent: (0.0, 0.0),
-            wanted: 0.0,
-            fleet: number(&sheet, "extra.fleet_kb", 1.0).max(1.0),
-            seats: BTreeMap::new(),
-            taken: VecDeque::new(),
-            further: VecDeque::new(),
-            cached: -1.0,
-            since: f64::MAX,
-            sheet,
+            cells: vec![Vec::new(); cell_count.clamp(1.0, 65_536.0) as usize],
+            mean_utilization: 0.5,
+            recent_set_up_kb: (0.0, 0.0),
+            recent_requests: 0.0,
+            total_capacity_kb: number(&settings, "extra.fleet_kb", 1.0).max(1.0),
+            seats_taken: BTreeMap::new(),
+            arrivals: VecDeque::new(),
+            further_allocations: VecDeque::new(),
+            cached_list_at: -1.0,
+            listing_since: f64::MAX,
+            settings,
         }
     }
 
-    /// Whether the call sheet names this product.
+    /// Whether the settings name this product.
     pub fn has_product(&self, product: usize) -> bool {
         product < self.products.len()
     }
 
-    /// When to ask discovery for changes, where it must be asked: now, or after a pause if a call has failed.
+    /// Delay (ms) until discovery is to be asked for changes, where it has to be asked: none at first, 1 s after a
+    /// failed call.
     pub fn list_watch_delay(&self, failed: bool) -> Option<f64> {
-        let asked = text(&self.sheet, "discovery") == "subscribe";
-        asked.then_some(if failed { 1000.0 } else { 0.0 })
+        let must_subscribe = text_setting(&self.settings, "discovery") == "subscribe";
+        must_subscribe.then_some(if failed { 1000.0 } else { 0.0 })
     }
 
-    fn spell(&mut self) -> f64 {
-        QUIET + JITTER * self.rnd.rand_float()
+    /// Draws a quiet period: how long a play keeps its rung before it may step up.
+    fn draw_quiet_period(&mut self) -> f64 {
+        QUIET_MS + QUIET_JITTER_MS * self.rng.rand_float()
     }
 
-    fn know(&mut self, s: usize) {
-        if s >= self.servers.len() {
-            self.servers.resize_with(s + 1, Server::default);
+    /// Makes sure that `servers` has an element of this index.
+    fn ensure_server(&mut self, server_index: usize) {
+        if server_index >= self.servers.len() {
+            self.servers.resize_with(server_index + 1, Server::default);
         }
     }
 
-    fn rule(&self, name: &str, otherwise: f64) -> f64 {
-        number(&self.sheet, name, otherwise)
+    fn number_setting(&self, name: &str, default: f64) -> f64 {
+        number(&self.settings, name, default)
     }
 }
--- a/src/logic/pace.rs
+++ b/src/logic/pace.rs
@@ -1,70 +1,83 @@
-//! When a cold or doubted server may be sent the next play, so that all fronts together do not push it over.
+//! Decides when a cold or doubted server may be sent the next play, so that all fronts together do not overload it.
 //!
-//! The bound: within the window in which it would fall, a server's budget is N = overload factor * its pace *
-//! window, and beyond that 2 root N + 2 are chance. F fronts, of which the part A is asked for it within the
-//! warm-up, send F * A / gap * window, as their first turns are spread over one gap by rank. Each keeps
-//!     gap >= F * A / (PACED * overload factor * pace),   so that the sum's mean is <= PACED * N < N,
-//! unaided: A is reckoned by its own rate alone, over the time that it has watched (MEMORY at most, a warm-up
-//! at least), and a flood raises it by what came of late. Whatever its rate, a front's own mean is then at
-//! most PACED * N / F, so that uneven rates don't raise the sum. One that restarts does not know what it
-//! sent: it takes one turn more at most, and reckons a high A until it has watched for long.
+//! The bound: within the window in which the server would become overloaded, its budget is N = overload factor * its
+//! pace * window, and random fluctuation may exceed the budget by 2 * sqrt(N) + 2. F fronts, of which the share A has
+//! requests for the server within the warm-up, send F * A / gap * window, as their first turns are spread over one gap by
+//! rank. Each front keeps
+//!     gap >= F * A / (PACED_SHARE * overload factor * pace),   so that the mean of the sum is <= PACED_SHARE * N < N,
+//! without any exchange with the others: it estimates A from its own rate alone, over the time that it has watched
+//! (REQUEST_MEMORY_MS at most, a warm-up at least), and a flood raises A by the recent requests. Whatever its rate, a
+//! front's own mean is then at most PACED_SHARE * N / F, so uneven rates do not raise the sum. A front that restarts does
+//! not know what it sent before: it takes one turn more at most, and estimates a high A until it has watched for long.
 
-use super::{MEMORY, Policy};
+use super::{Policy, REQUEST_MEMORY_MS};
 use crate::Play;
 
-/// Part of what would push a cold server over that all fronts together send it.
-const PACED: f64 = 0.6;
-/// All fronts are reckoned to set up as much as this one does in so many ms, where that is over a play.
-pub(super) const RECENT: f64 = 1_500.0;
+/// The share of what would overload a cold server that all fronts together send to it.
+const PACED_SHARE: f64 = 0.6;
+/// All fronts are assumed to set up as much as this one does within this time, where that exceeds one play.
+pub(super) const RECENT_MS: f64 = 1_500.0;
 
 impl Policy {
-    /// When the server may be sent this play: cold and doubted ones by this front's part of the warm-up's
-    /// pace, after the plays that have waited for it longer. Fronts take their first turns by rank, so that
-    /// their parts do not fall together. Guards against rushing what has just come back, listed or not, and
-    /// gives what fails or is silent a way back by few trials; it makes plays wait whose holders all look so,
-    /// and lets those go at once whose turn can't come.
-    pub(super) fn turn(&self, now: f64, s: usize, came: f64, again: bool) -> f64 {
-        let server = &self.servers[s];
-        // Further allocations are a budget of the whole fleet's, where fronts share.
-        let now = if again { server.next_further.max(now) } else { now };
-        let cold = now < server.cold_since + self.rule("rules.cold", 0.0);
-        if !cold && !server.doubted() {
+    /// When this play may be sent to the server. Cold and doubted servers get plays at this front's share of the warm-up's
+    /// pace, and plays that have waited longer go first. Fronts take their first turns by rank, so that their
+    /// shares do not coincide. Guards against overloading a server that has just come back, listed or not, and leads a
+    /// failing or silent server back by few trials. The cost: a play waits if all its holders are in this state, and is
+    /// refused at once if its turn can't come in time.
+    pub(super) fn turn_at(&self, now: f64, server_index: usize, arrived_at: f64, is_further: bool) -> f64 {
+        let server = &self.servers[server_index];
+        // Further allocations have a budget of the whole fleet, where fronts share one.
+        let now = if is_further { server.next_further_at.max(now) } else { now };
+        let is_cold = now < server.cold_since + self.number_setting("rules.cold", 0.0);
+        if !is_cold && !server.is_doubted() {
             return now;
         }
-        let first = server.cold_since + self.gap(server.cold_since, s) * self.rank / self.fronts;
-        let turn = server.next_pace.max(first).max(now);
-        let ahead = server.queue.partition_point(|q| q.0 < came) as f64;
+        let first_turn_at =
+            server.cold_since + self.play_gap(server.cold_since, server_index) * self.rank / self.front_count;
+        let turn_at = server.next_play_at.max(first_turn_at).max(now);
+        let ahead = server.queue.partition_point(|q| q.0 < arrived_at) as f64;
         if ahead == 0.0 {
-            return turn;
+            return turn_at;
         }
-        turn + ahead * self.gap(turn + ahead * self.gap(turn, s) / 2.0, s)
+        turn_at
+            + ahead
+                * self.play_gap(turn_at + ahead * self.play_gap(turn_at, server_index) / 2.0, server_index)
     }
 
-    pub(super) fn leave_queue(&mut self, plays: &mut [Play], ply: usize) {
-        if let Some(s) = plays[ply].waiting_for.take() {
-            self.servers[s].queue.retain(|q| q.1 != ply);
+    /// Removes the play from the queue of the server that it waits for, if any.
+    pub(super) fn leave_queue(&mut self, plays: &mut [Play], play_index: usize) {
+        if let Some(server_index) = plays[play_index].waiting_for.take() {
+            self.servers[server_index].queue.retain(|q| q.1 != play_index);
         }
     }
 
-    pub(super) fn gap(&self, now: f64, s: usize) -> f64 {
-        let server = &self.servers[s];
-        let warm_up = self.rule("rules.cold", 0.0).max(1.0);
-        let places = if server.places < f64::MAX { server.places.max(1.0) } else { 1.0 };
-        let from = self.rule("rules.cold_from", 0.1).clamp(0.01, 1.0);
-        let warmed = ((now - server.cold_since) / warm_up).clamp(0.0, 1.0);
-        let pace = places / warm_up * (from + (1.0 - from) * warmed);
-        // The fronts that press on it: those that usually meet there, and while it warms up as many as would
-        // ask if all asked at this front's own rate, over the last minute or, in a flood, of late.
-        let cold = now < server.cold_since + warm_up && server.cold_since != self.cached;
-        let lately = (self.wanted - 1.0).max(0.0) / RECENT * server.link.size / self.fleet;
-        let watched = MEMORY * (1.0 - (-(now - self.since).max(warm_up) / MEMORY).exp());
-        let rate = (server.asks.0 / watched).max(lately);
-        let asking = if cold { 1.0 - (-rate * warm_up).exp() } else { 0.0 };
-        let fronts = (self.fronts * asking).max(server.link.fronts);
-        // What is lent are parts of all fronts; what is doubted on hearsay all try as often as one would.
-        let fronts = if server.hearsay { fronts * self.fronts } else { fronts };
-        let lent = server.lent.max(0.0) / self.fronts;
-        let fronts = if lent > 0.0 { 1.0 / (1.0 / fronts + lent) } else { fronts / (1.0 + server.lent) };
-        fronts / (pace * self.rule("rules.overload_factor", 1.0) * PACED)
+    /// Minimum distance (ms) at this time between this front's plays to the server while it is cold or doubted.
+    pub(super) fn play_gap(&self, now: f64, server_index: usize) -> f64 {
+        let server = &self.servers[server_index];
+        let warm_up_ms = self.number_setting("rules.cold", 0.0).max(1.0);
+        let max_streams = if server.max_streams < f64::MAX { server.max_streams.max(1.0) } else { 1.0 };
+        let initial_share = self.number_setting("rules.cold_from", 0.1).clamp(0.01, 1.0);
+        let warmed_share = ((now - server.cold_since) / warm_up_ms).clamp(0.0, 1.0);
+        let pace = max_streams / warm_up_ms * (initial_share + (1.0 - initial_share) * warmed_share);
+        // The number of fronts that send to the server: those that usually have plays there, and during the warm-up as many
+        // as would have a request if all had this front's own rate, over the last minute or, in a flood, recently.
+        let is_cold = now < server.cold_since + warm_up_ms && server.cold_since != self.cached_list_at;
+        let recent_rate = (self.recent_requests - 1.0).max(0.0) / RECENT_MS * server.link.capacity_kb
+            / self.total_capacity_kb;
+        let watched_ms = REQUEST_MEMORY_MS
+            * (1.0 - (-(now - self.listing_since).max(warm_up_ms) / REQUEST_MEMORY_MS).exp());
+        let rate = (server.recent_requests.0 / watched_ms).max(recent_rate);
+        let requesting_share = if is_cold { 1.0 - (-rate * warm_up_ms).exp() } else { 0.0 };
+        let front_count = (self.front_count * requesting_share).max(server.link.front_count);
+        // A lent pace is given in shares of all fronts. On a server doubted by other fronts, all fronts together make as many
+        // trials as one front would.
+        let front_count = if server.doubted_by_others { front_count * self.front_count } else { front_count };
+        let lent_share = server.lent_pace.max(0.0) / self.front_count;
+        let front_count = if lent_share > 0.0 {
+            1.0 / (1.0 / front_count + lent_share)
+        } else {
+            front_count / (1.0 + server.lent_pace)
+        };
+        front_count / (pace * self.number_setting("rules.overload_factor", 1.0) * PACED_SHARE)
     }
 }
--- a/src/logic/room.rs
+++ b/src/logic/room.rs
@@ -1,92 +1,102 @@
-//! What is known of a media server: its link and its rack's uplink, what they carry, and the room left.
+//! What is known of a media server: its link and its rack's uplink, the load on them, and the room left. Loads and
+//! capacities are in kB, times in ms.
 
 use super::Policy;
 use crate::{Listing, Play};
 use std::collections::VecDeque;
 
-/// Outcomes that a server is judged by, and how many failures among them make it doubted.
-const OUTCOMES: usize = 4;
-const FAILURES: usize = 2;
-/// Room left for the spread of true rates and for late figures, in parts of a play's rate over the root of
-/// the number of plays.
-const SPREAD: f64 = 0.3;
-/// A figure older than this is to be refreshed by a probe, ms.
-const OLD: f64 = 6_000.0;
-/// Measurements heard closer than this are of one moment, ms.
-const APART: f64 = 500.0;
-
-/// What viewers of a live title share at a server.
-pub(super) fn stream(play: &Play) -> (usize, usize, usize) {
+/// Number of latest results that a server is judged by, and the number of failures among them that makes it doubted.
+const MAX_RESULTS: usize = 4;
+const DOUBT_FAILURES: usize = 2;
+/// Reserve for the spread of true rates and for late metrics, as a factor of a play's rate times the root of the number of
+/// plays.
+const RESERVE_FACTOR: f64 = 0.3;
+/// A measurement older than this is to be refreshed by a probe.
+const MAX_MEASUREMENT_AGE_MS: f64 = 6_000.0;
+/// Measurements that arrive within this time count as one.
+const MEASUREMENT_DISTANCE_MS: f64 = 500.0;
+
+/// Plays with equal keys on a server share one stream if the title is live.
+pub(super) fn stream_key(play: &Play) -> (usize, usize, usize) {
     (play.title, play.product, play.rung)
 }
 
-/// A link or uplink: what was asked of it when last measured, and what this front has changed since.
+/// A server's link or a rack's uplink: the demand when last measured, and what this front has changed since.
 #[derive(Default)]
-pub(super) struct Pipe {
-    pub(super) size: f64,
-    pub(super) asked: Option<f64>,
-    /// The measurement before that one, with what this front has changed since.
-    pub(super) before: f64,
-    pub(super) taken: f64,
-    /// When the present moment of measurements began.
-    pub(super) heard: f64,
-    pub(super) since: VecDeque<(f64, f64)>,
-    /// How many fronts have plays on it, this one included.
-    pub(super) fronts: f64,
-    /// What the others are reckoned to have cut for reports up to that time, and have not been heard to.
-    pub(super) cut: (f64, f64),
+pub(super) struct Link {
+    pub(super) capacity_kb: f64,
+    /// Latest measured demand; none before the first measurement.
+    pub(super) measured_kb: Option<f64>,
+    /// The measurement before the latest, with what this front has changed since.
+    pub(super) previous_kb: f64,
+    /// The time that the latest measurement describes, which is earlier than its arrival.
+    pub(super) measured_at: f64,
+    /// When the first of the measurements that count as the latest one arrived.
+    pub(super) received_at: f64,
+    /// This front's changes after `measured_at`: time and kB.
+    pub(super) own_changes: VecDeque<(f64, f64)>,
+    /// Estimated number of fronts with plays on the link, this one included.
+    pub(super) front_count: f64,
+    /// Estimated reduction by the other fronts that no measurement shows yet: the time of the report that they acted on,
+    /// and kB.
+    pub(super) others_cut: (f64, f64),
 }
 
-impl Pipe {
-    pub(super) fn measured(&mut self, now: f64, taken: f64, share: f64) {
-        if self.asked.is_some() && taken < self.taken {
+impl Link {
+    /// Takes a measurement of demand over capacity that arrives now and describes `measured_at`.
+    pub(super) fn record_measurement(&mut self, now: f64, measured_at: f64, utilization: f64) {
+        if self.measured_kb.is_some() && measured_at < self.measured_at {
             return;
         }
-        if now >= self.heard + APART {
-            (self.before, self.heard) = (self.now_asked().unwrap_or(0.0), now);
+        if now >= self.received_at + MEASUREMENT_DISTANCE_MS {
+            (self.previous_kb, self.received_at) = (self.demand_kb().unwrap_or(0.0), now);
         }
-        (self.asked, self.taken) = (Some(share.min(100.0) * self.size), taken);
-        self.since.retain(|c| c.0 > taken);
-        if self.cut.0 <= taken {
-            self.cut.1 = 0.0;
+        (self.measured_kb, self.measured_at) = (Some(utilization.min(100.0) * self.capacity_kb), measured_at);
+        self.own_changes.retain(|c| c.0 > measured_at);
+        if self.others_cut.0 <= measured_at {
+            self.others_cut.1 = 0.0;
         }
     }
 
-    /// What changed before `settled` counts as one change: no measurement still to come is older.
-    pub(super) fn change(&mut self, now: f64, kb: f64, settled: f64) {
-        while self.since.len() > 1 && self.since[1].0 <= settled {
-            let oldest = self.since.pop_front().map_or(0.0, |c| c.1);
-            self.since[0].1 += oldest;
+    /// Adds a change by this front. Changes before `settled_at` are merged into one, since no measurement still to come
+    /// is older.
+    pub(super) fn record_own_change(&mut self, now: f64, kb: f64, settled_at: f64) {
+        while self.own_changes.len() > 1 && self.own_changes[1].0 <= settled_at {
+            let oldest_kb = self.own_changes.pop_front().map_or(0.0, |c| c.1);
+            self.own_changes[0].1 += oldest_kb;
         }
-        self.since.push_back((now, kb));
-        self.before += kb;
+        self.own_changes.push_back((now, kb));
+        self.previous_kb += kb;
     }
 
-    /// Asked over given where two measurements in a row say so. Guards against blinking links and noise, and
-    /// should against any single wrong figure; a real shortage is answered one measurement later.
-    pub(super) fn short_twice(&self) -> f64 {
-        self.share().min(self.before / self.size)
+    /// Demand over capacity that two consecutive measurements agree on. Guards against flapping links, noise, and
+    /// any single wrong metric; a real shortage is answered one measurement later.
+    pub(super) fn confirmed_utilization(&self) -> f64 {
+        self.utilization().min(self.previous_kb / self.capacity_kb)
     }
 
-    /// The same less what other fronts are reckoned to have cut.
-    pub(super) fn steady_share(&self) -> f64 {
-        self.short_twice().min(self.share() - self.cut.1 / self.size)
+    /// The same, less the estimated reduction by other fronts.
+    pub(super) fn adjusted_utilization(&self) -> f64 {
+        self.confirmed_utilization().min(self.utilization() - self.others_cut.1 / self.capacity_kb)
     }
 
-    pub(super) fn known(&self, now: f64) -> bool {
-        self.asked.is_some() && now - self.taken < OLD
+    /// Whether there is a measurement young enough to need no probe.
+    pub(super) fn is_measured_lately(&self, now: f64) -> bool {
+        self.measured_kb.is_some() && now - self.measured_at < MAX_MEASUREMENT_AGE_MS
     }
 
-    pub(super) fn now_asked(&self) -> Option<f64> {
-        self.asked.map(|a| (a + self.own_change()).max(0.0))
+    /// Present demand: the latest measurement and this front's changes since.
+    pub(super) fn demand_kb(&self) -> Option<f64> {
+        self.measured_kb.map(|kb| (kb + self.own_change_kb()).max(0.0))
     }
 
-    pub(super) fn own_change(&self) -> f64 {
-        self.since.iter().map(|c| c.1).sum()
+    pub(super) fn own_change_kb(&self) -> f64 {
+        self.own_changes.iter().map(|c| c.1).sum()
     }
 
-    pub(super) fn share(&self) -> f64 {
-        self.now_asked().map_or(0.0, |a| a / self.size)
+    /// Present demand over capacity; 0 before the first measurement.
+    pub(super) fn utilization(&self) -> f64 {
+        self.demand_kb().map_or(0.0, |kb| kb / self.capacity_kb)
     }
 }
 
@@ -94,111 +104,146 @@
 #[derive(Default)]
 pub(super) struct Server {
     pub(super) listing: Listing,
-    pub(super) link: Pipe,
+    pub(super) link: Link,
     pub(super) rack: usize,
-    /// Streams that it runs at most, and those it was last known to run.
-    pub(super) places: f64,
+    /// Streams that the server runs at most, and those that it reported last.
+    pub(super) max_streams: f64,
     pub(super) streams: f64,
-    pub(super) outcomes: VecDeque<bool>,
-    /// Since when it counts as cold: its start, or the last sign that its process may have been lost.
+    /// Latest results of allocations, newest first: whether each succeeded.
+    pub(super) results: VecDeque<bool>,
+    /// Since when the server counts as cold: its start, or the last sign that its process may have been lost.
     pub(super) cold_since: f64,
-    pub(super) next_pace: f64,
-    /// Doubted by other fronts, and what they lend of their pace, in this front's unaided parts.
-    pub(super) hearsay: bool,
-    pub(super) lent: f64,
-    /// What keeps further allocations and probes apart, ms, and when the next may go.
+    /// While the server is cold or doubted, its next play may be sent at this time.
+    pub(super) next_play_at: f64,
+    /// Whether other fronts doubt the server, and the pace that they lend, in multiples of this front's part without loans.
+    pub(super) doubted_by_others: bool,
+    pub(super) lent_pace: f64,
+    /// Minimum distance between further allocations, and between probes, and when the next of each may be sent.
     pub(super) further_gap: f64,
-    pub(super) next_further: f64,
+    pub(super) next_further_at: f64,
     pub(super) probe_gap: f64,
-    pub(super) next_probe: f64,
-    /// Plays that could have gone there, each fading over MEMORY, and when the last was counted.
-    pub(super) asks: (f64, f64),
+    pub(super) next_probe_at: f64,
+    /// Number of plays that could have been sent to the server, decaying over REQUEST_MEMORY_MS, and when the last was
+    /// counted.
+    pub(super) recent_requests: (f64, f64),
+    /// This front's plays on the server, set-ups included.
     pub(super) plays: Vec<usize>,
-    /// Plays that wait for their turn there, by when they came.
+    /// Plays that wait for their turn at the server, ordered by arrival: time of arrival and play.
     pub(super) queue: Vec<(f64, usize)>,
 }
 
 impl Server {
-    pub(super) fn doubted(&self) -> bool {
-        self.hearsay || self.outcomes.iter().filter(|ok| !**ok).count() >= FAILURES
+    pub(super) fn is_doubted(&self) -> bool {
+        self.doubted_by_others || self.results.iter().filter(|ok| !**ok).count() >= DOUBT_FAILURES
     }
 
-    pub(super) fn heard(&mut self, ok: bool) {
-        self.outcomes.push_front(ok);
-        self.outcomes.truncate(OUTCOMES);
-        self.hearsay &= !ok;
+    /// Records an allocation's result; a success also ends the doubt reported by other fronts.
+    pub(super) fn record_result(&mut self, succeeded: bool) {
+        self.results.push_front(succeeded);
+        self.results.truncate(MAX_RESULTS);
+        self.doubted_by_others &= !succeeded;
     }
 }
 
-/// How many of the fronts meet at a pipe: those that would have a play there if plays of all filled it at the
-/// ladder's middle rate. At two or three fronts that is all of them, at hundreds a few.
-pub(super) fn meeting(fronts: f64, ladder: &[f64], size: f64) -> f64 {
-    let others = fronts - 1.0;
-    let plays = size / ladder[ladder.len() / 2].max(1.0);
-    1.0 + others * (1.0 - (1.0 - 1.0 / fronts).powf(plays))
+/// Estimated number of fronts that have a play on a link of this capacity, this front included, if the fronts' plays at the
+/// ladder's middle rate filled it. With two or three fronts that is all of them, with hundreds a few.
+pub(super) fn fronts_on_link(front_count: f64, ladder_kb: &[f64], capacity_kb: f64) -> f64 {
+    let others = front_count - 1.0;
+    let play_count = capacity_kb / ladder_kb[ladder_kb.len() / 2].max(1.0);
+    1.0 + others * (1.0 - (1.0 - 1.0 / front_count).powf(play_count))
 }
 
 impl Policy {
-    /// The one room figure: what the link and its rack's uplink both still carry, less the margin. Where this
-    /// front sets up play on play, all are reckoned to: guards against floods that no figure shows yet.
-    pub(super) fn room(&self, plays: &[Play], s: usize) -> f64 {
-        let middle = self.ladder[self.ladder.len() / 2];
-        let free = |pipe: &Pipe, asked: f64| {
-            let flood = (self.recent.0 - middle).max(0.0) * (self.fronts - 1.0) * pipe.size / self.fleet;
-            pipe.size - asked - flood - SPREAD * (pipe.size * middle).sqrt()
+    /// Room left on a server: what both its link and its rack's uplink can still carry, less the reserve. All decisions
+    /// use this one value. Where this front sets up many plays in a row, all fronts are assumed to do the same: guards
+    /// against floods that no metric shows yet.
+    pub(super) fn room_kb(&self, plays: &[Play], server_index: usize) -> f64 {
+        let middle_kb = self.ladder_kb[self.ladder_kb.len() / 2];
+        let free_kb = |link: &Link, demand_kb: f64| {
+            let flood_kb =
+                (self.recent_set_up_kb.0 - middle_kb).max(0.0) * (self.front_count - 1.0) * link.capacity_kb
+                    / self.total_capacity_kb;
+            link.capacity_kb - demand_kb - flood_kb - RESERVE_FACTOR * (link.capacity_kb * middle_kb).sqrt()
         };
-        let server = &self.servers[s];
-        let guess = || (self.mean * server.link.size).max(self.own(plays, s) * server.link.fronts);
-        let link = server.link.now_asked().unwrap_or_else(guess);
-        let rack = &self.racks[server.rack];
-        free(&server.link, link).min(free(rack, rack.now_asked().unwrap_or(0.5 * rack.size)))
-    }
-
-    pub(super) fn rate(&self, play: &Play, rung: usize) -> f64 {
-        self.ladder[rung] * self.products[play.product].scale
-    }
-
-    /// What this play at this rung adds to a server: of a live title that already streams there, only `join`.
-    pub(super) fn adds(&self, plays: &[Play], s: usize, play: &Play, ply: usize, rung: usize) -> f64 {
-        let same = |o: &usize| *o != ply && stream(&plays[*o]) == (play.title, play.product, rung);
-        let shared = self.products[play.product].live && self.servers[s].plays.iter().any(same);
-        self.rate(play, rung) * if shared { self.shared } else { 1.0 }
-    }
-
-    /// What its next rung adds to that.
-    pub(super) fn next_rung(&self, plays: &[Play], s: usize, ply: usize, rung: usize) -> f64 {
-        self.adds(plays, s, &plays[ply], ply, rung + 1) - self.adds(plays, s, &plays[ply], ply, rung)
-    }
-
-    pub(super) fn own(&self, plays: &[Play], s: usize) -> f64 {
-        let at = &self.servers[s].plays;
-        let part = |(i, ply): (usize, &usize)| {
-            let p = &plays[*ply];
-            let before = || at[..i].iter().any(|o| stream(&plays[*o]) == stream(p));
-            let shared = self.products[p.product].live && before();
-            self.rate(p, p.rung) * if shared { self.shared } else { 1.0 }
+        let server = &self.servers[server_index];
+        let guess_kb = || {
+            (self.mean_utilization * server.link.capacity_kb)
+                .max(self.own_load_kb(plays, server_index) * server.link.front_count)
+        };
+        let link_demand_kb = server.link.demand_kb().unwrap_or_else(guess_kb);
+        let uplink = &self.uplinks[server.rack];
+        free_kb(&server.link, link_demand_kb)
+            .min(free_kb(uplink, uplink.demand_kb().unwrap_or(0.5 * uplink.capacity_kb)))
+    }
+
+    /// The rate of a play on this rung.
+    pub(super) fn rate_kb(&self, play: &Play, rung: usize) -> f64 {
+        self.ladder_kb[rung] * self.products[play.product].rate_scale
+    }
+
+    /// The load that this play on this rung adds to a server; only its `join_share` where the server already streams the
+    /// live title.
+    pub(super) fn added_load_kb(
+        &self,
+        plays: &[Play],
+        server_index: usize,
+        play: &Play,
+        play_index: usize,
+        rung: usize,
+    ) -> f64 {
+        let same_stream =
+            |o: &usize| *o != play_index && stream_key(&plays[*o]) == (play.title, play.product, rung);
+        let is_shared =
+            self.products[play.product].is_live && self.servers[server_index].plays.iter().any(same_stream);
+        self.rate_kb(play, rung) * if is_shared { self.join_share } else { 1.0 }
+    }
+
+    /// The load that the rung above this one adds.
+    pub(super) fn next_rung_kb(
+        &self,
+        plays: &[Play],
+        server_index: usize,
+        play_index: usize,
+        rung: usize,
+    ) -> f64 {
+        self.added_load_kb(plays, server_index, &plays[play_index], play_index, rung + 1)
+            - self.added_load_kb(plays, server_index, &plays[play_index], play_index, rung)
+    }
+
+    /// The load of this front's own plays on a server.
+    pub(super) fn own_load_kb(&self, plays: &[Play], server_index: usize) -> f64 {
+        let play_indices = &self.servers[server_index].plays;
+        let load_kb = |(i, play_index): (usize, &usize)| {
+            let play = &plays[*play_index];
+            let joins_earlier =
+                || play_indices[..i].iter().any(|o| stream_key(&plays[*o]) == stream_key(play));
+            let is_shared = self.products[play.product].is_live && joins_earlier();
+            self.rate_kb(play, play.rung) * if is_shared { self.join_share } else { 1.0 }
         };
-        at.iter().enumerate().map(part).sum()
+        play_indices.iter().enumerate().map(load_kb).sum()
     }
 
-    pub(super) fn load(&mut self, now: f64, s: usize, kb: f64) {
-        let settled = now - self.rule("extra.seen_after", 1000.0);
-        self.servers[s].link.change(now, kb, settled);
-        let rack = self.servers[s].rack;
-        self.racks[rack].change(now, kb, settled);
+    /// Records on a server's link and its rack's uplink that this front's load changed by `kb`.
+    pub(super) fn change_load(&mut self, now: f64, server_index: usize, kb: f64) {
+        let settled_at = now - self.number_setting("extra.seen_after", 1000.0);
+        self.servers[server_index].link.record_own_change(now, kb, settled_at);
+        let rack = self.servers[server_index].rack;
+        self.uplinks[rack].record_own_change(now, kb, settled_at);
     }
 
-    /// The shorter of a server's link and its rack's uplink by this measure, and whether that is the uplink.
-    pub(super) fn shorter(&self, s: usize, by: fn(&Pipe) -> f64) -> (bool, &Pipe) {
-        let (link, rack) = (&self.servers[s].link, &self.racks[self.servers[s].rack]);
-        if by(rack) > by(link) { (true, rack) } else { (false, link) }
+    /// The fuller of a server's link and its rack's uplink by this measure, and whether that is the uplink.
+    pub(super) fn fuller_link(&self, server_index: usize, measure: fn(&Link) -> f64) -> (bool, &Link) {
+        let (link, uplink) =
+            (&self.servers[server_index].link, &self.uplinks[self.servers[server_index].rack]);
+        if measure(uplink) > measure(link) { (true, uplink) } else { (false, link) }
     }
 
-    pub(super) fn scope(&self, s: usize, uplink: bool) -> Vec<usize> {
-        if !uplink {
-            return vec![s];
+    /// The servers that share a server's rack uplink, or only the server itself where its own link is meant.
+    pub(super) fn servers_on_link(&self, server_index: usize, is_uplink: bool) -> Vec<usize> {
+        if !is_uplink {
+            return vec![server_index];
         }
-        let rack = self.servers[s].rack;
-        (rack..self.cells.len()).step_by(self.racks.len()).flat_map(|c| &self.cells[c]).copied().collect()
+        let rack = self.servers[server_index].rack;
+        (rack..self.cells.len()).step_by(self.uplinks.len()).flat_map(|c| &self.cells[c]).copied().collect()
     }
 }
--- a/src/logic/rungs.rs
+++ b/src/logic/rungs.rs
@@ -1,131 +1,158 @@
-//! The rung that a play gets, and the steps down and up while it plays.
+//! The rung that a play gets at set-up, and its steps down and up while it runs. Rates are in kB, times in ms.
 
-use super::{JITTER, Policy, QUIET, room::Pipe, room::stream};
+use super::{Policy, QUIET_JITTER_MS, QUIET_MS, room::Link, room::stream_key};
 use crate::{Placement, Play, RungChanges};
 
-/// A step down of others must cost this much less importance than it buys.
-const BARGAIN: f64 = 1.5;
-/// So many of the fronts that meet at a server may set up plays there within the life of a figure.
-const COMING: f64 = 4.0;
+/// A new play must gain this many times the importance per kB that a step down of another play loses.
+const MIN_GAIN_RATIO: f64 = 1.5;
+/// Of the fronts with plays on a server, the number assumed to set up plays there before the next measurement, at most.
+const MAX_CONCURRENT_FRONTS: f64 = 4.0;
 
 impl Policy {
-    pub fn set_adopted_rung(&mut self, plays: &mut [Play], ply: usize, rung: usize) {
-        plays[ply].rung = rung.min(self.ladder.len().saturating_sub(1));
+    /// The rung on which an adopted play runs.
+    pub fn set_adopted_rung(&mut self, plays: &mut [Play], play_index: usize, rung: usize) {
+        plays[play_index].rung = rung.min(self.ladder_kb.len().saturating_sub(1));
     }
 
-    /// The step down that loses least importance for what it frees: that loss per kB, the kB, and the plays
-    /// (one, or all of this front that share a live stream).
-    pub(super) fn cheapest(&self, plays: &[Play], scope: &[usize]) -> Option<(f64, f64, Vec<usize>)> {
+    /// The step down that loses the least importance for what it frees: the loss per kB, the kB freed, and the plays (one
+    /// play, or all plays of this front that share a live stream).
+    pub(super) fn cheapest_step_down(
+        &self,
+        plays: &[Play],
+        servers: &[usize],
+    ) -> Option<(f64, f64, Vec<usize>)> {
         let mut best: Option<(f64, f64, Vec<usize>)> = None;
-        for s in scope {
-            for (i, ply) in self.servers[*s].plays.iter().enumerate() {
-                let p = &plays[*ply];
-                let product = &self.products[p.product];
-                if p.finished || p.rung <= product.floor {
+        for server_index in servers {
+            for (i, play_index) in self.servers[*server_index].plays.iter().enumerate() {
+                let play = &plays[*play_index];
+                let product = &self.products[play.product];
+                if play.finished || play.rung <= product.min_rung {
                     continue;
                 }
-                let with = |o: &&usize| *o == ply || product.live && stream(&plays[**o]) == stream(p);
-                if self.servers[*s].plays[..i].iter().any(|o| with(&o)) {
+                let shares_stream = |o: &&usize| {
+                    *o == play_index || product.is_live && stream_key(&plays[**o]) == stream_key(play)
+                };
+                if self.servers[*server_index].plays[..i].iter().any(|o| shares_stream(&o)) {
                     continue;
                 }
-                let unit: Vec<usize> = self.servers[*s].plays.iter().filter(with).copied().collect();
-                let streams = 1.0 + (unit.len() - 1) as f64 * self.shared;
-                let freed = (self.rate(p, p.rung) - self.rate(p, p.rung - 1)) * streams;
-                let change = self.rule("extra.change_costs_s", 0.0) / ((QUIET + JITTER) / 1000.0);
-                let step = self.earns[p.rung] - self.earns[p.rung - 1] + change;
-                let per_kb = unit.len() as f64 * product.importance * step / freed.max(1e-9);
-                if best.as_ref().is_none_or(|b| per_kb < b.0) {
-                    best = Some((per_kb, freed, unit));
+                let group: Vec<usize> =
+                    self.servers[*server_index].plays.iter().filter(shares_stream).copied().collect();
+                let rate_factor = 1.0 + (group.len() - 1) as f64 * self.join_share;
+                let freed_kb =
+                    (self.rate_kb(play, play.rung) - self.rate_kb(play, play.rung - 1)) * rate_factor;
+                let change_cost = self.number_setting("extra.change_costs_s", 0.0)
+                    / ((QUIET_MS + QUIET_JITTER_MS) / 1000.0);
+                let value_loss = self.rung_values[play.rung] - self.rung_values[play.rung - 1] + change_cost;
+                let loss_per_kb = group.len() as f64 * product.importance * value_loss / freed_kb.max(1e-9);
+                if best.as_ref().is_none_or(|b| loss_per_kb < b.0) {
+                    best = Some((loss_per_kb, freed_kb, group));
                 }
             }
         }
         best
     }
 
+    /// Steps these plays, which share a server, down by one rung and adds them to `rung_changes`.
     pub(super) fn step_down(
         &mut self,
         now: f64,
         plays: &mut [Play],
-        unit: &[usize],
-        freed: f64,
-        steps: &mut RungChanges,
+        group: &[usize],
+        freed_kb: f64,
+        rung_changes: &mut RungChanges,
     ) {
-        for ply in unit {
-            let p = &mut plays[*ply];
-            p.rung -= 1;
-            p.recheck_at = now + self.spell();
-            steps.retain(|s| s.0 != *ply);
-            steps.push((*ply, p.rung));
+        for play_index in group {
+            let play = &mut plays[*play_index];
+            play.rung -= 1;
+            play.recheck_at = now + self.draw_quiet_period();
+            rung_changes.retain(|change| change.0 != *play_index);
+            rung_changes.push((*play_index, play.rung));
         }
-        if let Some(s) = plays[unit[0]].server {
-            self.load(now, s, -freed);
+        if let Some(server_index) = plays[group[0]].server {
+            self.change_load(now, server_index, -freed_kb);
         }
     }
 
-    /// The rung at set-up. Where it would start low while own plays there hold rungs that earn less for their
-    /// rate, those step down for it: importance grows less than the rate, so first come must not take all.
-    pub(super) fn rung_for(
+    /// The rung at set-up, and the plays stepped down for it. Where the new play would start low while plays of this front
+    /// hold rungs of less value for their rate, those step down: importance grows less than the rate, so the plays that
+    /// came first must not take all the room.
+    pub(super) fn choose_rung(
         &mut self,
         now: f64,
         plays: &mut [Play],
-        ply: usize,
-        s: usize,
+        play_index: usize,
+        server_index: usize,
     ) -> (usize, RungChanges) {
-        let product = &self.products[plays[ply].product];
-        let (floor, importance) = (product.floor, product.importance);
-        let top = self.top(&plays[ply]).max(floor);
-        // Other fronts read the same room: with more of them a set-up leaves more of it. Guards against all
-        // filling it at once; with one front the whole room counts.
-        let mut room = self.room(plays, s);
-        let link = &self.servers[s].link;
-        let fronts = if link.known(now) { link.fronts.min(COMING) } else { link.fronts };
-        room *= if room > 0.0 { 2.0 / (1.0 + fronts) } else { 1.0 };
-        let mut rung = floor;
-        room -= self.adds(plays, s, &plays[ply], ply, rung);
-        let scope = self.scope(s, self.shorter(s, Pipe::share).0);
-        let mut steps = Vec::new();
-        while rung < top {
-            let more = self.next_rung(plays, s, ply, rung);
-            if more <= room {
+        let product = &self.products[plays[play_index].product];
+        let (min_rung, importance) = (product.min_rung, product.importance);
+        let max_rung = self.max_rung(&plays[play_index]).max(min_rung);
+        // Other fronts see the same room, so the more fronts there are, the more room a set-up leaves. Guards against all
+        // fronts filling it at once; with one front the whole room counts.
+        let mut room_kb = self.room_kb(plays, server_index);
+        let link = &self.servers[server_index].link;
+        let front_count = if link.is_measured_lately(now) {
+            link.front_count.min(MAX_CONCURRENT_FRONTS)
+        } else {
+            link.front_count
+        };
+        room_kb *= if room_kb > 0.0 { 2.0 / (1.0 + front_count) } else { 1.0 };
+        let mut rung = min_rung;
+        room_kb -= self.added_load_kb(plays, server_index, &plays[play_index], play_index, rung);
+        let servers = self.servers_on_link(server_index, self.fuller_link(server_index, Link::utilization).0);
+        let mut rung_changes = Vec::new();
+        while rung < max_rung {
+            let added_kb = self.next_rung_kb(plays, server_index, play_index, rung);
+            if added_kb <= room_kb {
                 rung += 1;
-                room -= more;
+                room_kb -= added_kb;
                 continue;
             }
-            let gain = importance * (self.earns[rung + 1] - self.earns[rung]) / more.max(1e-9);
-            let Some((lost, freed, unit)) = self.cheapest(plays, &scope) else { break };
-            if lost * BARGAIN > gain {
+            // Both are importance per kB.
+            let gain =
+                importance * (self.rung_values[rung + 1] - self.rung_values[rung]) / added_kb.max(1e-9);
+            let Some((loss, freed_kb, group)) = self.cheapest_step_down(plays, &servers) else { break };
+            if loss * MIN_GAIN_RATIO > gain {
                 break;
             }
-            room += freed;
-            self.step_down(now, plays, &unit, freed, &mut steps);
+            room_kb += freed_kb;
+            self.step_down(now, plays, &group, freed_kb, &mut rung_changes);
         }
-        (rung, steps)
+        (rung, rung_changes)
     }
 
-    pub(super) fn top(&self, play: &Play) -> usize {
-        play.max_rung.min(self.products[play.product].top).min(self.ladder.len() - 1)
+    /// The highest rung that the viewer, the product and the ladder allow.
+    pub(super) fn max_rung(&self, play: &Play) -> usize {
+        play.max_rung.min(self.products[play.product].max_rung).min(self.ladder_kb.len() - 1)
     }
 
-    /// Up after the quiet spell, as far as this front's part of the room carries.
-    pub(super) fn step_up(&mut self, now: f64, plays: &mut [Play], ply: usize) -> (Placement, RungChanges) {
-        let rung = plays[ply].rung;
-        let Some(s) = plays[ply].server.filter(|_| now >= plays[ply].recheck_at - 0.01) else {
+    /// Steps a running play up after its quiet period, as far as this front's share of the room allows.
+    pub(super) fn step_up(
+        &mut self,
+        now: f64,
+        plays: &mut [Play],
+        play_index: usize,
+    ) -> (Placement, RungChanges) {
+        let rung = plays[play_index].rung;
+        let Some(server_index) =
+            plays[play_index].server.filter(|_| now >= plays[play_index].recheck_at - 0.01)
+        else {
             return (Placement::Keep { rung }, Vec::new());
         };
-        plays[ply].recheck_at = now + self.spell();
-        if s < self.servers.len() {
-            // A change costs the same however far it goes, so it goes as far as the room does.
-            let mut part = self.room(plays, s) / self.servers[s].link.fronts;
-            while plays[ply].rung < self.top(&plays[ply]) {
-                let more = self.next_rung(plays, s, ply, plays[ply].rung);
-                if more > part {
+        plays[play_index].recheck_at = now + self.draw_quiet_period();
+        if server_index < self.servers.len() {
+            // A change costs the viewer the same whatever its size, so the play goes up as far as the room allows.
+            let mut room_share_kb =
+                self.room_kb(plays, server_index) / self.servers[server_index].link.front_count;
+            while plays[play_index].rung < self.max_rung(&plays[play_index]) {
+                let added_kb = self.next_rung_kb(plays, server_index, play_index, plays[play_index].rung);
+                if added_kb > room_share_kb {
                     break;
                 }
-                part -= more;
-                plays[ply].rung += 1;
-                self.load(now, s, more);
+                room_share_kb -= added_kb;
+                plays[play_index].rung += 1;
+                self.change_load(now, server_index, added_kb);
             }
         }
-        (Placement::Keep { rung: plays[ply].rung }, Vec::new())
+        (Placement::Keep { rung: plays[play_index].rung }, Vec::new())
     }
 }
--- a/src/logic/shown.rs
+++ b/src/logic/shown.rs
@@ -1,34 +1,34 @@
-//! What a front goes by, shown to whoever compares it with what was approved, and other figures put in its place. No decision.
+//! Shows the settings in effect, for comparison with the approved ones, and overrides single settings. Decides nothing.
 
 use super::Policy;
 use crate::{Settings, Value};
 
 impl Policy {
-    /// All that it goes by now, under the call sheet's names.
+    /// All settings in effect, under their flat names, with the defaults filled in for ladder and products.
     pub fn active_settings(&self) -> Settings {
-        let mut it = self.sheet.clone();
-        let mut put = |name: String, x: f64| it.insert(name, Value::Number(x));
-        for (i, (kb, earns)) in self.ladder.iter().zip(&self.earns).enumerate() {
-            put(format!("extra.ladder_kb.{i}"), *kb);
-            put(format!("extra.rung_worth.{i}"), *earns);
+        let mut active = self.settings.clone();
+        let mut insert = |name: String, value: f64| active.insert(name, Value::Number(value));
+        for (i, (kb, rung_value)) in self.ladder_kb.iter().zip(&self.rung_values).enumerate() {
+            insert(format!("extra.ladder_kb.{i}"), *kb);
+            insert(format!("extra.rung_worth.{i}"), *rung_value);
         }
-        for (i, p) in self.products.iter().enumerate() {
-            put(format!("products.{i}.importance"), p.importance);
-            put(format!("products.{i}.first_frame_target"), p.target);
-            put(format!("products.{i}.repeat_window"), p.repeat_window);
-            put(format!("extra.class_floor.{i}"), p.floor as f64);
-            put(format!("extra.class_scale.{i}"), p.scale);
-            put(format!("extra.seats.{i}"), p.seats as f64);
+        for (i, product) in self.products.iter().enumerate() {
+            insert(format!("products.{i}.importance"), product.importance);
+            insert(format!("products.{i}.first_frame_target"), product.first_frame_target);
+            insert(format!("products.{i}.repeat_window"), product.repeat_window);
+            insert(format!("extra.class_floor.{i}"), product.min_rung as f64);
+            insert(format!("extra.class_scale.{i}"), product.rate_scale);
+            insert(format!("extra.seats.{i}"), product.seat_limit as f64);
         }
-        it
+        active
     }
 
-    /// Goes by another figure from now on: a rule's, or a product's floor.
+    /// Uses another value for a setting from now on: one that is read at each use, or a product's lowest rung.
     pub fn override_setting(&mut self, name: &str, value: f64) {
-        let of = name.strip_prefix("extra.class_floor.").and_then(|i| i.parse::<usize>().ok());
-        if let Some(product) = of.and_then(|i| self.products.get_mut(i)) {
-            product.floor = (value.max(0.0) as usize).min(self.ladder.len() - 1);
+        let product_index = name.strip_prefix("extra.class_floor.").and_then(|i| i.parse::<usize>().ok());
+        if let Some(product) = product_index.and_then(|i| self.products.get_mut(i)) {
+            product.min_rung = (value.max(0.0) as usize).min(self.ladder_kb.len() - 1);
         }
-        self.sheet.insert(name.to_string(), Value::Number(value));
+        self.settings.insert(name.to_string(), Value::Number(value));
     }
 }
