--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -1,4 +1,5 @@
-//! A tiny host: a front with a few servers, and plays put through it without the bench.
+//! A minimal host for tests of the placement logic: one front's policy, a few servers and plays, without the simulator.
+//! Times are in ms.
 
 use pulleystair::logic::Policy;
 use pulleystair::{
@@ -7,14 +8,15 @@
 
 /// Four servers in two racks, links of 1000 kB, a ladder of 100, 200 and 400 kB.
 pub struct Host {
-    pub front: Policy,
+    pub policy: Policy,
     pub plays: Vec<Play>,
     pub now: f64,
-    pub lines: Vec<Listing>,
+    pub entries: Vec<Listing>,
 }
 
-pub fn sheet(changes: &[(&str, f64)], effect: &str) -> Settings {
-    let mut sheet = Settings::new();
+/// Settings with `changes` applied, and one product whose set-ups have this `effect`.
+pub fn test_settings(changes: &[(&str, f64)], effect: &str) -> Settings {
+    let mut settings = Settings::new();
     let numbers = [
         ("balancers", 1.0),
         ("products.0.importance", 1.0),
@@ -42,21 +44,22 @@
         ("rules.overload_factor", 2.0),
     ];
     for (name, value) in numbers.iter().chain(changes) {
-        sheet.insert((*name).into(), Value::Number(*value));
+        settings.insert((*name).into(), Value::Number(*value));
     }
-    sheet.insert("products.0.effect".into(), Value::Text(effect.into()));
-    sheet.insert("products.0.key_scope".into(), Value::Text("zone".into()));
-    sheet
+    settings.insert("products.0.effect".into(), Value::Text(effect.into()));
+    settings.insert("products.0.key_scope".into(), Value::Text("zone".into()));
+    settings
 }
 
 impl Host {
-    /// A host whose servers have long been up, all links measured as half asked.
+    /// A host whose servers started long ago, with a utilization of one half measured on all links.
     pub fn new(changes: &[(&str, f64)]) -> Host {
-        Host::of(sheet(changes, "read_like"))
+        Host::with_settings(test_settings(changes, "read_like"))
     }
 
-    pub fn of(sheet: Settings) -> Host {
-        let line = |s| Listing {
+    /// The same, by these settings.
+    pub fn with_settings(settings: Settings) -> Host {
+        let entry = |s| Listing {
             server: s,
             cell: s,
             zone: s % 2,
@@ -64,64 +67,68 @@
             weight: 1.0,
             ..Listing::default()
         };
-        let lines: Vec<Listing> = (0..4).map(line).collect();
-        let mut host = Host { front: Policy::new(sheet, 7), plays: Vec::new(), now: 100_000.0, lines };
-        host.list();
+        let entries: Vec<Listing> = (0..4).map(entry).collect();
+        let mut host = Host { policy: Policy::new(settings, 7), plays: Vec::new(), now: 100_000.0, entries };
+        host.update_list();
         for s in 0..4 {
-            host.measure(s, 0.5);
+            host.report_utilization(s, 0.5);
         }
         host
     }
 
-    pub fn list(&mut self) {
-        self.front.update_list(self.now, true, false, &self.lines);
+    /// Gives the policy the whole list.
+    pub fn update_list(&mut self) {
+        self.policy.update_list(self.now, true, false, &self.entries);
     }
 
-    pub fn measure(&mut self, s: usize, share: f64) -> RungChanges {
-        let mut steps =
-            self.front.on_load_metric(self.now, &mut self.plays, s, None, LoadMetric::Uplink(0.2));
-        steps.extend(self.front.on_load_metric(self.now, &mut self.plays, s, None, LoadMetric::Link(share)));
-        steps
+    /// Reports a server's link utilization, with an uplink that has room; returns the plays whose rungs change.
+    pub fn report_utilization(&mut self, server: usize, utilization: f64) -> RungChanges {
+        let mut rung_changes =
+            self.policy.on_load_metric(self.now, &mut self.plays, server, None, LoadMetric::Uplink(0.2));
+        rung_changes.extend(self.policy.on_load_metric(
+            self.now,
+            &mut self.plays,
+            server,
+            None,
+            LoadMetric::Link(utilization),
+        ));
+        rung_changes
     }
 
-    /// A new play of a title on `holders` cells from `first`.
-    pub fn take(&mut self, first: usize, holders: usize) -> usize {
-        let limit = self.now + 4000.0;
-        let play = Play {
-            first_cell: first,
-            holders,
-            max_rung: 2,
-            arrived_at: self.now,
-            deadline: limit,
-            ..Play::default()
-        };
+    /// Adds a play of a title on `holders` cells from `first_cell` and returns its index.
+    pub fn add_play(&mut self, first_cell: usize, holders: usize) -> usize {
+        let deadline = self.now + 4000.0;
+        let play =
+            Play { first_cell, holders, max_rung: 2, arrived_at: self.now, deadline, ..Play::default() };
         self.plays.push(play);
-        let ply = self.plays.len() - 1;
-        self.front.add_play(self.now, &mut self.plays[ply]);
-        ply
+        let play_index = self.plays.len() - 1;
+        self.policy.add_play(self.now, &mut self.plays[play_index]);
+        play_index
     }
 
-    pub fn ask(&mut self, ply: usize) -> Placement {
-        self.front.place(self.now, &mut self.plays, ply).0
+    /// Asks the policy where the play goes.
+    pub fn place(&mut self, play_index: usize) -> Placement {
+        self.policy.place(self.now, &mut self.plays, play_index).0
     }
 
-    /// Asks and tells the server; none where the play is not sent.
-    pub fn sent_to(&mut self, ply: usize) -> Option<usize> {
-        match self.ask(ply) {
+    /// Asks where the play goes and returns the server; none if the play is not sent.
+    pub fn server_for(&mut self, play_index: usize) -> Option<usize> {
+        match self.place(play_index) {
             Placement::Send { server, .. } => Some(server),
             _ => None,
         }
     }
 
-    pub fn after(&mut self, ply: usize, outcome: Outcome) -> Next {
-        self.front.after_outcome(self.now, &mut self.plays, ply, outcome, false)
+    /// Reports an outcome that does not end the play.
+    pub fn report_outcome(&mut self, play_index: usize, outcome: Outcome) -> Next {
+        self.policy.after_outcome(self.now, &mut self.plays, play_index, outcome, false)
     }
 
-    /// Takes a play and starts it; answers its server.
-    pub fn start(&mut self, first: usize, holders: usize) -> (usize, usize) {
-        let ply = self.take(first, holders);
-        let server = self.sent_to(ply).expect("a holder takes it");
-        self.after(ply, Outcome::Playing);
-        (ply, server)
+    /// Adds a play and starts it; returns the play and its server.
+    pub fn start_play(&mut self, first_cell: usize, holders: usize) -> (usize, usize) {
+        let play_index = self.add_play(first_cell, holders);
+        let server = self.server_for(play_index).expect("a holder takes the play");
+        self.report_outcome(play_index, Outcome::Playing);
+        (play_index, server)
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,124 +1,127 @@
-//! Turns at cold and doubted servers, and the rules: who may be sent to at all, and what is given up on. One fake host.
+//! The rate of plays to cold and doubted servers, and the rules on which servers may be sent a play and when a play is
+//! refused. Uses one fake host.
 
 mod host;
 
-use host::{Host, sheet};
+use host::{Host, test_settings};
 use pulleystair::{Next, Outcome, Placement, Standing};
 use test_case::test_case;
 
 #[test]
-fn when_all_holders_look_bad_plays_wait_their_turn_and_are_not_shut_out() {
+fn plays_wait_for_a_trial_when_all_holders_are_doubted() {
     let mut host = Host::new(&[]);
     for _ in 0..12 {
-        let ply = host.take(0, 2);
-        while let Some(_server) = host.sent_to(ply) {
-            host.after(ply, Outcome::Broken);
+        let play_index = host.add_play(0, 2);
+        while let Some(_server) = host.server_for(play_index) {
+            host.report_outcome(play_index, Outcome::Broken);
         }
-        host.front.on_viewer_left(&mut host.plays, ply);
+        host.policy.on_viewer_left(&mut host.plays, play_index);
     }
     host.now += 5000.0;
-    let (first, second) = (host.take(0, 1), host.take(0, 1));
-    assert_eq!(host.sent_to(first), Some(0), "a trial");
-    assert_eq!(host.ask(second), Placement::Wait { probe: vec![] });
-    host.now += host.front.time_to_recheck(host.now, &host.plays[second]).unwrap();
-    assert_eq!(host.sent_to(second), Some(0), "in its turn");
+    let (first, second) = (host.add_play(0, 1), host.add_play(0, 1));
+    assert_eq!(host.server_for(first), Some(0), "the first is sent as a trial");
+    assert_eq!(host.place(second), Placement::Wait { probe: vec![] });
+    host.now += host.policy.time_to_recheck(host.now, &host.plays[second]).unwrap();
+    assert_eq!(host.server_for(second), Some(0), "the second is sent in its turn");
 }
 
 #[test_case(true; "listed as just started")]
-#[test_case(false; "seen to fail, not yet listed")]
-fn a_cold_server_is_not_rushed(listed: bool) {
+#[test_case(false; "found unreachable, not yet listed")]
+fn a_cold_server_is_sent_plays_at_its_pace(listed: bool) {
     let mut host = Host::new(&[("balancers", 2.0)]);
     if listed {
-        host.lines[0].started_at = host.now;
-        host.list();
+        host.entries[0].started_at = host.now;
+        host.update_list();
     } else {
-        let ply = host.take(0, 1);
-        host.ask(ply);
-        host.after(ply, Outcome::Unreachable);
+        let play_index = host.add_play(0, 1);
+        host.place(play_index);
+        host.report_outcome(play_index, Outcome::Unreachable);
     }
     let mut sent = 0;
     for _ in 0..100 {
-        let ply = host.take(0, 1);
-        sent += usize::from(host.sent_to(ply).is_some());
+        let play_index = host.add_play(0, 1);
+        sent += usize::from(host.server_for(play_index).is_some());
         host.now += 10.0;
     }
-    // 24 places over 12 s, half warm, twice that tips it over: 2 a second, of which 2 fronts take 0.6.
+    // 24 streams over 12 s at half the pace; twice that overloads it: 2 plays a second, of which 2 fronts take 0.6.
     assert!(sent <= 1, "{sent} in a second");
 }
 
 #[test]
 fn a_restarted_front_with_an_old_list_treats_every_server_as_cold() {
     let mut host = Host::new(&[]);
-    let lines = host.lines.clone();
-    host.front = pulleystair::logic::Policy::new(sheet(&[], "read_like"), 8);
-    host.front.update_list(host.now, true, true, &lines);
+    let entries = host.entries.clone();
+    host.policy = pulleystair::logic::Policy::new(test_settings(&[], "read_like"), 8);
+    host.policy.update_list(host.now, true, true, &entries);
     let sent = (0..20).filter(|_| {
-        let ply = host.take(0, 1);
-        host.sent_to(ply).is_some()
+        let play_index = host.add_play(0, 1);
+        host.server_for(play_index).is_some()
     });
     assert!(sent.count() <= 1);
-    host.list();
-    let ply = host.take(0, 1);
-    assert_eq!(host.sent_to(ply), Some(0), "discovery has vouched for it");
+    host.update_list();
+    let play_index = host.add_play(0, 1);
+    assert_eq!(host.server_for(play_index), Some(0), "discovery has confirmed its start");
 }
 
 #[test_case(Standing::Draining)]
 #[test_case(Standing::Gone)]
-fn nothing_goes_to_a_server_that_leaves(standing: Standing) {
+fn no_play_is_sent_to_a_draining_or_gone_server(standing: Standing) {
     let mut host = Host::new(&[]);
-    host.lines[0].standing = standing;
-    host.list();
+    host.entries[0].standing = standing;
+    host.update_list();
     for _ in 0..30 {
-        let ply = host.take(0, 2);
-        assert_ne!(host.sent_to(ply), Some(0));
+        let play_index = host.add_play(0, 2);
+        assert_ne!(host.server_for(play_index), Some(0));
     }
 }
 
 #[test_case(Outcome::TimedOut, false; "may have run")]
-#[test_case(Outcome::Full, true; "provably never ran")]
-fn a_paid_set_up_is_sent_again_only_if_it_never_ran(outcome: Outcome, again: bool) {
-    let mut host = Host::of(sheet(&[], "non_idempotent"));
-    let ply = host.take(0, 3);
-    host.ask(ply);
-    assert_eq!(host.after(ply, outcome), Next::Place);
-    match host.ask(ply) {
-        Placement::Send { .. } => assert!(again),
-        answer => assert_eq!((answer, again), (Placement::Failed, false)),
+#[test_case(Outcome::Full, true; "never ran")]
+fn a_non_idempotent_set_up_is_repeated_only_if_it_never_ran(outcome: Outcome, is_repeated: bool) {
+    let mut host = Host::with_settings(test_settings(&[], "non_idempotent"));
+    let play_index = host.add_play(0, 3);
+    host.place(play_index);
+    assert_eq!(host.report_outcome(play_index, outcome), Next::Place);
+    match host.place(play_index) {
+        Placement::Send { .. } => assert!(is_repeated),
+        answer => assert_eq!((answer, is_repeated), (Placement::Failed, false)),
     }
 }
 
 #[test]
-fn a_keyed_set_up_that_may_have_run_stays_in_its_group() {
+fn a_keyed_set_up_that_may_have_run_stays_in_its_key_scope() {
     let repeat = [("products.0.repeat_window", 3000.0)];
-    let mut host = Host::of(sheet(&repeat, "idempotency_key"));
-    let ply = host.take(0, 4);
-    let first = host.sent_to(ply).unwrap();
-    host.after(ply, Outcome::TimedOut);
-    assert_eq!(host.sent_to(ply).unwrap() % 2, first % 2, "the same zone");
-    host.after(ply, Outcome::TimedOut);
+    let mut host = Host::with_settings(test_settings(&repeat, "idempotency_key"));
+    let play_index = host.add_play(0, 4);
+    let first = host.server_for(play_index).unwrap();
+    host.report_outcome(play_index, Outcome::TimedOut);
+    assert_eq!(host.server_for(play_index).unwrap() % 2, first % 2, "the same zone");
+    host.report_outcome(play_index, Outcome::TimedOut);
     host.now += 3500.0;
-    assert_eq!(host.ask(ply), Placement::Failed, "its window is over");
+    assert_eq!(host.place(play_index), Placement::Failed, "its repeat window is over");
 }
 
 #[test]
-fn seats_hold_from_allocation_to_outcome() {
+fn a_seat_is_taken_from_allocation_to_outcome() {
     let mut host = Host::new(&[("extra.seats.0", 1.0)]);
-    let (first, second, third) = (host.take(0, 2), host.take(0, 2), host.take(0, 2));
-    assert!(host.sent_to(first).is_some());
-    assert_eq!(host.ask(second), Placement::Declined { retry_after: 500.0 });
-    host.after(first, Outcome::Error);
-    assert!(host.sent_to(third).is_some());
+    let (first, second, third) = (host.add_play(0, 2), host.add_play(0, 2), host.add_play(0, 2));
+    assert!(host.server_for(first).is_some());
+    assert_eq!(host.place(second), Placement::Declined { retry_after: 500.0 });
+    host.report_outcome(first, Outcome::Error);
+    assert!(host.server_for(third).is_some());
 }
 
 #[test]
-fn further_allocations_keep_to_the_budget() {
+fn further_allocations_stay_within_the_budget() {
     let budget = [("rules.budget_share", 0.1), ("rules.free_resends", 1.0), ("rules.budget_span", 10_000.0)];
     let mut host = Host::new(&budget);
     let mut further = 0;
     for _ in 0..20 {
-        let ply = host.take(0, 4);
-        host.ask(ply);
-        while host.after(ply, Outcome::Full) == Next::Place && host.sent_to(ply).is_some() {
+        let play_index = host.add_play(0, 4);
+        host.place(play_index);
+        while host.report_outcome(play_index, Outcome::Full) == Next::Place
+            && host.server_for(play_index).is_some()
+        {
             further += 1;
         }
     }
@@ -126,131 +129,132 @@
 }
 
 #[test]
-fn a_play_takes_no_more_from_a_crowded_server_than_it_brings() {
+fn a_play_is_declined_if_it_takes_more_from_an_overloaded_server_than_it_adds() {
     let mut host = Host::new(&[]);
-    let plays: Vec<usize> = (0..8).map(|_| host.start(0, 1).0).collect();
+    let plays: Vec<usize> = (0..8).map(|_| host.start_play(0, 1).0).collect();
     for _ in 0..4 {
         host.now += 4000.0;
-        host.measure(0, 1.3);
+        host.report_utilization(0, 1.3);
     }
     assert!(plays.iter().all(|p| host.plays[*p].rung == 0));
-    let ply = host.take(0, 1);
+    let play_index = host.add_play(0, 1);
     assert_eq!(
-        host.ask(ply),
+        host.place(play_index),
         Placement::Declined { retry_after: 500.0 },
-        "at once, with a time to come back"
+        "declined at once, with a time to retry"
     );
 }
 
-/// What each play is given up on for is met in the same turn as the ask.
-#[test_case(1.0, 500.0; "with the longest time to come back that viewers heed")]
-#[test_case(0.0, 0.0; "with none where they heed none")]
-fn what_is_given_up_on_is_answered_at_once(heeded: f64, pause: f64) {
+/// Each play is refused for another reason, in the same call that places it.
+#[test_case(1.0, 500.0; "with the longest retry delay that viewers heed")]
+#[test_case(0.0, 0.0; "without a retry delay if viewers heed none")]
+fn a_refused_play_is_answered_at_once(viewers_heed: f64, retry_after: f64) {
     let mut answers = Vec::new();
-    let mut given_up = |what: &str, changes: &[(&str, f64)], ask: fn(&mut Host) -> usize| {
-        let heeded = [("ceilings.retry_after", heeded)];
+    let mut refuse = |reason: &str, changes: &[(&str, f64)], add_play: fn(&mut Host) -> usize| {
+        let heeded = [("ceilings.retry_after", viewers_heed)];
         let mut host = Host::new(&[changes, &heeded].concat());
-        let ply = ask(&mut host);
-        answers.push((what.to_string(), host.ask(ply)));
+        let play_index = add_play(&mut host);
+        answers.push((reason.to_string(), host.place(play_index)));
         assert!(
-            host.plays[ply].finished && host.front.time_to_recheck(host.now, &host.plays[ply]).is_none(),
-            "{what}"
+            host.plays[play_index].finished
+                && host.policy.time_to_recheck(host.now, &host.plays[play_index]).is_none(),
+            "{reason}"
         );
     };
-    given_up("no holder is listed", &[], |host| {
-        host.lines.iter_mut().for_each(|l| l.standing = Standing::Gone);
-        host.list();
-        host.take(0, 4)
+    refuse("no holder is listed", &[], |host| {
+        host.entries.iter_mut().for_each(|l| l.standing = Standing::Gone);
+        host.update_list();
+        host.add_play(0, 4)
     });
-    given_up("every seat is taken", &[("extra.seats.0", 1.0)], |host| {
-        host.start(0, 4);
-        host.take(0, 4)
+    refuse("every seat is taken", &[("extra.seats.0", 1.0)], |host| {
+        host.start_play(0, 4);
+        host.add_play(0, 4)
     });
-    given_up("as many allocations as may be", &[("ceilings.attempts_cap", 2.0)], |host| {
-        let ply = host.take(0, 4);
-        while host.sent_to(ply).is_some() && host.plays[ply].allocations < 2 {
-            host.after(ply, Outcome::Full);
+    refuse("all allowed allocations are used", &[("ceilings.attempts_cap", 2.0)], |host| {
+        let play_index = host.add_play(0, 4);
+        while host.server_for(play_index).is_some() && host.plays[play_index].allocations < 2 {
+            host.report_outcome(play_index, Outcome::Full);
         }
-        host.after(ply, Outcome::Full);
-        ply
+        host.report_outcome(play_index, Outcome::Full);
+        play_index
     });
-    given_up("the budget is spent", &[("rules.budget_share", 0.0), ("rules.budget_span", 5000.0)], |host| {
-        let ply = host.take(0, 4);
-        host.ask(ply);
-        host.after(ply, Outcome::TimedOut);
-        ply
+    refuse("the budget is spent", &[("rules.budget_share", 0.0), ("rules.budget_span", 5000.0)], |host| {
+        let play_index = host.add_play(0, 4);
+        host.place(play_index);
+        host.report_outcome(play_index, Outcome::TimedOut);
+        play_index
     });
-    given_up("its time is up", &[], |host| {
-        let ply = host.take(0, 4);
-        host.now = host.plays[ply].deadline;
-        ply
+    refuse("its deadline has passed", &[], |host| {
+        let play_index = host.add_play(0, 4);
+        host.now = host.plays[play_index].deadline;
+        play_index
     });
-    given_up("its turn at a cold server comes too late", &[("balancers", 30.0), ("rank", 29.0)], |host| {
-        host.lines[0].started_at = host.now;
-        host.list();
-        host.take(0, 1)
+    refuse("its turn at a cold server is too late", &[("balancers", 30.0), ("rank", 29.0)], |host| {
+        host.entries[0].started_at = host.now;
+        host.update_list();
+        host.add_play(0, 1)
     });
-    given_up("too many wait for that turn before it", &[], |host| {
-        host.lines[0].started_at = host.now;
-        host.list();
-        // 24 places over 12 s, half warm, twice that tips it over, of which 0.6: a turn each 0.8 s.
+    refuse("too many plays wait for that turn before it", &[], |host| {
+        host.entries[0].started_at = host.now;
+        host.update_list();
+        // 24 streams over 12 s at half the pace; twice that overloads it, of which 0.6: a turn each 0.8 s.
         while let Placement::Wait { .. } | Placement::Send { .. } = {
-            let ply = host.take(0, 1);
+            let play_index = host.add_play(0, 1);
             host.now += 1.0;
-            host.ask(ply)
+            host.place(play_index)
         } {
-            assert!(host.plays.len() < 10, "the queue for a cold server has an end");
+            assert!(host.plays.len() < 10, "the queue for a cold server is bounded");
         }
-        assert!(host.plays.len() > 4, "turns that come in time are waited for");
-        host.take(0, 1)
+        assert!(host.plays.len() > 4, "plays wait for turns that come in time");
+        host.add_play(0, 1)
     });
-    for (what, answer) in answers {
-        assert_eq!(answer, Placement::Declined { retry_after: pause }, "{what}");
+    for (reason, answer) in answers {
+        assert_eq!(answer, Placement::Declined { retry_after }, "{reason}");
     }
 }
 
-#[test_case("non_idempotent", 0.0; "a paid set-up")]
-#[test_case("idempotency_key", 3500.0; "a keyed one past its window")]
-fn what_may_have_run_fails_at_once(effect: &str, wait: f64) {
-    let mut host = Host::of(sheet(&[("products.0.repeat_window", 3000.0)], effect));
-    let ply = host.take(0, 4);
-    host.ask(ply);
-    host.now += wait;
-    assert_eq!(host.after(ply, Outcome::TimedOut), Next::Place);
-    assert_eq!((host.ask(ply), host.plays[ply].finished), (Placement::Failed, true));
+#[test_case("non_idempotent", 0.0; "a non-idempotent set-up")]
+#[test_case("idempotency_key", 3500.0; "a keyed set-up past its repeat window")]
+fn a_play_that_may_have_run_and_is_not_repeatable_fails_at_once(effect: &str, delay: f64) {
+    let mut host = Host::with_settings(test_settings(&[("products.0.repeat_window", 3000.0)], effect));
+    let play_index = host.add_play(0, 4);
+    host.place(play_index);
+    host.now += delay;
+    assert_eq!(host.report_outcome(play_index, Outcome::TimedOut), Next::Place);
+    assert_eq!((host.place(play_index), host.plays[play_index].finished), (Placement::Failed, true));
 }
 
 #[test]
-fn a_play_stepped_down_before_it_plays_is_asked_about_once_its_allocation_fails() {
+fn a_play_stepped_down_before_it_plays_is_placed_again_once_its_allocation_fails() {
     let mut host = Host::new(&[]);
-    let ply = host.take(0, 2);
-    let Placement::Send { server, rung, .. } = host.ask(ply) else { panic!("it is sent") };
+    let play_index = host.add_play(0, 2);
+    let Placement::Send { server, rung, .. } = host.place(play_index) else { panic!("the play is sent") };
     for _ in 0..2 {
         host.now += 600.0;
-        host.measure(server, 2.5);
+        host.report_utilization(server, 2.5);
     }
-    assert!(host.plays[ply].rung < rung, "its server is short meanwhile");
-    assert_eq!(host.after(ply, Outcome::TimedOut), Next::Place);
-    assert_eq!(host.sent_to(ply), Some(1 - server), "no spell is waited for");
+    assert!(host.plays[play_index].rung < rung, "its server is overloaded meanwhile");
+    assert_eq!(host.report_outcome(play_index, Outcome::TimedOut), Next::Place);
+    assert_eq!(host.server_for(play_index), Some(1 - server), "no quiet period is waited for");
 }
 
 #[test]
-fn plays_take_their_turns_at_a_cold_server_in_the_order_in_which_they_came() {
+fn plays_take_their_turns_at_a_cold_server_in_order_of_arrival() {
     let mut host = Host::new(&[]);
-    host.lines[0].started_at = host.now;
-    host.list();
-    let first = host.take(0, 1);
-    assert_eq!(host.sent_to(first), Some(0));
-    let mut due = Vec::new();
+    host.entries[0].started_at = host.now;
+    host.update_list();
+    let first = host.add_play(0, 1);
+    assert_eq!(host.server_for(first), Some(0));
+    let mut turns = Vec::new();
     for _ in 0..3 {
         host.now += 1.0;
-        let ply = host.take(0, 1);
-        assert_eq!(host.ask(ply), Placement::Wait { probe: vec![] });
-        due.push(host.plays[ply].recheck_at);
+        let play_index = host.add_play(0, 1);
+        assert_eq!(host.place(play_index), Placement::Wait { probe: vec![] });
+        turns.push(host.plays[play_index].recheck_at);
     }
-    assert!(due[0] < due[1] && due[1] < due[2], "each has a turn of its own: {due:?}");
-    host.now = due[0];
-    let late = host.take(0, 1);
-    assert_eq!(host.ask(late), Placement::Wait { probe: vec![] }, "not before those that wait");
-    assert_eq!(host.sent_to(1), Some(0));
+    assert!(turns[0] < turns[1] && turns[1] < turns[2], "each has a turn of its own: {turns:?}");
+    host.now = turns[0];
+    let late = host.add_play(0, 1);
+    assert_eq!(host.place(late), Placement::Wait { probe: vec![] }, "not before those that wait already");
+    assert_eq!(host.server_for(1), Some(0));
 }
