--- a/crates/dispatcher/tests/memory.rs
+++ b/crates/dispatcher/tests/memory.rs
@@ -1,5 +1,5 @@
-//! What a front keeps in mind is bounded by what is under way, not by how long it has run: counted by an allocator
-//! around everything that the desk and the decisions hold.
+//! The memory of the dispatcher and the placement logic is bounded by what is under way, not by how long the front has run.
+//! Measured by a counting allocator.
 
 use pulleystair::{Listing, LoadMetric, Settings, Standing, Value};
 use pulleystair_dispatcher::{Actions, Dispatcher, PlayRequest};
@@ -7,49 +7,50 @@
 use std::sync::atomic::{AtomicIsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-struct Counting;
+/// The system's allocator, with a count of the allocated bytes.
+struct CountingAllocator;
 
-static HELD: AtomicIsize = AtomicIsize::new(0);
-/// The count is the whole process's, so one test runs at a time.
-static ALONE: Mutex<()> = Mutex::new(());
+static ALLOCATED_BYTES: AtomicIsize = AtomicIsize::new(0);
+/// Held by each test: the count covers the whole process, so one test runs at a time.
+static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-// SAFETY: all is left to the system's allocator; only a count is kept beside it.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: all calls are passed on to the system's allocator; only a count is kept beside it.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD.fetch_add(layout.size() as isize, Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_add(layout.size() as isize, Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
-    unsafe fn dealloc(&self, it: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size() as isize, Ordering::Relaxed);
-        unsafe { System.dealloc(it, layout) }
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
+        ALLOCATED_BYTES.fetch_sub(layout.size() as isize, Ordering::Relaxed);
+        unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// Remembers the latest play's server.
+/// Records the server of the latest play.
 #[derive(Default)]
 struct Host {
-    sent: Option<u32>,
+    last_server: Option<u32>,
 }
 
 impl Actions for Host {
     fn send(&mut self, _play: u64, server: u32, _rung: usize, _time_out: f64) {
-        self.sent = Some(server);
+        self.last_server = Some(server);
     }
     fn withdraw(&mut self, _play: u64) {}
     fn set_rung(&mut self, _play: u64, _rung: usize) {}
     fn probe(&mut self, _server: u32) {}
-    fn decline(&mut self, _play: u64, _pause: f64) {}
+    fn decline(&mut self, _play: u64, _retry_after: f64) {}
     fn fail(&mut self, _play: u64) {}
-    fn set_timer(&mut self, _mark: u32, _wait: f64) {}
+    fn set_timer(&mut self, _timer: u32, _delay: f64) {}
     fn watch_list(&mut self) {}
 }
 
-/// A budget of allocations, four servers, and an uplink that none of them ever reports.
-fn sheet() -> Settings {
+/// Settings with an allocation budget, for four servers that never report their uplink.
+fn test_settings() -> Settings {
     let numbers = [
         ("balancers", 2.0),
         ("products.0.importance", 1.0),
@@ -72,24 +73,24 @@
     numbers.iter().map(|(name, value)| ((*name).to_string(), Value::Number(*value))).collect()
 }
 
-/// Four servers, numbered from here, each in a cell of its own.
-fn lines(from: u32) -> Vec<(u32, Listing)> {
-    let line = |cell| Listing { cell, standing: Standing::Ready, weight: 1.0, ..Listing::default() };
-    (0..4).map(|s| (from + s, line(s as usize))).collect()
+/// A list of four servers with consecutive ids, each in a cell of its own.
+fn list_from(first_id: u32) -> Vec<(u32, Listing)> {
+    let entry = |cell| Listing { cell, standing: Standing::Ready, weight: 1.0, ..Listing::default() };
+    (0..4).map(|s| (first_id + s, entry(s as usize))).collect()
 }
 
-fn listed() -> Dispatcher {
-    let mut desk = Dispatcher::new(sheet(), 1);
-    desk.update_list(0.0, true, false, &lines(0));
-    desk
+fn dispatcher_with_list() -> Dispatcher {
+    let mut dispatcher = Dispatcher::new(test_settings(), 1);
+    dispatcher.update_list(0.0, true, false, &list_from(0));
+    dispatcher
 }
 
-/// Plays that come, run for a second and end well, so many of them, of so many titles in turn.
-fn run(desk: &mut Dispatcher, from: u64, plays: u64, titles: u64, reports: bool) {
+/// Runs this many plays one after another, of `titles` titles in turn; each plays for 1 ms and ends well.
+fn run_plays(dispatcher: &mut Dispatcher, first_id: u64, plays: u64, titles: u64, reports: bool) {
     let mut host = Host::default();
-    for id in from..from + plays {
+    for id in first_id..first_id + plays {
         let now = 10_000.0 + id as f64 * 20.0;
-        let wish = PlayRequest {
+        let request = PlayRequest {
             product: 0,
             title: id % titles,
             first_cell: 0,
@@ -98,68 +99,76 @@
             arrived_at: now,
             deadline: now + 2000.0,
         };
-        desk.add_play(now, id, &wish, &mut host);
-        let server = host.sent.take().expect("a healthy fleet takes it");
-        desk.on_playing(now + 1.0, id, &mut host);
+        dispatcher.add_play(now, id, &request, &mut host);
+        let server = host.last_server.take().expect("a healthy fleet takes the play");
+        dispatcher.on_playing(now + 1.0, id, &mut host);
         if reports {
-            desk.on_load_report(now + 1.0, server, &[LoadMetric::Link(0.1)], &mut host);
+            dispatcher.on_load_report(now + 1.0, server, &[LoadMetric::Link(0.1)], &mut host);
         }
-        desk.on_allocation_ended(now + 2.0, id, server, pulleystair::Outcome::Finished, true, &[], &mut host);
+        dispatcher.on_allocation_ended(
+            now + 2.0,
+            id,
+            server,
+            pulleystair::Outcome::Finished,
+            true,
+            &[],
+            &mut host,
+        );
     }
 }
 
 #[test]
-fn a_front_that_runs_for_long_holds_no_more_than_one_that_has_warmed_up() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+fn memory_does_not_grow_with_the_number_of_plays() {
+    let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     for reports in [true, false] {
-        let mut desk = listed();
-        run(&mut desk, 0, 2_000, 50, reports);
-        let warmed_up = HELD.load(Ordering::Relaxed);
-        run(&mut desk, 2_000, 20_000, 50, reports);
-        let grown = HELD.load(Ordering::Relaxed) - warmed_up;
+        let mut dispatcher = dispatcher_with_list();
+        run_plays(&mut dispatcher, 0, 2_000, 50, reports);
+        let warmed_up = ALLOCATED_BYTES.load(Ordering::Relaxed);
+        run_plays(&mut dispatcher, 2_000, 20_000, 50, reports);
+        let grown = ALLOCATED_BYTES.load(Ordering::Relaxed) - warmed_up;
         assert!(grown < 8_192, "{grown} bytes more after 20,000 plays; servers report: {reports}");
     }
 }
 
 #[test]
-fn titles_that_are_gone_are_forgotten() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let mut desk = listed();
-    run(&mut desk, 0, 2_000, u64::MAX, true);
-    let warmed_up = HELD.load(Ordering::Relaxed);
-    run(&mut desk, 2_000, 20_000, u64::MAX, true);
-    let grown = HELD.load(Ordering::Relaxed) - warmed_up;
-    assert!(grown < 8_192, "{grown} bytes more for titles that are gone");
+fn memory_does_not_grow_with_the_number_of_past_titles() {
+    let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
+    let mut dispatcher = dispatcher_with_list();
+    run_plays(&mut dispatcher, 0, 2_000, u64::MAX, true);
+    let warmed_up = ALLOCATED_BYTES.load(Ordering::Relaxed);
+    run_plays(&mut dispatcher, 2_000, 20_000, u64::MAX, true);
+    let grown = ALLOCATED_BYTES.load(Ordering::Relaxed) - warmed_up;
+    assert!(grown < 8_192, "{grown} bytes more for past titles");
 }
 
 #[test]
-fn servers_that_are_gone_for_good_are_forgotten() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let mut desk = Dispatcher::new(sheet(), 1);
-    let replace = |desk: &mut Dispatcher, from: u32, lists: u32| {
-        for list in from..from + lists {
-            desk.update_list(f64::from(list), true, false, &lines(list * 4));
-            run(desk, u64::from(list) * 50, 50, 5, true);
+fn memory_does_not_grow_with_the_number_of_past_servers() {
+    let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
+    let mut dispatcher = Dispatcher::new(test_settings(), 1);
+    let replace_servers = |dispatcher: &mut Dispatcher, first_list: u32, lists: u32| {
+        for list in first_list..first_list + lists {
+            dispatcher.update_list(f64::from(list), true, false, &list_from(list * 4));
+            run_plays(dispatcher, u64::from(list) * 50, 50, 5, true);
             assert!(
-                list == 0 || (0..4).all(|s| desk.forget_server((list - 1) * 4 + s)),
-                "none is held there"
+                list == 0 || (0..4).all(|s| dispatcher.forget_server((list - 1) * 4 + s)),
+                "no play refers to a past server"
             );
         }
     };
-    replace(&mut desk, 0, 20);
-    let warmed_up = HELD.load(Ordering::Relaxed);
-    replace(&mut desk, 20, 200);
-    let grown = HELD.load(Ordering::Relaxed) - warmed_up;
-    assert!(grown < 8_192, "{grown} bytes more for servers that are gone");
+    replace_servers(&mut dispatcher, 0, 20);
+    let warmed_up = ALLOCATED_BYTES.load(Ordering::Relaxed);
+    replace_servers(&mut dispatcher, 20, 200);
+    let grown = ALLOCATED_BYTES.load(Ordering::Relaxed) - warmed_up;
+    assert!(grown < 8_192, "{grown} bytes more for past servers");
 }
 
 #[test]
-fn a_server_is_not_forgotten_while_a_play_goes_by_it() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let (mut desk, mut host) = (Dispatcher::new(sheet(), 1), Host::default());
-    let line = lines(0)[0].1;
-    desk.update_list(0.0, true, false, &[(7, line)]);
-    let wish = PlayRequest {
+fn a_server_is_not_forgotten_while_a_play_refers_to_it() {
+    let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
+    let (mut dispatcher, mut host) = (Dispatcher::new(test_settings(), 1), Host::default());
+    let entry = list_from(0)[0].1;
+    dispatcher.update_list(0.0, true, false, &[(7, entry)]);
+    let request = PlayRequest {
         product: 0,
         title: 1,
         first_cell: 0,
@@ -168,14 +177,14 @@
         arrived_at: 1.0,
         deadline: 3000.0,
     };
-    desk.add_play(1.0, 1, &wish, &mut host);
-    desk.on_playing(2.0, 1, &mut host);
-    desk.update_list(3.0, true, false, &[]);
-    assert!(!desk.forget_server(7) && desk.play_count_at(7) == 1);
-    desk.on_allocation_ended(4.0, 1, 7, pulleystair::Outcome::Finished, true, &[], &mut host);
-    assert!(desk.forget_server(7) && desk.play_count_at(7) == 0);
-    // Its index is another's now: that one is no worse for it.
-    desk.update_list(5.0, true, false, &[(8, line)]);
-    desk.add_play(6.0, 2, &PlayRequest { arrived_at: 6.0, ..wish }, &mut host);
-    assert_eq!(host.sent, Some(8));
+    dispatcher.add_play(1.0, 1, &request, &mut host);
+    dispatcher.on_playing(2.0, 1, &mut host);
+    dispatcher.update_list(3.0, true, false, &[]);
+    assert!(!dispatcher.forget_server(7) && dispatcher.play_count_at(7) == 1);
+    dispatcher.on_allocation_ended(4.0, 1, 7, pulleystair::Outcome::Finished, true, &[], &mut host);
+    assert!(dispatcher.forget_server(7) && dispatcher.play_count_at(7) == 0);
+    // The index now belongs to another server, which is not affected by its former use.
+    dispatcher.update_list(5.0, true, false, &[(8, entry)]);
+    dispatcher.add_play(6.0, 2, &PlayRequest { arrived_at: 6.0, ..request }, &mut host);
+    assert_eq!(host.last_server, Some(8));
 }
