--- a/crates/sim-adapter/src/frame.rs
+++ b/crates/sim-adapter/src/frame.rs
@@ -1,103 +1,107 @@
-//! The binary form of the wire: fields read from a record, records written to a reply.
+//! The binary protocol between the simulator and this adapter: reads the fields of records, and writes records of a reply.
+//! Numbers are little-endian.
 
-/// The fields of one record, read in succession.
+/// The fields of one record, read one after another.
 pub struct Fields<'a> {
-    name: &'static str,
+    /// The event's name, for error messages.
+    event_name: &'static str,
     /// Where the record starts in the frame's body.
-    at: usize,
+    start: usize,
     rest: &'a [u8],
 }
 
 impl<'a> Fields<'a> {
-    pub fn new(name: &'static str, at: usize, rest: &'a [u8]) -> Self {
-        Fields { name, at, rest }
+    pub fn new(event_name: &'static str, start: usize, rest: &'a [u8]) -> Self {
+        Fields { event_name, start, rest }
     }
 
-    pub fn fault(&self, what: &str) -> String {
-        format!("{} at byte {} of the batch: {what}", self.name, self.at)
+    /// An error message that names the event and its place in the batch.
+    pub fn error_at(&self, cause: &str) -> String {
+        format!("{} at byte {} of the batch: {cause}", self.event_name, self.start)
     }
 
-    pub fn bytes(&mut self, n: usize) -> Result<&'a [u8], String> {
-        let Some((taken, rest)) = self.rest.split_at_checked(n) else {
-            return Err(self.fault(&format!("wants {n} more bytes where {} are left", self.rest.len())));
+    pub fn read_bytes(&mut self, n: usize) -> Result<&'a [u8], String> {
+        let Some((bytes, rest)) = self.rest.split_at_checked(n) else {
+            return Err(self.error_at(&format!("wants {n} more bytes where {} are left", self.rest.len())));
         };
         self.rest = rest;
-        Ok(taken)
+        Ok(bytes)
     }
 
-    fn array<const N: usize>(&mut self) -> Result<[u8; N], String> {
-        Ok(self.bytes(N)?.try_into().expect("as many bytes as asked for"))
+    fn read_array<const N: usize>(&mut self) -> Result<[u8; N], String> {
+        Ok(self.read_bytes(N)?.try_into().expect("read_bytes returns as many bytes as asked for"))
     }
 
-    pub fn u8(&mut self) -> Result<u8, String> {
-        Ok(self.array::<1>()?[0])
+    pub fn read_u8(&mut self) -> Result<u8, String> {
+        Ok(self.read_array::<1>()?[0])
     }
 
-    pub fn u16(&mut self) -> Result<u16, String> {
-        Ok(u16::from_le_bytes(self.array()?))
+    pub fn read_u16(&mut self) -> Result<u16, String> {
+        Ok(u16::from_le_bytes(self.read_array()?))
     }
 
-    pub fn u32(&mut self) -> Result<u32, String> {
-        Ok(u32::from_le_bytes(self.array()?))
+    pub fn read_u32(&mut self) -> Result<u32, String> {
+        Ok(u32::from_le_bytes(self.read_array()?))
     }
 
-    pub fn u64(&mut self) -> Result<u64, String> {
-        Ok(u64::from_le_bytes(self.array()?))
+    pub fn read_u64(&mut self) -> Result<u64, String> {
+        Ok(u64::from_le_bytes(self.read_array()?))
     }
 
-    pub fn f32(&mut self) -> Result<f64, String> {
-        Ok(f32::from_le_bytes(self.array()?).into())
+    pub fn read_f32(&mut self) -> Result<f64, String> {
+        Ok(f32::from_le_bytes(self.read_array()?).into())
     }
 
-    /// A time on the wire, in ms.
-    pub fn ms(&mut self) -> Result<f64, String> {
-        Ok(f64::from(self.u32()?) / 1000.0)
+    /// Reads a duration, which the protocol has in µs, and returns it in ms.
+    pub fn read_ms(&mut self) -> Result<f64, String> {
+        Ok(f64::from(self.read_u32()?) / 1000.0)
     }
 
-    /// A counted row of numbers, as load reports are.
-    pub fn numbers(&mut self) -> Result<Vec<f64>, String> {
-        let n = self.u8()?;
-        (0..n).map(|_| self.f32()).collect()
+    /// Reads a list of numbers preceded by its length, as in load reports.
+    pub fn read_numbers(&mut self) -> Result<Vec<f64>, String> {
+        let n = self.read_u8()?;
+        (0..n).map(|_| self.read_f32()).collect()
     }
 }
 
-/// Splits a frame's body into records: code, start, fields.
+/// Splits a frame's body into records: the event's code, where the record starts, and its fields.
 pub fn records(body: &[u8]) -> impl Iterator<Item = Result<(u8, usize, &[u8]), String>> {
-    let mut at = 0;
+    let mut position = 0;
     std::iter::from_fn(move || {
-        let rest = body.get(at..).filter(|r| !r.is_empty())?;
-        let start = at;
-        at = body.len();
-        let Some((head, after)) = rest.split_at_checked(5) else {
-            return Some(Err(format!("a record at byte {start} of the batch ends within its head")));
+        let rest = body.get(position..).filter(|r| !r.is_empty())?;
+        let start = position;
+        position = body.len();
+        let Some((header, after)) = rest.split_at_checked(5) else {
+            return Some(Err(format!("a record at byte {start} of the batch ends within its header")));
         };
-        let size = u32::from_le_bytes([head[1], head[2], head[3], head[4]]) as usize;
+        let size = u32::from_le_bytes([header[1], header[2], header[3], header[4]]) as usize;
         let Some(fields) = after.get(..size) else {
             let left = after.len();
             return Some(Err(format!(
                 "a record at byte {start} of the batch claims {size} bytes, {left} are left"
             )));
         };
-        at = start + 5 + size;
-        Some(Ok((head[0], start, fields)))
+        position = start + 5 + size;
+        Some(Ok((header[0], start, fields)))
     })
 }
 
-/// A reply under way.
+/// The body of a reply under construction.
 #[derive(Default)]
 pub struct Reply(pub Vec<u8>);
 
 impl Reply {
-    pub fn record(&mut self, code: u8, who: u32, fields: &[&[u8]]) {
+    /// Appends a record: code, size, instance and fields.
+    pub fn record(&mut self, code: u8, instance_id: u32, fields: &[&[u8]]) {
         let size: usize = 4 + fields.iter().map(|f| f.len()).sum::<usize>();
         self.0.push(code);
         self.0.extend_from_slice(&(size as u32).to_le_bytes());
-        self.0.extend_from_slice(&who.to_le_bytes());
+        self.0.extend_from_slice(&instance_id.to_le_bytes());
         fields.iter().for_each(|f| self.0.extend_from_slice(f));
     }
 }
 
-/// A span in ms as the wire has it.
-pub fn us(ms: f64) -> [u8; 4] {
+/// Encodes a duration in ms as the protocol has it: whole µs, rounded up.
+pub fn encode_us(ms: f64) -> [u8; 4] {
     ((ms * 1000.0).ceil().clamp(0.0, f64::from(u32::MAX)) as u32).to_le_bytes()
 }
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -1,26 +1,30 @@
-//! The instances of one process: decodes events into calls on their desks, encodes what the desks want done.
+//! The fronts simulated by this process, called instances: decodes the simulator's events into calls of their dispatchers,
+//! and encodes the actions that the dispatchers request. Times are in ms, in the protocol in µs.
 
-use crate::frame::{Fields, Reply, records, us};
+use crate::frame::{Fields, Reply, encode_us, records};
 use pulleystair::{Listing, LoadMetric, Outcome, Settings, Standing};
 use pulleystair_dispatcher::{Actions, Dispatcher, PlayRequest};
 use pulleystair_settings::{LoadColumns, parse_settings};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// One simulated front.
 struct Instance {
-    desk: Dispatcher,
+    dispatcher: Dispatcher,
     columns: LoadColumns,
 }
 
-/// A line of a census, its server still by the wire's id.
-type Line = (u32, Listing);
+/// An entry of a server table: the server's id in the protocol, and the entry without a server index.
+type TableEntry = (u32, Listing);
 
+/// All instances by id, and the server tables that the simulator has sent, by number.
 #[derive(Default)]
-pub struct House {
+pub struct Instances {
     instances: BTreeMap<u32, Instance>,
-    tables: BTreeMap<u8, Vec<Line>>,
+    tables: BTreeMap<u8, Vec<TableEntry>>,
 }
 
-const NAMES: [(u8, &str); 13] = [
+/// Codes and names of the events that the simulator sends.
+const EVENT_NAMES: [(u8, &str); 13] = [
     (16, "ENLIST"),
     (17, "MEMBERS"),
     (18, "KNOCK"),
@@ -36,183 +40,209 @@
     (28, "CENSUS"),
 ];
 
-impl House {
-    /// Plays one batch and answers the body of the reply.
-    pub fn batch(&mut self, body: &[u8]) -> Result<Vec<u8>, String> {
-        let clock = body.first_chunk::<8>().ok_or("a batch ends within its clock")?;
-        let now = u64::from_le_bytes(*clock) as f64 / 1000.0;
+impl Instances {
+    /// Handles one batch, which is a timestamp and events, and returns the body of the reply.
+    pub fn run_batch(&mut self, body: &[u8]) -> Result<Vec<u8>, String> {
+        let timestamp = body.first_chunk::<8>().ok_or("the batch ends within its timestamp")?;
+        let now = u64::from_le_bytes(*timestamp) as f64 / 1000.0;
         let mut reply = Reply::default();
-        let mut told = BTreeSet::new();
+        let mut instances_called = BTreeSet::new();
         for record in records(&body[8..]) {
-            let (code, at, fields) = record?;
-            // Codes of a later wire are passed over.
-            let Some((_, name)) = NAMES.iter().find(|(c, _)| *c == code) else { continue };
-            let mut f = Fields::new(name, at + 8, fields);
+            let (code, start, record_fields) = record?;
+            // Codes that later versions of the protocol may add are ignored.
+            let Some((_, name)) = EVENT_NAMES.iter().find(|(c, _)| *c == code) else { continue };
+            let mut fields = Fields::new(name, start + 8, record_fields);
             if code == 28 {
-                let (table, lines) = census(&mut f)?;
-                self.tables.insert(table, lines);
+                // CENSUS: a server table, for later MEMBERS events.
+                let (table, entries) = parse_census(&mut fields)?;
+                self.tables.insert(table, entries);
                 continue;
             }
-            let who = f.u32()?;
-            told.insert(who);
+            let instance_id = fields.read_u32()?;
+            instances_called.insert(instance_id);
             if code == 16 {
-                let salt = f.u64()?;
-                let size = f.u32()? as usize;
-                match parse_settings(f.bytes(size)?) {
-                    Ok(sheet) => {
-                        let mut instance = Instance::new(sheet, salt);
-                        instance.desk.watch_list(false, &mut Wire { who, reply: &mut reply });
-                        self.instances.insert(who, instance);
+                // ENLIST: a new instance with its seed and settings.
+                let seed = fields.read_u64()?;
+                let size = fields.read_u32()? as usize;
+                match parse_settings(fields.read_bytes(size)?) {
+                    Ok(settings) => {
+                        let mut instance = Instance::new(settings, seed);
+                        instance
+                            .dispatcher
+                            .watch_list(false, &mut ReplyActions { instance_id, reply: &mut reply });
+                        self.instances.insert(instance_id, instance);
                     }
-                    Err(e) => die(who, &f.fault(&e), &mut reply),
+                    Err(e) => report_failed_instance(instance_id, &fields.error_at(&e), &mut reply),
                 }
             } else if code == 25 {
-                self.instances.remove(&who);
-            } else if let Some(instance) = self.instances.get_mut(&who) {
-                instance.event(now, code, &mut f, &self.tables, &mut Wire { who, reply: &mut reply })?;
+                // HALT: the instance ends.
+                self.instances.remove(&instance_id);
+            } else if let Some(instance) = self.instances.get_mut(&instance_id) {
+                instance.handle_event(
+                    now,
+                    code,
+                    &mut fields,
+                    &self.tables,
+                    &mut ReplyActions { instance_id, reply: &mut reply },
+                )?;
             } else {
-                eprintln!("pulleystair-drill: {}", f.fault(&format!("there is no instance {who}")));
+                eprintln!(
+                    "pulleystair-drill: {}",
+                    fields.error_at(&format!("there is no instance {instance_id}"))
+                );
             }
         }
-        for who in told {
-            if let Some(instance) = self.instances.get_mut(&who) {
-                instance.desk.end_turn(now, &mut Wire { who, reply: &mut reply });
+        for instance_id in instances_called {
+            if let Some(instance) = self.instances.get_mut(&instance_id) {
+                instance.dispatcher.end_turn(now, &mut ReplyActions { instance_id, reply: &mut reply });
             }
         }
         Ok(reply.0)
     }
 }
 
-fn die(who: u32, why: &str, reply: &mut Reply) {
-    let text = &why.as_bytes()[..why.len().min(u16::MAX.into())];
-    reply.record(19, who, &[&(text.len() as u16).to_le_bytes(), text]);
-    eprintln!("pulleystair-drill: instance {who}: {why}");
+/// Tells the simulator that an instance has failed (record 19), and writes the cause to standard error.
+fn report_failed_instance(instance_id: u32, cause: &str, reply: &mut Reply) {
+    let text = &cause.as_bytes()[..cause.len().min(u16::MAX.into())];
+    reply.record(19, instance_id, &[&(text.len() as u16).to_le_bytes(), text]);
+    eprintln!("pulleystair-drill: instance {instance_id}: {cause}");
 }
 
-fn census(f: &mut Fields) -> Result<(u8, Vec<Line>), String> {
-    let table = f.u8()?;
-    let count = f.u32()?;
-    let mut lines = Vec::new();
+/// Reads a server table: its number and its entries.
+fn parse_census(fields: &mut Fields) -> Result<(u8, Vec<TableEntry>), String> {
+    let table = fields.read_u8()?;
+    let count = fields.read_u32()?;
+    let mut entries = Vec::new();
     for _ in 0..count {
-        let id = f.u32()?;
-        let (zone, kind, cell) = (f.u16()?.into(), f.u8()?.into(), f.u16()?.into());
-        let standing = match f.u8()? {
+        let server_id = fields.read_u32()?;
+        let (zone, kind, cell) =
+            (fields.read_u16()?.into(), fields.read_u8()?.into(), fields.read_u16()?.into());
+        let standing = match fields.read_u8()? {
             0 => Standing::Gone,
             1 => Standing::Ready,
             _ => Standing::Draining,
         };
-        let (weight, born) = (f.f32()?, f.u64()? as f64 / 1000.0);
-        lines.push((id, Listing { server: 0, zone, kind, cell, standing, weight, started_at: born }));
+        let (weight, started_at) = (fields.read_f32()?, fields.read_u64()? as f64 / 1000.0);
+        entries.push((server_id, Listing { server: 0, zone, kind, cell, standing, weight, started_at }));
     }
-    Ok((table, lines))
+    Ok((table, entries))
 }
 
 impl Instance {
-    fn new(sheet: Settings, salt: u64) -> Instance {
-        Instance { columns: LoadColumns::from_settings(&sheet), desk: Dispatcher::new(sheet, salt) }
+    fn new(settings: Settings, seed: u64) -> Instance {
+        Instance {
+            columns: LoadColumns::from_settings(&settings),
+            dispatcher: Dispatcher::new(settings, seed),
+        }
     }
 
-    fn event(
+    /// Handles one event of this instance.
+    fn handle_event(
         &mut self,
         now: f64,
         code: u8,
-        f: &mut Fields,
-        tables: &BTreeMap<u8, Vec<Line>>,
-        hands: &mut Wire,
+        fields: &mut Fields,
+        tables: &BTreeMap<u8, Vec<TableEntry>>,
+        actions: &mut ReplyActions,
     ) -> Result<(), String> {
         match code {
+            // MEMBERS: the server list, by the number of a table. Kind 0 is changes, 1 the whole list, 2 a cached list, 3 a
+            // failed call of discovery.
             17 => {
-                let how = f.u8()?;
-                f.u64()?;
-                let table = f.u8()?;
-                if how == 3 {
-                    self.desk.watch_list(true, hands);
+                let change_kind = fields.read_u8()?;
+                fields.read_u64()?;
+                let table = fields.read_u8()?;
+                if change_kind == 3 {
+                    self.dispatcher.watch_list(true, actions);
                     return Ok(());
                 }
-                let lines =
-                    tables.get(&table).ok_or_else(|| f.fault(&format!("there is no census {table}")))?;
-                self.desk.update_list(now, how != 0, how == 2, lines);
+                let entries = tables
+                    .get(&table)
+                    .ok_or_else(|| fields.error_at(&format!("there is no census {table}")))?;
+                self.dispatcher.update_list(now, change_kind != 0, change_kind == 2, entries);
             }
+            // KNOCK: a viewer requests a play.
             18 => {
-                let id = f.u64()?;
-                let top = f.f32()?.max(0.0) as usize;
-                f.u64()?;
-                f.u8()?;
-                let holders = f.f32()?.max(0.0) as usize;
-                f.u32()?;
-                let title = f.u64()?;
-                let limit = now + f.ms()?;
-                let first_cell = f.f32()?.max(0.0) as usize;
-                f.ms()?;
-                let product = f.u16()?.into();
-                let wish = PlayRequest {
-                    product,
-                    title,
-                    first_cell,
-                    holders,
-                    max_rung: top,
-                    arrived_at: now,
-                    deadline: limit,
-                };
-                if self.sells(&wish, f, hands) {
-                    self.desk.add_play(now, id, &wish, hands);
+                let play_id = fields.read_u64()?;
+                let max_rung = fields.read_f32()?.max(0.0) as usize;
+                fields.read_u64()?;
+                fields.read_u8()?;
+                let holders = fields.read_f32()?.max(0.0) as usize;
+                fields.read_u32()?;
+                let title = fields.read_u64()?;
+                let deadline = now + fields.read_ms()?;
+                let first_cell = fields.read_f32()?.max(0.0) as usize;
+                fields.read_ms()?;
+                let product = fields.read_u16()?.into();
+                let request =
+                    PlayRequest { product, title, first_cell, holders, max_rung, arrived_at: now, deadline };
+                if self.check_product(&request, fields, actions) {
+                    self.dispatcher.add_play(now, play_id, &request, actions);
                 }
             }
+            // EXISTING: a play that ran before the instance started.
             26 => {
-                let id = f.u64()?;
-                let product = f.u16()?.into();
-                f.u32()?;
-                f.u64()?;
-                let title = f.u64()?;
-                let limit = now + f.ms()?;
-                f.ms()?;
-                let first_cell = f.f32()?.max(0.0) as usize;
-                let holders = f.f32()?.max(0.0) as usize;
-                let top = f.f32()?.max(0.0) as usize;
-                f.u8()?;
-                let server = f.u32()?;
-                let wish = PlayRequest {
-                    product,
-                    title,
-                    first_cell,
-                    holders,
-                    max_rung: top,
-                    arrived_at: now,
-                    deadline: limit,
-                };
-                if self.sells(&wish, f, hands) {
-                    self.desk.adopt(now, id, &wish, server, hands);
+                let play_id = fields.read_u64()?;
+                let product = fields.read_u16()?.into();
+                fields.read_u32()?;
+                fields.read_u64()?;
+                let title = fields.read_u64()?;
+                let deadline = now + fields.read_ms()?;
+                fields.read_ms()?;
+                let first_cell = fields.read_f32()?.max(0.0) as usize;
+                let holders = fields.read_f32()?.max(0.0) as usize;
+                let max_rung = fields.read_f32()?.max(0.0) as usize;
+                fields.read_u8()?;
+                let server = fields.read_u32()?;
+                let request =
+                    PlayRequest { product, title, first_cell, holders, max_rung, arrived_at: now, deadline };
+                if self.check_product(&request, fields, actions) {
+                    self.dispatcher.adopt(now, play_id, &request, server, actions);
                 }
             }
-            19 => self.desk.on_playing(now, f.u64()?, hands),
+            // ESTABLISHED: an allocation plays.
+            19 => self.dispatcher.on_playing(now, fields.read_u64()?, actions),
+            // RESULT: an allocation has ended.
             20 => {
-                let id = f.u64()?;
-                let outcome = outcome(f.u16()?).map_err(|e| f.fault(&e))?;
-                let closed = f.u8()? != 0;
-                f.u8()?;
-                let server = f.u32()?;
-                f.ms()?;
-                let load = self.columns.load_metrics(&f.numbers()?);
-                self.desk.on_allocation_ended(now, id, server, outcome, closed, &load, hands);
+                let play_id = fields.read_u64()?;
+                let outcome = outcome_of_code(fields.read_u16()?).map_err(|e| fields.error_at(&e))?;
+                let closed = fields.read_u8()? != 0;
+                fields.read_u8()?;
+                let server = fields.read_u32()?;
+                fields.read_ms()?;
+                let load = self.columns.load_metrics(&fields.read_numbers()?);
+                self.dispatcher.on_allocation_ended(now, play_id, server, outcome, closed, &load, actions);
             }
-            21 => self.desk.on_viewer_left(f.u64()?, hands),
-            22 => self.desk.on_timer(now, f.u32()?, hands),
+            // DROPPED: the viewer has left.
+            21 => self.dispatcher.on_viewer_left(fields.read_u64()?, actions),
+            // ALARM: a timer has fired.
+            22 => self.dispatcher.on_timer(now, fields.read_u32()?, actions),
+            // ECHO: a probe is answered.
             23 => {
-                f.ms()?;
-                f.u16()?;
-                let server = f.u32()?;
-                let load = self.columns.load_metrics(&f.numbers()?);
-                self.desk.on_load_report(now, server, &load, hands);
+                fields.read_ms()?;
+                fields.read_u16()?;
+                let server = fields.read_u32()?;
+                let load = self.columns.load_metrics(&fields.read_numbers()?);
+                self.dispatcher.on_load_report(now, server, &load, actions);
             }
+            // NOTE: a server's note about a running play.
             27 => {
-                let id = f.u64()?;
-                let amount = f.f32()?;
-                let server = f.u32()?;
-                match f.u8()? {
-                    1 => self.desk.on_play_note(now, id, server, LoadMetric::Delivered(amount), hands),
-                    2 => self.desk.set_adopted_rung(id, amount.max(0.0) as usize),
-                    3 => self.desk.on_play_note(now, id, server, LoadMetric::Link(amount), hands),
-                    4 => self.desk.on_play_note(now, id, server, LoadMetric::Uplink(amount), hands),
+                let play_id = fields.read_u64()?;
+                let value = fields.read_f32()?;
+                let server = fields.read_u32()?;
+                match fields.read_u8()? {
+                    1 => self.dispatcher.on_play_note(
+                        now,
+                        play_id,
+                        server,
+                        LoadMetric::Delivered(value),
+                        actions,
+                    ),
+                    2 => self.dispatcher.set_adopted_rung(play_id, value.max(0.0) as usize),
+                    3 => self.dispatcher.on_play_note(now, play_id, server, LoadMetric::Link(value), actions),
+                    4 => {
+                        self.dispatcher.on_play_note(now, play_id, server, LoadMetric::Uplink(value), actions)
+                    }
                     _ => {}
                 }
             }
@@ -221,34 +251,39 @@
         Ok(())
     }
 
-    fn sells(&self, wish: &PlayRequest, f: &Fields, hands: &mut Wire) -> bool {
-        let sells = self.desk.has_product(wish.product);
-        if !sells {
-            die(hands.who, &f.fault(&format!("there is no product {}", wish.product)), hands.reply);
+    /// Whether the instance has the requested product; reports the instance as failed if not.
+    fn check_product(&self, request: &PlayRequest, fields: &Fields, actions: &mut ReplyActions) -> bool {
+        let has_product = self.dispatcher.has_product(request.product);
+        if !has_product {
+            report_failed_instance(
+                actions.instance_id,
+                &fields.error_at(&format!("there is no product {}", request.product)),
+                actions.reply,
+            );
         }
-        sells
+        has_product
     }
 }
 
-/// Writes what an instance's desk wants done as records of the reply.
-struct Wire<'a> {
-    who: u32,
+/// Writes the actions that an instance's dispatcher requests as records of the reply.
+struct ReplyActions<'a> {
+    instance_id: u32,
     reply: &'a mut Reply,
 }
 
-impl Wire<'_> {
+impl ReplyActions<'_> {
     fn record(&mut self, code: u8, fields: &[&[u8]]) {
-        self.reply.record(code, self.who, fields);
+        self.reply.record(code, self.instance_id, fields);
     }
 }
 
-impl Actions for Wire<'_> {
+impl Actions for ReplyActions<'_> {
     fn send(&mut self, play: u64, server: u32, rung: usize, time_out: f64) {
         self.set_rung(play, rung);
-        self.record(29, &[&play.to_le_bytes(), &us(time_out.max(0.001)), &server.to_le_bytes()]);
+        self.record(29, &[&play.to_le_bytes(), &encode_us(time_out.max(0.001)), &server.to_le_bytes()]);
     }
 
-    /// The bench withdraws by itself what a viewer has left.
+    /// Nothing to do: the simulator itself withdraws the allocation of a viewer who has left.
     fn withdraw(&mut self, _play: u64) {}
 
     fn set_rung(&mut self, play: u64, rung: usize) {
@@ -259,16 +294,16 @@
         self.record(18, &[&server.to_le_bytes()]);
     }
 
-    fn decline(&mut self, play: u64, pause: f64) {
-        self.record(17, &[&play.to_le_bytes(), &us(pause)]);
+    fn decline(&mut self, play: u64, retry_after: f64) {
+        self.record(17, &[&play.to_le_bytes(), &encode_us(retry_after)]);
     }
 
     fn fail(&mut self, play: u64) {
         self.record(25, &[&play.to_le_bytes()]);
     }
 
-    fn set_timer(&mut self, mark: u32, wait: f64) {
-        self.record(24, &[&mark.to_le_bytes(), &us(wait)]);
+    fn set_timer(&mut self, timer: u32, delay: f64) {
+        self.record(24, &[&timer.to_le_bytes(), &encode_us(delay)]);
     }
 
     fn watch_list(&mut self) {
@@ -276,7 +311,8 @@
     }
 }
 
-fn outcome(code: u16) -> Result<Outcome, String> {
+/// The outcome that a code of the RESULT event stands for.
+fn outcome_of_code(code: u16) -> Result<Outcome, String> {
     Ok(match code {
         200 => Outcome::Finished,
         502 => Outcome::Error,
@@ -286,6 +322,6 @@
         520 => Outcome::Broken,
         444 => Outcome::Withdrawn,
         409 => Outcome::NeverSent,
-        _ => return Err(format!("there is no outcome {code}")),
+        _ => return Err(format!("unknown outcome code {code}")),
     })
 }
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Plays pulleystair's decisions on the bench's wire: frames come in on standard input, replies go out on
-//! standard output.
+//! Connects pulleystair's placement logic to the simulator: reads frames from standard input and writes a reply to each to
+//! standard output. A frame is a length (u32, little-endian) and a body.
 
 mod frame;
 mod host;
@@ -7,32 +7,36 @@
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use std::process::ExitCode;
 
-/// Reads one frame's body; none at a clean end of input.
+/// Reads one frame's body; returns none if the input ends between frames.
 fn read_frame(input: &mut impl Read) -> io::Result<Option<Vec<u8>>> {
-    let mut head = Vec::with_capacity(4);
-    input.by_ref().take(4).read_to_end(&mut head)?;
-    if head.is_empty() {
+    let mut header = Vec::with_capacity(4);
+    input.by_ref().take(4).read_to_end(&mut header)?;
+    if header.is_empty() {
         return Ok(None);
     }
-    let short = |what: String| io::Error::new(io::ErrorKind::UnexpectedEof, what);
-    let Ok(head) = <[u8; 4]>::try_from(head.as_slice()) else {
-        return Err(short(format!("input ends after {} of the 4 bytes of a frame's length", head.len())));
+    let truncated = |cause: String| io::Error::new(io::ErrorKind::UnexpectedEof, cause);
+    let Ok(length) = <[u8; 4]>::try_from(header.as_slice()) else {
+        return Err(truncated(format!(
+            "input ends after {} of the 4 bytes of a frame's length",
+            header.len()
+        )));
     };
-    let size = u32::from_le_bytes(head);
+    let size = u32::from_le_bytes(length);
     let mut body = Vec::new();
     input.by_ref().take(size.into()).read_to_end(&mut body)?;
     if body.len() < size as usize {
-        return Err(short(format!("input ends after {} of a frame's {size} bytes", body.len())));
+        return Err(truncated(format!("input ends after {} of a frame's {size} bytes", body.len())));
     }
     Ok(Some(body))
 }
 
+/// Answers all frames until the input ends.
 fn run() -> io::Result<()> {
     let mut input = BufReader::new(io::stdin().lock());
     let mut output = BufWriter::new(io::stdout().lock());
-    let mut house = host::House::default();
+    let mut instances = host::Instances::default();
     while let Some(body) = read_frame(&mut input)? {
-        let reply = house.batch(&body).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))?;
+        let reply = instances.run_batch(&body).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))?;
         output.write_all(&(reply.len() as u32).to_le_bytes())?;
         output.write_all(&reply)?;
         output.flush()?;
