--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -5,116 +5,121 @@
 //! viewer's connection is read to its end first. A connection that brings more than one turn takes holds its own attempts back, and
 //! those alone, until it is read. The time between that look and the set-up's bytes is that of one write.
 
-use crate::floor::{Attempt, News};
 use crate::node::Node;
+use crate::state::{AllocationEnd, Attempt};
 use pulleystair::{LoadMetric, Outcome, Standing};
 use pulleystair_connections::ConnectionId;
 use tracing::debug;
 
 impl Node {
     /// Carries out what the desk wants sent; true if there was anything.
-    pub(crate) fn send_out(&mut self) -> bool {
-        let mut any = false;
-        while let Some(it) = self.floor.outgoing.pop_front() {
-            any = true;
-            self.begin(it);
-            self.settle();
+    pub(crate) fn start_outgoing_attempts(&mut self) -> bool {
+        let mut has_started = false;
+        while let Some(attempt) = self.state.outgoing_attempts.pop_front() {
+            has_started = true;
+            self.start_attempt(attempt);
+            self.report_finished_allocations();
         }
-        any
+        has_started
     }
 
     /// Attempts whose viewers' connections were read only in part are looked at again in the next turn.
-    pub(crate) fn take_up_held(&mut self) {
-        let held = std::mem::take(&mut self.floor.held);
-        self.floor.outgoing.extend(held);
+    pub(crate) fn requeue_held_attempts(&mut self) {
+        let held = std::mem::take(&mut self.state.held_attempts);
+        self.state.outgoing_attempts.extend(held);
     }
 
-    fn begin(&mut self, it: Attempt) {
-        let Some((_, viewer)) = self.floor.to_begin(&it) else { return };
-        if !self.viewer_ready(viewer) {
-            return self.floor.held.push(it);
+    fn start_attempt(&mut self, attempt: Attempt) {
+        let Some((_, viewer_connection)) = self.state.startable_attempt(&attempt) else { return };
+        if !self.handle_viewer_connection(viewer_connection) {
+            return self.state.held_attempts.push(attempt);
         }
-        let Some((server, _)) = self.floor.to_begin(&it) else {
-            return debug!(target: "play", play = format!("{:016x}", it.session), "its viewer has gone: not sent");
+        let Some((server, _)) = self.state.startable_attempt(&attempt) else {
+            return debug!(target: "play", play = format!("{:016x}", attempt.session), "its viewer has gone: not sent");
         };
-        let (play, standing) = (it.session, self.floor.servers.get(&server).map(|s| s.listing.standing));
+        let (play, standing) = (attempt.session, self.state.servers.get(&server).map(|s| s.listing.standing));
         let outcome = if standing != Some(Standing::Ready) {
             Outcome::NeverSent
-        } else if !self.floor.begin(&it, server) {
+        } else if !self.state.send_set_up(&attempt, server) {
             Outcome::Unreachable
         } else {
-            self.floor.sums.sent += 1;
+            self.state.stats.sent += 1;
             return;
         };
-        self.floor.news.push_back(News { play, server, outcome });
+        self.state.finished_allocations.push_back(AllocationEnd { play, server, outcome });
     }
 
     /// What waited for its connection is about to go out, now that it is up: a set-up whose viewer has gone by now, or whose time
     /// is over, does not.
-    pub(crate) fn look_before_sending(&mut self, key: ConnectionId) {
-        for play in self.floor.unsent(key) {
-            if let Some(session) = self.floor.sessions.get(&play) {
-                self.viewer_ready(session.viewer);
+    pub(crate) fn recheck_unsent_set_ups(&mut self, connection_id: ConnectionId) {
+        for play in self.state.unsent_set_ups(connection_id) {
+            if let Some(session) = self.state.sessions.get(&play) {
+                self.handle_viewer_connection(session.viewer_connection);
             }
-            let now = self.floor.now();
-            if let Some(session) = self.floor.sessions.get(&play).filter(|session| session.until <= now) {
-                self.time_out(play, session.attempts);
+            let now = self.state.now();
+            if let Some(session) =
+                self.state.sessions.get(&play).filter(|session| session.attempt_deadline <= now)
+            {
+                self.on_attempt_deadline(play, session.attempts);
             }
         }
     }
 
     /// An attempt has had its time.
-    pub(crate) fn time_out(&mut self, play: u64, number: u32) {
-        let out = |node: &Node| {
-            let session = node.floor.sessions.get(&play)?;
-            let out = session.attempts == number && !session.playing;
-            Some((session.server.filter(|_| out)?, session.line))
+    pub(crate) fn on_attempt_deadline(&mut self, play: u64, number: u32) {
+        let pending_attempt = |node: &Node| {
+            let session = node.state.sessions.get(&play)?;
+            let is_pending = session.attempts == number && !session.is_playing;
+            Some((session.server.filter(|_| is_pending)?, session.server_connection))
         };
         // What its server has said by now, or that it has closed, decides; to what has not left it can't have said anything.
-        if let Some((_, Some(key))) = out(self)
-            && !self.floor.unsent(key).contains(&play)
+        if let Some((_, Some(connection_id))) = pending_attempt(self)
+            && !self.state.unsent_set_ups(connection_id).contains(&play)
         {
-            self.wire_ready(key);
+            self.handle_server_connection(connection_id);
         }
-        let Some((server, line)) = out(self) else { return };
-        let since = self.floor.sessions.get(&play).map_or(0.0, |session| session.since);
-        if let Some(wire) = line.and_then(|key| self.floor.wire(key)) {
+        let Some((server, connection_id)) = pending_attempt(self) else { return };
+        let since = self.state.sessions.get(&play).map_or(0.0, |session| session.since);
+        if let Some(connection) =
+            connection_id.and_then(|connection_id| self.state.server_connection(connection_id))
+        {
             // Not up by now, or silent since this set-up went out: it may never speak.
-            wire.tired |= !wire.up || wire.heard < since;
+            connection.is_unresponsive |= !connection.is_up || connection.last_heard_at < since;
         }
-        let unsent = self.floor.give_up(play);
-        let waited = self.floor.now() - since;
-        debug!(target: "play", play = format!("{play:016x}"), server = self.floor.id_of(server), waited, unsent, "timed out");
-        let outcome = match (unsent, line) {
+        let unsent = self.state.abandon_attempt(play);
+        let waited = self.state.now() - since;
+        debug!(target: "play", play = format!("{play:016x}"), server = self.state.server_id(server), waited, unsent, "timed out");
+        let outcome = match (unsent, connection_id) {
             (false, _) => Outcome::TimedOut,
             (true, Some(_)) => Outcome::Unreachable,
             (true, None) => Outcome::NeverSent,
         };
-        self.attempt_ended(play, server, outcome, &[]);
-        self.settle();
+        self.on_attempt_ended(play, server, outcome, &[]);
+        self.report_finished_allocations();
     }
 
     /// An attempt that was out has ended without a session that stands.
-    pub(crate) fn attempt_ended(&mut self, play: u64, server: u32, outcome: Outcome, load: &[LoadMetric]) {
-        let now = self.floor.now();
-        if let Some(session) = self.floor.sessions.get_mut(&play).filter(|s| s.server == Some(server)) {
-            let key = session.line.take();
+    pub(crate) fn on_attempt_ended(&mut self, play: u64, server: u32, outcome: Outcome, load: &[LoadMetric]) {
+        let now = self.state.now();
+        if let Some(session) = self.state.sessions.get_mut(&play).filter(|s| s.server == Some(server)) {
+            let connection_id = session.server_connection.take();
             session.server = None;
             let waited = now - session.since;
-            if let Some(key) = key {
-                self.floor.no_more_open(key, play);
+            if let Some(connection_id) = connection_id {
+                self.state.remove_pending_set_up(connection_id, play);
             }
-            debug!(target: "play", play = format!("{play:016x}"), server = self.floor.id_of(server), ?outcome, waited, "attempt ended");
+            debug!(target: "play", play = format!("{play:016x}"), server = self.state.server_id(server), ?outcome, waited, "attempt ended");
         }
-        self.desk.on_allocation_ended(now, play, server, outcome, false, load, &mut self.floor);
-        if self.desk.play(play).is_none() {
-            self.floor.sessions.remove(&play);
+        self.dispatcher.on_allocation_ended(now, play, server, outcome, false, load, &mut self.state);
+        if self.dispatcher.play(play).is_none() {
+            self.state.sessions.remove(&play);
         }
     }
 
-    pub(crate) fn settle(&mut self) {
-        while let Some(News { play, server, outcome }) = self.floor.news.pop_front() {
-            self.attempt_ended(play, server, outcome, &[]);
+    pub(crate) fn report_finished_allocations(&mut self) {
+        while let Some(AllocationEnd { play, server, outcome }) = self.state.finished_allocations.pop_front()
+        {
+            self.on_attempt_ended(play, server, outcome, &[]);
         }
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -4,16 +4,16 @@
 //! done, `to_viewers` and `to_servers` what is written, `ended` what has ended lately, `shares` how the descriptors are shared out. It
 //! decides nothing: where a play goes, and what follows an outcome, the desk is asked.
 
-mod asked;
+mod actions;
 mod attempts;
 mod config;
-mod ended;
-mod floor;
-mod hands;
+mod ended_sessions;
 mod listing;
 mod node;
 mod servers;
+mod set_up;
 mod shares;
+mod state;
 mod stopping;
 mod to_servers;
 mod to_viewers;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -4,8 +4,8 @@
 //! A play's way: `viewers` takes the set-up, the desk sends it ([`Floor::send`]), `servers` takes the answer and hands it on.
 
 use crate::config::Config;
-use crate::floor::{Clock, FAILED, Floor, Role, Server};
-use crate::listing::Asking;
+use crate::listing::DnsClient;
+use crate::state::{CAUSE_FAILED, NodeState, Role, Server, Timer};
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, Mode, PostAction};
@@ -21,192 +21,217 @@
 /// Connections that may wait to be accepted.
 const BACKLOG: i32 = 1_024;
 /// So often are servers looked at, ms, and the sums written.
-pub(crate) const LOOK: f64 = 500.0;
-const SUMS: f64 = 5_000.0;
+pub(crate) const SERVER_CHECK_INTERVAL_MS: f64 = 500.0;
+const STATS_INTERVAL_MS: f64 = 5_000.0;
 pub struct Node {
-    pub(crate) desk: Dispatcher,
-    pub(crate) floor: Floor,
-    pub(crate) asking: Asking,
+    pub(crate) dispatcher: Dispatcher,
+    pub(crate) state: NodeState,
+    pub(crate) dns_client: DnsClient,
     pub(crate) halted: bool,
 }
 
 impl ConnectionHandler for Node {
-    fn connection_ready(&mut self, key: ConnectionId) {
-        self.look_at(key);
+    fn connection_ready(&mut self, connection_id: ConnectionId) {
+        self.handle_connection(connection_id);
     }
 }
 
-fn listen(at: SocketAddr) -> std::io::Result<TcpListener> {
+fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket =
-        Socket::new(Domain::for_address(at), Type::STREAM.nonblocking().cloexec(), Some(Protocol::TCP))?;
+        Socket::new(Domain::for_address(address), Type::STREAM.nonblocking().cloexec(), Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
-    socket.bind(&at.into())?;
+    socket.bind(&address.into())?;
     socket.listen(BACKLOG)?;
     Ok(socket.into())
 }
 
 /// Starts a node and runs it until it is told to stop.
-pub fn run(posting: Config, signals: Signals) -> anyhow::Result<()> {
+pub fn run(config: Config, signals: Signals) -> anyhow::Result<()> {
     let mut event_loop: EventLoop<'static, Node> = EventLoop::try_new()?;
-    let handle = event_loop.handle();
-    let at = posting.listen;
+    let loop_handle = event_loop.handle();
+    let at = config.listen;
     let listener = listen(at).map_err(|e| anyhow::anyhow!("listen: {at} can't be had: {e}"))?;
     let (at, listener) = (listener.local_addr()?, Arc::new(listener));
-    let desk = Dispatcher::new(posting.policy_settings.clone(), posting.salt);
-    let floor = Floor::new(posting, handle.clone());
-    let asking = Asking::new(&floor, None, false)?;
-    let mut node = Node { desk, floor, asking, halted: false };
-    node.take_known();
-    let door =
-        handle.insert_source(Generic::new(listener.clone(), Interest::READ, Mode::Level), |_, _, node| {
-            node.accept();
+    let dispatcher = Dispatcher::new(config.policy_settings.clone(), config.salt);
+    let state = NodeState::new(config, loop_handle.clone());
+    let dns_client = DnsClient::new(&state, None, false)?;
+    let mut node = Node { dispatcher, state, dns_client, halted: false };
+    node.apply_initial_events();
+    let registration = loop_handle.insert_source(
+        Generic::new(listener.clone(), Interest::READ, Mode::Level),
+        |_, _, node| {
+            node.accept_viewers();
             Ok(PostAction::Continue)
-        })?;
-    node.floor.door = Some((door, listener));
-    handle.insert_source(signals, |event, (), node| match event.signal() {
-        Signal::SIGHUP => node.read_anew(false),
+        },
+    )?;
+    node.state.listener = Some((registration, listener));
+    loop_handle.insert_source(signals, |event, (), node| match event.signal() {
+        Signal::SIGHUP => node.reload_config(false),
         Signal::SIGXFSZ => {}
         _ => node.stop(),
     })?;
-    node.ask();
-    let now = node.floor.now();
-    node.floor.clock(now + LOOK, Clock::Look);
-    node.floor.clock(now + SUMS, Clock::Sums);
-    info!(target: "node", name = node.floor.posting.name, %at, servers = node.floor.servers.len(), shares = ?node.floor.shares, "listens");
+    node.query_list();
+    let now = node.state.now();
+    node.state.schedule(now + SERVER_CHECK_INTERVAL_MS, Timer::CheckServers);
+    node.state.schedule(now + STATS_INTERVAL_MS, Timer::LogStats);
+    info!(target: "node", name = node.state.config.name, %at, servers = node.state.servers.len(), shares = ?node.state.shares, "listens");
     // What has been read decides before what has come due: in one turn, connections that are ready are read before clocks ring.
-    while !(node.done() && node.nothing_came()) {
-        let wait = node.floor.next_clock();
-        event_loop.dispatch(wait, &mut node)?;
-        for _ in 0..node.floor.again.len() {
-            let Some(key) = node.floor.again.pop_front() else { break };
-            node.look_at(key);
+    while !(node.is_done() && node.drain_input_and_check_done()) {
+        let delay = node.state.time_to_next_timer();
+        event_loop.dispatch(delay, &mut node)?;
+        for _ in 0..node.state.revisit_queue.len() {
+            let Some(connection_id) = node.state.revisit_queue.pop_front() else { break };
+            node.handle_connection(connection_id);
         }
-        node.ring();
+        node.fire_due_timers();
         node.end_turn();
     }
-    info!(target: "node", sums = ?node.floor.sums, open = node.floor.deciding, standing = node.floor.sessions.len(), "stopped");
+    info!(target: "node", sums = ?node.state.stats, open = node.state.undecided_set_ups, standing = node.state.sessions.len(), "stopped");
     Ok(())
 }
 
 impl Node {
     /// Takes what has come on a connection.
-    pub(crate) fn look_at(&mut self, key: ConnectionId) {
-        let Some(line) = self.floor.lines.get_mut(key) else { return };
-        match &line.role {
-            Role::Viewer(_) => drop(self.viewer_ready(key)),
-            Role::Server(_) => self.wire_ready(key),
+    pub(crate) fn handle_connection(&mut self, connection_id: ConnectionId) {
+        let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
+        match &connection.role {
+            Role::Viewer(_) => drop(self.handle_viewer_connection(connection_id)),
+            Role::Server(_) => self.handle_server_connection(connection_id),
         }
-        self.settle();
+        self.report_finished_allocations();
     }
 
     /// The desk asks anew about what waits, and what it wants sent goes out.
     pub(crate) fn end_turn(&mut self) {
-        self.take_up_held();
+        self.requeue_held_attempts();
         loop {
-            let asked = self.desk.end_turn(self.floor.now(), &mut self.floor);
-            self.settle();
-            if !self.send_out() && !asked {
+            let has_placed = self.dispatcher.end_turn(self.state.now(), &mut self.state);
+            self.report_finished_allocations();
+            if !self.start_outgoing_attempts() && !has_placed {
                 return;
             }
         }
     }
 
-    fn ring(&mut self) {
+    fn fire_due_timers(&mut self) {
         loop {
-            let now = self.floor.now();
-            let Some((_, clock)) = self.floor.clocks.pop_due(now) else { return };
-            match clock {
-                Clock::Desk(mark) => self.desk.on_timer(now, mark, &mut self.floor),
-                Clock::TimeOut(play, number) => self.time_out(play, number),
-                Clock::Line(key) => self.line_due(now, key),
-                Clock::Ask => self.ask_if_due(now),
-                Clock::Look => {
-                    self.look_at_servers(now);
-                    self.floor.cut_again(now);
+            let now = self.state.now();
+            let Some((_, timer)) = self.state.timers.pop_due(now) else { return };
+            match timer {
+                Timer::Dispatcher(timer) => self.dispatcher.on_timer(now, timer, &mut self.state),
+                Timer::AttemptDeadline(play, number) => self.on_attempt_deadline(play, number),
+                Timer::ConnectionDeadline(connection_id) => self.on_connection_deadline(now, connection_id),
+                Timer::QueryList => self.query_list_if_due(now),
+                Timer::CheckServers => {
+                    self.check_silent_servers(now);
+                    self.state.retry_pending_releases(now);
                     if enabled!(target: "belief", tracing::Level::DEBUG) {
-                        self.write_beliefs();
+                        self.log_server_view();
                     }
-                    self.floor.clock(now + LOOK, Clock::Look);
+                    self.state.schedule(now + SERVER_CHECK_INTERVAL_MS, Timer::CheckServers);
                 }
-                Clock::Sums => {
-                    let floor = &self.floor;
-                    info!(target: "sums", sums = ?floor.sums, open = floor.deciding, sessions = floor.sessions.len(),
-                        held = self.desk.play_count(), viewers = floor.viewers.len(), wires = floor.wires_open(),
-                        servers = floor.servers.len(), owed = floor.owed.len(), cuts = floor.cuts.len(), clocks = floor.clocks.len());
-                    self.forget_gone();
-                    self.floor.clock(now + SUMS, Clock::Sums);
+                Timer::LogStats => {
+                    let state = &self.state;
+                    info!(target: "sums", sums = ?state.stats, open = state.undecided_set_ups, sessions = state.sessions.len(),
+                        held = self.dispatcher.play_count(), viewers = state.viewer_connections.len(), wires = state.server_connection_count(),
+                        servers = state.servers.len(), owed = state.pending_notices.len(), cuts = state.pending_releases.len(), clocks = state.timers.len());
+                    self.forget_gone_servers();
+                    self.state.schedule(now + STATS_INTERVAL_MS, Timer::LogStats);
                 }
-                Clock::Door => self.close_door(),
-                Clock::Accept => self.open_door(),
-                Clock::Anew => self.read_anew(true),
-                Clock::Stop => self.answer_all(),
+                Timer::CloseListener => self.close_listener(),
+                Timer::ResumeAccepting => self.resume_accepting(),
+                Timer::ReloadConfig => self.reload_config(true),
+                Timer::StopDeadline => self.expire_pending_and_halt(),
             }
-            self.settle();
+            self.report_finished_allocations();
         }
     }
 
-    fn line_due(&mut self, now: f64, key: ConnectionId) {
-        let is_due = |node: &mut Node| node.floor.lines.get_mut(key).is_some_and(|line| line.deadline <= now);
+    fn on_connection_deadline(&mut self, now: f64, connection_id: ConnectionId) {
+        let is_due = |node: &mut Node| {
+            node.state.connections.get_mut(connection_id).is_some_and(|connection| connection.deadline <= now)
+        };
         if !is_due(self) {
             return;
         }
         // The loop may be behind: what has come by now counts.
-        self.look_at(key);
-        let Some(line) = self.floor.lines.get_mut(key).filter(|line| line.deadline <= now) else { return };
-        line.deadline = f64::INFINITY;
-        let connected = line.connected() == Some(true);
-        match &line.role {
-            Role::Viewer(viewer) if !viewer.proven && viewer.came.is_finite() => {
+        self.handle_connection(connection_id);
+        let Some(connection) =
+            self.state.connections.get_mut(connection_id).filter(|connection| connection.deadline <= now)
+        else {
+            return;
+        };
+        connection.deadline = f64::INFINITY;
+        let connected = connection.connected() == Some(true);
+        match &connection.role {
+            Role::Viewer(viewer) if !viewer.is_proven && viewer.accepted_at.is_finite() => {
                 debug!(target: "viewer", "closed: nothing usable came");
-                self.viewer_gone(key);
+                self.close_viewer_connection(connection_id);
             }
-            Role::Server(_) if !connected => self.wire_lost(key),
+            Role::Server(_) if !connected => self.on_server_connection_lost(connection_id),
             _ => {}
         }
     }
 
     /// A server has started anew: what stood there before does no more.
     /// Connections to the process before it lead nowhere any more.
-    pub(crate) fn restarted(&mut self, number: u32, born: f64) {
-        for play in self.floor.standing_at(number) {
-            if self.floor.sessions.get(&play).is_some_and(|s| s.since < born) {
-                self.stood(play, number, Outcome::Broken, FAILED, &[]);
+    pub(crate) fn on_server_restarted(&mut self, server_number: u32, started_at: f64) {
+        for play in self.state.sessions_playing_at(server_number) {
+            if self.state.sessions.get(&play).is_some_and(|s| s.since < started_at) {
+                self.on_session_ended_by_server(play, server_number, Outcome::Broken, CAUSE_FAILED, &[]);
             }
         }
-        for key in self.floor.servers.get(&number).map(|s| s.lines.clone()).unwrap_or_default() {
-            if self.floor.wire(key).is_some_and(|wire| wire.dialled < born) {
-                self.wire_lost(key);
+        for connection_id in
+            self.state.servers.get(&server_number).map(|s| s.connections.clone()).unwrap_or_default()
+        {
+            if self
+                .state
+                .server_connection(connection_id)
+                .is_some_and(|server_connection| server_connection.dialled_at < started_at)
+            {
+                self.on_server_connection_lost(connection_id);
             }
         }
     }
 
     /// Servers that are gone and have nothing left are forgotten, in every layer.
-    pub(crate) fn forget_gone(&mut self) {
-        let held: HashSet<u32> = self.floor.sessions.values().filter_map(|s| s.server).collect();
-        let gone = |s: &Server| s.is_gone() && s.address.is_some();
-        let gone = self.floor.servers.iter().filter(|(n, s)| gone(s) && !held.contains(n)).map(|(n, _)| *n);
-        for number in gone.collect::<Vec<u32>>() {
-            if !self.desk.forget_server(number) {
+    pub(crate) fn forget_gone_servers(&mut self) {
+        let servers_in_use: HashSet<u32> = self.state.sessions.values().filter_map(|s| s.server).collect();
+        let is_gone = |s: &Server| s.is_gone() && s.address.is_some();
+        let gone = self
+            .state
+            .servers
+            .iter()
+            .filter(|(n, s)| is_gone(s) && !servers_in_use.contains(n))
+            .map(|(n, _)| *n);
+        for server_number in gone.collect::<Vec<u32>>() {
+            if !self.dispatcher.forget_server(server_number) {
                 continue;
             }
-            let Some(server) = self.floor.servers.remove(&number) else { continue };
-            self.floor.numbers.remove(&server.id);
-            for key in server.lines {
-                self.floor.drop_wire(key);
+            let Some(server) = self.state.servers.remove(&server_number) else { continue };
+            self.state.server_numbers.remove(&server.id);
+            for connection_id in server.connections {
+                self.state.close_server_connection(connection_id);
             }
         }
     }
 
     /// What is believed of each server, to be held against its sockets.
-    fn write_beliefs(&mut self) {
-        let mut numbers: Vec<u32> = self.floor.servers.keys().copied().collect();
+    fn log_server_view(&mut self) {
+        let mut numbers: Vec<u32> = self.state.servers.keys().copied().collect();
         numbers.sort_unstable();
-        for number in numbers {
-            let Some(server) = self.floor.servers.get(&number) else { continue };
-            let (id, playing, standing) = (server.id.clone(), server.playing, server.listing.standing);
-            let lines = server.lines.clone();
-            let out: usize = lines.iter().map(|key| self.floor.wire(*key).map_or(0, |w| w.open.len())).sum();
-            debug!(target: "belief", id, ?standing, playing, out, held = self.desk.play_count_at(number), lines = lines.len());
+        for server_number in numbers {
+            let Some(server) = self.state.servers.get(&server_number) else { continue };
+            let (id, playing, standing) =
+                (server.id.clone(), server.playing_sessions, server.listing.standing);
+            let connections = server.connections.clone();
+            let out: usize = connections
+                .iter()
+                .map(|connection_id| {
+                    self.state.server_connection(*connection_id).map_or(0, |c| c.pending_set_ups.len())
+                })
+                .sum();
+            debug!(target: "belief", id, ?standing, playing, out, held = self.dispatcher.play_count_at(server_number), lines = connections.len());
         }
     }
 }
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -1,9 +1,12 @@
 //! What comes from media servers: answers to set-ups, the notes and ends of sessions that stand, reports, and the loss of
 //! connections.
 
-use crate::ended::Word;
-use crate::floor::{ASK, ENDED, FAILED, GIVE_UP, OWED, READ, Role, Server, Session, WITHDRAWN};
-use crate::node::{LOOK, Node};
+use crate::ended_sessions::EndReport;
+use crate::node::{Node, SERVER_CHECK_INTERVAL_MS};
+use crate::state::{
+    CAUSE_ENDED, CAUSE_FAILED, CAUSE_WITHDRAWN, CSEQ_PROBE, CSEQ_TEARDOWN, MAX_INPUT_BYTES, NOTICE_TTL_MS,
+    Role, Server, Session,
+};
 use pulleystair::{LoadMetric, Outcome};
 use pulleystair_connections::ConnectionId;
 use pulleystair_rtsp::{Message, Start};
@@ -11,84 +14,89 @@
 use tracing::{debug, info};
 
 /// Reads of a line in one turn.
-const TURN: usize = 16;
+const MAX_READS_PER_TURN: usize = 16;
 /// Notes that are missing for longer than this, beyond the time between them, are missing for a cause, ms.
-const SILENCE: f64 = 1_000.0;
+const NOTE_GRACE_MS: f64 = 1_000.0;
 /// Of the time in which viewers must hear of an end, kept for the look that finds it and for the release, ms.
-const HASTE: f64 = 750.0;
+const DETECTION_MARGIN_MS: f64 = 750.0;
 /// So many calls in a row that did not come up mean that it is lost.
-const CALLS: u32 = 2;
+const MAX_FAILED_DIALS: u32 = 2;
 
 impl Node {
-    pub(crate) fn wire_ready(&mut self, key: ConnectionId) {
-        for _ in 0..TURN {
-            let now = self.floor.now();
-            let Some(line) = self.floor.lines.get_mut(key) else { return };
-            match line.connected() {
-                Some(false) => return self.wire_lost(key),
+    pub(crate) fn handle_server_connection(&mut self, connection_id: ConnectionId) {
+        for _ in 0..MAX_READS_PER_TURN {
+            let now = self.state.now();
+            let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
+            match connection.connected() {
+                Some(false) => return self.on_server_connection_lost(connection_id),
                 None => return,
                 Some(true) => {}
             }
-            let Role::Server(wire) = &mut line.role else { return };
-            let number = wire.server;
-            let newly = !std::mem::replace(&mut wire.up, true);
-            if newly {
-                (wire.heard, wire.stirred) = (now, now);
+            let Role::Server(server_connection) = &mut connection.role else { return };
+            let server_number = server_connection.server;
+            let has_just_connected = !std::mem::replace(&mut server_connection.is_up, true);
+            if has_just_connected {
+                (server_connection.last_heard_at, server_connection.last_active_at) = (now, now);
             }
-            self.look_before_sending(key);
-            let Some(line) = self.floor.lines.get_mut(key) else { return };
-            line.flush();
-            let came = line.read(READ);
-            let ended = line.closed;
-            let Role::Server(wire) = &mut line.role else { return };
-            if came || newly {
-                (wire.heard, wire.stirred) = (now, now);
-                line.deadline = f64::INFINITY;
-                if let Some(server) = self.floor.servers.get_mut(&number) {
-                    (server.heard, server.lost) = (now, 0);
+            self.recheck_unsent_set_ups(connection_id);
+            let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
+            connection.flush();
+            let has_read = connection.read(MAX_INPUT_BYTES);
+            let is_closed = connection.closed;
+            let Role::Server(server_connection) = &mut connection.role else { return };
+            if has_read || has_just_connected {
+                (server_connection.last_heard_at, server_connection.last_active_at) = (now, now);
+                connection.deadline = f64::INFINITY;
+                if let Some(server) = self.state.servers.get_mut(&server_number) {
+                    (server.last_heard_at, server.failed_dials) = (now, 0);
                 }
             }
-            let Some(line) = self.floor.lines.get_mut(key) else { return };
-            if !line.input.is_empty() {
-                let input = std::mem::take(&mut line.input);
-                match self.server_messages(key, number, &input) {
+            let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
+            if !connection.input.is_empty() {
+                let input = std::mem::take(&mut connection.input);
+                match self.handle_server_messages(connection_id, server_number, &input) {
                     Some(used) => {
-                        let Some(line) = self.floor.lines.get_mut(key) else { return };
-                        line.unread(input, used);
+                        let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
+                        connection.unread(input, used);
                     }
-                    None => return self.wire_lost(key),
+                    None => return self.on_server_connection_lost(connection_id),
                 }
             }
-            if ended {
-                return self.wire_lost(key);
+            if is_closed {
+                return self.on_server_connection_lost(connection_id);
             }
-            if !came {
+            if !has_read {
                 return;
             }
         }
-        self.floor.again.push_back(key);
+        self.state.revisit_queue.push_back(connection_id);
     }
 
     /// Takes the whole messages off; none where what came can't be read.
-    fn server_messages(&mut self, key: ConnectionId, server: u32, input: &[u8]) -> Option<usize> {
+    fn handle_server_messages(
+        &mut self,
+        connection_id: ConnectionId,
+        server: u32,
+        input: &[u8],
+    ) -> Option<usize> {
         let mut used = 0;
-        let mut found = Message::parse(input);
+        let mut parsed = Message::parse(input);
         loop {
-            match found {
+            match parsed {
                 Ok(None) => return Some(used),
                 Err(e) => {
-                    debug!(target: "server", server = self.floor.id_of(server), "spoilt: {e}");
-                    self.floor.sums.spoilt += 1;
+                    debug!(target: "server", server = self.state.server_id(server), "spoilt: {e}");
+                    self.state.stats.spoilt += 1;
                     return None;
                 }
                 Ok(Some((message, n))) => {
                     used += n;
-                    found = Message::parse(&input[used..]);
+                    parsed = Message::parse(&input[used..]);
                     // What follows an answer and can't be read spoils that too: its length did not fit.
-                    if found.is_ok() {
-                        self.server_message(key, server, &message);
-                        self.settle();
-                        if self.floor.lines.get_mut(key).is_none() {
+                    if parsed.is_ok() {
+                        self.handle_server_message(connection_id, server, &message);
+                        self.report_finished_allocations();
+                        if self.state.connections.get_mut(connection_id).is_none() {
                             return Some(used);
                         }
                     }
@@ -97,94 +105,99 @@
         }
     }
 
-    fn server_message(&mut self, key: ConnectionId, server: u32, message: &Message) {
-        let now = self.floor.now();
+    fn handle_server_message(&mut self, connection_id: ConnectionId, server: u32, message: &Message) {
+        let now = self.state.now();
         let play = message.session;
         let load: Vec<LoadMetric> = message
             .report()
             .filter_map(|(name, value)| pulleystair_settings::load_metric(name, value))
             .collect();
         // An answer for a viewer that has gone by now is not for it any more.
-        let waits = |s: &&Session| !s.playing && message.cseq() != Some(ASK);
+        let awaits_answer = |s: &&Session| !s.is_playing && message.cseq() != Some(CSEQ_PROBE);
         if let (Start::Answer(200), Some(session)) =
-            (&message.start, self.floor.sessions.get(&play).filter(waits))
+            (&message.start, self.state.sessions.get(&play).filter(awaits_answer))
         {
-            self.viewer_ready(session.viewer);
+            self.handle_viewer_connection(session.viewer_connection);
         }
-        let known = self.floor.sessions.get(&play);
-        let session = known.filter(|s| s.server == Some(server));
-        let stands = session.is_some_and(|s| s.playing);
-        let out = session.is_some_and(|s| !s.playing && s.line == Some(key));
+        let session_of_play = self.state.sessions.get(&play);
+        let session = session_of_play.filter(|s| s.server == Some(server));
+        let is_playing = session.is_some_and(|s| s.is_playing);
+        let is_pending = session.is_some_and(|s| !s.is_playing && s.server_connection == Some(connection_id));
         match &message.start {
             Start::Answer(100..=199) => {}
-            Start::Answer(_) if message.cseq() == Some(GIVE_UP) => {}
-            Start::Answer(_) if message.cseq() == Some(ASK) => {
-                self.desk.on_load_report(now, server, &load, &mut self.floor);
+            Start::Answer(_) if message.cseq() == Some(CSEQ_TEARDOWN) => {}
+            Start::Answer(_) if message.cseq() == Some(CSEQ_PROBE) => {
+                self.dispatcher.on_load_report(now, server, &load, &mut self.state);
+            }
+            Start::Answer(200) if is_pending => {
+                self.on_set_up_succeeded(now, connection_id, server, play, &message.body, &load)
             }
-            Start::Answer(200) if out => self.plays(now, key, server, play, &message.body, &load),
             // Of an attempt given up on another line; the same id is out there again, or stands, and an end would be taken for its.
-            Start::Answer(200) if session.is_some() => self.floor.sums.late += 1,
+            Start::Answer(200) if session.is_some() => self.state.stats.late += 1,
             Start::Answer(200) => {
                 // Late, or nobody's: what was given up must not stand.
-                self.floor.sums.late += 1;
-                self.floor.cut(server, Some(key), play, WITHDRAWN);
+                self.state.stats.late += 1;
+                self.state.release_on_server(server, Some(connection_id), play, CAUSE_WITHDRAWN);
             }
-            Start::Answer(status) if out => {
+            Start::Answer(status) if is_pending => {
                 let outcome = match status {
                     453 => Outcome::Full,
                     454 => Outcome::NeverSent,
                     504 => Outcome::Broken,
                     _ => Outcome::Error,
                 };
-                self.attempt_ended(play, server, outcome, &load);
+                self.on_attempt_ended(play, server, outcome, &load);
             }
             Start::Answer(_) => {}
             Start::Request(method) => match method.as_str() {
-                "TEARDOWN" if stands => {
-                    let cause = message.cause().unwrap_or(FAILED);
+                "TEARDOWN" if is_playing => {
+                    let cause = message.cause().unwrap_or(CAUSE_FAILED);
                     let outcome = match cause {
-                        ENDED => Outcome::Finished,
-                        WITHDRAWN => Outcome::Withdrawn,
+                        CAUSE_ENDED => Outcome::Finished,
+                        CAUSE_WITHDRAWN => Outcome::Withdrawn,
                         _ => Outcome::Broken,
                     };
-                    self.stood(play, server, outcome, cause, &load);
+                    self.on_session_ended_by_server(play, server, outcome, cause, &load);
                 }
-                "TEARDOWN" if known.is_none() => {
-                    let cause = message.cause().unwrap_or(FAILED);
-                    self.floor.ended.note(now, play, Word::Server(cause));
+                "TEARDOWN" if session_of_play.is_none() => {
+                    let cause = message.cause().unwrap_or(CAUSE_FAILED);
+                    self.state.ended_sessions.record(now, play, EndReport::Server(cause));
                 }
-                "TEARDOWN" if out => self.attempt_ended(play, server, Outcome::Broken, &load),
-                "REDIRECT" if stands => self.stood(play, server, Outcome::Withdrawn, FAILED, &load),
-                "ANNOUNCE" if stands => {
-                    let (Some(why), Some(amount)) = (message.field("X-Why"), message.number("Figure")) else {
+                "TEARDOWN" if is_pending => self.on_attempt_ended(play, server, Outcome::Broken, &load),
+                "REDIRECT" if is_playing => {
+                    self.on_session_ended_by_server(play, server, Outcome::Withdrawn, CAUSE_FAILED, &load)
+                }
+                "ANNOUNCE" if is_playing => {
+                    let (Some(metric), Some(value)) = (message.field("X-Why"), message.number("Figure"))
+                    else {
                         return;
                     };
-                    match why {
-                        "d" => self.desk.on_play_note(
+                    match metric {
+                        "d" => self.dispatcher.on_play_note(
                             now,
                             play,
                             server,
-                            LoadMetric::Delivered(amount),
-                            &mut self.floor,
+                            LoadMetric::Delivered(value),
+                            &mut self.state,
                         ),
-                        "l" => self.desk.on_play_note(
+                        "l" => self.dispatcher.on_play_note(
                             now,
                             play,
                             server,
-                            LoadMetric::Link(amount),
-                            &mut self.floor,
+                            LoadMetric::Link(value),
+                            &mut self.state,
                         ),
-                        "u" => self.desk.on_play_note(
+                        "u" => self.dispatcher.on_play_note(
                             now,
                             play,
                             server,
-                            LoadMetric::Uplink(amount),
-                            &mut self.floor,
+                            LoadMetric::Uplink(value),
+                            &mut self.state,
                         ),
                         "r" => {
-                            let rung = amount.max(0.0) as usize;
-                            self.desk.set_adopted_rung(play, rung);
-                            if let Some(session) = self.floor.sessions.get_mut(&play) {
+                            let rung = value.max(0.0) as usize;
+                            self.dispatcher.set_adopted_rung(play, rung);
+                            if let Some(session) = self.state.sessions.get_mut(&play) {
                                 (session.rung, session.rung_sent) = (rung, rung);
                             }
                         }
@@ -197,122 +210,143 @@
     }
 
     /// The set-up was answered: its viewer gets the description as it came.
-    fn plays(
+    fn on_set_up_succeeded(
         &mut self,
         now: f64,
-        key: ConnectionId,
+        connection_id: ConnectionId,
         server: u32,
         play: u64,
         description: &[u8],
         load: &[LoadMetric],
     ) {
-        self.floor.no_more_open(key, play);
+        self.state.remove_pending_set_up(connection_id, play);
         let Some(bytes) = protocol::encode(kind::ANSWER, play, &[(code::DESCRIPTION, description)]) else {
-            self.floor.cut(server, Some(key), play, WITHDRAWN);
-            return self.attempt_ended(play, server, Outcome::Error, load);
+            self.state.release_on_server(server, Some(connection_id), play, CAUSE_WITHDRAWN);
+            return self.on_attempt_ended(play, server, Outcome::Error, load);
         };
-        let Some(session) = self.floor.sessions.get_mut(&play) else { return };
-        session.playing = true;
+        let Some(session) = self.state.sessions.get_mut(&play) else { return };
+        session.is_playing = true;
         session.since = now;
         session.description = Vec::new();
-        session.used = Vec::new();
-        let viewer = session.viewer;
-        self.floor.sums.played += 1;
-        self.floor.answered(viewer, play);
-        self.floor.write_viewer(viewer, &bytes);
-        if let Some(server) = self.floor.servers.get_mut(&server) {
-            server.playing += 1;
+        session.abandoned_connections = Vec::new();
+        let viewer_connection = session.viewer_connection;
+        self.state.stats.played += 1;
+        self.state.mark_set_up_answered(viewer_connection, play);
+        self.state.write_to_viewer(viewer_connection, &bytes);
+        if let Some(server) = self.state.servers.get_mut(&server) {
+            server.playing_sessions += 1;
         }
-        self.desk.on_playing(now, play, &mut self.floor);
-        self.desk.on_load_report(now, server, load, &mut self.floor);
-        self.floor.send_rung(play);
+        self.dispatcher.on_playing(now, play, &mut self.state);
+        self.dispatcher.on_load_report(now, server, load, &mut self.state);
+        self.state.send_rung(play);
     }
 
     /// A session that stood is over, by its server's word or loss: the viewer is told, unless it ended it itself.
-    pub(crate) fn stood(&mut self, play: u64, server: u32, outcome: Outcome, cause: u8, load: &[LoadMetric]) {
-        let now = self.floor.now();
-        let Some(session) = self.floor.sessions.remove(&play) else { return };
-        self.floor.ended.note(now, play, Word::Both);
-        if let Some(server) = self.floor.servers.get_mut(&server) {
-            server.playing = server.playing.saturating_sub(1);
+    pub(crate) fn on_session_ended_by_server(
+        &mut self,
+        play: u64,
+        server: u32,
+        outcome: Outcome,
+        cause: u8,
+        load: &[LoadMetric],
+    ) {
+        let now = self.state.now();
+        let Some(session) = self.state.sessions.remove(&play) else { return };
+        self.state.ended_sessions.record(now, play, EndReport::Both);
+        if let Some(server) = self.state.servers.get_mut(&server) {
+            server.playing_sessions = server.playing_sessions.saturating_sub(1);
         }
         if outcome == Outcome::Finished {
-            self.floor.sums.ended += 1;
+            self.state.stats.ended += 1;
         } else if outcome == Outcome::Broken {
-            self.floor.sums.lost += 1;
+            self.state.stats.lost += 1;
         }
-        if outcome != Outcome::Withdrawn || cause != WITHDRAWN {
-            self.floor.release(play, session.viewer, session.from, cause);
+        if outcome != Outcome::Withdrawn || cause != CAUSE_WITHDRAWN {
+            self.state.notify_session_end(play, session.viewer_connection, session.viewer_ip, cause);
         }
-        self.desk.on_allocation_ended(now, play, server, outcome, true, load, &mut self.floor);
-        self.settle();
+        self.dispatcher.on_allocation_ended(now, play, server, outcome, true, load, &mut self.state);
+        self.report_finished_allocations();
     }
 
     /// A session that stood is over by its viewer's word.
-    pub(crate) fn over(&mut self, play: u64) {
-        let now = self.floor.now();
-        self.desk.on_viewer_left(play, &mut self.floor);
+    pub(crate) fn on_session_ended_by_viewer(&mut self, play: u64) {
+        let now = self.state.now();
+        self.dispatcher.on_viewer_left(play, &mut self.state);
         // The desk has had it withdrawn; that is told as news, and the session is gone by then.
-        let Some(session) = self.floor.sessions.remove(&play) else { return };
-        self.floor.ended.note(now, play, Word::Both);
-        if let Some(number) = session.server {
-            if let Some(server) = self.floor.servers.get_mut(&number) {
-                server.playing = server.playing.saturating_sub(1);
+        let Some(session) = self.state.sessions.remove(&play) else { return };
+        self.state.ended_sessions.record(now, play, EndReport::Both);
+        if let Some(server_number) = session.server {
+            if let Some(server) = self.state.servers.get_mut(&server_number) {
+                server.playing_sessions = server.playing_sessions.saturating_sub(1);
             }
-            self.floor.news.retain(|news| news.play != play);
-            self.desk.on_allocation_ended(now, play, number, Outcome::Withdrawn, true, &[], &mut self.floor);
+            self.state.finished_allocations.retain(|end| end.play != play);
+            self.dispatcher.on_allocation_ended(
+                now,
+                play,
+                server_number,
+                Outcome::Withdrawn,
+                true,
+                &[],
+                &mut self.state,
+            );
         }
     }
 
     /// A connection to a server could not be made, was lost, or brought what can't be read.
-    pub(crate) fn wire_lost(&mut self, key: ConnectionId) {
-        let Some(line) = self.floor.lines.get_mut(key) else { return };
-        let up = line.connected() == Some(true);
-        let gone = line.bytes_sent();
-        let Role::Server(wire) = &mut line.role else { return };
-        let (number, open) = (wire.server, std::mem::take(&mut wire.open));
-        self.floor.drop_wire(key);
-        let (playing, left) = self.floor.servers.get(&number).map_or((0, 0), |s| (s.playing, s.lines.len()));
-        let id = self.floor.id_of(number);
-        debug!(target: "server", id, up, open = open.len(), playing, left, "line lost");
-        for it in open {
+    pub(crate) fn on_server_connection_lost(&mut self, connection_id: ConnectionId) {
+        let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
+        let up = connection.connected() == Some(true);
+        let bytes_sent = connection.bytes_sent();
+        let Role::Server(server_connection) = &mut connection.role else { return };
+        let (server_number, lost_set_ups) =
+            (server_connection.server, std::mem::take(&mut server_connection.pending_set_ups));
+        self.state.close_server_connection(connection_id);
+        let (playing, left) = self
+            .state
+            .servers
+            .get(&server_number)
+            .map_or((0, 0), |s| (s.playing_sessions, s.connections.len()));
+        let id = self.state.server_id(server_number);
+        debug!(target: "server", id, up, open = lost_set_ups.len(), playing, left, "line lost");
+        for set_up in lost_set_ups {
             // Nothing of a set-up that has not begun to leave can have run.
-            let outcome = if !up || gone <= it.begins { Outcome::Unreachable } else { Outcome::Broken };
-            self.attempt_ended(it.play, number, outcome, &[]);
+            let outcome =
+                if !up || bytes_sent <= set_up.offset { Outcome::Unreachable } else { Outcome::Broken };
+            self.on_attempt_ended(set_up.play, server_number, outcome, &[]);
         }
-        if let Some(server) = self.floor.servers.get_mut(&number) {
-            server.lost += u32::from(!up);
-            if server.playing > 0 {
-                if server.lost >= CALLS {
-                    self.server_lost(number);
-                } else if server.lines.is_empty() {
-                    self.call(number, false);
+        if let Some(server) = self.state.servers.get_mut(&server_number) {
+            server.failed_dials += u32::from(!up);
+            if server.playing_sessions > 0 {
+                if server.failed_dials >= MAX_FAILED_DIALS {
+                    self.on_server_lost(server_number);
+                } else if server.connections.is_empty() {
+                    self.reconnect(server_number, false);
                 }
             }
         }
-        self.settle();
+        self.report_finished_allocations();
     }
 
     /// Makes a connection to a server that has plays and none: it may have something to say, or be gone.
-    fn call(&mut self, number: u32, pressing: bool) {
-        if self.floor.servers.get(&number).is_some_and(|s| s.callable().is_none()) {
-            return self.server_lost(number);
+    fn reconnect(&mut self, server_number: u32, urgent: bool) {
+        if self.state.servers.get(&server_number).is_some_and(|s| s.dial_address().is_none()) {
+            return self.on_server_lost(server_number);
         }
         // One that can't be dialled for want of descriptors is called at the next look.
-        let _ = self.floor.dial(number, pressing);
+        let _ = self.state.dial(server_number, urgent);
     }
 
     /// Nothing that stands at a server is there any more.
-    fn server_lost(&mut self, number: u32) {
-        let plays = self.floor.standing_at(number);
-        info!(target: "server", server = self.floor.id_of(number), plays = plays.len(), "lost");
+    fn on_server_lost(&mut self, server_number: u32) {
+        let plays = self.state.sessions_playing_at(server_number);
+        info!(target: "server", server = self.state.server_id(server_number), plays = plays.len(), "lost");
         for play in plays {
-            self.stood(play, number, Outcome::Broken, FAILED, &[]);
+            self.on_session_ended_by_server(play, server_number, Outcome::Broken, CAUSE_FAILED, &[]);
         }
-        let Some(server) = self.floor.servers.get_mut(&number) else { return };
-        server.lost = 0;
-        for key in server.lines.clone() {
-            self.wire_lost(key);
+        let Some(server) = self.state.servers.get_mut(&server_number) else { return };
+        server.failed_dials = 0;
+        for connection_id in server.connections.clone() {
+            self.on_server_connection_lost(connection_id);
         }
     }
 
@@ -320,23 +354,36 @@
     /// some seconds keeps its sessions. One that is listed as gone is waited for no longer than its notes are apart. Where more
     /// servers have plays than there may be lines, those without one are called in turn, the one heard longest ago first: each look
     /// can move all lines, so that M servers with K lines are heard within half of that time and M / K looks.
-    pub(crate) fn look_at_servers(&mut self, now: f64) {
-        let terms = &self.floor.terms;
-        let notes = terms.tells * 1.25 + SILENCE;
-        let most = notes.max(OWED - HASTE - f64::from(CALLS) * (terms.dial + LOOK));
-        let late = |s: &Server| now - s.heard > if s.is_gone() { notes } else { most };
+    pub(crate) fn check_silent_servers(&mut self, now: f64) {
+        let limits = &self.state.limits;
+        let note_timeout = limits.note_interval * 1.25 + NOTE_GRACE_MS;
+        let silence_limit = note_timeout.max(
+            NOTICE_TTL_MS
+                - DETECTION_MARGIN_MS
+                - f64::from(MAX_FAILED_DIALS) * (limits.dial_timeout + SERVER_CHECK_INTERVAL_MS),
+        );
+        let is_late =
+            |s: &Server| now - s.last_heard_at > if s.is_gone() { note_timeout } else { silence_limit };
         // A server that was named by a hand-over alone may be on the list that is still to come.
-        let vouched = self.asking.heard;
-        let may_come = |s: &Server| s.address.is_none() && !vouched;
-        let silent = |s: &Server| s.playing > 0 && (s.lines.is_empty() && !may_come(s) || late(s));
-        let silent = self.floor.servers.iter().filter(|(_, s)| silent(s));
-        let mut silent: Vec<(f64, u32)> = silent.map(|(number, s)| (s.heard, *number)).collect();
-        silent.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        for (heard, number) in silent {
-            let lines = self.floor.servers.get(&number).map(|s| s.lines.clone()).unwrap_or_default();
-            let pressing = lines.is_empty() && now - heard > most / 2.0;
-            if !lines.into_iter().any(|key| self.floor.wire(key).is_some_and(|wire| !wire.up)) {
-                self.call(number, pressing);
+        let has_response = self.dns_client.has_response;
+        let may_be_listed = |s: &Server| s.address.is_none() && !has_response;
+        let is_silent = |s: &Server| {
+            s.playing_sessions > 0 && (s.connections.is_empty() && !may_be_listed(s) || is_late(s))
+        };
+        let silent_servers = self.state.servers.iter().filter(|(_, s)| is_silent(s));
+        let mut silent_servers: Vec<(f64, u32)> =
+            silent_servers.map(|(server_number, s)| (s.last_heard_at, *server_number)).collect();
+        silent_servers.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+        for (last_heard_at, server_number) in silent_servers {
+            let connections =
+                self.state.servers.get(&server_number).map(|s| s.connections.clone()).unwrap_or_default();
+            let urgent = connections.is_empty() && now - last_heard_at > silence_limit / 2.0;
+            if !connections.into_iter().any(|connection_id| {
+                self.state
+                    .server_connection(connection_id)
+                    .is_some_and(|server_connection| !server_connection.is_up)
+            }) {
+                self.reconnect(server_number, urgent);
             }
         }
     }
--- a/crates/node/src/to_servers.rs
+++ b/crates/node/src/to_servers.rs
@@ -1,323 +1,396 @@
 //! What is written to media servers, and the connections to them.
 
-use crate::floor::{
-    Attempt, Clock, Cut, Floor, GIVE_UP, OTHER, OWED, OWED_MOST, Open, Role, SET_UP, Server, Wire,
+use crate::node::SERVER_CHECK_INTERVAL_MS;
+use crate::state::{
+    Attempt, CSEQ_OTHER, CSEQ_SET_UP, CSEQ_TEARDOWN, MAX_NOTICES, NOTICE_TTL_MS, NodeState, PendingSetUp,
+    ReleaseNotice, Role, Server, ServerConnection, Timer,
 };
-use crate::node::LOOK;
 use pulleystair_connections::ConnectionId;
 use pulleystair_rtsp as rtsp;
 use tracing::debug;
 
-impl Floor {
-    pub(crate) fn id_of(&self, server: u32) -> &str {
+impl NodeState {
+    pub(crate) fn server_id(&self, server: u32) -> &str {
         self.servers.get(&server).map_or("?", |s| s.id.as_str())
     }
 
     /// The number of a server by its id, a new one for a new id.
-    pub(crate) fn number(&mut self, id: &str) -> u32 {
-        if let Some(number) = self.numbers.get(id) {
-            return *number;
+    pub(crate) fn server_number(&mut self, id: &str) -> u32 {
+        if let Some(server_number) = self.server_numbers.get(id) {
+            return *server_number;
         }
-        let number = self.next_server;
-        self.next_server = self.next_server.wrapping_add(1);
-        self.numbers.insert(id.to_string(), number);
-        self.servers.insert(number, Server { id: id.to_string(), ..Server::default() });
-        number
+        let server_number = self.next_server_number;
+        self.next_server_number = self.next_server_number.wrapping_add(1);
+        self.server_numbers.insert(id.to_string(), server_number);
+        self.servers.insert(server_number, Server { id: id.to_string(), ..Server::default() });
+        server_number
     }
 
     /// A new connection to a server that is listed; `pressing` if one to another server that has sessions may give way for it.
-    pub(crate) fn dial(&mut self, number: u32, pressing: bool) -> Option<ConnectionId> {
-        let address = self.servers.get(&number)?.callable()?;
-        if self.has_all_lines() && !self.spare_wire(pressing) {
+    pub(crate) fn dial(&mut self, server_number: u32, urgent: bool) -> Option<ConnectionId> {
+        let address = self.servers.get(&server_number)?.dial_address()?;
+        if self.is_at_connection_limit() && !self.close_idle_connection(urgent) {
             return None;
         }
-        let server = self.servers.get(&number)?;
+        let server = self.servers.get(&server_number)?;
         let stream = pulleystair_connections::connect(address)
             .inspect_err(|e| debug!(target: "server", id = server.id, "dial: {e}"))
             .ok()?;
         let now = self.now();
-        let wire = Wire::new(number, now);
-        let key = self.lines.open(stream, None, Role::Server(wire)).ok()?;
-        let server = self.servers.get_mut(&number)?;
-        server.lines.push(key);
-        debug!(target: "server", server = server.id, lines = server.lines.len(), playing = server.playing, silent = now - server.heard, "dials");
-        let due = now + self.terms.dial;
-        if let Some(line) = self.lines.get_mut(key) {
-            line.deadline = due;
+        let server_connection = ServerConnection::new(server_number, now);
+        let connection_id = self.connections.open(stream, None, Role::Server(server_connection)).ok()?;
+        let server = self.servers.get_mut(&server_number)?;
+        server.connections.push(connection_id);
+        debug!(target: "server", server = server.id, lines = server.connections.len(), playing = server.playing_sessions, silent = now - server.last_heard_at, "dials");
+        let dial_deadline = now + self.limits.dial_timeout;
+        if let Some(connection) = self.connections.get_mut(connection_id) {
+            connection.deadline = dial_deadline;
         }
-        self.clock(due, Clock::Line(key));
-        Some(key)
+        self.schedule(dial_deadline, Timer::ConnectionDeadline(connection_id));
+        Some(connection_id)
     }
 
     /// Whether there are as many lines to servers as there may be.
-    pub(crate) fn has_all_lines(&self) -> bool {
-        self.wires_open() >= self.shares.servers
+    pub(crate) fn is_at_connection_limit(&self) -> bool {
+        self.server_connection_count() >= self.shares.servers
     }
 
     /// Closes the line that is needed least, where there is one: nothing is under way on it or waits there unread, and no play
     /// stands at its server or another line leads there; of these the one that has been silent longest. Where it is pressing, last
     /// of all the only line to a server with plays, which has had the time to tell of all ends before it; that server is called again.
-    fn spare_wire(&mut self, pressing: bool) -> bool {
+    fn close_idle_connection(&mut self, urgent: bool) -> bool {
         let now = self.now();
         let mut idle: Vec<(bool, f64, ConnectionId)> = Vec::new();
         for server in self.servers.values() {
-            let needed = server.playing > 0 && server.lines.len() <= 1;
-            for key in &server.lines {
-                let Some(line) = self.lines.get_mut(*key) else { continue };
-                let waits = line.pending() > 0;
-                let Role::Server(wire) = &line.role else { continue };
-                let may_go = !needed || pressing && wire.up && now - wire.dialled >= LOOK;
-                if may_go && !waits && wire.open.is_empty() {
-                    idle.push((needed, wire.heard, *key));
+            let is_needed = server.playing_sessions > 0 && server.connections.len() <= 1;
+            for connection_id in &server.connections {
+                let Some(connection) = self.connections.get_mut(*connection_id) else { continue };
+                let has_pending_output = connection.pending() > 0;
+                let Role::Server(server_connection) = &connection.role else { continue };
+                let may_close = !is_needed
+                    || urgent
+                        && server_connection.is_up
+                        && now - server_connection.dialled_at >= SERVER_CHECK_INTERVAL_MS;
+                if may_close && !has_pending_output && server_connection.pending_set_ups.is_empty() {
+                    idle.push((is_needed, server_connection.last_heard_at, *connection_id));
                 }
             }
         }
         idle.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
         // A server tells of an end on one line and on the next that is opened, so what has come on this one may be its only word.
-        let Some((_, _, key)) = idle.into_iter().find(|(_, _, key)| self.is_quiet(*key)) else {
+        let Some((_, _, connection_id)) =
+            idle.into_iter().find(|(_, _, connection_id)| self.has_no_unhandled_input(*connection_id))
+        else {
             return false;
         };
-        self.drop_wire(key);
+        self.close_server_connection(connection_id);
         true
     }
 
     /// Whether a connection is open and nothing has come on it that was not acted on.
-    fn is_quiet(&mut self, key: ConnectionId) -> bool {
-        self.is_there(key) && self.lines.get_mut(key).is_some_and(|line| line.input.is_empty())
+    fn has_no_unhandled_input(&mut self, connection_id: ConnectionId) -> bool {
+        self.is_peer_open(connection_id)
+            && self.connections.get_mut(connection_id).is_some_and(|connection| connection.input.is_empty())
     }
 
     /// Lines to servers: all that are no viewer's.
-    pub(crate) fn wires_open(&self) -> usize {
-        self.lines.count() - self.viewers.len()
+    pub(crate) fn server_connection_count(&self) -> usize {
+        self.connections.count() - self.viewer_connections.len()
     }
 
     /// Lines that a server may have: its part of those that there may be.
-    fn lines_each(&self) -> usize {
-        let listed = self.servers.values().filter(|s| !s.lines.is_empty()).count().max(8);
-        (self.shares.servers / listed).clamp(1, 8)
+    fn max_connections_per_server(&self) -> usize {
+        let connected_servers = self.servers.values().filter(|s| !s.connections.is_empty()).count().max(8);
+        (self.shares.servers / connected_servers).clamp(1, 8)
     }
 
     /// A line to set a play up on: one that carries none, else a new one, else the one that carries least. None that its server
     /// has closed, or may be closing for being idle as the set-up is on its way.
-    fn line_for(&mut self, number: u32, not: &[ConnectionId]) -> Option<ConnectionId> {
-        let keys = self.servers.get(&number)?.lines.clone();
+    fn connection_for_set_up(
+        &mut self,
+        server_number: u32,
+        excluded: &[ConnectionId],
+    ) -> Option<ConnectionId> {
+        let connection_ids = self.servers.get(&server_number)?.connections.clone();
         let now = self.now();
-        let idle = self.terms.idle - self.terms.dial;
+        let max_idle = self.limits.idle_close - self.limits.dial_timeout;
         let mut best: Option<(bool, usize, ConnectionId)> = None;
-        for key in &keys {
-            if self.wire(*key).is_none_or(|wire| wire.up) && !self.is_there(*key) {
+        for connection_id in &connection_ids {
+            if self.server_connection(*connection_id).is_none_or(|server_connection| server_connection.is_up)
+                && !self.is_peer_open(*connection_id)
+            {
                 continue;
             }
-            let Some(line) = self.lines.get_mut(*key) else { continue };
-            let Role::Server(wire) = &line.role else { continue };
-            let closing = wire.open.is_empty() && now - wire.stirred > idle;
-            if wire.tired
-                || line.closed
-                || closing
-                || not.contains(key)
-                || wire.open.len() >= self.terms.streams
+            let Some(connection) = self.connections.get_mut(*connection_id) else { continue };
+            let Role::Server(server_connection) = &connection.role else { continue };
+            let may_be_closing = server_connection.pending_set_ups.is_empty()
+                && now - server_connection.last_active_at > max_idle;
+            if server_connection.is_unresponsive
+                || connection.closed
+                || may_be_closing
+                || excluded.contains(connection_id)
+                || server_connection.pending_set_ups.len() >= self.limits.max_set_ups_per_connection
             {
                 continue;
             }
-            let it = (!wire.up, wire.open.len(), *key);
-            if best.is_none_or(|b| (it.1, it.0) < (b.1, b.0)) {
-                best = Some(it);
+            let candidate =
+                (!server_connection.is_up, server_connection.pending_set_ups.len(), *connection_id);
+            if best.is_none_or(|b| (candidate.1, candidate.0) < (b.1, b.0)) {
+                best = Some(candidate);
             }
         }
-        let has_all = keys.len() >= self.lines_each();
-        let may_dial = !has_all && !self.has_all_lines();
+        let has_max_connections = connection_ids.len() >= self.max_connections_per_server();
+        let may_dial = !has_max_connections && !self.is_at_connection_limit();
         match best {
-            Some((_, 0, key)) => Some(key),
-            Some((_, _, key)) if !may_dial => Some(key),
-            Some((_, _, key)) => self.dial(number, false).or(Some(key)),
+            Some((_, 0, connection_id)) => Some(connection_id),
+            Some((_, _, connection_id)) if !may_dial => Some(connection_id),
+            Some((_, _, connection_id)) => self.dial(server_number, false).or(Some(connection_id)),
             // All its lines are of no use: one that carries nothing makes room.
             None => {
-                let idle = |key: &ConnectionId| self.wire(*key).is_some_and(|wire| wire.open.is_empty());
-                let unused: Vec<ConnectionId> = keys.into_iter().filter(idle).collect();
-                if let Some(key) = unused.into_iter().find(|key| has_all && self.is_quiet(*key)) {
-                    self.drop_wire(key);
+                let is_unused = |connection_id: &ConnectionId| {
+                    self.server_connection(*connection_id)
+                        .is_some_and(|server_connection| server_connection.pending_set_ups.is_empty())
+                };
+                let unused_connections: Vec<ConnectionId> =
+                    connection_ids.into_iter().filter(is_unused).collect();
+                if let Some(connection_id) = unused_connections
+                    .into_iter()
+                    .find(|connection_id| has_max_connections && self.has_no_unhandled_input(*connection_id))
+                {
+                    self.close_server_connection(connection_id);
                 }
-                self.dial(number, true)
+                self.dial(server_number, true)
             }
         }
     }
 
     /// A line on which a server hears of its standing sessions.
-    pub(crate) fn any_line(&mut self, number: u32, pressing: bool) -> Option<ConnectionId> {
-        let keys = self.servers.get(&number)?.lines.clone();
-        let usable = keys.into_iter().find(|key| {
-            self.lines
-                .get_mut(*key)
-                .is_some_and(|line| !line.closed && matches!(&line.role, Role::Server(wire) if !wire.tired))
+    pub(crate) fn connection_to(&mut self, server_number: u32, urgent: bool) -> Option<ConnectionId> {
+        let connection_ids = self.servers.get(&server_number)?.connections.clone();
+        let usable = connection_ids.into_iter().find(|connection_id| {
+            self.connections
+                .get_mut(*connection_id)
+                .is_some_and(|connection| !connection.closed && matches!(&connection.role, Role::Server(server_connection) if !server_connection.is_unresponsive))
         });
-        usable.or_else(|| self.dial(number, pressing))
+        usable.or_else(|| self.dial(server_number, urgent))
     }
 
     /// What is given to a connection that is not known to be up waits for the turn in which it is found to be.
-    pub(crate) fn write_wire(&mut self, key: ConnectionId, bytes: &[u8]) {
+    pub(crate) fn write_to_server(&mut self, connection_id: ConnectionId, bytes: &[u8]) {
         let now = self.now();
-        let Some(line) = self.lines.get_mut(key) else { return };
-        line.write(bytes);
-        if matches!(&line.role, Role::Server(wire) if wire.up) {
-            line.flush();
+        let Some(connection) = self.connections.get_mut(connection_id) else { return };
+        connection.write(bytes);
+        if matches!(&connection.role, Role::Server(server_connection) if server_connection.is_up) {
+            connection.flush();
         }
-        let (ended, gone) = (line.closed, line.bytes_sent());
-        if let Role::Server(wire) = &mut line.role {
-            wire.stirred = now;
-            wire.cuts.retain(|cut| cut.begins >= gone);
+        let (is_closed, bytes_sent) = (connection.closed, connection.bytes_sent());
+        if let Role::Server(server_connection) = &mut connection.role {
+            server_connection.last_active_at = now;
+            server_connection.unsent_releases.retain(|release| release.offset >= bytes_sent);
         }
-        if ended {
-            self.again.push_back(key);
+        if is_closed {
+            self.revisit_queue.push_back(connection_id);
         }
     }
 
     /// Takes a line to a server out of use; nothing is to be open on it.
-    pub(crate) fn drop_wire(&mut self, key: ConnectionId) {
-        let gone = self.lines.get_mut(key).map_or(0, |line| line.bytes_sent());
-        let Some(Role::Server(wire)) = self.lines.close(key) else { return };
+    pub(crate) fn close_server_connection(&mut self, connection_id: ConnectionId) {
+        let bytes_sent =
+            self.connections.get_mut(connection_id).map_or(0, |connection| connection.bytes_sent());
+        let Some(Role::Server(server_connection)) = self.connections.close(connection_id) else { return };
         // An end of which nothing has left is told on another line.
-        let unsent = wire.cuts.into_iter().filter(|cut| cut.begins >= gone);
-        self.cuts.extend(unsent.take(OWED_MOST.saturating_sub(self.cuts.len())));
-        if let Some(server) = self.servers.get_mut(&wire.server) {
-            server.lines.retain(|k| *k != key);
+        let unsent =
+            server_connection.unsent_releases.into_iter().filter(|release| release.offset >= bytes_sent);
+        self.pending_releases.extend(unsent.take(MAX_NOTICES.saturating_sub(self.pending_releases.len())));
+        if let Some(server) = self.servers.get_mut(&server_connection.server) {
+            server.connections.retain(|id| *id != connection_id);
         }
     }
 
     /// Tells a server that a session which stands there is over, on this line or on any other; later, where there is none.
-    pub(crate) fn cut(&mut self, server: u32, line: Option<ConnectionId>, play: u64, cause: u8) {
-        let since = self.now();
-        self.tell_cut(line, Cut { server, play, cause, since, begins: 0 });
+    pub(crate) fn release_on_server(
+        &mut self,
+        server: u32,
+        preferred: Option<ConnectionId>,
+        play: u64,
+        cause: u8,
+    ) {
+        let created_at = self.now();
+        self.send_release(preferred, ReleaseNotice { server, play, cause, created_at, offset: 0 });
     }
 
-    fn tell_cut(&mut self, line: Option<ConnectionId>, mut cut: Cut) {
-        let Some(key) = self.this_or_any(cut.server, line) else {
-            if self.cuts.len() < OWED_MOST {
-                self.cuts.push_back(cut);
+    fn send_release(&mut self, preferred: Option<ConnectionId>, mut release: ReleaseNotice) {
+        let Some(connection_id) = self.preferred_or_any_connection(release.server, preferred) else {
+            if self.pending_releases.len() < MAX_NOTICES {
+                self.pending_releases.push_back(release);
             }
             return;
         };
-        let reason = format!("cause={}", cut.cause);
-        let bytes = rtsp::request("TEARDOWN", "session", GIVE_UP, cut.play, &[("Reason", &reason)], b"");
-        cut.begins = self.lines.get_mut(key).map_or(0, |line| line.bytes_queued());
-        if let Some(wire) = self.wire(key) {
-            wire.cuts.push(cut);
+        let reason = format!("cause={}", release.cause);
+        let bytes =
+            rtsp::request("TEARDOWN", "session", CSEQ_TEARDOWN, release.play, &[("Reason", &reason)], b"");
+        release.offset =
+            self.connections.get_mut(connection_id).map_or(0, |connection| connection.bytes_queued());
+        if let Some(server_connection) = self.server_connection(connection_id) {
+            server_connection.unsent_releases.push(release);
         }
-        self.write_wire(key, &bytes);
+        self.write_to_server(connection_id, &bytes);
     }
 
     /// Ends that no line could carry are told again, until whoever plays there must have heard of it otherwise.
-    pub(crate) fn cut_again(&mut self, now: f64) {
-        for cut in std::mem::take(&mut self.cuts) {
-            let there = self.servers.get(&cut.server).is_some_and(|s| s.callable().is_some());
-            if there && now - cut.since < OWED {
-                self.tell_cut(None, cut);
+    pub(crate) fn retry_pending_releases(&mut self, now: f64) {
+        for release in std::mem::take(&mut self.pending_releases) {
+            let is_reachable = self.servers.get(&release.server).is_some_and(|s| s.dial_address().is_some());
+            if is_reachable && now - release.created_at < NOTICE_TTL_MS {
+                self.send_release(None, release);
             }
         }
     }
 
     /// This line to a server, or any other.
-    fn this_or_any(&mut self, number: u32, line: Option<ConnectionId>) -> Option<ConnectionId> {
-        let own = line.filter(|key| self.lines.get_mut(*key).is_some_and(|line| !line.closed));
-        own.or_else(|| self.any_line(number, true))
+    fn preferred_or_any_connection(
+        &mut self,
+        server_number: u32,
+        preferred: Option<ConnectionId>,
+    ) -> Option<ConnectionId> {
+        let usable = preferred.filter(|connection_id| {
+            self.connections.get_mut(*connection_id).is_some_and(|connection| !connection.closed)
+        });
+        usable.or_else(|| self.connection_to(server_number, true))
     }
 
     /// The server and the viewer's connection of an attempt that is still to begin; none once its session waits for it no more.
-    pub(crate) fn to_begin(&self, it: &Attempt) -> Option<(u32, ConnectionId)> {
-        let session = self.sessions.get(&it.session)?;
-        let waits = session.attempts == it.number && !session.playing && session.line.is_none();
-        Some((session.server.filter(|_| waits)?, session.viewer))
+    pub(crate) fn startable_attempt(&self, attempt: &Attempt) -> Option<(u32, ConnectionId)> {
+        let session = self.sessions.get(&attempt.session)?;
+        let is_startable =
+            session.attempts == attempt.number && !session.is_playing && session.server_connection.is_none();
+        Some((session.server.filter(|_| is_startable)?, session.viewer_connection))
     }
 
     /// The attempt begins: its set-up is written. False where there is no way to its server.
-    pub(crate) fn begin(&mut self, it: &Attempt, server: u32) -> bool {
+    pub(crate) fn send_set_up(&mut self, attempt: &Attempt, server: u32) -> bool {
         let now = self.now();
-        let not = self.sessions.get(&it.session).map(|s| s.used.clone()).unwrap_or_default();
-        let Some(key) = self.line_for(server, &not) else { return false };
-        let Some(session) = self.sessions.get_mut(&it.session) else { return true };
-        session.line = Some(key);
-        let limit = (session.until - now).max(1.0).ceil().to_string();
-        let step = session.rung.to_string();
+        let excluded =
+            self.sessions.get(&attempt.session).map(|s| s.abandoned_connections.clone()).unwrap_or_default();
+        let Some(connection_id) = self.connection_for_set_up(server, &excluded) else { return false };
+        let Some(session) = self.sessions.get_mut(&attempt.session) else { return true };
+        session.server_connection = Some(connection_id);
+        let time_limit = (session.attempt_deadline - now).max(1.0).ceil().to_string();
+        let rung = session.rung.to_string();
         let fields: [(&str, &str); 3] =
-            [("X-Call-Class", &session.class), ("X-Ring-Limit", &limit), ("Rate-Step", &step)];
-        let bytes = rtsp::request("SETUP", &session.title, SET_UP, it.session, &fields, &session.description);
-        if let Some(line) = self.lines.get_mut(key) {
-            let begins = line.bytes_queued();
-            if let Role::Server(wire) = &mut line.role {
-                wire.open.push(Open { play: it.session, begins, length: bytes.len() });
+            [("X-Call-Class", &session.class), ("X-Ring-Limit", &time_limit), ("Rate-Step", &rung)];
+        let bytes = rtsp::request(
+            "SETUP",
+            &session.title,
+            CSEQ_SET_UP,
+            attempt.session,
+            &fields,
+            &session.description,
+        );
+        if let Some(connection) = self.connections.get_mut(connection_id) {
+            let offset = connection.bytes_queued();
+            if let Role::Server(server_connection) = &mut connection.role {
+                server_connection.pending_set_ups.push(PendingSetUp {
+                    play: attempt.session,
+                    offset,
+                    length: bytes.len(),
+                });
             }
         }
-        self.write_wire(key, &bytes);
+        self.write_to_server(connection_id, &bytes);
         true
     }
 
     /// The set-ups on this line of which nothing has left.
-    pub(crate) fn unsent(&mut self, key: ConnectionId) -> Vec<u64> {
-        let Some(line) = self.lines.get_mut(key).filter(|line| line.pending() > 0) else { return Vec::new() };
-        let gone = line.bytes_sent();
-        let Role::Server(wire) = &line.role else { return Vec::new() };
-        wire.open.iter().filter(|open| open.begins >= gone).map(|open| open.play).collect()
+    pub(crate) fn unsent_set_ups(&mut self, connection_id: ConnectionId) -> Vec<u64> {
+        let Some(connection) =
+            self.connections.get_mut(connection_id).filter(|connection| connection.pending() > 0)
+        else {
+            return Vec::new();
+        };
+        let bytes_sent = connection.bytes_sent();
+        let Role::Server(server_connection) = &connection.role else { return Vec::new() };
+        server_connection
+            .pending_set_ups
+            .iter()
+            .filter(|set_up| set_up.offset >= bytes_sent)
+            .map(|set_up| set_up.play)
+            .collect()
     }
 
     /// A set-up of which nothing has left is taken off its line: true if so, and it never ran.
-    pub(crate) fn take_back(&mut self, key: ConnectionId, play: u64) -> bool {
-        let Some(line) = self.lines.get_mut(key) else { return false };
-        let Role::Server(wire) = &mut line.role else { return false };
-        let Some(it) = wire.open.iter().find(|open| open.play == play).copied() else { return false };
-        if !line.cancel_write(it.begins, it.length) {
+    pub(crate) fn cancel_unsent_set_up(&mut self, connection_id: ConnectionId, play: u64) -> bool {
+        let Some(connection) = self.connections.get_mut(connection_id) else { return false };
+        let Role::Server(server_connection) = &mut connection.role else { return false };
+        let Some(set_up) =
+            server_connection.pending_set_ups.iter().find(|set_up| set_up.play == play).copied()
+        else {
+            return false;
+        };
+        if !connection.cancel_write(set_up.offset, set_up.length) {
             return false;
         }
-        let Role::Server(wire) = &mut line.role else { return false };
-        wire.open.retain(|open| open.play != play);
-        let length = it.length as u64;
-        wire.open.iter_mut().filter(|o| o.begins > it.begins).for_each(|o| o.begins -= length);
-        wire.cuts.iter_mut().filter(|c| c.begins > it.begins).for_each(|c| c.begins -= length);
+        let Role::Server(server_connection) = &mut connection.role else { return false };
+        server_connection.pending_set_ups.retain(|set_up| set_up.play != play);
+        let length = set_up.length as u64;
+        server_connection
+            .pending_set_ups
+            .iter_mut()
+            .filter(|s| s.offset > set_up.offset)
+            .for_each(|s| s.offset -= length);
+        server_connection
+            .unsent_releases
+            .iter_mut()
+            .filter(|r| r.offset > set_up.offset)
+            .for_each(|r| r.offset -= length);
         true
     }
 
     /// The attempt that is out is given up: the server hears of it, unless nothing of it has left, which is true then.
-    pub(crate) fn give_up(&mut self, play: u64) -> bool {
+    pub(crate) fn abandon_attempt(&mut self, play: u64) -> bool {
         let Some(session) = self.sessions.get_mut(&play) else { return false };
-        let Some(key) = session.line.take() else { return true };
-        if self.take_back(key, play) {
+        let Some(connection_id) = session.server_connection.take() else { return true };
+        if self.cancel_unsent_set_up(connection_id, play) {
             return true;
         }
         if let Some(session) = self.sessions.get_mut(&play) {
-            session.used.push(key);
+            session.abandoned_connections.push(connection_id);
         }
-        self.no_more_open(key, play);
-        let bytes = rtsp::request("TEARDOWN", "session", GIVE_UP, play, &[], b"");
-        self.write_wire(key, &bytes);
+        self.remove_pending_set_up(connection_id, play);
+        let bytes = rtsp::request("TEARDOWN", "session", CSEQ_TEARDOWN, play, &[], b"");
+        self.write_to_server(connection_id, &bytes);
         false
     }
 
     /// A set-up on this line has its answer, or needs none any more.
-    pub(crate) fn no_more_open(&mut self, key: ConnectionId, play: u64) {
-        if let Some(wire) = self.wire(key) {
-            wire.open.retain(|open| open.play != play);
+    pub(crate) fn remove_pending_set_up(&mut self, connection_id: ConnectionId, play: u64) {
+        if let Some(server_connection) = self.server_connection(connection_id) {
+            server_connection.pending_set_ups.retain(|set_up| set_up.play != play);
         }
     }
 
     /// The sessions that stand at a server, in order.
-    pub(crate) fn standing_at(&self, number: u32) -> Vec<u64> {
-        let here = self.sessions.iter().filter(|(_, s)| s.playing && s.server == Some(number));
-        let mut plays: Vec<u64> = here.map(|(play, _)| *play).collect();
+    pub(crate) fn sessions_playing_at(&self, server_number: u32) -> Vec<u64> {
+        let playing_here =
+            self.sessions.iter().filter(|(_, s)| s.is_playing && s.server == Some(server_number));
+        let mut plays: Vec<u64> = playing_here.map(|(play, _)| *play).collect();
         plays.sort_unstable();
         plays
     }
 
     pub(crate) fn send_rung(&mut self, play: u64) {
         let Some(session) = self.sessions.get_mut(&play) else { return };
-        let (Some(server), true) = (session.server, session.playing) else { return };
+        let (Some(server), true) = (session.server, session.is_playing) else { return };
         if session.rung == session.rung_sent {
             return;
         }
         session.rung_sent = session.rung;
         let rung = session.rung.to_string();
-        let line = session.line;
-        self.sums.steps += 1;
-        let bytes = rtsp::request("SET_PARAMETER", "session", OTHER, play, &[("Rate-Step", &rung)], b"");
-        if let Some(key) = self.this_or_any(server, line) {
-            self.write_wire(key, &bytes);
+        let preferred = session.server_connection;
+        self.stats.steps += 1;
+        let bytes = rtsp::request("SET_PARAMETER", "session", CSEQ_OTHER, play, &[("Rate-Step", &rung)], b"");
+        if let Some(connection_id) = self.preferred_or_any_connection(server, preferred) {
+            self.write_to_server(connection_id, &bytes);
         }
     }
 }
--- a/crates/node/src/to_viewers.rs
+++ b/crates/node/src/to_viewers.rs
@@ -1,106 +1,125 @@
 //! What is written to viewers: final answers, and the ends of sessions that stood.
 
-use crate::floor::{Floor, OWED, OWED_MOST, Role, Told, UNREAD};
+use crate::state::{EndNotice, MAX_NOTICES, MAX_UNREAD_BYTES, NOTICE_TTL_MS, NodeState, Role};
 use pulleystair_connections::ConnectionId;
 use pulleystair_viewer_protocol::{self as protocol, code, kind};
 use std::net::IpAddr;
 use tracing::debug;
 
-impl Floor {
+impl NodeState {
     /// Writes on a viewer's line; one that does not read is closed.
-    pub(crate) fn write_viewer(&mut self, key: ConnectionId, bytes: &[u8]) {
-        let Some(line) = self.lines.get_mut(key) else { return };
-        line.write(bytes);
-        line.flush();
-        if line.closed || line.pending() > UNREAD {
-            line.closed = true;
-            self.again.push_back(key);
+    pub(crate) fn write_to_viewer(&mut self, connection_id: ConnectionId, bytes: &[u8]) {
+        let Some(connection) = self.connections.get_mut(connection_id) else { return };
+        connection.write(bytes);
+        connection.flush();
+        if connection.closed || connection.pending() > MAX_UNREAD_BYTES {
+            connection.closed = true;
+            self.revisit_queue.push_back(connection_id);
         }
     }
 
     /// The final answer of a play that does not run.
-    pub(crate) fn turn_away(&mut self, play: u64, cause: u8, pause: f64) {
+    pub(crate) fn reject_play(&mut self, play: u64, cause: u8, retry_after: f64) {
         let Some(session) = self.sessions.remove(&play) else { return };
-        self.answered(session.viewer, play);
-        self.tell_release(session.viewer, play, cause, pause);
+        self.mark_set_up_answered(session.viewer_connection, play);
+        self.write_release(session.viewer_connection, play, cause, retry_after);
     }
 
     /// A refusal, a failure or the end of what stood, under an id that need not have been taken.
-    pub(crate) fn tell_release(&mut self, key: ConnectionId, play: u64, cause: u8, pause: f64) {
-        let pause = format!("{}", pause.ceil().max(0.0));
+    pub(crate) fn write_release(
+        &mut self,
+        connection_id: ConnectionId,
+        play: u64,
+        cause: u8,
+        retry_after: f64,
+    ) {
+        let retry_after = format!("{}", retry_after.ceil().max(0.0));
         let mut parameters: Vec<(u8, &[u8])> = vec![(code::CAUSE, std::slice::from_ref(&cause))];
-        if pause != "0" {
-            parameters.push((code::RETRY_AFTER, pause.as_bytes()));
+        if retry_after != "0" {
+            parameters.push((code::RETRY_AFTER, retry_after.as_bytes()));
         }
         if let Some(bytes) = protocol::encode(kind::RELEASE, play, &parameters) {
-            self.write_viewer(key, &bytes);
+            self.write_to_viewer(connection_id, &bytes);
         }
     }
 
     /// A set-up has its answer, or needs none any more.
-    pub(crate) fn answered(&mut self, key: ConnectionId, play: u64) {
-        self.deciding = self.deciding.saturating_sub(1);
-        if let Some(viewer) = self.viewer(key) {
-            viewer.open.retain(|p| *p != play);
+    pub(crate) fn mark_set_up_answered(&mut self, connection_id: ConnectionId, play: u64) {
+        self.undecided_set_ups = self.undecided_set_ups.saturating_sub(1);
+        if let Some(viewer) = self.viewer_connection(connection_id) {
+            viewer.pending_set_ups.retain(|p| *p != play);
         }
     }
 
     /// What has stood is over: its viewer is told, on its own connection or on another, now or as soon as there is one.
-    pub(crate) fn release(&mut self, play: u64, viewer: ConnectionId, from: Option<IpAddr>, cause: u8) {
-        let since = self.now();
-        self.tell_end(Told { play, cause, from, since, written: since }, viewer);
+    pub(crate) fn notify_session_end(
+        &mut self,
+        play: u64,
+        connection_id: ConnectionId,
+        viewer_ip: Option<IpAddr>,
+        cause: u8,
+    ) {
+        let ended_at = self.now();
+        self.send_end_notice(
+            EndNotice { play, cause, viewer_ip, ended_at, written_at: ended_at },
+            connection_id,
+        );
     }
 
     /// Tells an end that is owed since then, until whoever is owed it must have heard of it otherwise.
-    pub(crate) fn tell_end(&mut self, it: Told, viewer: ConnectionId) {
-        if self.now() - it.since >= OWED {
+    pub(crate) fn send_end_notice(&mut self, notice: EndNotice, preferred: ConnectionId) {
+        if self.now() - notice.ended_at >= NOTICE_TTL_MS {
             return;
         }
-        let key = if self.is_there(viewer) { Some(viewer) } else { self.way_to(it.from) };
-        debug!(target: "play", play = format!("{:016x}", it.play), it.cause, own = key == Some(viewer), waits = key.is_none(), "over");
-        match key {
-            Some(key) => self.write_end(key, it),
-            None if self.owed.len() < OWED_MOST => self.owed.push_back(it),
+        let connection_id = if self.is_peer_open(preferred) {
+            Some(preferred)
+        } else {
+            self.find_viewer_connection(notice.viewer_ip)
+        };
+        debug!(target: "play", play = format!("{:016x}", notice.play), it.cause = notice.cause, own = connection_id == Some(preferred), waits = connection_id.is_none(), "over");
+        match connection_id {
+            Some(connection_id) => self.write_end_notice(connection_id, notice),
+            None if self.pending_notices.len() < MAX_NOTICES => self.pending_notices.push_back(notice),
             None => {}
         }
     }
 
     /// Writes an end on this connection; it is kept in mind, as the connection may end before it has brought it.
-    fn write_end(&mut self, key: ConnectionId, mut it: Told) {
-        let (play, cause, now) = (it.play, it.cause, self.now());
-        it.written = now;
-        if let Some(viewer) = self.viewer(key) {
-            viewer.told.retain(|told| now - told.since < OWED);
-            viewer.told.push(it);
+    fn write_end_notice(&mut self, connection_id: ConnectionId, mut notice: EndNotice) {
+        let (play, cause, now) = (notice.play, notice.cause, self.now());
+        notice.written_at = now;
+        if let Some(viewer) = self.viewer_connection(connection_id) {
+            viewer.recent_notices.retain(|kept| now - kept.ended_at < NOTICE_TTL_MS);
+            viewer.recent_notices.push(notice);
         }
-        self.tell_release(key, play, cause, 0.0);
+        self.write_release(connection_id, play, cause, 0.0);
     }
 
     /// The latest connection on which a viewer of that address has asked for something, else of any.
-    fn way_to(&mut self, from: Option<IpAddr>) -> Option<ConnectionId> {
-        let mut other = None;
-        for key in self.viewers.clone().into_iter().rev() {
-            let Some(line) = self.lines.get_mut(key) else { continue };
-            let asks = matches!(&line.role, Role::Viewer(viewer) if viewer.proven);
-            let own = line.peer_ip() == from;
-            if !asks || !own && other.is_some() || !self.is_there(key) {
+    fn find_viewer_connection(&mut self, viewer_ip: Option<IpAddr>) -> Option<ConnectionId> {
+        let mut fallback = None;
+        for connection_id in self.viewer_connections.clone().into_iter().rev() {
+            let Some(connection) = self.connections.get_mut(connection_id) else { continue };
+            let is_proven = matches!(&connection.role, Role::Viewer(viewer) if viewer.is_proven);
+            let is_same_ip = connection.peer_ip() == viewer_ip;
+            if !is_proven || !is_same_ip && fallback.is_some() || !self.is_peer_open(connection_id) {
                 continue;
             }
-            if own {
-                return Some(key);
+            if is_same_ip {
+                return Some(connection_id);
             }
-            other = Some(key);
+            fallback = Some(connection_id);
         }
-        other
+        fallback
     }
 
     /// A viewer's connection has proven to be one: what is owed goes out on it.
-    pub(crate) fn pay(&mut self, key: ConnectionId) {
+    pub(crate) fn send_pending_notices(&mut self, connection_id: ConnectionId) {
         let now = self.now();
-        for it in std::mem::take(&mut self.owed) {
-            debug!(target: "play", play = format!("{:016x}", it.play), waited = now - it.since, "release that waited");
-            if now - it.since < OWED {
-                self.write_end(key, it);
+        for notice in std::mem::take(&mut self.pending_notices) {
+            debug!(target: "play", play = format!("{:016x}", notice.play), waited = now - notice.ended_at, "release that waited");
+            if now - notice.ended_at < NOTICE_TTL_MS {
+                self.write_end_notice(connection_id, notice);
             }
         }
     }
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -1,101 +1,119 @@
 //! What comes from viewers: set-ups, what gives them up, the ends of sessions, and tests.
 
-use crate::asked::{Asked, session};
-use crate::ended::Word;
-use crate::floor::{BUSY, Clock, READ, Role, UNUSABLE, Viewer, WITHDRAWN};
+use crate::ended_sessions::EndReport;
 use crate::node::Node;
-use crate::shares::{SOON, lacks};
+use crate::set_up::{SetUpRequest, new_session};
+use crate::shares::{RETRY_DELAY_MS, is_resource_exhaustion};
+use crate::state::{
+    CAUSE_BUSY, CAUSE_UNUSABLE, CAUSE_WITHDRAWN, MAX_INPUT_BYTES, Role, Timer, ViewerConnection,
+};
 use pulleystair_connections::ConnectionId;
 use pulleystair_viewer_protocol::{Message, code, kind};
 use std::collections::HashSet;
 use tracing::debug;
 
 /// Messages taken off a line in one turn.
-const TURN: usize = 64;
+const MAX_READS_PER_TURN: usize = 64;
 /// A connection that has brought nothing usable by then is closed, ms. Such a viewer is owed an end within 3 s.
-const SILENT: f64 = 2_400.0;
+const UNPROVEN_TIMEOUT_MS: f64 = 2_400.0;
 /// Set-ups that a connection may have open, and all together.
-const OPEN_EACH: usize = 48;
-const OPEN_MOST: usize = 1_024;
+const MAX_SET_UPS_PER_CONNECTION: usize = 48;
+const MAX_PENDING_SET_UPS: usize = 1_024;
 /// Connections beyond those that there may be, on which set-ups are turned away; the reserve of descriptors bears them.
-const SPARE: usize = 8;
+const EXTRA_CONNECTIONS: usize = 8;
 /// What crosses the close of a connection does so by this at most, ms: the page's time for a set-up that does.
-const CROSSING: f64 = 50.0;
+const CLOSE_CROSSING_MS: f64 = 50.0;
 /// So many turned away on one connection close it.
-const TURNED: usize = 256;
+const MAX_REFUSALS: usize = 256;
 
 impl Node {
     /// Takes whoever waits at the door; false if there was no descriptor for some.
-    pub(crate) fn accept(&mut self) -> bool {
-        let Some(listener) = self.floor.door.as_ref().map(|door| door.1.clone()) else { return true };
+    pub(crate) fn accept_viewers(&mut self) -> bool {
+        let Some(listener) = self.state.listener.as_ref().map(|registered| registered.1.clone()) else {
+            return true;
+        };
         loop {
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(e) if e.kind() == std::io::ErrorKind::Interrupted => continue,
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionAborted => continue,
                 // Out of descriptors: whoever waits gets the place of one that has brought nothing.
-                Err(e) if lacks(&e) && self.make_room() => continue,
-                Err(e) if lacks(&e) => {
-                    self.rest_door();
+                Err(e) if is_resource_exhaustion(&e) && self.evict_viewer_connection() => continue,
+                Err(e) if is_resource_exhaustion(&e) => {
+                    self.pause_accepting();
                     return false;
                 }
                 Err(_) => return true,
             };
             // With set-ups open on all, some more are let in to be told so.
-            let most = self.floor.shares.viewers;
-            if self.floor.viewers.len() >= most
-                && !self.make_room()
-                && self.floor.viewers.len() >= most + SPARE
+            let max_connections = self.state.shares.viewers;
+            if self.state.viewer_connections.len() >= max_connections
+                && !self.evict_viewer_connection()
+                && self.state.viewer_connections.len() >= max_connections + EXTRA_CONNECTIONS
             {
                 drop(stream);
                 continue;
             }
-            let now = self.floor.now();
-            let viewer = Viewer { came: now, proven: false, open: Vec::new(), turned: 0, told: Vec::new() };
-            let Ok(key) = self.floor.lines.open(stream, None, Role::Viewer(viewer)) else { continue };
-            self.floor.viewers.push_back(key);
-            debug!(target: "viewer", key, viewers = self.floor.viewers.len(), "connected");
-            if let Some(line) = self.floor.lines.get_mut(key) {
-                line.deadline = now + SILENT;
+            let now = self.state.now();
+            let viewer = ViewerConnection {
+                accepted_at: now,
+                is_proven: false,
+                pending_set_ups: Vec::new(),
+                refusals: 0,
+                recent_notices: Vec::new(),
+            };
+            let Ok(connection_id) = self.state.connections.open(stream, None, Role::Viewer(viewer)) else {
+                continue;
+            };
+            self.state.viewer_connections.push_back(connection_id);
+            debug!(target: "viewer", key = connection_id, viewers = self.state.viewer_connections.len(), "connected");
+            if let Some(connection) = self.state.connections.get_mut(connection_id) {
+                connection.deadline = now + UNPROVEN_TIMEOUT_MS;
             }
-            self.floor.clock(now + SILENT, Clock::Line(key));
+            self.state.schedule(now + UNPROVEN_TIMEOUT_MS, Timer::ConnectionDeadline(connection_id));
         }
     }
 
     /// With no descriptor for whoever waits at the door, it would be ready at once, again and again; it is left for a moment.
-    fn rest_door(&mut self) {
-        if let Some((door, _)) = &self.floor.door {
-            let _ = self.floor.handle.disable(door);
-            let now = self.floor.now();
-            self.floor.clock(now + SOON, Clock::Accept);
+    fn pause_accepting(&mut self) {
+        if let Some((registration, _)) = &self.state.listener {
+            let _ = self.state.loop_handle.disable(registration);
+            let now = self.state.now();
+            self.state.schedule(now + RETRY_DELAY_MS, Timer::ResumeAccepting);
         }
     }
 
-    pub(crate) fn open_door(&mut self) {
-        if let Some((door, _)) = &self.floor.door {
-            let _ = self.floor.handle.enable(door);
+    pub(crate) fn resume_accepting(&mut self) {
+        if let Some((registration, _)) = &self.state.listener {
+            let _ = self.state.loop_handle.enable(registration);
         }
     }
 
     /// Closes the oldest connection that has brought nothing, else the oldest with no open set-up; those on which sessions
     /// stand come last, as their viewers hear of the end there. What has come by now is taken first.
-    pub(crate) fn make_room(&mut self) -> bool {
-        let floor = &mut self.floor;
-        let holds: HashSet<ConnectionId> =
-            floor.sessions.values().filter(|s| s.playing).map(|s| s.viewer).collect();
+    pub(crate) fn evict_viewer_connection(&mut self) -> bool {
+        let state = &mut self.state;
+        let playing_on: HashSet<ConnectionId> =
+            state.sessions.values().filter(|s| s.is_playing).map(|s| s.viewer_connection).collect();
         let mut idle: Vec<(bool, bool, ConnectionId)> = Vec::new();
-        for key in floor.viewers.clone() {
-            if let Some(viewer) = floor.viewer(key).filter(|viewer| viewer.open.is_empty()) {
-                idle.push((viewer.proven, holds.contains(&key), key));
+        for connection_id in state.viewer_connections.clone() {
+            if let Some(viewer) =
+                state.viewer_connection(connection_id).filter(|viewer| viewer.pending_set_ups.is_empty())
+            {
+                idle.push((viewer.is_proven, playing_on.contains(&connection_id), connection_id));
             }
         }
         // Those alike stay in the order in which they came.
-        idle.sort_by_key(|it| (it.0, it.1));
-        for (_, _, key) in idle {
-            self.viewer_ready(key);
-            if self.floor.viewer(key).is_none_or(|viewer| viewer.open.is_empty()) {
-                self.floor.sums.evicted += 1;
-                self.viewer_gone(key);
+        idle.sort_by_key(|entry| (entry.0, entry.1));
+        for (_, _, connection_id) in idle {
+            self.handle_viewer_connection(connection_id);
+            if self
+                .state
+                .viewer_connection(connection_id)
+                .is_none_or(|viewer| viewer.pending_set_ups.is_empty())
+            {
+                self.state.stats.evicted += 1;
+                self.close_viewer_connection(connection_id);
                 return true;
             }
         }
@@ -103,142 +121,149 @@
     }
 
     /// A viewer's connection is at its end: what it had open is given up, and ends of sessions that it has not brought are owed.
-    pub(crate) fn viewer_gone(&mut self, key: ConnectionId) {
-        self.give_up_all(key);
-        let Some(line) = self.floor.lines.get_mut(key) else { return };
-        let unread = line.broken() || line.pending() > 0;
-        let Some(Role::Viewer(viewer)) = self.floor.lines.close(key) else { return };
-        self.floor.viewers.retain(|k| *k != key);
-        debug!(target: "viewer", key, proven = viewer.proven, unread, viewers = self.floor.viewers.len(), "gone");
-        for it in viewer.told.into_iter().filter(|_| unread) {
-            self.floor.tell_end(it, key);
+    pub(crate) fn close_viewer_connection(&mut self, connection_id: ConnectionId) {
+        self.abandon_pending_set_ups(connection_id);
+        let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
+        let unread = connection.broken() || connection.pending() > 0;
+        let Some(Role::Viewer(viewer)) = self.state.connections.close(connection_id) else { return };
+        self.state.viewer_connections.retain(|id| *id != connection_id);
+        debug!(target: "viewer", key = connection_id, proven = viewer.is_proven, unread, viewers = self.state.viewer_connections.len(), "gone");
+        for notice in viewer.recent_notices.into_iter().filter(|_| unread) {
+            self.state.send_end_notice(notice, connection_id);
         }
     }
 
     /// Its viewer has closed a connection. The end of a session that was told on it just now may have crossed that: then the viewer's
     /// machine breaks the connection off when it comes there, which is waited for.
-    fn viewer_closed(&mut self, key: ConnectionId) {
-        let now = self.floor.now();
-        let Some(line) = self.floor.lines.get_mut(key) else { return };
-        let broken = line.broken();
-        let Role::Viewer(viewer) = &line.role else { return };
-        let crosses = viewer.told.iter().map(|it| it.written + CROSSING).fold(now, f64::max);
-        if broken || crosses <= now {
-            return self.viewer_gone(key);
+    fn on_viewer_closed(&mut self, connection_id: ConnectionId) {
+        let now = self.state.now();
+        let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
+        let broken = connection.broken();
+        let Role::Viewer(viewer) = &connection.role else { return };
+        let close_at = viewer
+            .recent_notices
+            .iter()
+            .map(|notice| notice.written_at + CLOSE_CROSSING_MS)
+            .fold(now, f64::max);
+        if broken || close_at <= now {
+            return self.close_viewer_connection(connection_id);
         }
-        line.deadline = crosses;
-        self.floor.clock(crosses, Clock::Line(key));
-        self.give_up_all(key);
+        connection.deadline = close_at;
+        self.state.schedule(close_at, Timer::ConnectionDeadline(connection_id));
+        self.abandon_pending_set_ups(connection_id);
     }
 
     /// No set-up that is open on a viewer's connection is waited for any more.
-    fn give_up_all(&mut self, key: ConnectionId) {
-        let open = self.floor.viewer(key).map(|viewer| std::mem::take(&mut viewer.open));
-        for play in open.unwrap_or_default() {
-            self.gave_up(play);
+    fn abandon_pending_set_ups(&mut self, connection_id: ConnectionId) {
+        let abandoned = self
+            .state
+            .viewer_connection(connection_id)
+            .map(|viewer| std::mem::take(&mut viewer.pending_set_ups));
+        for play in abandoned.unwrap_or_default() {
+            self.abandon_set_up(play);
         }
-        self.settle();
+        self.report_finished_allocations();
     }
 
     /// An open set-up is not waited for any more.
-    fn gave_up(&mut self, play: u64) {
-        let Some(session) = self.floor.sessions.get(&play) else { return };
-        let (key, server) = (session.viewer, session.server);
-        self.floor.answered(key, play);
-        self.desk.on_viewer_left(play, &mut self.floor);
+    fn abandon_set_up(&mut self, play: u64) {
+        let Some(session) = self.state.sessions.get(&play) else { return };
+        let (connection_id, server) = (session.viewer_connection, session.server);
+        self.state.mark_set_up_answered(connection_id, play);
+        self.dispatcher.on_viewer_left(play, &mut self.state);
         // One that is out is forgotten with the outcome that the desk is still told.
         if server.is_none() {
-            self.floor.sessions.remove(&play);
+            self.state.sessions.remove(&play);
         }
     }
 
     /// Takes what has come; false if that was more than a turn takes, and there may be more.
-    pub(crate) fn viewer_ready(&mut self, key: ConnectionId) -> bool {
-        for _ in 0..TURN {
-            let Some(line) = self.floor.lines.get_mut(key) else { return true };
-            line.flush();
-            let came = line.read(READ);
-            let ended = line.closed;
-            if !line.input.is_empty() {
-                let input = std::mem::take(&mut line.input);
-                let used = self.messages(key, &input);
-                let Some(line) = self.floor.lines.get_mut(key) else { return true };
+    pub(crate) fn handle_viewer_connection(&mut self, connection_id: ConnectionId) -> bool {
+        for _ in 0..MAX_READS_PER_TURN {
+            let Some(connection) = self.state.connections.get_mut(connection_id) else { return true };
+            connection.flush();
+            let has_read = connection.read(MAX_INPUT_BYTES);
+            let is_closed = connection.closed;
+            if !connection.input.is_empty() {
+                let input = std::mem::take(&mut connection.input);
+                let used = self.handle_viewer_messages(connection_id, &input);
+                let Some(connection) = self.state.connections.get_mut(connection_id) else { return true };
                 let Some(used) = used else {
-                    self.viewer_gone(key);
+                    self.close_viewer_connection(connection_id);
                     return true;
                 };
-                line.unread(input, used);
+                connection.unread(input, used);
             }
-            if ended {
-                self.viewer_closed(key);
+            if is_closed {
+                self.on_viewer_closed(connection_id);
                 return true;
             }
-            if !came {
+            if !has_read {
                 return true;
             }
         }
-        self.floor.again.push_back(key);
+        self.state.revisit_queue.push_back(connection_id);
         false
     }
 
     /// Takes the whole messages off; none where the connection is to be closed.
-    fn messages(&mut self, key: ConnectionId, input: &[u8]) -> Option<usize> {
+    fn handle_viewer_messages(&mut self, connection_id: ConnectionId, input: &[u8]) -> Option<usize> {
         let mut used = 0;
         loop {
             match Message::parse(&input[used..]) {
                 Ok(None) => return Some(used),
                 Err(e) => {
                     debug!(target: "viewer", "closed: {e}");
-                    self.floor.sums.unusable += 1;
+                    self.state.stats.unusable += 1;
                     return None;
                 }
                 Ok(Some((message, n))) => {
                     used += n;
-                    if !self.message(key, &message) {
+                    if !self.handle_viewer_message(connection_id, &message) {
                         return None;
                     }
-                    self.settle();
+                    self.report_finished_allocations();
                 }
             }
         }
     }
 
     /// Takes one message; false where the connection is to be closed.
-    fn message(&mut self, key: ConnectionId, message: &Message) -> bool {
+    fn handle_viewer_message(&mut self, connection_id: ConnectionId, message: &Message) -> bool {
         let play = message.session;
         match message.kind {
-            kind::SET_UP => return self.set_up(key, message),
+            kind::SET_UP => return self.handle_set_up(connection_id, message),
             kind::RELEASE => {
-                let cause = message.cause().unwrap_or(WITHDRAWN);
-                let Some(session) = self.floor.sessions.get_mut(&play) else {
-                    let now = self.floor.now();
-                    self.floor.ended.note(now, play, Word::Viewer(cause));
+                let cause = message.cause().unwrap_or(CAUSE_WITHDRAWN);
+                let Some(session) = self.state.sessions.get_mut(&play) else {
+                    let now = self.state.now();
+                    self.state.ended_sessions.record(now, play, EndReport::Viewer(cause));
                     return true;
                 };
-                if session.playing {
-                    session.cause = cause;
-                    self.over(play);
-                    self.prove(key);
-                } else if session.viewer == key {
-                    self.gave_up(play);
+                if session.is_playing {
+                    session.release_cause = cause;
+                    self.on_session_ended_by_viewer(play);
+                    self.mark_proven(connection_id);
+                } else if session.viewer_connection == connection_id {
+                    self.abandon_set_up(play);
                 }
             }
             kind::MOVE => {
-                if self.floor.sessions.get(&play).is_some_and(|s| s.playing) {
-                    self.over(play);
-                    self.prove(key);
+                if self.state.sessions.get(&play).is_some_and(|s| s.is_playing) {
+                    self.on_session_ended_by_viewer(play);
+                    self.mark_proven(connection_id);
                 }
             }
             kind::HEALTH_CHECK => {
-                let passed = u8::from(self.floor.stopping.is_none());
+                let passed = u8::from(self.state.stopping_since.is_none());
                 let bytes = pulleystair_viewer_protocol::encode(
                     kind::HEALTH_CHECK_REPLY,
                     play,
                     &[(code::CAUSE, &[passed])],
                 );
-                self.floor.write_viewer(key, &bytes.unwrap_or_default());
-                if let Some(viewer) = self.floor.viewer(key) {
-                    viewer.came = f64::INFINITY;
+                self.state.write_to_viewer(connection_id, &bytes.unwrap_or_default());
+                if let Some(viewer) = self.state.viewer_connection(connection_id) {
+                    viewer.accepted_at = f64::INFINITY;
                 }
             }
             kind::PROGRESS | kind::ACK | kind::NOTE | kind::RUNG => {}
@@ -248,89 +273,105 @@
     }
 
     /// The connection is a viewer's: ends are told on it, and it is not closed for having brought nothing.
-    fn prove(&mut self, key: ConnectionId) {
-        if self.floor.viewer(key).is_some_and(|viewer| !std::mem::replace(&mut viewer.proven, true)) {
-            self.floor.pay(key);
+    fn mark_proven(&mut self, connection_id: ConnectionId) {
+        if self
+            .state
+            .viewer_connection(connection_id)
+            .is_some_and(|viewer| !std::mem::replace(&mut viewer.is_proven, true))
+        {
+            self.state.send_pending_notices(connection_id);
         }
     }
 
-    fn set_up(&mut self, key: ConnectionId, message: &Message) -> bool {
+    fn handle_set_up(&mut self, connection_id: ConnectionId, message: &Message) -> bool {
         let play = message.session;
-        let now = self.floor.now();
-        let known = self.floor.sessions.contains_key(&play);
-        let asked = match self.read_set_up(now, message) {
-            Ok(asked) => asked,
+        let now = self.state.now();
+        let is_known = self.state.sessions.contains_key(&play);
+        let set_up = match self.parse_set_up(now, message) {
+            Ok(set_up) => set_up,
             Err(cause) => {
                 debug!(target: "viewer", play = format!("{play:016x}"), "not usable: {cause}");
                 // The id of an open play again: that one keeps its answer.
-                if known {
+                if is_known {
                     return false;
                 }
-                self.floor.sums.unusable += 1;
-                return self.turn_off(key, play, UNUSABLE, 0.0);
+                self.state.stats.unusable += 1;
+                return self.reject_set_up(connection_id, play, CAUSE_UNUSABLE, 0.0);
             }
         };
-        if let Some(at) = asked.at.clone() {
-            if !known {
-                self.adopt(now, key, play, asked, &at);
+        if let Some(server_id) = set_up.adopted_from.clone() {
+            if !is_known {
+                self.adopt_session(now, connection_id, play, set_up, &server_id);
             }
             return true;
         }
-        if known {
+        if is_known {
             return false;
         }
-        self.floor.sums.asked += 1;
-        let Some(line) = self.floor.lines.get_mut(key) else { return true };
-        let from = line.peer_ip();
-        let Role::Viewer(viewer) = &mut line.role else { return true };
-        let crowded = self.floor.viewers.len() > self.floor.shares.viewers;
-        if crowded || viewer.open.len() >= OPEN_EACH || self.floor.deciding >= OPEN_MOST {
-            self.floor.sums.flooded += 1;
-            return self.turn_off(key, play, BUSY, self.floor.terms.stay_away);
+        self.state.stats.asked += 1;
+        let Some(connection) = self.state.connections.get_mut(connection_id) else { return true };
+        let viewer_ip = connection.peer_ip();
+        let Role::Viewer(viewer) = &mut connection.role else { return true };
+        let is_over_limit = self.state.viewer_connections.len() > self.state.shares.viewers;
+        if is_over_limit
+            || viewer.pending_set_ups.len() >= MAX_SET_UPS_PER_CONNECTION
+            || self.state.undecided_set_ups >= MAX_PENDING_SET_UPS
+        {
+            self.state.stats.flooded += 1;
+            return self.reject_set_up(connection_id, play, CAUSE_BUSY, self.state.limits.max_retry_after);
         }
-        viewer.open.push(play);
-        self.floor.deciding += 1;
-        let wish = asked.wish;
-        self.floor.sessions.insert(play, session(key, from, asked));
-        self.prove(key);
-        self.desk.add_play(now, play, &wish, &mut self.floor);
+        viewer.pending_set_ups.push(play);
+        self.state.undecided_set_ups += 1;
+        let request = set_up.request;
+        self.state.sessions.insert(play, new_session(connection_id, viewer_ip, set_up));
+        self.mark_proven(connection_id);
+        self.dispatcher.add_play(now, play, &request, &mut self.state);
         true
     }
 
     /// Refuses what was not taken; false where that was once too often on this connection.
-    fn turn_off(&mut self, key: ConnectionId, play: u64, cause: u8, pause: f64) -> bool {
-        self.floor.tell_release(key, play, cause, pause);
-        let Some(viewer) = self.floor.viewer(key) else { return true };
-        viewer.turned += 1;
-        viewer.turned <= TURNED
+    fn reject_set_up(&mut self, connection_id: ConnectionId, play: u64, cause: u8, retry_after: f64) -> bool {
+        self.state.write_release(connection_id, play, cause, retry_after);
+        let Some(viewer) = self.state.viewer_connection(connection_id) else { return true };
+        viewer.refusals += 1;
+        viewer.refusals <= MAX_REFUSALS
     }
 
     /// A session that plays already at that server.
-    fn adopt(&mut self, now: f64, key: ConnectionId, play: u64, asked: Asked, at: &str) {
-        let server = self.floor.number(at);
-        let Some(line) = self.floor.lines.get_mut(key) else { return };
-        let from = line.peer_ip();
+    fn adopt_session(
+        &mut self,
+        now: f64,
+        connection_id: ConnectionId,
+        play: u64,
+        set_up: SetUpRequest,
+        server_id: &str,
+    ) {
+        let server = self.state.server_number(server_id);
+        let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
+        let viewer_ip = connection.peer_ip();
         // Its viewer keeps the connection while the session stands, to hear of its end.
-        self.prove(key);
-        match self.floor.ended.of(now, play) {
+        self.mark_proven(connection_id);
+        match self.state.ended_sessions.take_report(now, play) {
             None => {}
             // It has ended already, and the word of that came first.
-            Some(Word::Server(WITHDRAWN) | Word::Both) => return,
-            Some(Word::Server(cause)) => return self.floor.release(play, key, from, cause),
-            Some(Word::Viewer(cause)) => return self.floor.cut(server, None, play, cause),
+            Some(EndReport::Server(CAUSE_WITHDRAWN) | EndReport::Both) => return,
+            Some(EndReport::Server(cause)) => {
+                return self.state.notify_session_end(play, connection_id, viewer_ip, cause);
+            }
+            Some(EndReport::Viewer(cause)) => return self.state.release_on_server(server, None, play, cause),
         }
-        let wish = asked.wish;
-        let mut it = session(key, from, asked);
-        (it.server, it.playing, it.since) = (Some(server), true, now);
-        self.floor.sessions.insert(play, it);
-        if let Some(server) = self.floor.servers.get_mut(&server) {
-            server.playing += 1;
-            if server.heard == 0.0 {
-                server.heard = now;
+        let request = set_up.request;
+        let mut session = new_session(connection_id, viewer_ip, set_up);
+        (session.server, session.is_playing, session.since) = (Some(server), true, now);
+        self.state.sessions.insert(play, session);
+        if let Some(server) = self.state.servers.get_mut(&server) {
+            server.playing_sessions += 1;
+            if server.last_heard_at == 0.0 {
+                server.last_heard_at = now;
             }
         }
-        self.desk.adopt(now, play, &wish, server, &mut self.floor);
+        self.dispatcher.adopt(now, play, &request, server, &mut self.state);
         // A server that knows no connection of this front can't tell of the session.
-        let _ = self.floor.any_line(server, false);
+        let _ = self.state.connection_to(server, false);
     }
 }
