--- a/crates/dns-discovery/src/lib.rs
+++ b/crates/dns-discovery/src/lib.rs
@@ -10,13 +10,13 @@
 use thiserror::Error;
 
 /// What the list is asked for under.
-const SERVICE: &str = "_app._tcp.cluster.lan";
+const SERVICE_NAME: &str = "_app._tcp.cluster.lan";
 /// Bytes of an answer at most: what a datagram can hold. Hundreds of servers fill more than 8 KiB.
 pub const MAX_BYTES: usize = 64 << 10;
 /// The priority that says that a server drains.
-const DRAINING: u16 = 1;
+const DRAINING_PRIORITY: u16 = 1;
 /// A record's weight for one of the list.
-const WEIGHT: f64 = 10.0;
+const WEIGHT_SCALE: f64 = 10.0;
 
 /// A line of the list.
 #[derive(Clone, Debug, PartialEq)]
@@ -50,11 +50,11 @@
 struct Pool {
     #[serde(default)]
     full: bool,
-    servers: Vec<Told>,
+    servers: Vec<ServerRecord>,
 }
 
 #[derive(Debug, Deserialize)]
-struct Told {
+struct ServerRecord {
     id: String,
     addr: SocketAddr,
     #[serde(default)]
@@ -63,7 +63,7 @@
     kind: String,
     #[serde(default)]
     cell: usize,
-    state: State,
+    state: ServerState,
     #[serde(default)]
     weight: f64,
     #[serde(default)]
@@ -72,7 +72,7 @@
 
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum State {
+enum ServerState {
     InService,
     Terminating,
     Terminated,
@@ -81,19 +81,19 @@
 impl ListEvent {
     /// Whether it holds the whole list, and its lines.
     pub fn entries(&self) -> (bool, Vec<ServerEntry>) {
-        let entry = |told: &Told| ServerEntry {
-            id: told.id.clone(),
-            address: told.addr,
-            zone: told.zone.clone(),
-            kind: told.kind.clone(),
-            cell: told.cell,
-            standing: match told.state {
-                State::InService => Standing::Ready,
-                State::Terminating => Standing::Draining,
-                State::Terminated => Standing::Gone,
+        let entry = |record: &ServerRecord| ServerEntry {
+            id: record.id.clone(),
+            address: record.addr,
+            zone: record.zone.clone(),
+            kind: record.kind.clone(),
+            cell: record.cell,
+            standing: match record.state {
+                ServerState::InService => Standing::Ready,
+                ServerState::Terminating => Standing::Draining,
+                ServerState::Terminated => Standing::Gone,
             },
-            weight: told.weight,
-            started: told.started_ms,
+            weight: record.weight,
+            started: record.started_ms,
         };
         (self.pool.full, self.pool.servers.iter().map(entry).collect())
     }
@@ -101,26 +101,26 @@
 
 impl InitialEvents {
     /// What all the events come to, in their order: the list, and whether it is whole.
-    pub fn list(&self) -> (bool, Vec<ServerEntry>) {
-        let (mut whole, mut list): (bool, Vec<ServerEntry>) = (false, Vec::new());
-        let mut places: HashMap<String, usize> = HashMap::new();
-        for notice in &self.notices {
-            let (all, entries) = notice.entries();
-            if all {
-                (whole, list) = (true, Vec::new());
-                places.clear();
+    pub fn merged_list(&self) -> (bool, Vec<ServerEntry>) {
+        let (mut is_whole, mut list): (bool, Vec<ServerEntry>) = (false, Vec::new());
+        let mut indices: HashMap<String, usize> = HashMap::new();
+        for event in &self.notices {
+            let (is_whole_list, entries) = event.entries();
+            if is_whole_list {
+                (is_whole, list) = (true, Vec::new());
+                indices.clear();
             }
             for entry in entries {
-                match places.get(&entry.id) {
-                    Some(place) => list[*place] = entry,
+                match indices.get(&entry.id) {
+                    Some(index) => list[*index] = entry,
                     None => {
-                        places.insert(entry.id.clone(), list.len());
+                        indices.insert(entry.id.clone(), list.len());
                         list.push(entry);
                     }
                 }
             }
         }
-        (whole, list)
+        (is_whole, list)
     }
 }
 
@@ -128,32 +128,32 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ResponseError {
     #[error("it can't be read: {0}")]
-    Unread(String),
+    Unparsable(String),
     #[error("it is no answer to what was asked")]
-    Foreign,
+    NotAResponse,
     #[error("it was cut short")]
-    Cut,
+    Truncated,
     #[error("the name service reports a failure: {0}")]
-    Failing(String),
+    ServerFailure(String),
     #[error("it has no serial")]
-    NoSerial,
+    MissingSerial,
     #[error("{0} has no address, or not what is to be known of it")]
     Incomplete(String),
 }
 
 /// So many events may have come since the last that is known, at most; a serial that says more is a spoilt one, which would
 /// make every later list an older one.
-const EVENTS: u32 = 1 << 16;
+const MAX_REVISION_STEP: u32 = 1 << 16;
 
 /// Whether an answer of this serial is newer than what is known.
 pub fn is_newer(rev: Option<u32>, serial: u32) -> bool {
-    rev.is_none_or(|rev| serial > rev && serial - rev <= EVENTS)
+    rev.is_none_or(|rev| serial > rev && serial - rev <= MAX_REVISION_STEP)
 }
 
 /// The question for the whole list, under an id that its answer is to have.
 pub fn query(id: u16) -> Vec<u8> {
     let mut packet = Packet::new_query(id);
-    let name = Name::new_unchecked(SERVICE);
+    let name = Name::new_unchecked(SERVICE_NAME);
     packet.questions.push(Question::new(name, QTYPE::TYPE(TYPE::SRV), QCLASS::CLASS(CLASS::IN), false));
     packet.build_bytes_vec().unwrap_or_default()
 }
@@ -165,27 +165,27 @@
 
 /// The number of the last event that an answer holds, and the whole list.
 pub fn parse_response(bytes: &[u8]) -> Result<(u32, Vec<ServerEntry>), ResponseError> {
-    let packet = Packet::parse(bytes).map_err(|e| ResponseError::Unread(e.to_string()))?;
+    let packet = Packet::parse(bytes).map_err(|e| ResponseError::Unparsable(e.to_string()))?;
     if !packet.has_flags(PacketFlag::RESPONSE) {
-        return Err(ResponseError::Foreign);
+        return Err(ResponseError::NotAResponse);
     }
     if packet.has_flags(PacketFlag::TRUNCATION) {
-        return Err(ResponseError::Cut);
+        return Err(ResponseError::Truncated);
     }
     if packet.rcode() != RCODE::NoError {
-        return Err(ResponseError::Failing(format!("{:?}", packet.rcode())));
+        return Err(ResponseError::ServerFailure(format!("{:?}", packet.rcode())));
     }
     let serial = packet
         .name_servers
         .iter()
         .find_map(|r| if let RData::SOA(soa) = &r.rdata { Some(soa.serial) } else { None });
-    let serial = serial.ok_or(ResponseError::NoSerial)?;
-    let mut addresses = HashMap::new();
-    let mut texts = HashMap::new();
+    let serial = serial.ok_or(ResponseError::MissingSerial)?;
+    let mut addresses_by_name = HashMap::new();
+    let mut attributes_by_name = HashMap::new();
     for record in packet.answers.iter().chain(&packet.additional_records) {
         match &record.rdata {
-            RData::A(a) => drop(addresses.insert(record.name.to_string(), Ipv4Addr::from(a.address))),
-            RData::TXT(text) => drop(texts.insert(record.name.to_string(), text.attributes())),
+            RData::A(a) => drop(addresses_by_name.insert(record.name.to_string(), Ipv4Addr::from(a.address))),
+            RData::TXT(txt) => drop(attributes_by_name.insert(record.name.to_string(), txt.attributes())),
             _ => {}
         }
     }
@@ -194,21 +194,21 @@
         let RData::SRV(srv) = &record.rdata else { continue };
         let target = srv.target.to_string();
         let incomplete = || ResponseError::Incomplete(target.clone());
-        let address = addresses.get(&target).ok_or_else(incomplete)?;
-        let text = texts.get(&target).ok_or_else(incomplete)?;
-        let told = |name: &str| text.get(name).and_then(|v| v.as_deref()).ok_or_else(incomplete);
+        let address = addresses_by_name.get(&target).ok_or_else(incomplete)?;
+        let attributes = attributes_by_name.get(&target).ok_or_else(incomplete)?;
+        let attribute = |name: &str| attributes.get(name).and_then(|v| v.as_deref()).ok_or_else(incomplete);
         let mut labels = target.split('.');
         let (Some(id), Some(zone)) = (labels.next(), labels.next()) else { return Err(incomplete()) };
-        let started: f64 = told("started")?.parse().map_err(|_| incomplete())?;
+        let started_ms: f64 = attribute("started")?.parse().map_err(|_| incomplete())?;
         list.push(ServerEntry {
             id: id.to_string(),
             address: SocketAddr::V4(SocketAddrV4::new(*address, srv.port)),
             zone: zone.to_string(),
-            kind: told("kind")?.to_string(),
-            cell: told("cell")?.parse().map_err(|_| incomplete())?,
-            standing: if srv.priority == DRAINING { Standing::Draining } else { Standing::Ready },
-            weight: f64::from(srv.weight) / WEIGHT,
-            started: if started.is_finite() { started } else { 0.0 },
+            kind: attribute("kind")?.to_string(),
+            cell: attribute("cell")?.parse().map_err(|_| incomplete())?,
+            standing: if srv.priority == DRAINING_PRIORITY { Standing::Draining } else { Standing::Ready },
+            weight: f64::from(srv.weight) / WEIGHT_SCALE,
+            started: if started_ms.is_finite() { started_ms } else { 0.0 },
         });
     }
     Ok((serial, list))
--- a/crates/node/src/listing.rs
+++ b/crates/node/src/listing.rs
@@ -81,7 +81,7 @@
     /// and end nothing. Before the name service was heard the list may be older than what it tells of; later it is taken for being
     /// newer, and tells of starts as the name service's answers do.
     pub(crate) fn apply_initial_events(&mut self) {
-        let (is_whole, entries) = self.state.config.known.list();
+        let (is_whole, entries) = self.state.config.known.merged_list();
         self.state.config.known.notices.clear();
         self.apply_list(is_whole, !self.dns_client.has_response, &entries);
         self.dns_client.revision = Some(self.state.config.known.rev);
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -57,7 +57,7 @@
                 match self.handle_server_messages(connection_id, server_number, &input) {
                     Some(used) => {
                         let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
-                        connection.unread(input, used);
+                        connection.restore_input(input, used);
                     }
                     None => return self.on_server_connection_lost(connection_id),
                 }
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -124,7 +124,7 @@
     pub(crate) fn close_viewer_connection(&mut self, connection_id: ConnectionId) {
         self.abandon_pending_set_ups(connection_id);
         let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
-        let unread = connection.broken() || connection.pending() > 0;
+        let unread = connection.is_broken() || connection.pending() > 0;
         let Some(Role::Viewer(viewer)) = self.state.connections.close(connection_id) else { return };
         self.state.viewer_connections.retain(|id| *id != connection_id);
         debug!(target: "viewer", key = connection_id, proven = viewer.is_proven, unread, viewers = self.state.viewer_connections.len(), "gone");
@@ -138,7 +138,7 @@
     fn on_viewer_closed(&mut self, connection_id: ConnectionId) {
         let now = self.state.now();
         let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
-        let broken = connection.broken();
+        let broken = connection.is_broken();
         let Role::Viewer(viewer) = &connection.role else { return };
         let close_at = viewer
             .recent_notices
@@ -192,7 +192,7 @@
                     self.close_viewer_connection(connection_id);
                     return true;
                 };
-                connection.unread(input, used);
+                connection.restore_input(input, used);
             }
             if is_closed {
                 self.on_viewer_closed(connection_id);
--- a/crates/rtsp/src/lib.rs
+++ b/crates/rtsp/src/lib.rs
@@ -8,28 +8,28 @@
 /// Bytes of a message at most, head and body.
 pub const MAX_BYTES: usize = 16 << 10;
 /// Bytes of a first line at most.
-const LINE: usize = 1024;
+const MAX_FIRST_LINE_BYTES: usize = 1024;
 /// Header fields at most.
-const FIELDS: usize = 32;
+const MAX_FIELDS: usize = 32;
 const VERSION: &str = "RTSP/1.0";
 
 /// What was wrong with the bytes that a peer sent.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseError {
     #[error("the first line has a byte {0:#04x}")]
-    Byte(u8),
-    #[error("the first line does not end within {LINE} bytes")]
-    Endless,
+    InvalidByte(u8),
+    #[error("the first line does not end within {MAX_FIRST_LINE_BYTES} bytes")]
+    FirstLineTooLong,
     #[error("the first line is neither an answer's nor a request's: {0:?}")]
-    FirstLine(String),
+    InvalidFirstLine(String),
     #[error("the header can't be read: {0}")]
-    Header(httparse::Error),
+    InvalidHeader(httparse::Error),
     #[error("there is not one Content-Length")]
-    Length,
+    InvalidContentLength,
     #[error("it says that it has {0} bytes, more than are taken")]
-    Long(u64),
+    TooLong(u64),
     #[error("there is no Session of 16 hex digits")]
-    Session,
+    InvalidSession,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -47,74 +47,75 @@
 }
 
 /// 16 hex digits as ids are written.
-fn id(text: &str) -> Option<u64> {
-    let digits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    digits.then(|| u64::from_str_radix(text, 16).ok()).flatten()
+fn parse_session_id(text: &str) -> Option<u64> {
+    let is_valid = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
+    is_valid.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
-fn first_line(line: &str) -> Result<Start, ParseError> {
-    let fault = || ParseError::FirstLine(line.chars().take(60).collect());
-    let (one, rest) = line.split_once(' ').ok_or_else(fault)?;
-    if one == VERSION {
+fn parse_first_line(line: &str) -> Result<Start, ParseError> {
+    let error = || ParseError::InvalidFirstLine(line.chars().take(60).collect());
+    let (first_word, rest) = line.split_once(' ').ok_or_else(error)?;
+    if first_word == VERSION {
         let code = rest.split(' ').next().unwrap_or(rest);
-        let digits = code.len() == 3 && code.bytes().all(|b| b.is_ascii_digit());
-        return digits.then(|| code.parse().ok()).flatten().map(Start::Answer).ok_or_else(fault);
+        let is_valid = code.len() == 3 && code.bytes().all(|b| b.is_ascii_digit());
+        return is_valid.then(|| code.parse().ok()).flatten().map(Start::Answer).ok_or_else(error);
     }
-    let method = !one.is_empty() && one.bytes().all(|b| b.is_ascii_uppercase() || b == b'_');
-    let (target, version) = rest.rsplit_once(' ').ok_or_else(fault)?;
-    if !method || version != VERSION || target.is_empty() || target.contains(' ') {
-        return Err(fault());
+    let is_method = !first_word.is_empty() && first_word.bytes().all(|b| b.is_ascii_uppercase() || b == b'_');
+    let (target, version) = rest.rsplit_once(' ').ok_or_else(error)?;
+    if !is_method || version != VERSION || target.is_empty() || target.contains(' ') {
+        return Err(error());
     }
-    Ok(Start::Request(one.to_string()))
+    Ok(Start::Request(first_word.to_string()))
 }
 
 impl Message {
     /// The first message of these bytes and how many it takes; none while it has not come whole.
     pub fn parse(input: &[u8]) -> Result<Option<(Message, usize)>, ParseError> {
         let line = &input[..input.iter().position(|b| *b == b'\n').unwrap_or(input.len())];
-        if line.len() > LINE {
-            return Err(ParseError::Endless);
+        if line.len() > MAX_FIRST_LINE_BYTES {
+            return Err(ParseError::FirstLineTooLong);
         }
-        let printed = line.strip_suffix(b"\r").unwrap_or(line);
-        if let Some(odd) = printed.iter().find(|b| !(b' '..=b'~').contains(*b)) {
-            return Err(ParseError::Byte(*odd));
+        let first_line = line.strip_suffix(b"\r").unwrap_or(line);
+        if let Some(invalid_byte) = first_line.iter().find(|b| !(b' '..=b'~').contains(*b)) {
+            return Err(ParseError::InvalidByte(*invalid_byte));
         }
         if line.len() == input.len() {
             return Ok(None);
         }
-        let start = first_line(&String::from_utf8_lossy(printed))?;
+        let start = parse_first_line(&String::from_utf8_lossy(first_line))?;
         let head = &input[line.len() + 1..];
-        let mut room = [httparse::EMPTY_HEADER; FIELDS];
-        let (used, found) = match httparse::parse_headers(head, &mut room) {
-            Ok(httparse::Status::Complete(it)) => it,
+        let mut header_slots = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let (used, headers) = match httparse::parse_headers(head, &mut header_slots) {
+            Ok(httparse::Status::Complete(parsed)) => parsed,
             Ok(httparse::Status::Partial) if input.len() >= MAX_BYTES => {
-                return Err(ParseError::Long(input.len() as u64));
+                return Err(ParseError::TooLong(input.len() as u64));
             }
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(e) => return Err(ParseError::Header(e)),
+            Err(e) => return Err(ParseError::InvalidHeader(e)),
         };
-        let text = |value: &[u8]| String::from_utf8_lossy(value).trim().to_string();
+        let to_text = |value: &[u8]| String::from_utf8_lossy(value).trim().to_string();
         let fields: Vec<(String, String)> =
-            found.iter().map(|f| (f.name.to_string(), text(f.value))).collect();
+            headers.iter().map(|f| (f.name.to_string(), to_text(f.value))).collect();
         let mut lengths = fields.iter().filter(|f| f.0.eq_ignore_ascii_case("Content-Length"));
         let (Some((_, length)), None) = (lengths.next(), lengths.next()) else {
-            return Err(ParseError::Length);
+            return Err(ParseError::InvalidContentLength);
         };
         if length.is_empty() || !length.bytes().all(|b| b.is_ascii_digit()) {
-            return Err(ParseError::Length);
+            return Err(ParseError::InvalidContentLength);
         }
-        let length: u64 = length.parse().unwrap_or(u64::MAX);
-        let body = line.len() + 1 + used;
-        let whole = length.saturating_add(body as u64);
-        if whole > MAX_BYTES as u64 {
-            return Err(ParseError::Long(whole));
+        let content_length: u64 = length.parse().unwrap_or(u64::MAX);
+        let body_start = line.len() + 1 + used;
+        let message_length = content_length.saturating_add(body_start as u64);
+        if message_length > MAX_BYTES as u64 {
+            return Err(ParseError::TooLong(message_length));
         }
-        let whole = whole as usize;
+        let message_length = message_length as usize;
         let mut message = Message { start, session: 0, fields, body: Vec::new() };
-        message.session = message.field("Session").and_then(id).ok_or(ParseError::Session)?;
-        let Some(bytes) = input.get(body..whole) else { return Ok(None) };
+        message.session =
+            message.field("Session").and_then(parse_session_id).ok_or(ParseError::InvalidSession)?;
+        let Some(bytes) = input.get(body_start..message_length) else { return Ok(None) };
         message.body = bytes.to_vec();
-        Ok(Some((message, whole)))
+        Ok(Some((message, message_length)))
     }
 
     /// The first field of this name.
@@ -161,7 +162,7 @@
         let _ = write!(head, "{name}: {value}\r\n");
     }
     let _ = write!(head, "Content-Length: {}\r\n\r\n", body.len());
-    let mut out = head.into_bytes();
-    out.extend_from_slice(body);
-    out
+    let mut bytes = head.into_bytes();
+    bytes.extend_from_slice(body);
+    bytes
 }
--- a/crates/viewer-protocol/src/lib.rs
+++ b/crates/viewer-protocol/src/lib.rs
@@ -7,9 +7,9 @@
 
 /// Bytes of a message at most, its length included.
 pub const MAX_BYTES: usize = 16 << 10;
-const LENGTH: usize = 2;
+const LENGTH_BYTES: usize = 2;
 /// Type and session, which every message has.
-const HEAD: usize = 9;
+const HEADER_BYTES: usize = 9;
 
 /// What a message is, by its type.
 pub mod kind {
@@ -41,13 +41,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ParseError {
     #[error("a message says that it has {0} bytes, fewer than its type and session take")]
-    Short(usize),
+    TooShort(usize),
     #[error("a message says that it has {0} bytes, more than are taken")]
-    Long(usize),
+    TooLong(usize),
     #[error("parameter {code} says that it has {length} bytes where {left} are left")]
-    Overrun { code: u8, length: usize, left: usize },
+    ParameterOverrun { code: u8, length: usize, left: usize },
     #[error("a message ends within the head of a parameter")]
-    Cut,
+    TruncatedParameter,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -60,20 +60,23 @@
 impl<'a> Message<'a> {
     /// The first message of these bytes and how many it takes; none while it has not come whole.
     pub fn parse(input: &'a [u8]) -> Result<Option<(Message<'a>, usize)>, ParseError> {
-        let Some(length) = input.first_chunk::<LENGTH>() else { return Ok(None) };
+        let Some(length) = input.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u16::from_be_bytes(*length) as usize;
-        if length < HEAD {
-            return Err(ParseError::Short(length));
+        if length < HEADER_BYTES {
+            return Err(ParseError::TooShort(length));
         }
-        if length + LENGTH > MAX_BYTES {
-            return Err(ParseError::Long(length));
+        if length + LENGTH_BYTES > MAX_BYTES {
+            return Err(ParseError::TooLong(length));
         }
-        let Some(body) = input.get(LENGTH..LENGTH + length) else { return Ok(None) };
+        let Some(body) = input.get(LENGTH_BYTES..LENGTH_BYTES + length) else { return Ok(None) };
         let mut session = [0; 8];
-        session.copy_from_slice(&body[1..HEAD]);
-        let message =
-            Message { kind: body[0], session: u64::from_be_bytes(session), parameters: &body[HEAD..] };
-        Ok(Some((message, LENGTH + length)))
+        session.copy_from_slice(&body[1..HEADER_BYTES]);
+        let message = Message {
+            kind: body[0],
+            session: u64::from_be_bytes(session),
+            parameters: &body[HEADER_BYTES..],
+        };
+        Ok(Some((message, LENGTH_BYTES + length)))
     }
 
     /// Its parameters in order, up to the first that can't be read.
@@ -83,12 +86,12 @@
             let (code, after) = rest.split_first()?;
             let Some((length, after)) = after.split_first_chunk::<2>() else {
                 rest = &[];
-                return Some(Err(ParseError::Cut));
+                return Some(Err(ParseError::TruncatedParameter));
             };
             let length = u16::from_be_bytes(*length) as usize;
             let Some((value, after)) = after.split_at_checked(length) else {
                 rest = &[];
-                return Some(Err(ParseError::Overrun { code: *code, length, left: after.len() }));
+                return Some(Err(ParseError::ParameterOverrun { code: *code, length, left: after.len() }));
             };
             rest = after;
             Some(Ok((*code, value)))
@@ -113,18 +116,18 @@
 
 /// A whole message; none where it would be larger than messages may be.
 pub fn encode(kind: u8, session: u64, parameters: &[(u8, &[u8])]) -> Option<Vec<u8>> {
-    let length = HEAD + parameters.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
-    if length + LENGTH > MAX_BYTES {
+    let length = HEADER_BYTES + parameters.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
+    if length + LENGTH_BYTES > MAX_BYTES {
         return None;
     }
-    let mut out = Vec::with_capacity(LENGTH + length);
-    out.extend_from_slice(&(length as u16).to_be_bytes());
-    out.push(kind);
-    out.extend_from_slice(&session.to_be_bytes());
+    let mut bytes = Vec::with_capacity(LENGTH_BYTES + length);
+    bytes.extend_from_slice(&(length as u16).to_be_bytes());
+    bytes.push(kind);
+    bytes.extend_from_slice(&session.to_be_bytes());
     for (code, value) in parameters {
-        out.push(*code);
-        out.extend_from_slice(&(value.len() as u16).to_be_bytes());
-        out.extend_from_slice(value);
+        bytes.push(*code);
+        bytes.extend_from_slice(&(value.len() as u16).to_be_bytes());
+        bytes.extend_from_slice(value);
     }
-    Some(out)
+    Some(bytes)
 }
