--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -1,8 +1,12 @@
-//! The connections of a front, each a non-blocking socket with its buffers, on the event loop. What a line is for is
-//! its owner's affair, kept beside it as a role; what happens on it is told to the owner, by [`ConnectionHandler::connection_ready`].
+//! Non-blocking TCP and TLS connections on a front's event loop, each with its input and output buffers. Used
+//! by the edge and the node.
 //!
-//! A line may be sealed by TLS. Then it counts as connected only once the handshake is done, so nothing of a request
-//! has gone to a server whose handshake failed; and what waits in the seal counts as waiting to be written.
+//! The owner of the event loop keeps its own state beside each connection as a role, and
+//! [`ConnectionHandler::connection_ready`] tells the owner of every event on a connection.
+//!
+//! A connection with TLS counts as connected only once the handshake is done, so no byte of a request has
+//! been sent to a server whose handshake failed. Bytes that wait inside the TLS session count as waiting to
+//! be written.
 
 pub mod timers;
 
@@ -15,33 +19,41 @@
 use std::net::{IpAddr, Shutdown, SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// A line by its place and, in the upper half, its generation: the key of a closed one is never used again.
+/// Identifies a connection: its slot in the lower half and its generation in the upper half, so that the id
+/// of a closed connection is not reused.
 pub type ConnectionId = u64;
 
+/// Builds a connection's id from its slot and its generation.
 fn connection_id(slot: usize, generation: u32) -> ConnectionId {
     slot as u64 | u64::from(generation) << 32
 }
 
+/// Most bytes that are read from a socket at a time.
 const READ_CHUNK_BYTES: usize = 16 << 10;
-/// Bytes that are handed to a seal at a time.
+/// Most bytes of plaintext that are passed to the TLS session at a time.
 const TLS_CHUNK_BYTES: usize = 64 << 10;
 
+/// An open connection with the owner's role `R` and options `O`.
 pub struct Connection<R, O = ()> {
     stream: Rc<TcpStream>,
     tls: Option<Box<TlsConnection>>,
-    /// Why the handshake, or what came under the seal, was not taken.
+    /// The error of the TLS session: why the handshake or the received records were rejected.
     pub tls_error: Option<rustls::Error>,
     source: RegistrationToken,
+    /// What the connection is for, kept for its owner.
     pub role: R,
-    /// How the owner is to go about what it now does on it.
+    /// The owner's options for what it currently does on this connection.
     pub options: O,
+    /// Bytes that were read and not yet consumed by the owner.
     pub input: Vec<u8>,
     output: Vec<u8>,
+    /// How many bytes at the front of `output` have been written.
     output_sent: usize,
-    /// Bytes that were ever given to be written, and those that the socket has taken; of a sealed line, its seal.
+    /// All bytes that were ever queued for writing, and all of them that the socket (with TLS: the TLS
+    /// session) has taken.
     bytes_queued: u64,
     bytes_sent: u64,
-    /// When its clock runs out; infinite for no clock.
+    /// When the owner's timer for this connection runs out, Unix ms; infinite if no timer is set.
     pub deadline: f64,
     /// The peer has closed its side, or the connection is broken.
     pub closed: bool,
@@ -52,7 +64,7 @@
 }
 
 impl<R, O> Connection<R, O> {
-    /// Reads what is there until `input` holds `most` bytes; true if anything came.
+    /// Reads what is available until `input` holds `max_bytes` bytes. Returns true if anything was read.
     pub fn read(&mut self, max_bytes: usize) -> bool {
         let before = self.input.len();
         let mut chunk = [0; READ_CHUNK_BYTES];
@@ -61,7 +73,7 @@
             let read = match self.tls.as_mut() {
                 Some(tls) => {
                     match read_tls_plaintext(tls, &self.stream, &mut chunk[..wanted], &mut self.tls_error) {
-                        // A seal that was broken tells the peer why, if that can still go out.
+                        // After a TLS error the peer is sent the alert, if it can still be written.
                         Err(e) if self.tls_error.is_some() => {
                             let _ = tls.write_tls(&mut &*self.stream);
                             Err(e)
@@ -82,27 +94,29 @@
         self.input.len() > before
     }
 
-    /// Whose connection it is.
+    /// The IP address of the peer.
     pub fn peer_ip(&self) -> Option<IpAddr> {
         self.stream.peer_addr().ok().map(|address| address.ip())
     }
 
-    /// Bytes that were ever given to be written: where the next message will start.
+    /// How many bytes were ever queued for writing. This is the offset at which the next message will start.
     pub fn bytes_queued(&self) -> u64 {
         self.bytes_queued
     }
 
-    /// Bytes that the socket has taken, of all that were given: what was given before may have been read.
+    /// How many of the queued bytes the socket has taken. The peer may have read all of them.
     pub fn bytes_sent(&self) -> u64 {
         self.bytes_sent
     }
 
+    /// Queues bytes for writing. They are sent by [`Connection::flush`].
     pub fn write(&mut self, bytes: &[u8]) {
         self.bytes_queued += bytes.len() as u64;
         self.output.extend_from_slice(bytes);
     }
 
-    /// Takes back bytes that were given as from `begins`; false, and nothing is changed, if any of them may have left.
+    /// Removes `length` queued bytes that start at `offset`. Returns false and changes nothing if any of them
+    /// may have been sent.
     pub fn cancel_write(&mut self, offset: u64, length: usize) -> bool {
         if offset < self.bytes_sent || offset + length as u64 > self.bytes_queued {
             return false;
@@ -113,20 +127,21 @@
         true
     }
 
-    /// Gives input that was taken out back, without its first bytes, which are used; what has come meanwhile follows it.
+    /// Puts back input that the caller had taken out, without its first `used` bytes. Input that was read
+    /// meanwhile follows it.
     pub fn restore_input(&mut self, mut input: Vec<u8>, used: usize) {
         input.drain(..used);
         input.append(&mut self.input);
         self.input = input;
     }
 
-    /// Bytes that wait to be written.
+    /// How many bytes wait to be written. Output of the TLS session counts as one byte.
     pub fn pending(&self) -> usize {
         let has_tls_output = self.tls.as_ref().is_some_and(|tls| tls.wants_write());
         self.output.len() - self.output_sent + usize::from(has_tls_output)
     }
 
-    /// Writes what the socket takes; true if anything went.
+    /// Writes as much as the socket takes. Returns true if anything was written.
     pub fn flush(&mut self) -> bool {
         let mut has_written = false;
         while self.pending() > 0 {
@@ -139,14 +154,15 @@
             };
             match written {
                 Ok((0, _)) => break,
-                // What the socket has taken may be read and acted on: whatever becomes of the connection, it was there.
+                // The peer may have read and acted on any byte that the socket took. So the connection counts
+                // as established, whatever happens to it later.
                 Ok((_, taken)) => {
                     (self.output_sent, has_written, self.is_connected) =
                         (self.output_sent + taken, true, true);
                     self.bytes_sent += taken as u64;
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                // Not connected yet, or full.
+                // The connection is not established yet, or the socket's send buffer is full.
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
                     break;
                 }
@@ -166,14 +182,16 @@
         has_written
     }
 
-    /// Whether the connection was broken off, so that what was written on it may not have been read. Where the peer closed its side
-    /// before it had what was on its way, this is known only once that has come there.
+    /// Whether the connection was reset, so that the peer may not have read what was written on it. If the
+    /// peer closed its side before it received bytes in flight, the reset is known only after these bytes
+    /// have reached the peer.
     pub fn is_broken(&mut self) -> bool {
         self.is_broken |= !matches!(self.stream.take_error(), Ok(None));
         self.is_broken
     }
 
-    /// Says that nothing more comes from here; the peer's end is waited for, so that it reads the answer.
+    /// Closes the sending side. The receiving side stays open until the peer closes its own, so that the peer
+    /// can read the rest of the answer.
     pub fn shutdown_write(&mut self) {
         if !self.is_write_shut_down {
             self.is_write_shut_down = true;
@@ -185,7 +203,8 @@
         }
     }
 
-    /// Whether the connection could be made, its seal included; none while it is under way.
+    /// Whether the connection was established, including its TLS handshake. Returns `None` while this is in
+    /// progress.
     pub fn connected(&mut self) -> Option<bool> {
         if !self.is_connected {
             match self.stream.take_error() {
@@ -204,11 +223,12 @@
         self.is_connected.then_some(true)
     }
 
+    /// Whether a TLS handshake is in progress.
     fn is_handshaking(&self) -> bool {
         self.tls.as_ref().is_some_and(|tls| tls.is_handshaking())
     }
 
-    /// True once: when the handshake of a sealed line is found to be done.
+    /// Returns true once: on the first call after the TLS handshake is done.
     pub fn take_handshake_done(&mut self) -> bool {
         let done = !self.is_handshake_reported && self.tls.is_some() && !self.is_handshaking();
         self.is_handshake_reported |= done;
@@ -216,7 +236,7 @@
     }
 }
 
-/// Reads what came under a seal, as from a stream.
+/// Reads plaintext from a TLS session like from a stream. Stores a TLS error in `tls_error`.
 fn read_tls_plaintext(
     tls: &mut TlsConnection,
     stream: &TcpStream,
@@ -239,17 +259,18 @@
         if ended && tls.is_handshaking() {
             return Ok(0);
         }
-        // What a handshake asks for, and what ends it, goes out at once; what does not waits for the line's turn.
+        // Handshake messages, including the final ones, are sent at once. What the socket does not take now
+        // is sent by the next flush.
         if tls.wants_write() {
             let _ = tls.write_tls(&mut &*stream);
         }
     }
 }
 
-/// `EINPROGRESS`: the connection is under way.
+/// errno `EINPROGRESS`: the non-blocking connect is in progress.
 const EINPROGRESS: i32 = 115;
 
-/// A connection that is made, or under way.
+/// Opens a non-blocking connection, which is established or still in progress when this returns.
 pub fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
@@ -261,12 +282,13 @@
     Ok(socket.into())
 }
 
-/// Whoever runs the loop that the lines are on.
+/// Implemented by the owner of the event loop on which the connections are registered.
 pub trait ConnectionHandler: 'static {
-    /// Something may be read from this line or written to it, or it has ended.
+    /// Called when the connection may be readable or writable, or has ended.
     fn connection_ready(&mut self, id: ConnectionId);
 }
 
+/// All connections of one event loop.
 pub struct Connections<H: ConnectionHandler, R, O = ()> {
     connections: Slab<(u32, Connection<R, O>)>,
     generation: u32,
@@ -274,10 +296,12 @@
 }
 
 impl<H: ConnectionHandler, R, O: Default> Connections<H, R, O> {
+    /// Creates an empty set of connections on this event loop.
     pub fn new(handle: LoopHandle<'static, H>) -> Connections<H, R, O> {
         Connections { connections: Slab::new(), generation: 0, handle }
     }
 
+    /// Registers a stream with the event loop and returns the id of its connection.
     pub fn open(
         &mut self,
         stream: TcpStream,
@@ -321,28 +345,30 @@
         Ok(id)
     }
 
+    /// The connection with this id, or `None` if it has been closed.
     pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection<R, O>> {
         let (generation, connection) = self.connections.get_mut(id as u32 as usize)?;
         (*generation == (id >> 32) as u32).then_some(connection)
     }
 
-    /// Whether a line of such a role has still bytes that wait to be written.
+    /// Whether any connection whose role satisfies `has_role` still has bytes to write.
     pub fn any_pending(&self, has_role: impl Fn(&R) -> bool) -> bool {
         self.connections
             .iter()
             .any(|(_, (_, connection))| has_role(&connection.role) && connection.pending() > 0)
     }
 
-    /// All that are open.
+    /// The ids of all open connections.
     pub fn ids(&self) -> Vec<ConnectionId> {
         self.connections.iter().map(|(slot, (generation, _))| connection_id(slot, *generation)).collect()
     }
 
-    /// How many lines are open.
+    /// How many connections are open.
     pub fn count(&self) -> usize {
         self.connections.len()
     }
 
+    /// Closes a connection and returns its role, or `None` if it was closed before.
     pub fn close(&mut self, id: ConnectionId) -> Option<R> {
         self.get_mut(id)?;
         let (_, connection) = self.connections.remove(id as u32 as usize);
--- a/crates/connections/src/timers.rs
+++ b/crates/connections/src/timers.rs
@@ -1,28 +1,34 @@
-//! What falls due on a loop, and the time that the loop goes by.
+//! Pending timers of an event loop, and the time that the loop uses. Called by the edge's and the node's
+//! event loop; times are Unix ms.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
-/// Clocks that were set and have not rung. One that is set is never taken back.
+/// Timers that are set and have not fired. A timer that was set is never cancelled; its owner ignores one
+/// that is stale.
 pub struct Timers<T: Ord> {
+    /// The timers by their due time in Unix µs, earliest first.
     pending: BinaryHeap<Reverse<(u64, T)>>,
+    /// When the loop started, as monotonic time and as Unix ms.
     started_at: (Instant, f64),
 }
 
 impl<T: Ord> Timers<T> {
-    /// From one reading of the wall clock, Unix ms.
+    /// Takes one reading of the wall clock in Unix ms, to which monotonic time is added.
     pub fn new(unix_ms: f64) -> Timers<T> {
         Timers { pending: BinaryHeap::new(), started_at: (Instant::now(), unix_ms) }
     }
 
-    /// Unix ms, which no step of the wall clock moves.
+    /// The current time in Unix ms. Steps of the wall clock do not move it.
     pub fn now(&self) -> f64 {
         self.started_at.1 + self.started_at.0.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Rounded up: one that rang before its time would be passed over, and not ring again. A Unix time in ms is kept to a quarter of
-    /// a µs, which the way to whole µs and back may lose; a loop that wakes to the instant then is too early by that much.
+    /// Sets a timer. Its time is rounded up to whole µs, because the owner ignores a timer that fires early
+    /// and waits for a second one that never comes. A Unix time in ms as `f64` has a precision of a quarter
+    /// of a µs, and the conversion to whole µs and back can lose that much; a loop that wakes exactly then
+    /// would be too early.
     pub fn schedule(&mut self, due_at: f64, timer: T) {
         let mut us = (due_at * 1000.0).max(0.0).ceil() as u64;
         if us as f64 / 1000.0 < due_at {
@@ -31,23 +37,25 @@
         self.pending.push(Reverse((us, timer)));
     }
 
-    /// How long until the next rings; none where none is set.
+    /// How long until the next timer is due, or `None` if no timer is set.
     pub fn time_to_next(&self) -> Option<Duration> {
         let next = self.pending.peek()?.0.0 as f64 / 1000.0;
         Some(Duration::from_secs_f64((next - self.now()).max(0.0) / 1000.0))
     }
 
-    /// The first that has fallen due by then, with its time.
+    /// Removes the earliest timer that is due at `now`, and returns it with its time.
     pub fn pop_due(&mut self, now: f64) -> Option<(f64, T)> {
         let to_ms = |us: u64| us as f64 / 1000.0;
         self.pending.peek().filter(|next| to_ms(next.0.0) <= now)?;
         self.pending.pop().map(|Reverse((due_us, timer))| (to_ms(due_us), timer))
     }
 
+    /// How many timers are pending.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
+    /// Whether no timer is pending.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
--- a/crates/connections/tests/reached.rs
+++ b/crates/connections/tests/reached.rs
@@ -1,34 +1,37 @@
-//! Whether a connection that was broken off was ever made.
+//! A connection that was reset counts as established if the peer can have read anything on it.
 
 use calloop::EventLoop;
 use pulleystair_connections::{ConnectionHandler, ConnectionId, Connections};
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
 
-struct Nobody;
+struct NoOpHandler;
 
-impl ConnectionHandler for Nobody {
+impl ConnectionHandler for NoOpHandler {
     fn connection_ready(&mut self, _: ConnectionId) {}
 }
 
-/// The loop was busy: the server read the set-up, ran it and reset the connection before this front looked. Taken
-/// for a server that was never reached, a paid set-up would be sent a second time.
+/// While the event loop is busy, a server can read a set-up, run it and reset the connection. If the connection then
+/// counted as never established, a paid set-up would be sent a second time.
 #[test]
 fn a_server_that_read_the_request_and_reset_was_reached() {
-    let event_loop = EventLoop::<'static, Nobody>::try_new().expect("a loop");
-    let mut lines: Connections<Nobody, ()> = Connections::new(event_loop.handle());
+    let event_loop = EventLoop::<'static, NoOpHandler>::try_new().expect("an event loop");
+    let mut connections: Connections<NoOpHandler, ()> = Connections::new(event_loop.handle());
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let stream = TcpStream::connect(listener.local_addr().expect("its address")).expect("a connection");
-    let key = lines.open(stream, None, ()).expect("a line");
-    let line = lines.get_mut(key).expect("it is open");
-    line.write(b"POST");
-    assert!(line.flush());
-    let (mut server, _) = listener.accept().expect("the server takes it");
-    server.read_exact(&mut [0; 4]).expect("and reads it");
-    socket2::SockRef::from(&server).set_linger(Some(std::time::Duration::ZERO)).expect("to be reset");
+    let stream =
+        TcpStream::connect(listener.local_addr().expect("the listener's address")).expect("a connection");
+    let id = connections.open(stream, None, ()).expect("a connection is opened");
+    let connection = connections.get_mut(id).expect("the connection is open");
+    connection.write(b"POST");
+    assert!(connection.flush());
+    let (mut server, _) = listener.accept().expect("the server accepts");
+    server.read_exact(&mut [0; 4]).expect("the server reads the request");
+    socket2::SockRef::from(&server)
+        .set_linger(Some(std::time::Duration::ZERO))
+        .expect("the socket takes the linger option");
     drop(server);
-    while line.peer_ip().is_some() {
+    while connection.peer_ip().is_some() {
         std::thread::yield_now();
     }
-    assert_eq!(line.connected(), Some(true));
+    assert_eq!(connection.connected(), Some(true));
 }
--- a/crates/connections/tests/timers.rs
+++ b/crates/connections/tests/timers.rs
@@ -1,27 +1,28 @@
-//! When clocks ring.
+//! No timer fires before its time.
 
 use pulleystair_connections::timers::Timers;
 
-/// A desk passes over a timer that rings before its time, and waits for ever if that was its only one.
+/// A dispatcher ignores a timer that fires early, and waits for ever if that was its only timer.
 #[test]
-fn none_rings_before_its_time() {
-    let mut clocks = Timers::new(0.0);
-    clocks.schedule(1000.0004, "it");
-    assert_eq!(clocks.pop_due(1000.0), None);
-    assert_eq!(clocks.pop_due(1000.001), Some((1000.001, "it")));
-    assert!(clocks.is_empty() && clocks.time_to_next().is_none());
+fn no_timer_fires_early() {
+    let mut timers = Timers::new(0.0);
+    timers.schedule(1000.0004, "timer");
+    assert_eq!(timers.pop_due(1000.0), None);
+    assert_eq!(timers.pop_due(1000.001), Some((1000.001, "timer")));
+    assert!(timers.is_empty() && timers.time_to_next().is_none());
 }
 
-/// So does whoever asks for the list: the last question rang a quarter of a microsecond early, in the very instant in which the loop
-/// woke for it, and no other was asked. One clock in some 250 was set so.
+/// At Unix times, the conversion of `f64` ms to whole µs lost up to a quarter of a µs. About one timer in 250 was due that
+/// much too early, at exactly the time at which the loop woke for it. The timer of the list query was then ignored, and no
+/// further query was sent.
 #[test]
-fn none_rings_before_its_time_at_unix_times() {
-    let mut chance = oorandom::Rand64::new(7);
+fn no_timer_fires_early_at_unix_times() {
+    let mut rng = oorandom::Rand64::new(7);
     for _ in 0..200_000 {
-        let due = 1_796_179_500_000.0 + 3e6 * chance.rand_float();
-        let mut clocks = Timers::new(0.0);
-        clocks.schedule(due, ());
-        let (rings, ()) = clocks.pop_due(f64::MAX).expect("it is set");
-        assert!(rings >= due && rings < due + 0.003, "{rings} for {due}");
+        let due_at = 1_796_179_500_000.0 + 3e6 * rng.rand_float();
+        let mut timers = Timers::new(0.0);
+        timers.schedule(due_at, ());
+        let (fires_at, ()) = timers.pop_due(f64::MAX).expect("the timer is set");
+        assert!(fires_at >= due_at && fires_at < due_at + 0.003, "fires at {fires_at}, due at {due_at}");
     }
 }
--- a/crates/dns-discovery/src/lib.rs
+++ b/crates/dns-discovery/src/lib.rs
@@ -1,5 +1,5 @@
-//! The list of media servers: the events known at the start of a front, from JSON, and what the name service answers since,
-//! from DNS messages. No I/O; called by the node.
+//! The list of media servers: the events known when a node starts, from JSON, and the later responses of the
+//! name service, from DNS messages. No I/O; called by the node, the fuzz checks and the message mutation.
 
 use pulleystair::Standing;
 use serde::Deserialize;
@@ -9,16 +9,16 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use thiserror::Error;
 
-/// What the list is asked for under.
+/// The name whose SRV records make up the list.
 const SERVICE_NAME: &str = "_app._tcp.cluster.lan";
-/// Bytes of an answer at most: what a datagram can hold. Hundreds of servers fill more than 8 KiB.
+/// Most bytes of a response: the size of a UDP datagram. A list of hundreds of servers needs more than 8 KiB.
 pub const MAX_BYTES: usize = 64 << 10;
-/// The priority that says that a server drains.
+/// The SRV priority of a server that is draining.
 const DRAINING_PRIORITY: u16 = 1;
-/// A record's weight for one of the list.
+/// How much the weight of an SRV record is larger than the weight in the list.
 const WEIGHT_SCALE: f64 = 10.0;
 
-/// A line of the list.
+/// A server's entry in the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
     pub id: String,
@@ -28,31 +28,34 @@
     pub cell: usize,
     pub standing: Standing,
     pub weight: f64,
-    /// The Unix millisecond of a late start, or 0.
+    /// When the server started, Unix ms, if it started late; otherwise 0.
     pub started: f64,
 }
 
-/// The events of the start, in the order in which they came.
+/// The events known when a node starts, in order.
 #[derive(Debug, Deserialize)]
 pub struct InitialEvents {
     pub rev: u32,
     pub notices: Vec<ListEvent>,
 }
 
-/// One of them: the list, whole or what changed of it.
+/// One event: the whole list, or the entries that have changed.
 #[derive(Debug, Deserialize)]
 pub struct ListEvent {
     pub rev: u32,
     pool: Pool,
 }
 
+/// The servers of an event.
 #[derive(Debug, Deserialize)]
 struct Pool {
+    /// Whether the servers are the whole list.
     #[serde(default)]
     full: bool,
     servers: Vec<ServerRecord>,
 }
 
+/// A server as an event describes it.
 #[derive(Debug, Deserialize)]
 struct ServerRecord {
     id: String,
@@ -70,6 +73,7 @@
     started_ms: f64,
 }
 
+/// The state of a server in an event.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum ServerState {
@@ -79,7 +83,7 @@
 }
 
 impl ListEvent {
-    /// Whether it holds the whole list, and its lines.
+    /// The entries of this event, and whether they are the whole list.
     pub fn entries(&self) -> (bool, Vec<ServerEntry>) {
         let entry = |record: &ServerRecord| ServerEntry {
             id: record.id.clone(),
@@ -100,7 +104,7 @@
 }
 
 impl InitialEvents {
-    /// What all the events come to, in their order: the list, and whether it is whole.
+    /// Merges all events in order into one list. Returns whether the list is whole, and the list.
     pub fn merged_list(&self) -> (bool, Vec<ServerEntry>) {
         let (mut is_whole, mut list): (bool, Vec<ServerEntry>) = (false, Vec::new());
         let mut indices: HashMap<String, usize> = HashMap::new();
@@ -124,33 +128,33 @@
     }
 }
 
-/// Why an answer of the name service was not taken.
+/// Why a response of the name service was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ResponseError {
-    #[error("it can't be read: {0}")]
+    #[error("the DNS response cannot be parsed: {0}")]
     Unparsable(String),
-    #[error("it is no answer to what was asked")]
+    #[error("the DNS message is not a response")]
     NotAResponse,
-    #[error("it was cut short")]
+    #[error("the DNS response is truncated")]
     Truncated,
-    #[error("the name service reports a failure: {0}")]
+    #[error("the name service reports an error: {0}")]
     ServerFailure(String),
-    #[error("it has no serial")]
+    #[error("the DNS response has no serial")]
     MissingSerial,
-    #[error("{0} has no address, or not what is to be known of it")]
+    #[error("server {0} has no address or lacks attributes")]
     Incomplete(String),
 }
 
-/// So many events may have come since the last that is known, at most; a serial that says more is a spoilt one, which would
-/// make every later list an older one.
+/// The most events that can have happened since the last known one. A serial that is further ahead is
+/// corrupt; accepting it would make every later list look old.
 const MAX_REVISION_STEP: u32 = 1 << 16;
 
-/// Whether an answer of this serial is newer than what is known.
+/// Whether a response with this serial is newer than the known revision.
 pub fn is_newer(rev: Option<u32>, serial: u32) -> bool {
     rev.is_none_or(|rev| serial > rev && serial - rev <= MAX_REVISION_STEP)
 }
 
-/// The question for the whole list, under an id that its answer is to have.
+/// Encodes the DNS query for the whole list. The response will carry the same id.
 pub fn query(id: u16) -> Vec<u8> {
     let mut packet = Packet::new_query(id);
     let name = Name::new_unchecked(SERVICE_NAME);
@@ -158,12 +162,13 @@
     packet.build_bytes_vec().unwrap_or_default()
 }
 
-/// The id of an answer, which says whose it is.
+/// The id of a DNS response, which says which query it answers.
 pub fn response_id(bytes: &[u8]) -> Option<u16> {
     bytes.first_chunk::<2>().map(|id| u16::from_be_bytes(*id))
 }
 
-/// The number of the last event that an answer holds, and the whole list.
+/// Parses a DNS response. Returns the serial, which is the number of the last event that the list includes,
+/// and the whole list.
 pub fn parse_response(bytes: &[u8]) -> Result<(u32, Vec<ServerEntry>), ResponseError> {
     let packet = Packet::parse(bytes).map_err(|e| ResponseError::Unparsable(e.to_string()))?;
     if !packet.has_flags(PacketFlag::RESPONSE) {
--- a/crates/rtsp/src/lib.rs
+++ b/crates/rtsp/src/lib.rs
@@ -1,43 +1,50 @@
-//! The media servers' RTSP messages, read from bytes in any cuts and written whole. No I/O; called by the node.
+//! The RTSP messages between media servers and the node: a parser for bytes that arrive in any fragments, and
+//! an encoder for requests. No I/O; called by the node, the fuzz checks and the message mutation.
 //!
-//! The first line is read here, the header fields by httparse, which refuses what can't be a field before the line has ended.
+//! The first line is parsed here. The header fields are parsed by httparse, which rejects an invalid field
+//! before its line has ended.
 
 use std::fmt::Write;
 use thiserror::Error;
 
-/// Bytes of a message at most, head and body.
+/// Most bytes of a message, head and body.
 pub const MAX_BYTES: usize = 16 << 10;
-/// Bytes of a first line at most.
+/// Most bytes of a first line.
 const MAX_FIRST_LINE_BYTES: usize = 1024;
-/// Header fields at most.
+/// Most header fields of a message.
 const MAX_FIELDS: usize = 32;
+/// The protocol version in the first line.
 const VERSION: &str = "RTSP/1.0";
 
-/// What was wrong with the bytes that a peer sent.
+/// Why bytes from a peer could not be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseError {
-    #[error("the first line has a byte {0:#04x}")]
+    #[error("the first line contains the byte {0:#04x}")]
     InvalidByte(u8),
-    #[error("the first line does not end within {MAX_FIRST_LINE_BYTES} bytes")]
+    #[error("the first line is longer than {MAX_FIRST_LINE_BYTES} bytes")]
     FirstLineTooLong,
-    #[error("the first line is neither an answer's nor a request's: {0:?}")]
+    #[error("the first line is neither that of a response nor that of a request: {0:?}")]
     InvalidFirstLine(String),
-    #[error("the header can't be read: {0}")]
+    #[error("the header cannot be parsed: {0}")]
     InvalidHeader(httparse::Error),
-    #[error("there is not one Content-Length")]
+    #[error("the message needs exactly one valid Content-Length")]
     InvalidContentLength,
-    #[error("it says that it has {0} bytes, more than are taken")]
+    #[error("message length {0} exceeds the limit")]
     TooLong(u64),
-    #[error("there is no Session of 16 hex digits")]
+    #[error("the message has no Session of 16 hex digits")]
     InvalidSession,
 }
 
+/// The first line of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Start {
+    /// A response with its status code.
     Answer(u16),
+    /// A request with its method.
     Request(String),
 }
 
+/// A parsed message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     pub start: Start,
@@ -46,12 +53,13 @@
     pub body: Vec<u8>,
 }
 
-/// 16 hex digits as ids are written.
+/// Parses a session id of exactly 16 hex digits.
 fn parse_session_id(text: &str) -> Option<u64> {
     let is_valid = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     is_valid.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
+/// Parses the first line of a response or a request.
 fn parse_first_line(line: &str) -> Result<Start, ParseError> {
     let error = || ParseError::InvalidFirstLine(line.chars().take(60).collect());
     let (first_word, rest) = line.split_once(' ').ok_or_else(error)?;
@@ -69,7 +77,8 @@
 }
 
 impl Message {
-    /// The first message of these bytes and how many it takes; none while it has not come whole.
+    /// Parses the first message of `input`. Returns the message and its length in bytes, or `None` if the
+    /// message is incomplete.
     pub fn parse(input: &[u8]) -> Result<Option<(Message, usize)>, ParseError> {
         let line = &input[..input.iter().position(|b| *b == b'\n').unwrap_or(input.len())];
         if line.len() > MAX_FIRST_LINE_BYTES {
@@ -118,26 +127,29 @@
         Ok(Some((message, message_length)))
     }
 
-    /// The first field of this name.
+    /// The value of the first header field with this name, ignoring case.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.iter().find(|f| f.0.eq_ignore_ascii_case(name)).map(|f| f.1.as_str())
     }
 
+    /// The value of a header field as a finite number.
     pub fn number(&self, name: &str) -> Option<f64> {
         self.field(name)?.parse().ok().filter(|n: &f64| n.is_finite())
     }
 
-    /// Which request an answer is to; none where it does not say.
+    /// The `CSeq` number, which says to which request a response belongs; `None` if it is missing or no
+    /// number.
     pub fn cseq(&self) -> Option<u32> {
         self.field("CSeq")?.parse().ok()
     }
 
-    /// The cause that a release gives as `cause=N`.
+    /// The cause of a session's end, from the header field `Reason: cause=N`.
     pub fn cause(&self) -> Option<u8> {
         self.field("Reason")?.trim().strip_prefix("cause=")?.parse().ok()
     }
 
-    /// A report's figures by their names, as in `x0:12;x1:40`; those that are no numbers are passed over.
+    /// The named load values of a report, such as `x0:12;x1:40`. Values that are not finite numbers are
+    /// skipped.
     pub fn report(&self) -> impl Iterator<Item = (&str, f64)> {
         let pairs = self.field("X-Circuits").unwrap_or("").split(';');
         pairs.filter_map(|pair| {
@@ -147,7 +159,7 @@
     }
 }
 
-/// A whole request.
+/// Encodes a request with its header and body.
 pub fn request(
     method: &str,
     path: &str,
--- a/crates/viewer-protocol/src/lib.rs
+++ b/crates/viewer-protocol/src/lib.rs
@@ -1,17 +1,20 @@
-//! The viewers' binary messages, read from bytes in any cuts and written whole. No I/O; called by the node.
+//! The binary messages between viewers and the node: a parser for bytes that arrive in any fragments, and an
+//! encoder. No I/O; called by the node, the fuzz checks and the message mutation.
 //!
-//! A message is a length of two bytes (of all that follows), a type, the session's eight bytes, and parameters, each a code, a
-//! length of two bytes and a value.
+//! A message consists of a length of two bytes (which counts all that follows), a type, a session id of eight
+//! bytes, and parameters. Each parameter consists of a code, a length of two bytes and a value. Numbers are
+//! big-endian.
 
 use thiserror::Error;
 
-/// Bytes of a message at most, its length included.
+/// Most bytes of a message, including its length field.
 pub const MAX_BYTES: usize = 16 << 10;
+/// Bytes of the length field.
 const LENGTH_BYTES: usize = 2;
-/// Type and session, which every message has.
+/// Bytes of the type and the session id, which every message has.
 const HEADER_BYTES: usize = 9;
 
-/// What a message is, by its type.
+/// The types of messages.
 pub mod kind {
     pub const SET_UP: u8 = 1;
     pub const PROGRESS: u8 = 6;
@@ -25,7 +28,7 @@
     pub const RUNG: u8 = 60;
 }
 
-/// What a parameter is, by its code.
+/// The codes of parameters.
 pub mod code {
     pub const CLASS: u8 = 3;
     pub const TIME_LIMIT: u8 = 6;
@@ -37,28 +40,31 @@
     pub const DESCRIPTION: u8 = 48;
 }
 
-/// What was wrong with the bytes that a peer sent.
+/// Why bytes from a peer could not be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ParseError {
-    #[error("a message says that it has {0} bytes, fewer than its type and session take")]
+    #[error("message length {0} is too short for the type and the session id")]
     TooShort(usize),
-    #[error("a message says that it has {0} bytes, more than are taken")]
+    #[error("message length {0} exceeds the limit")]
     TooLong(usize),
-    #[error("parameter {code} says that it has {length} bytes where {left} are left")]
+    #[error("parameter {code} has length {length}, but only {left} bytes are left in the message")]
     ParameterOverrun { code: u8, length: usize, left: usize },
-    #[error("a message ends within the head of a parameter")]
+    #[error("the message ends within the header of a parameter")]
     TruncatedParameter,
 }
 
+/// A parsed message, which borrows its parameters from the input.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message<'a> {
+    /// The type, one of [`kind`].
     pub kind: u8,
     pub session: u64,
     parameters: &'a [u8],
 }
 
 impl<'a> Message<'a> {
-    /// The first message of these bytes and how many it takes; none while it has not come whole.
+    /// Parses the first message of `input`. Returns the message and its length in bytes, or `None` if the
+    /// message is incomplete.
     pub fn parse(input: &'a [u8]) -> Result<Option<(Message<'a>, usize)>, ParseError> {
         let Some(length) = input.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u16::from_be_bytes(*length) as usize;
@@ -79,7 +85,7 @@
         Ok(Some((message, LENGTH_BYTES + length)))
     }
 
-    /// Its parameters in order, up to the first that can't be read.
+    /// The parameters in order, up to and including the first that cannot be parsed.
     pub fn parameters(&self) -> impl Iterator<Item = Result<(u8, &'a [u8]), ParseError>> + use<'a> {
         let mut rest = self.parameters;
         std::iter::from_fn(move || {
@@ -98,23 +104,23 @@
         })
     }
 
-    /// The first value of this parameter.
+    /// The value of the first parameter with this code.
     pub fn get(&self, code: u8) -> Option<&'a [u8]> {
         self.parameters().map_while(Result::ok).find(|p| p.0 == code).map(|p| p.1)
     }
 
-    /// The same as text.
+    /// Like [`Message::get`], as text; `None` if the value is not UTF-8.
     pub fn text(&self, code: u8) -> Option<&'a str> {
         self.get(code).and_then(|value| std::str::from_utf8(value).ok())
     }
 
-    /// The cause that a release gives; none where it gives no single byte.
+    /// The cause of a release, or `None` if the message has no cause of exactly one byte.
     pub fn cause(&self) -> Option<u8> {
         self.get(code::CAUSE).filter(|value| value.len() == 1).map(|value| value[0])
     }
 }
 
-/// A whole message; none where it would be larger than messages may be.
+/// Encodes a message, or returns `None` if it would exceed [`MAX_BYTES`].
 pub fn encode(kind: u8, session: u64, parameters: &[(u8, &[u8])]) -> Option<Vec<u8>> {
     let length = HEADER_BYTES + parameters.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
     if length + LENGTH_BYTES > MAX_BYTES {
