--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -28,9 +28,9 @@
     slot as u64 | u64::from(generation) << 32
 }
 
-/// Most bytes that are read from a socket at a time.
+/// Maximum number of bytes that are read from a socket at a time.
 const READ_CHUNK_BYTES: usize = 16 << 10;
-/// Most bytes of plaintext that are passed to the TLS session at a time.
+/// Maximum number of bytes of plaintext that are passed to the TLS session at a time.
 const TLS_CHUNK_BYTES: usize = 64 << 10;
 
 /// An open connection with the owner's role `R` and options `O`.
--- a/crates/dns-discovery/src/lib.rs
+++ b/crates/dns-discovery/src/lib.rs
@@ -11,7 +11,8 @@
 
 /// The name whose SRV records make up the list.
 const SERVICE_NAME: &str = "_app._tcp.cluster.lan";
-/// Most bytes of a response: the size of a UDP datagram. A list of hundreds of servers needs more than 8 KiB.
+/// Maximum number of bytes of a response: the size of a UDP datagram. A list of hundreds of servers needs more
+/// than 8 KiB.
 pub const MAX_BYTES: usize = 64 << 10;
 /// The SRV priority of a server that is draining.
 const DRAINING_PRIORITY: u16 = 1;
--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -1,4 +1,5 @@
-//! What the desk has done: attempts, withdrawals, steps, probes and final answers.
+//! What the node does for the dispatcher: starts and withdraws attempts, changes rungs, sends probes and
+//! writes final answers.
 
 use crate::state::{AllocationEnd, Attempt, CAUSE_FAILED, CAUSE_REFUSED, CSEQ_PROBE, NodeState, Timer};
 use pulleystair::Outcome;
@@ -6,7 +7,7 @@
 use pulleystair_rtsp as rtsp;
 
 impl Actions for NodeState {
-    /// It goes out at the end of the turn, once its viewer's connection was looked at.
+    /// The set-up is sent at the end of the turn, after the viewer's connection was read.
     fn send(&mut self, play: u64, server: u32, rung: usize, timeout: f64) {
         let now = self.now();
         let Some(session) = self.sessions.get_mut(&play) else { return };
@@ -18,6 +19,7 @@
         self.outgoing_attempts.push_back(Attempt { session: play, number });
     }
 
+    /// Ends the play's session or abandons its attempt, and queues the outcome.
     fn withdraw(&mut self, play: u64) {
         let Some(session) = self.sessions.get(&play) else { return };
         let Some(server) = session.server else { return };
@@ -31,6 +33,7 @@
         self.finished_allocations.push_back(AllocationEnd { play, server, outcome });
     }
 
+    /// Records the rung and sends it to the server if the session plays.
     fn set_rung(&mut self, play: u64, rung: usize) {
         if let Some(session) = self.sessions.get_mut(&play) {
             session.rung = rung;
@@ -38,6 +41,7 @@
         self.send_rung(play);
     }
 
+    /// Requests a load report from a server, if a connection to it can be had.
     fn probe(&mut self, server: u32) {
         self.stats.probes += 1;
         let Some(connection_id) = self.connection_to(server, false) else { return };
@@ -46,21 +50,24 @@
         self.write_to_server(connection_id, &bytes);
     }
 
+    /// Answers the set-up with a refusal. The viewer may try again after `retry_after` ms.
     fn decline(&mut self, play: u64, retry_after: f64) {
         self.stats.declined += 1;
         self.reject_play(play, CAUSE_REFUSED, retry_after);
     }
 
+    /// Answers the set-up with a failure.
     fn fail(&mut self, play: u64) {
         self.stats.failed += 1;
         self.reject_play(play, CAUSE_FAILED, 0.0);
     }
 
+    /// Sets a timer of the dispatcher, which fires after `delay` ms.
     fn set_timer(&mut self, timer: u32, delay: f64) {
         let due_at = self.now() + delay;
         self.schedule(due_at, Timer::Dispatcher(timer));
     }
 
-    /// The list is asked for all the time.
+    /// Does nothing, because the node queries the list at a fixed interval.
     fn watch_list(&mut self) {}
 }
--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -1,9 +1,10 @@
-//! Attempts to set sessions up: how they begin, and how one that was out has ended without a session that stands.
+//! Attempts to set up a session at a server: how they start, time out and end.
 //!
-//! What has come from a viewer decides before anything is begun for it: a viewer that has closed its connection or given its set-up
-//! up by the time at which the attempt would begin has none made. So the desk's sends wait for the end of the turn, and there each
-//! viewer's connection is read to its end first. A connection that brings more than one turn takes holds its own attempts back, and
-//! those alone, until it is read. The time between that look and the set-up's bytes is that of one write.
+//! All input from a viewer is handled before an attempt starts for it, so that no attempt is made for a
+//! viewer that has closed its connection or given up its set-up by then. Therefore the attempts that the
+//! dispatcher requests wait until the end of the turn, and each viewer's connection is first read until it is
+//! empty. A connection with more input than one turn handles delays its own attempts, and only those, until
+//! all of it is read. Between that read and the bytes of the set-up there is only the time of one write.
 
 use crate::node::Node;
 use crate::state::{AllocationEnd, Attempt};
@@ -12,7 +13,7 @@
 use tracing::debug;
 
 impl Node {
-    /// Carries out what the desk wants sent; true if there was anything.
+    /// Starts the attempts that the dispatcher has requested. Returns true if there were any.
     pub(crate) fn start_outgoing_attempts(&mut self) -> bool {
         let mut has_started = false;
         while let Some(attempt) = self.state.outgoing_attempts.pop_front() {
@@ -23,19 +24,20 @@
         has_started
     }
 
-    /// Attempts whose viewers' connections were read only in part are looked at again in the next turn.
+    /// Queues the attempts again whose viewers' connections were read only in part in the last turn.
     pub(crate) fn requeue_held_attempts(&mut self) {
         let held = std::mem::take(&mut self.state.held_attempts);
         self.state.outgoing_attempts.extend(held);
     }
 
+    /// Sends the set-up of one attempt, unless its viewer has gone or its server is not ready.
     fn start_attempt(&mut self, attempt: Attempt) {
         let Some((_, viewer_connection)) = self.state.startable_attempt(&attempt) else { return };
         if !self.handle_viewer_connection(viewer_connection) {
             return self.state.held_attempts.push(attempt);
         }
         let Some((server, _)) = self.state.startable_attempt(&attempt) else {
-            return debug!(target: "play", play = format!("{:016x}", attempt.session), "its viewer has gone: not sent");
+            return debug!(target: "play", play = format!("{:016x}", attempt.session), "set-up not sent: its viewer has gone");
         };
         let (play, standing) = (attempt.session, self.state.servers.get(&server).map(|s| s.listing.standing));
         let outcome = if standing != Some(Standing::Ready) {
@@ -49,8 +51,8 @@
         self.state.finished_allocations.push_back(AllocationEnd { play, server, outcome });
     }
 
-    /// What waited for its connection is about to go out, now that it is up: a set-up whose viewer has gone by now, or whose time
-    /// is over, does not.
+    /// Checks the set-ups that are about to be sent on a connection that is now up. A set-up is dropped if
+    /// its viewer has gone or its deadline has passed.
     pub(crate) fn recheck_unsent_set_ups(&mut self, connection_id: ConnectionId) {
         for play in self.state.unsent_set_ups(connection_id) {
             if let Some(session) = self.state.sessions.get(&play) {
@@ -65,14 +67,15 @@
         }
     }
 
-    /// An attempt has had its time.
+    /// Ends an attempt whose deadline has passed.
     pub(crate) fn on_attempt_deadline(&mut self, play: u64, number: u32) {
         let pending_attempt = |node: &Node| {
             let session = node.state.sessions.get(&play)?;
             let is_pending = session.attempts == number && !session.is_playing;
             Some((session.server.filter(|_| is_pending)?, session.server_connection))
         };
-        // What its server has said by now, or that it has closed, decides; to what has not left it can't have said anything.
+        // A response or a close that has already arrived decides the outcome. A set-up that was not sent
+        // cannot have a response.
         if let Some((_, Some(connection_id))) = pending_attempt(self)
             && !self.state.unsent_set_ups(connection_id).contains(&play)
         {
@@ -83,12 +86,13 @@
         if let Some(connection) =
             connection_id.and_then(|connection_id| self.state.server_connection(connection_id))
         {
-            // Not up by now, or silent since this set-up went out: it may never speak.
+            // The connection is not up by now, or has been silent since this set-up was sent, so the server
+            // may never respond on it.
             connection.is_unresponsive |= !connection.is_up || connection.last_heard_at < since;
         }
         let unsent = self.state.abandon_attempt(play);
         let waited = self.state.now() - since;
-        debug!(target: "play", play = format!("{play:016x}"), server = self.state.server_id(server), waited, unsent, "timed out");
+        debug!(target: "play", play = format!("{play:016x}"), server = self.state.server_id(server), waited, unsent, "attempt timed out");
         let outcome = match (unsent, connection_id) {
             (false, _) => Outcome::TimedOut,
             (true, Some(_)) => Outcome::Unreachable,
@@ -98,7 +102,7 @@
         self.report_finished_allocations();
     }
 
-    /// An attempt that was out has ended without a session that stands.
+    /// Records that an attempt ended without a playing session, and reports it to the dispatcher.
     pub(crate) fn on_attempt_ended(&mut self, play: u64, server: u32, outcome: Outcome, load: &[LoadMetric]) {
         let now = self.state.now();
         if let Some(session) = self.state.sessions.get_mut(&play).filter(|s| s.server == Some(server)) {
@@ -116,6 +120,7 @@
         }
     }
 
+    /// Reports the queued ends of attempts to the dispatcher.
     pub(crate) fn report_finished_allocations(&mut self) {
         while let Some(AllocationEnd { play, server, outcome }) = self.state.finished_allocations.pop_front()
         {
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! What a node is given at start: a file of JSON, with the platform's settings as a call sheet.
+//! The configuration of a node: a JSON file with the platform's settings, read at start and on SIGHUP.
 
 use anyhow::{Context, anyhow};
 use pulleystair::{Settings, number};
@@ -8,60 +8,80 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Bytes of the file at most.
+/// Maximum number of bytes of the file.
 const MAX_FILE_BYTES: u64 = 16 << 20;
 
+/// The contents of the file, and what is derived from it.
 #[derive(Debug, Deserialize)]
 pub struct Config {
+    /// The node's name, which a new file has to repeat.
     #[serde(default)]
     pub name: String,
+    /// The address on which viewers connect.
     pub listen: SocketAddr,
+    /// The seed of the node's random numbers, in hex digits.
     seed: String,
+    /// Limits of the process.
     pub limits: Limits,
+    /// The address of the name service.
     pub resolver: SocketAddr,
+    /// The list of servers known at the start.
     pub known: InitialEvents,
+    /// The platform's settings as they stand in the file; null once `policy_settings` is set.
     settings: serde_json::Value,
+    /// The path of the file, to read it again.
     #[serde(skip)]
     pub path: PathBuf,
+    /// The settings by flat name.
     #[serde(skip)]
     pub policy_settings: Settings,
+    /// The number in `seed`.
     #[serde(skip)]
     pub salt: u64,
 }
 
+/// Limits of the process, as the file states them.
 #[derive(Debug, Deserialize)]
 pub struct Limits {
+    /// How many file descriptors the process may use.
     pub sockets: usize,
 }
 
-/// What the node itself reads of the call sheet.
+/// The part of the settings that the node itself uses.
 #[derive(Debug)]
 pub struct NodeLimits {
+    /// The names of the products, in order.
     pub products: Vec<String>,
+    /// The names of the zones, in order.
     pub zones: Vec<String>,
+    /// The names of the kinds of servers, in order.
     pub kinds: Vec<String>,
+    /// How many cells the fleet of servers has.
     pub cells: usize,
+    /// How many rungs the ladder has.
     pub rungs: usize,
-    /// Time to make a connection to a server, ms.
+    /// Time to establish a connection to a server, ms.
     pub dial_timeout: f64,
-    /// How often a server tells of its link where a play runs, ms; 0 for never.
+    /// Interval at which a server reports the load of its link while a play runs, ms; 0 if it never does.
     pub note_interval: f64,
-    /// The longest time to come back that viewers heed, ms; 0 where they heed none.
+    /// The longest retry delay that viewers obey, ms; 0 if they obey none.
     pub max_retry_after: f64,
     /// The longest of the products' time limits, ms.
     pub max_time_limit: f64,
-    /// A server closes a connection that was idle for so long, ms; infinite where the settings name no such time.
+    /// A server closes a connection that was idle for this long, ms; infinite if the settings name no such
+    /// time.
     pub idle_close: f64,
-    /// Set-ups that a connection to a server may carry at once.
+    /// Set-ups that may be pending on a connection to a server at the same time.
     pub max_set_ups_per_connection: usize,
 }
 
 impl Config {
+    /// Reads and checks the file. Errors name the file and the setting.
     pub fn read(path: &Path) -> anyhow::Result<Config> {
         let file_name = || path.display().to_string();
         let size = std::fs::metadata(path).with_context(file_name)?.len();
         if size > MAX_FILE_BYTES {
-            return Err(anyhow!("{}: it has {size} bytes, more than {MAX_FILE_BYTES}", file_name()));
+            return Err(anyhow!("{}: the file has {size} bytes, more than {MAX_FILE_BYTES}", file_name()));
         }
         let text = std::fs::read(path).with_context(file_name)?;
         let mut json = serde_json::Deserializer::from_slice(&text);
@@ -69,17 +89,23 @@
             .map_err(|e| anyhow!("{}: {}: {}", file_name(), e.path(), e.inner()))?;
         config.policy_settings =
             settings_from_json(&config.settings).map_err(|e| anyhow!("{}: settings: {e}", file_name()))?;
-        config.salt = u64::from_str_radix(&config.seed, 16)
-            .map_err(|e| anyhow!("{}: seed: {:?} are no hex digits: {e}", file_name(), config.seed))?;
+        config.salt = u64::from_str_radix(&config.seed, 16).map_err(|e| {
+            anyhow!("{}: seed: {:?} is not a 64-bit number in hex digits: {e}", file_name(), config.seed)
+        })?;
         config.settings = serde_json::Value::Null;
-        // A node without classes could take no set-up, and would turn every viewer away as one that makes no sense.
+        // Without a class the node could accept no set-up, and would reject every viewer's set-up as
+        // unusable.
         if config.node_limits().products.is_empty() {
-            return Err(anyhow!("{}: settings: lanes[0].name is missing: no class is named", file_name()));
+            return Err(anyhow!(
+                "{}: settings: lanes[0].name is missing: the settings name no class",
+                file_name()
+            ));
         }
         config.path = path.to_path_buf();
         Ok(config)
     }
 
+    /// Extracts what the node itself uses from the settings.
     pub fn node_limits(&self) -> NodeLimits {
         let number = |name: &str, default: f64| number(&self.policy_settings, name, default);
         let names = |prefix: &str| text_list(&self.policy_settings, |i| format!("{prefix}.{i}"));
--- a/crates/node/src/ended_sessions.rs
+++ b/crates/node/src/ended_sessions.rs
@@ -1,28 +1,31 @@
-//! Sessions that have ended, for a while: the hand-over of a session to a node that has just started, and the word of its end, come
-//! on different connections and in either order.
+//! Recently ended sessions. The adoption of a session by a node that has just started and the report of the
+//! session's end arrive on different connections and in either order.
 
 use crate::state::{MAX_NOTICES, NOTICE_TTL_MS};
 use std::collections::{HashMap, VecDeque};
 
-/// Who has told of an end.
+/// Who has reported the end of a session.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum EndReport {
-    /// Its media server, with its cause; its viewer has not been told.
+    /// The media server, with this cause. The viewer has not been notified.
     Server(u8),
-    /// Its viewer, with its cause; its media server has not been told.
+    /// The viewer, with this cause. The media server has not been notified.
     Viewer(u8),
-    /// Both know.
+    /// Both the viewer and the media server know of the end.
     Both,
 }
 
-/// The ends of the last [`OWED`] ms, [`OWED_MOST`] at most, the oldest of which give way.
+/// The ends of the last [`NOTICE_TTL_MS`] ms, at most [`MAX_NOTICES`]. The oldest are dropped first.
 #[derive(Default)]
 pub(crate) struct EndedSessions {
+    /// When each session's end was reported, Unix ms, and by whom.
     reports: HashMap<u64, (f64, EndReport)>,
+    /// The sessions in the order of their ends.
     order: VecDeque<u64>,
 }
 
 impl EndedSessions {
+    /// Records the end of a session. A report that is already there stays.
     pub(crate) fn record(&mut self, now: f64, play: u64, report: EndReport) {
         let is_expired = |ended: &EndedSessions, id: &u64| {
             ended.reports.get(id).is_none_or(|(ended_at, _)| now - ended_at >= NOTICE_TTL_MS)
@@ -38,7 +41,8 @@
         }
     }
 
-    /// What is known of the end of a session that is handed over; from then on both sides know.
+    /// What is known of the end of a session that a viewer asks the node to adopt. Afterwards the end counts
+    /// as known to both sides.
     pub(crate) fn take_report(&mut self, now: f64, play: u64) -> Option<EndReport> {
         let (ended_at, report) = self.reports.get_mut(&play)?;
         (now - *ended_at < NOTICE_TTL_MS).then(|| std::mem::replace(report, EndReport::Both))
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,19 @@
-//! The front on the platform's protocol: viewers' binary messages, media servers' RTSP, the list by DNS. `config` is what a
-//! node is given at start, `node` its loop, `stopping` its end, `viewers` and `servers` what comes from either, `asked` a set-up as it
-//! is read, `attempts` those on their way, `listing` the list of servers, `floor` what is kept of all that, `hands` what the desk has
-//! done, `to_viewers` and `to_servers` what is written, `ended` what has ended lately, `shares` how the descriptors are shared out. It
-//! decides nothing: where a play goes, and what follows an outcome, the desk is asked.
+//! The node: the front on the platform's protocol, with the viewers' binary messages, the media servers' RTSP
+//! and the server list by DNS. The dispatcher decides where a play goes and what follows an outcome; this
+//! crate connects it to the network.
+//!
+//! - `config`: the configuration file
+//! - `node`: the event loop
+//! - `stopping`: the shutdown
+//! - `viewers` and `servers`: what viewers and servers send
+//! - `set_up`: the parsing of a viewer's set-up
+//! - `attempts`: attempts at servers
+//! - `listing`: the list of servers
+//! - `state`: the node's state beside the dispatcher
+//! - `actions`: what the node does for the dispatcher
+//! - `to_viewers` and `to_servers`: what is sent to viewers and servers
+//! - `ended_sessions`: recently ended sessions
+//! - `shares`: the division of the file descriptors
 
 mod actions;
 mod attempts;
--- a/crates/node/src/listing.rs
+++ b/crates/node/src/listing.rs
@@ -1,4 +1,5 @@
-//! The list of media servers: what is known at the start, and the name service asked for the rest, again and again.
+//! The list of media servers: the initial events of the configuration file, and then the responses of the
+//! name service, which is queried at a fixed interval.
 
 use crate::config::Config;
 use crate::node::Node;
@@ -14,34 +15,39 @@
 use std::net::{SocketAddr, UdpSocket};
 use tracing::{debug, info, warn};
 
-/// So often is the list asked for, ms, and the part by which each wait is longer or shorter, so that nodes which started or
-/// were signalled together do not ask together. A change is in use well within half a second of being told.
+/// Interval between queries for the list, ms, and the fraction by which each interval varies, so that nodes
+/// that started or were signalled together do not query together. A change is in use well within half a
+/// second after it was published.
 const QUERY_INTERVAL_MS: f64 = 200.0;
 const QUERY_JITTER: f64 = 0.25;
-/// Names of zones and of kinds at most, the settings' and others.
+/// Maximum number of names of zones, and of names of kinds, counting those of the settings and others.
 const MAX_NAMES: usize = 4_096;
-/// Questions whose answers are still taken.
+/// Queries whose responses are still accepted.
 const MAX_PENDING_QUERIES: usize = 8;
-/// Of answers in a row that can't be taken, one in so many is warned of.
+/// Of consecutive rejected responses, one in this many is logged as a warning.
 const ERRORS_PER_WARNING: u32 = 50;
 
-/// The name service as it is asked.
+/// The client of the name service.
 pub(crate) struct DnsClient {
+    /// The UDP socket, connected to the name service.
     socket: UdpSocket,
+    /// The socket's registration with the event loop.
     source: RegistrationToken,
+    /// The ids of the last queries.
     query_ids: VecDeque<u16>,
-    /// When it is asked next; clocks that ring before that are left over.
+    /// When the next query is due, Unix ms. Timers that fire earlier are stale and ignored.
     next_query_at: f64,
     /// The number of the last event that is in use.
     pub(crate) revision: Option<u32>,
-    /// An answer has been taken since the start.
+    /// Whether a response was accepted since the start.
     pub(crate) has_response: bool,
-    /// What answers are read into; pages that none has filled are not had.
+    /// The buffer for responses. Pages of it that no response has filled use no memory.
     buffer: Vec<u8>,
-    /// Answers in a row that could not be taken.
+    /// How many consecutive responses were rejected.
     consecutive_errors: u32,
 }
 
+/// Opens a non-blocking UDP socket that is connected to the name service.
 fn connect_socket(resolver: SocketAddr) -> io::Result<UdpSocket> {
     let any: SocketAddr = if resolver.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0; 16], 0).into() };
     let socket = UdpSocket::bind(any)?;
@@ -51,6 +57,7 @@
 }
 
 impl DnsClient {
+    /// Opens the socket and registers it with the event loop.
     pub(crate) fn new(
         state: &NodeState,
         revision: Option<u32>,
@@ -77,9 +84,10 @@
 }
 
 impl Node {
-    /// The events of the start, or those of a new file, as the one list that they come to: events that are long past by then start
-    /// and end nothing. Before the name service was heard the list may be older than what it tells of; later it is taken for being
-    /// newer, and tells of starts as the name service's answers do.
+    /// Applies the initial events, or those of a new file, as one merged list, because events that are long
+    /// past start and end nothing. Before the first response of the name service the list may be older than
+    /// the servers' state; afterwards it counts as newer, and server starts in it are handled like those in
+    /// responses.
     pub(crate) fn apply_initial_events(&mut self) {
         let (is_whole, entries) = self.state.config.known.merged_list();
         self.state.config.known.notices.clear();
@@ -87,12 +95,14 @@
         self.dns_client.revision = Some(self.state.config.known.rev);
     }
 
+    /// Queries the name service, unless the timer that fired is stale.
     pub(crate) fn query_list_if_due(&mut self, now: f64) {
         if now >= self.dns_client.next_query_at {
             self.query_list();
         }
     }
 
+    /// Queries the name service and sets the timer of the next query.
     pub(crate) fn query_list(&mut self) {
         let id = self.state.rng.rand_range(0..1 << 16) as u16;
         let dns_client = &mut self.dns_client;
@@ -100,7 +110,7 @@
         if dns_client.query_ids.len() > MAX_PENDING_QUERIES {
             dns_client.query_ids.pop_front();
         }
-        // What can't be sent now is asked again soon.
+        // A query that cannot be sent now is repeated at the next interval.
         let _ = dns_client.socket.send(&dns::query(id));
         let delay = QUERY_INTERVAL_MS * (1.0 + QUERY_JITTER * (2.0 * self.state.rng.rand_float() - 1.0));
         let next_query_at = self.state.now() + delay;
@@ -108,31 +118,32 @@
         self.state.schedule(next_query_at, Timer::QueryList);
     }
 
+    /// Reads responses of the name service and applies each list that is newer than the one in use.
     fn read_responses(&mut self) {
         for _ in 0..MAX_PENDING_QUERIES {
             let dns_client = &mut self.dns_client;
             let Ok(n) = dns_client.socket.recv(&mut dns_client.buffer) else { return };
             let response = &dns_client.buffer[..n];
             if !dns::response_id(response).is_some_and(|id| dns_client.query_ids.contains(&id)) {
-                debug!(target: "names", "answer to nothing that was asked");
+                debug!(target: "names", "DNS response ignored: its id belongs to no recent query");
                 continue;
             }
             match dns::parse_response(response) {
                 Err(e) => {
                     dns_client.consecutive_errors += 1;
-                    // A list that stands still for want of a whole answer is not to stand still in silence.
+                    // If the list is not updated for lack of a complete response, the log has to show it.
                     if dns_client.consecutive_errors % ERRORS_PER_WARNING == 1 {
-                        warn!(target: "names", rev = dns_client.revision, in_a_row = dns_client.consecutive_errors, "answer not taken: {e}");
+                        warn!(target: "names", rev = dns_client.revision, in_a_row = dns_client.consecutive_errors, "DNS response rejected: {e}");
                     }
                 }
                 Ok((serial, list)) => {
                     dns_client.consecutive_errors = 0;
                     let is_newer = dns::is_newer(dns_client.revision, serial);
                     let is_same = dns_client.revision == Some(serial);
-                    // The list of the start is vouched for by the first answer that is not older.
+                    // The first response that is not older confirms the initial list.
                     if is_newer || is_same && !dns_client.has_response {
                         (dns_client.revision, dns_client.has_response) = (Some(serial), true);
-                        info!(target: "names", serial, servers = list.len(), "list");
+                        info!(target: "names", serial, servers = list.len(), "new server list");
                         self.apply_list(true, false, &list);
                     }
                 }
@@ -140,6 +151,8 @@
         }
     }
 
+    /// Updates the servers from a list, whole or changes only, and reports it to the dispatcher. `is_cached`:
+    /// the list may be old.
     fn apply_list(&mut self, is_whole: bool, is_cached: bool, entries: &[ServerEntry]) {
         let now = self.state.now();
         let mut listings = Vec::new();
@@ -178,7 +191,7 @@
         self.forget_gone_servers();
     }
 
-    /// Set-ups that wait on their lines to servers that take nothing new by now are not sent any more.
+    /// Cancels unsent set-ups to servers that accept no new ones any more.
     fn cancel_unsent_set_ups(&mut self) {
         let not_ready = self.state.servers.iter().filter(|(_, s)| s.listing.standing != Standing::Ready);
         let connections: Vec<(u32, u64)> = not_ready
@@ -201,8 +214,9 @@
         }
     }
 
-    /// The file is read anew; its name service is asked from now on. What fails for lack of a descriptor is tried again: at once if a
-    /// connection that needs none can give way, else soon.
+    /// Reads the configuration file again and from then on queries the name service that it names. If this
+    /// fails for lack of a descriptor, it is tried again: at once if a viewer's connection can be closed,
+    /// otherwise after a delay.
     pub(crate) fn reload_config(&mut self, is_retry: bool) {
         let error = match self.apply_config_file() {
             Err(e) if is_out_of_resources(&e) && self.evict_viewer_connection() => {
@@ -213,26 +227,32 @@
         match error {
             Some(e) if is_out_of_resources(&e) => {
                 if !is_retry {
-                    warn!(target: "node", "the old posting stays in force until there is a descriptor: {e:#}");
+                    warn!(target: "node", "the old configuration stays in force until there is a descriptor: {e:#}");
                 }
                 let retry_at = self.state.now() + RETRY_DELAY_MS;
                 self.state.schedule(retry_at, Timer::ReloadConfig);
             }
-            Some(e) => warn!(target: "node", "the old posting stays in force: {e:#}"),
+            Some(e) => warn!(target: "node", "the old configuration stays in force: {e:#}"),
             None => self.query_list(),
         }
     }
 
+    /// Checks the file, replaces the client of the name service, and applies the file's events if they are
+    /// newer.
     fn apply_config_file(&mut self) -> anyhow::Result<()> {
         let config = Config::read(&self.state.config.path)?;
         let old = &self.state.config;
-        // Another node's file, and maybe another customer's: nothing of it is this one's.
+        // The file belongs to another node, and perhaps to another customer, so no part of it is applied.
         if (&config.name, config.listen) != (&old.name, old.listen) {
             let (name, listen) = (&old.name, old.listen);
-            anyhow::bail!("name, listen: {:?} at {}, not {name:?} at {listen}", config.name, config.listen);
+            anyhow::bail!(
+                "name, listen: the file is for {:?} at {}, this node is {name:?} at {listen}",
+                config.name,
+                config.listen
+            );
         }
         if config.policy_settings != old.policy_settings {
-            warn!(target: "node", "settings: they have changed; those of the start stay in force until a restart");
+            warn!(target: "node", "settings: they have changed; the settings from the start stay in force until a restart");
         }
         let old_resolver = std::mem::replace(&mut self.state.config.resolver, config.resolver);
         let dns_client = DnsClient::new(&self.state, self.dns_client.revision, self.dns_client.has_response)
@@ -248,16 +268,18 @@
     }
 }
 
+/// Whether the error was caused by a lack of descriptors or memory.
 fn is_out_of_resources(e: &anyhow::Error) -> bool {
     e.chain().any(|cause| cause.downcast_ref().is_some_and(is_resource_exhaustion))
 }
 
-/// The number of a name in the settings' row. One that the settings lack is none of theirs, nor any other's: it gets a number of its
-/// own beyond them, which no setting is kept under. So many are told apart; those beyond share the last.
+/// The index of a name in `names`. A name that the settings lack gets an index of its own after the others,
+/// for which no setting exists. At most `MAX_NAMES` names get an index of their own; further names share the
+/// last one.
 fn index_of_name(names: &mut Vec<String>, name: &str, kind_of_name: &str) -> usize {
     names.iter().position(|n| n == name).unwrap_or_else(|| {
         if names.len() < MAX_NAMES {
-            warn!(target: "names", name, "the settings have no such {kind_of_name}");
+            warn!(target: "names", name, "the settings name no such {kind_of_name}");
             names.push(name.to_string());
         }
         names.len() - 1
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,7 +1,8 @@
-//! The node itself: one thread, one event loop. What comes on the lines is told to the desk, and what the desk wants done is
-//! done by the [`Floor`], its hands.
+//! The node's event loop, which runs on one thread. It passes all input from the connections to the
+//! dispatcher, and [`NodeState`] carries out the dispatcher's actions.
 //!
-//! A play's way: `viewers` takes the set-up, the desk sends it ([`Floor::send`]), `servers` takes the answer and hands it on.
+//! The path of a play: `viewers` receives the set-up, the dispatcher sends it to a server
+//! (`NodeState::send`), and `servers` receives the response and forwards it to the viewer.
 
 use crate::config::Config;
 use crate::listing::DnsClient;
@@ -18,15 +19,17 @@
 use std::sync::Arc;
 use tracing::{debug, enabled, info};
 
-/// Connections that may wait to be accepted.
+/// Connections that may wait in the kernel to be accepted.
 const BACKLOG: i32 = 1_024;
-/// So often are servers looked at, ms, and the sums written.
+/// Intervals at which silent servers are checked and the counters are logged, ms.
 pub(crate) const SERVER_CHECK_INTERVAL_MS: f64 = 500.0;
 const STATS_INTERVAL_MS: f64 = 5_000.0;
+/// A node: the dispatcher, the state that its actions change, and the client of the name service.
 pub struct Node {
     pub(crate) dispatcher: Dispatcher,
     pub(crate) state: NodeState,
     pub(crate) dns_client: DnsClient,
+    /// The loop ends, although work may be left.
     pub(crate) halted: bool,
 }
 
@@ -36,6 +39,7 @@
     }
 }
 
+/// Opens the non-blocking socket on which viewers connect.
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket =
         Socket::new(Domain::for_address(address), Type::STREAM.nonblocking().cloexec(), Some(Protocol::TCP))?;
@@ -45,12 +49,12 @@
     Ok(socket.into())
 }
 
-/// Starts a node and runs it until it is told to stop.
+/// Starts a node and runs it until it is told to stop. Called by the subcommand `node`.
 pub fn run(config: Config, signals: Signals) -> anyhow::Result<()> {
     let mut event_loop: EventLoop<'static, Node> = EventLoop::try_new()?;
     let loop_handle = event_loop.handle();
     let at = config.listen;
-    let listener = listen(at).map_err(|e| anyhow::anyhow!("listen: {at} can't be had: {e}"))?;
+    let listener = listen(at).map_err(|e| anyhow::anyhow!("listen: cannot listen on {at}: {e}"))?;
     let (at, listener) = (listener.local_addr()?, Arc::new(listener));
     let dispatcher = Dispatcher::new(config.policy_settings.clone(), config.salt);
     let state = NodeState::new(config, loop_handle.clone());
@@ -75,7 +79,8 @@
     node.state.schedule(now + SERVER_CHECK_INTERVAL_MS, Timer::CheckServers);
     node.state.schedule(now + STATS_INTERVAL_MS, Timer::LogStats);
     info!(target: "node", name = node.state.config.name, %at, servers = node.state.servers.len(), shares = ?node.state.shares, "listens");
-    // What has been read decides before what has come due: in one turn, connections that are ready are read before clocks ring.
+    // Input is handled before timers: in one turn, connections that are ready are read before due timers
+    // fire.
     while !(node.is_done() && node.drain_input_and_check_done()) {
         let delay = node.state.time_to_next_timer();
         event_loop.dispatch(delay, &mut node)?;
@@ -86,12 +91,12 @@
         node.fire_due_timers();
         node.end_turn();
     }
-    info!(target: "node", sums = ?node.state.stats, open = node.state.undecided_set_ups, standing = node.state.sessions.len(), "stopped");
+    info!(target: "node", sums = ?node.state.stats, open = node.state.pending_set_up_count, standing = node.state.sessions.len(), "stopped");
     Ok(())
 }
 
 impl Node {
-    /// Takes what has come on a connection.
+    /// Handles the input of a connection.
     pub(crate) fn handle_connection(&mut self, connection_id: ConnectionId) {
         let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
         match &connection.role {
@@ -101,7 +106,8 @@
         self.report_finished_allocations();
     }
 
-    /// The desk asks anew about what waits, and what it wants sent goes out.
+    /// Lets the dispatcher place the waiting plays again, and starts the attempts that it requests, until
+    /// there are no more.
     pub(crate) fn end_turn(&mut self) {
         self.requeue_held_attempts();
         loop {
@@ -113,6 +119,7 @@
         }
     }
 
+    /// Handles all timers that are due.
     fn fire_due_timers(&mut self) {
         loop {
             let now = self.state.now();
@@ -132,7 +139,7 @@
                 }
                 Timer::LogStats => {
                     let state = &self.state;
-                    info!(target: "sums", sums = ?state.stats, open = state.undecided_set_ups, sessions = state.sessions.len(),
+                    info!(target: "sums", sums = ?state.stats, open = state.pending_set_up_count, sessions = state.sessions.len(),
                         held = self.dispatcher.play_count(), viewers = state.viewer_connections.len(), wires = state.server_connection_count(),
                         servers = state.servers.len(), owed = state.pending_notices.len(), cuts = state.pending_releases.len(), clocks = state.timers.len());
                     self.forget_gone_servers();
@@ -147,6 +154,8 @@
         }
     }
 
+    /// Closes a connection at its deadline: a viewer's if no usable message has arrived, a server's if it is
+    /// not established.
     fn on_connection_deadline(&mut self, now: f64, connection_id: ConnectionId) {
         let is_due = |node: &mut Node| {
             node.state.connections.get_mut(connection_id).is_some_and(|connection| connection.deadline <= now)
@@ -154,7 +163,7 @@
         if !is_due(self) {
             return;
         }
-        // The loop may be behind: what has come by now counts.
+        // The loop may be late, so input that has arrived by now is handled before the deadline applies.
         self.handle_connection(connection_id);
         let Some(connection) =
             self.state.connections.get_mut(connection_id).filter(|connection| connection.deadline <= now)
@@ -165,7 +174,7 @@
         let connected = connection.connected() == Some(true);
         match &connection.role {
             Role::Viewer(viewer) if !viewer.is_proven && viewer.accepted_at.is_finite() => {
-                debug!(target: "viewer", "closed: nothing usable came");
+                debug!(target: "viewer", "connection closed: no usable message arrived");
                 self.close_viewer_connection(connection_id);
             }
             Role::Server(_) if !connected => self.on_server_connection_lost(connection_id),
@@ -173,8 +182,7 @@
         }
     }
 
-    /// A server has started anew: what stood there before does no more.
-    /// Connections to the process before it lead nowhere any more.
+    /// Handles the restart of a server: sessions and connections that are older than the start are lost.
     pub(crate) fn on_server_restarted(&mut self, server_number: u32, started_at: f64) {
         for play in self.state.sessions_playing_at(server_number) {
             if self.state.sessions.get(&play).is_some_and(|s| s.since < started_at) {
@@ -194,7 +202,7 @@
         }
     }
 
-    /// Servers that are gone and have nothing left are forgotten, in every layer.
+    /// Forgets servers that are gone and have no sessions, in the dispatcher too.
     pub(crate) fn forget_gone_servers(&mut self) {
         let servers_in_use: HashSet<u32> = self.state.sessions.values().filter_map(|s| s.server).collect();
         let is_gone = |s: &Server| s.is_gone() && s.address.is_some();
@@ -216,7 +224,7 @@
         }
     }
 
-    /// What is believed of each server, to be held against its sockets.
+    /// Logs the state of each server, so that it can be compared with the server's sockets.
     fn log_server_view(&mut self) {
         let mut numbers: Vec<u32> = self.state.servers.keys().copied().collect();
         numbers.sort_unstable();
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -1,5 +1,5 @@
-//! What comes from media servers: answers to set-ups, the notes and ends of sessions that stand, reports, and the loss of
-//! connections.
+//! What media servers send: responses to set-ups, notes on playing sessions and their ends, load reports; and
+//! the loss of connections to servers.
 
 use crate::ended_sessions::EndReport;
 use crate::node::{Node, SERVER_CHECK_INTERVAL_MS};
@@ -13,16 +13,19 @@
 use pulleystair_viewer_protocol::{self as protocol, code, kind};
 use tracing::{debug, info};
 
-/// Reads of a line in one turn.
+/// Maximum number of reads of one connection in a turn.
 const MAX_READS_PER_TURN: usize = 16;
-/// Notes that are missing for longer than this, beyond the time between them, are missing for a cause, ms.
+/// How much longer than the interval between notes a server may be silent before there is a reason to check
+/// it, ms.
 const NOTE_GRACE_MS: f64 = 1_000.0;
-/// Of the time in which viewers must hear of an end, kept for the look that finds it and for the release, ms.
+/// The part of the time within which viewers must be notified of an end that is kept for detecting the end
+/// and for sending the notice, ms.
 const DETECTION_MARGIN_MS: f64 = 750.0;
-/// So many calls in a row that did not come up mean that it is lost.
+/// A server counts as lost after this many consecutive connections that could not be established.
 const MAX_FAILED_DIALS: u32 = 2;
 
 impl Node {
+    /// Handles the events of a connection to a server: it is established, has input, or is closed.
     pub(crate) fn handle_server_connection(&mut self, connection_id: ConnectionId) {
         for _ in 0..MAX_READS_PER_TURN {
             let now = self.state.now();
@@ -72,7 +75,8 @@
         self.state.revisit_queue.push_back(connection_id);
     }
 
-    /// Takes the whole messages off; none where what came can't be read.
+    /// Handles the complete messages of `input`. Returns how many bytes they take, or `None` if the input
+    /// cannot be parsed.
     fn handle_server_messages(
         &mut self,
         connection_id: ConnectionId,
@@ -85,14 +89,15 @@
             match parsed {
                 Ok(None) => return Some(used),
                 Err(e) => {
-                    debug!(target: "server", server = self.state.server_id(server), "spoilt: {e}");
+                    debug!(target: "server", server = self.state.server_id(server), "connection closed: message cannot be parsed: {e}");
                     self.state.stats.spoilt += 1;
                     return None;
                 }
                 Ok(Some((message, n))) => {
                     used += n;
                     parsed = Message::parse(&input[used..]);
-                    // What follows an answer and can't be read spoils that too: its length did not fit.
+                    // If the bytes after a message cannot be parsed, the length of the message was wrong, so
+                    // the message is not used either.
                     if parsed.is_ok() {
                         self.handle_server_message(connection_id, server, &message);
                         self.report_finished_allocations();
@@ -105,6 +110,7 @@
         }
     }
 
+    /// Handles one message of a server.
     fn handle_server_message(&mut self, connection_id: ConnectionId, server: u32, message: &Message) {
         let now = self.state.now();
         let play = message.session;
@@ -112,7 +118,8 @@
             .report()
             .filter_map(|(name, value)| pulleystair_settings::load_metric(name, value))
             .collect();
-        // An answer for a viewer that has gone by now is not for it any more.
+        // If the viewer has gone by now, the response must not be forwarded, so the viewer's input is handled
+        // first.
         let awaits_answer = |s: &&Session| !s.is_playing && message.cseq() != Some(CSEQ_PROBE);
         if let (Start::Answer(200), Some(session)) =
             (&message.start, self.state.sessions.get(&play).filter(awaits_answer))
@@ -132,10 +139,12 @@
             Start::Answer(200) if is_pending => {
                 self.on_set_up_succeeded(now, connection_id, server, play, &message.body, &load)
             }
-            // Of an attempt given up on another line; the same id is out there again, or stands, and an end would be taken for its.
+            // The response belongs to an attempt that was abandoned on another connection. This play has a
+            // newer attempt or a session at the same server, which a TEARDOWN would end.
             Start::Answer(200) if session.is_some() => self.state.stats.late += 1,
             Start::Answer(200) => {
-                // Late, or nobody's: what was given up must not stand.
+                // The response is late or belongs to no known play. The server must not keep a session that
+                // was given up.
                 self.state.stats.late += 1;
                 self.state.release_on_server(server, Some(connection_id), play, CAUSE_WITHDRAWN);
             }
@@ -209,7 +218,7 @@
         }
     }
 
-    /// The set-up was answered: its viewer gets the description as it came.
+    /// Handles a successful response to a set-up: the description is forwarded to the viewer unchanged.
     fn on_set_up_succeeded(
         &mut self,
         now: f64,
@@ -241,7 +250,8 @@
         self.state.send_rung(play);
     }
 
-    /// A session that stood is over, by its server's word or loss: the viewer is told, unless it ended it itself.
+    /// Ends a playing session that its server has ended or that was lost with the server. The viewer is
+    /// notified, unless the viewer itself ended the session.
     pub(crate) fn on_session_ended_by_server(
         &mut self,
         play: u64,
@@ -268,11 +278,12 @@
         self.report_finished_allocations();
     }
 
-    /// A session that stood is over by its viewer's word.
+    /// Ends a playing session that its viewer has ended.
     pub(crate) fn on_session_ended_by_viewer(&mut self, play: u64) {
         let now = self.state.now();
         self.dispatcher.on_viewer_left(play, &mut self.state);
-        // The desk has had it withdrawn; that is told as news, and the session is gone by then.
+        // The dispatcher has withdrawn the play, which queued an `AllocationEnd`. The end is reported below
+        // instead, because the session no longer exists when the queue is processed.
         let Some(session) = self.state.sessions.remove(&play) else { return };
         self.state.ended_sessions.record(now, play, EndReport::Both);
         if let Some(server_number) = session.server {
@@ -292,7 +303,8 @@
         }
     }
 
-    /// A connection to a server could not be made, was lost, or brought what can't be read.
+    /// Handles a connection to a server that could not be established, was lost, or brought input that cannot
+    /// be parsed.
     pub(crate) fn on_server_connection_lost(&mut self, connection_id: ConnectionId) {
         let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
         let up = connection.connected() == Some(true);
@@ -307,9 +319,9 @@
             .get(&server_number)
             .map_or((0, 0), |s| (s.playing_sessions, s.connections.len()));
         let id = self.state.server_id(server_number);
-        debug!(target: "server", id, up, open = lost_set_ups.len(), playing, left, "line lost");
+        debug!(target: "server", id, up, open = lost_set_ups.len(), playing, left, "connection lost");
         for set_up in lost_set_ups {
-            // Nothing of a set-up that has not begun to leave can have run.
+            // A set-up of which no byte was sent cannot have run.
             let outcome =
                 if !up || bytes_sent <= set_up.offset { Outcome::Unreachable } else { Outcome::Broken };
             self.on_attempt_ended(set_up.play, server_number, outcome, &[]);
@@ -327,19 +339,20 @@
         self.report_finished_allocations();
     }
 
-    /// Makes a connection to a server that has plays and none: it may have something to say, or be gone.
+    /// Dials a server with sessions that has no connection or is silent. The server may have ends to report,
+    /// or may be gone.
     fn reconnect(&mut self, server_number: u32, urgent: bool) {
         if self.state.servers.get(&server_number).is_some_and(|s| s.dial_address().is_none()) {
             return self.on_server_lost(server_number);
         }
-        // One that can't be dialled for want of descriptors is called at the next look.
+        // If no descriptor is left, the next check dials the server.
         let _ = self.state.dial(server_number, urgent);
     }
 
-    /// Nothing that stands at a server is there any more.
+    /// Ends all sessions at a server that is lost, and closes the connections to it.
     fn on_server_lost(&mut self, server_number: u32) {
         let plays = self.state.sessions_playing_at(server_number);
-        info!(target: "server", server = self.state.server_id(server_number), plays = plays.len(), "lost");
+        info!(target: "server", server = self.state.server_id(server_number), plays = plays.len(), "server lost: its sessions end");
         for play in plays {
             self.on_session_ended_by_server(play, server_number, Outcome::Broken, CAUSE_FAILED, &[]);
         }
@@ -350,10 +363,12 @@
         }
     }
 
-    /// Servers with plays that are silent are called anew, as late as their viewers may hear of it: one that is cut off for
-    /// some seconds keeps its sessions. One that is listed as gone is waited for no longer than its notes are apart. Where more
-    /// servers have plays than there may be lines, those without one are called in turn, the one heard longest ago first: each look
-    /// can move all lines, so that M servers with K lines are heard within half of that time and M / K looks.
+    /// Dials silent servers with sessions again. This is done as late as the viewers' deadline for notices
+    /// allows, so that a server that is cut off for some seconds keeps its sessions. A server that is listed
+    /// as gone is given no more than the time between two of its notes. If more servers have sessions than
+    /// there may be connections, the servers without one are dialled in turn, the longest silent first. Each
+    /// check can replace all connections, so M servers with K connections are all heard within half of that
+    /// time plus M / K checks.
     pub(crate) fn check_silent_servers(&mut self, now: f64) {
         let limits = &self.state.limits;
         let note_timeout = limits.note_interval * 1.25 + NOTE_GRACE_MS;
@@ -364,7 +379,7 @@
         );
         let is_late =
             |s: &Server| now - s.last_heard_at > if s.is_gone() { note_timeout } else { silence_limit };
-        // A server that was named by a hand-over alone may be on the list that is still to come.
+        // A server that is known only from an adopted session may be in the list that is still to come.
         let has_response = self.dns_client.has_response;
         let may_be_listed = |s: &Server| s.address.is_none() && !has_response;
         let is_silent = |s: &Server| {
--- a/crates/node/src/set_up.rs
+++ b/crates/node/src/set_up.rs
@@ -1,4 +1,4 @@
-//! A viewer's set-up as it is read: what it wants, or why it can't be used.
+//! Parses a viewer's set-up: what the viewer requests, or why the set-up cannot be used.
 
 use crate::node::Node;
 use crate::state::{CAUSE_WITHDRAWN, Session};
@@ -6,75 +6,85 @@
 use pulleystair_dispatcher::PlayRequest;
 use pulleystair_viewer_protocol::{Message, code};
 
-/// The longest time that a viewer may say that it waits, ms.
+/// The longest time limit that a viewer may state, ms.
 const MAX_TIME_LIMIT_MS: f64 = 600_000.0;
 
-/// A set-up as it was read.
+/// A parsed set-up.
 pub(crate) struct SetUpRequest {
+    /// What the dispatcher places.
     pub(crate) request: PlayRequest,
     pub(crate) class: String,
     pub(crate) title: String,
     pub(crate) description: Vec<u8>,
+    /// The id of the server at which the session plays already, if the node is to adopt it.
     pub(crate) adopted_from: Option<String>,
 }
 
 impl Node {
+    /// Parses a set-up. The error says why it cannot be used.
     pub(crate) fn parse_set_up(&self, now: f64, message: &Message) -> Result<SetUpRequest, &'static str> {
         if message.parameters().any(|p| p.is_err()) {
-            return Err("a parameter does not fit");
+            return Err("a parameter cannot be parsed");
         }
-        // Servers close on it, and what is open beside it there would end too.
+        // Servers close the connection on id 0, which would also end the other set-ups that are pending on
+        // it.
         if message.session == 0 {
-            return Err("no id");
+            return Err("the session id is 0");
         }
         let limits = &self.state.limits;
-        let class = message.text(code::CLASS).ok_or("no class")?;
-        let product = limits.products.iter().position(|p| p == class).ok_or("unknown class")?;
+        let class = message.text(code::CLASS).ok_or("the class is missing")?;
+        let product = limits.products.iter().position(|p| p == class).ok_or("the class is unknown")?;
         if !self.dispatcher.has_product(product) {
-            return Err("unknown class");
+            return Err("the class is unknown");
         }
-        let title = message.text(code::TITLE).ok_or("no title")?;
+        let title = message.text(code::TITLE).ok_or("the title is missing")?;
         let is_id = !title.is_empty() && title.len() <= 16 && title.bytes().all(|b| b.is_ascii_hexdigit());
-        let title_id = u64::from_str_radix(title, 16).ok().filter(|_| is_id).ok_or("title is no id")?;
+        let title_id = u64::from_str_radix(title, 16)
+            .ok()
+            .filter(|_| is_id)
+            .ok_or("the title is not an id of 1 to 16 hex digits")?;
         if let Some(hint) = message.get(code::HINT) {
             let hint: Option<f64> = std::str::from_utf8(hint).ok().and_then(|t| t.parse().ok());
             if !hint.is_some_and(|h| (0.0..1e12).contains(&h)) {
-                return Err("hint is no time");
+                return Err("the hint is not a time");
             }
         }
-        let description = message.get(code::DESCRIPTION).ok_or("no description")?.to_vec();
+        let description = message.get(code::DESCRIPTION).ok_or("the description is missing")?.to_vec();
         let (mut first_cell, mut holders, mut max_rung, mut adopted_from) = (None, None, None, None);
-        for pair in message.text(code::EXTRAS).ok_or("no figures")?.split(';') {
+        for pair in message.text(code::EXTRAS).ok_or("home, copies and top are missing")?.split(';') {
             let (name, value) = pair.split_once(':').unwrap_or((pair, ""));
             let parse_count =
                 || value.parse::<f64>().ok().filter(|x| *x >= 0.0 && x.fract() == 0.0).map(|x| x as usize);
             match name {
                 "home" => {
-                    first_cell = Some(parse_count().filter(|x| *x < limits.cells).ok_or("home out of range")?)
+                    first_cell =
+                        Some(parse_count().filter(|x| *x < limits.cells).ok_or("home is out of range")?)
                 }
                 "copies" => {
                     holders = Some(
                         parse_count()
                             .filter(|x| (1..=limits.cells).contains(x))
-                            .ok_or("copies out of range")?,
+                            .ok_or("copies is out of range")?,
                     );
                 }
                 "top" => {
-                    max_rung = Some(parse_count().filter(|x| *x < limits.rungs).ok_or("top out of range")?)
+                    max_rung = Some(parse_count().filter(|x| *x < limits.rungs).ok_or("top is out of range")?)
                 }
                 "at" if !value.is_empty() && value.len() <= 64 => adopted_from = Some(value.to_string()),
-                "at" => return Err("at names no server"),
+                "at" => return Err("at is not a server id"),
                 _ => {}
             }
         }
         let (Some(first_cell), Some(holders), Some(max_rung)) = (first_cell, holders, max_rung) else {
-            return Err("figures are missing");
+            return Err("home, copies or top is missing");
         };
-        // Of a session that plays no clock runs any more.
-        let time_limit: f64 =
-            message.text(code::TIME_LIMIT).and_then(|t| t.parse().ok()).ok_or("no time limit")?;
+        // An adopted session plays already, so its time limit no longer applies.
+        let time_limit: f64 = message
+            .text(code::TIME_LIMIT)
+            .and_then(|t| t.parse().ok())
+            .ok_or("the time limit is missing or not a number")?;
         if adopted_from.is_none() && !(time_limit > 0.0 && time_limit <= MAX_TIME_LIMIT_MS) {
-            return Err("time limit out of range");
+            return Err("the time limit is out of range");
         }
         let request = PlayRequest {
             product,
@@ -95,6 +105,7 @@
     }
 }
 
+/// A session that has no attempt yet.
 pub(crate) fn new_session(
     viewer_connection: ConnectionId,
     viewer_ip: Option<std::net::IpAddr>,
--- a/crates/node/src/shares.rs
+++ b/crates/node/src/shares.rs
@@ -1,11 +1,13 @@
-//! How the descriptors that a node may hold are shared out. A reserve is left, so that accepting, to turn someone away, and
-//! closing always work.
+//! How the file descriptors of a node are divided between viewers and servers. Some are kept in reserve, so
+//! that it is always possible to accept a connection in order to reject it, and to close one.
 
-/// For the log, the loop, its signals and wake-ups, the listener and the name service.
+/// Descriptors for the log, the event loop, its signals and wake-ups, the listener and the name service.
 const INTERNAL_DESCRIPTORS: usize = 16;
-/// Free at all times: what is accepted only to be turned away, files that are read anew.
+/// Descriptors that are always kept free: for connections that are accepted only to be rejected, and for
+/// files that are read again.
 const RESERVED_DESCRIPTORS: usize = 16;
 
+/// How many connections to viewers and to servers may be open.
 #[derive(Clone, Copy, Debug)]
 pub struct Shares {
     pub viewers: usize,
@@ -13,7 +15,8 @@
 }
 
 impl Shares {
-    /// Usual viewers keep to a third of the limit; as much again is for those who don't, and the last third for servers.
+    /// Divides `sockets` descriptors. Normally viewers use a third of the limit; a second third is for
+    /// viewers that use more, and the last third is for servers.
     pub fn new(sockets: usize) -> Shares {
         let available = sockets.saturating_sub(INTERNAL_DESCRIPTORS + RESERVED_DESCRIPTORS).max(12);
         let servers = available / 3;
@@ -21,13 +24,13 @@
     }
 }
 
-/// `EMFILE`, `ENFILE`, `ENOBUFS`, `ENOMEM`: there is no descriptor, or no memory for one, by now.
+/// `EMFILE`, `ENFILE`, `ENOBUFS`, `ENOMEM`: there is currently no descriptor, or no memory for one.
 const EXHAUSTION_ERRNOS: [i32; 4] = [24, 23, 105, 12];
 
-/// What could not be done for want of a descriptor is tried again after so long, ms.
+/// Delay before an operation that failed for lack of a descriptor is tried again, ms.
 pub const RETRY_DELAY_MS: f64 = 50.0;
 
-/// Whether something failed for lack of what may be there again soon.
+/// Whether an operation failed for lack of a resource that may be available again soon.
 pub fn is_resource_exhaustion(error: &std::io::Error) -> bool {
     error.raw_os_error().is_some_and(|errno| EXHAUSTION_ERRNOS.contains(&errno))
 }
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -1,5 +1,6 @@
-//! What a node keeps: the lines, the sessions that viewers asked for, the media servers, and the clocks. What is written to either
-//! side is in `to_viewers` and `to_servers`, what the desk has done in `hands`.
+//! The state of a node beside the dispatcher: connections, sessions that viewers requested, media servers and
+//! timers. The methods that send to viewers and servers are in `to_viewers` and `to_servers`; those that the
+//! dispatcher calls are in `actions`.
 
 use crate::config::{Config, NodeLimits};
 use crate::ended_sessions::EndedSessions;
@@ -14,30 +15,34 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+/// The connections of a node, with their roles.
 pub(crate) type Connections = pulleystair_connections::Connections<Node, Role>;
 
-/// Causes that viewers are given: refused, trying again is harmless; failed; the session is over.
+/// Causes of releases that are sent to viewers: refused or busy (a retry is harmless), failed (also for a lost
+/// session), and an unusable set-up.
 pub(crate) const CAUSE_REFUSED: u8 = 34;
 pub(crate) const CAUSE_BUSY: u8 = 42;
 pub(crate) const CAUSE_FAILED: u8 = 41;
 pub(crate) const CAUSE_UNUSABLE: u8 = 100;
-/// Causes on the way to servers and back.
+/// Causes that are sent to servers and received from them.
 pub(crate) const CAUSE_ENDED: u8 = 16;
 pub(crate) const CAUSE_WITHDRAWN: u8 = 31;
-/// `CSeq` of each request to a server, and of the answers to it.
+/// The `CSeq` of each kind of request to a server, which its responses repeat.
 pub(crate) const CSEQ_SET_UP: u32 = 1;
 pub(crate) const CSEQ_TEARDOWN: u32 = 2;
 pub(crate) const CSEQ_PROBE: u32 = 3;
 pub(crate) const CSEQ_OTHER: u32 = 4;
-/// Bytes read of a line at a time: a message fits.
+/// Maximum number of bytes of input that are kept of a connection; a message fits.
 pub(crate) const MAX_INPUT_BYTES: usize = 32 << 10;
-/// Bytes that may wait for a viewer that does not read them.
+/// Maximum number of bytes that may wait for a viewer that does not read them.
 pub(crate) const MAX_UNREAD_BYTES: usize = 256 << 10;
-/// How long a release waits for a viewer's connection, ms: it has to be told within that time of the end.
+/// How long after the end of a session notices of it are sent, ms. The viewer has to be notified within this
+/// time.
 pub(crate) const NOTICE_TTL_MS: f64 = 8_000.0;
-/// Releases that may wait.
+/// Maximum number of notices that wait for a connection.
 pub(crate) const MAX_NOTICES: usize = 4_096;
 
+/// Who the peer of a connection is.
 pub(crate) enum Role {
     Viewer(ViewerConnection),
     Server(ServerConnection),
@@ -45,40 +50,47 @@
 
 /// A viewer's connection.
 pub(crate) struct ViewerConnection {
+    /// When it was accepted, Unix ms; infinite after a health check, which needs no set-up.
     pub(crate) accepted_at: f64,
-    /// A set-up that could be taken has come on it.
+    /// Whether a usable set-up or a session's end has arrived on it.
     pub(crate) is_proven: bool,
-    /// Set-ups on it that have no answer yet.
+    /// Plays whose set-up on this connection has no answer yet.
     pub(crate) pending_set_ups: Vec<u64>,
-    /// Turned away on it, for whatever cause.
+    /// How many set-ups were rejected on this connection, for any cause.
     pub(crate) refusals: usize,
-    /// Ends of sessions that were told on it of late: a connection that ends may not have brought them.
+    /// End notices that were written recently. If the connection ends, the viewer may not have received them.
     pub(crate) recent_notices: Vec<EndNotice>,
 }
 
-/// The end of a session that its viewer is told: from where that asked, since when it is owed, and when it was written.
+/// The notice to a viewer that its session has ended.
 pub(crate) struct EndNotice {
     pub(crate) play: u64,
     pub(crate) cause: u8,
+    /// The address from which the viewer sent its set-up.
     pub(crate) viewer_ip: Option<IpAddr>,
+    /// When the session ended, Unix ms.
     pub(crate) ended_at: f64,
+    /// When the notice was last written, Unix ms.
     pub(crate) written_at: f64,
 }
 
 /// A connection to a media server.
 pub(crate) struct ServerConnection {
     pub(crate) server: u32,
-    /// Set-ups on it that have no answer yet.
+    /// Set-ups on this connection that have no response yet.
     pub(crate) pending_set_ups: Vec<PendingSetUp>,
-    /// Ends of sessions that were told on it and of which nothing has left yet.
+    /// Release notices that were written on this connection and of which no byte was sent yet.
     pub(crate) unsent_releases: Vec<ReleaseNotice>,
+    /// Whether the connection is established.
     pub(crate) is_up: bool,
-    /// When something last came on it, and when it last came or was written.
+    /// When something last arrived on the connection, and when something last arrived or was written, Unix
+    /// ms.
     pub(crate) last_heard_at: f64,
     pub(crate) last_active_at: f64,
-    /// No further set-ups: it brought no answer to one while it was silent.
+    /// No further set-ups are sent on it, because a set-up had no response in time and the connection was
+    /// silent meanwhile.
     pub(crate) is_unresponsive: bool,
-    /// When it was dialled: what a server's process before that knew is not this connection's.
+    /// When it was dialled, Unix ms. A server process that started later does not know this connection.
     pub(crate) dialled_at: f64,
 }
 
@@ -98,7 +110,7 @@
     }
 }
 
-/// A set-up on a line: where it begins among all bytes of the line, and how long it is.
+/// A set-up on a connection: its offset among all bytes written on the connection, and its length.
 #[derive(Clone, Copy)]
 pub(crate) struct PendingSetUp {
     pub(crate) play: u64,
@@ -106,142 +118,180 @@
     pub(crate) length: usize,
 }
 
-/// The end of a session that its server is to be told, and where that begins among all bytes of the line that it was written on.
+/// The notice to a server that a session has ended.
 pub(crate) struct ReleaseNotice {
     pub(crate) server: u32,
     pub(crate) play: u64,
     pub(crate) cause: u8,
+    /// When the notice was created, Unix ms.
     pub(crate) created_at: f64,
     pub(crate) offset: u64,
 }
 
-/// An attempt that the desk wants made: the session's how-manieth.
+/// An attempt that the dispatcher requests, numbered from 1 within its session.
 pub(crate) struct Attempt {
     pub(crate) session: u64,
     pub(crate) number: u32,
 }
 
-/// A play as the sockets have it.
+/// A play as the node's connections see it.
 pub(crate) struct Session {
+    /// The connection on which the viewer sent the set-up.
     pub(crate) viewer_connection: ConnectionId,
     pub(crate) viewer_ip: Option<IpAddr>,
     pub(crate) class: String,
     pub(crate) title: String,
     pub(crate) description: Vec<u8>,
-    /// Where it is out or plays, and on which line.
+    /// The server of the current attempt or session, and its connection.
     pub(crate) server: Option<u32>,
     pub(crate) server_connection: Option<ConnectionId>,
+    /// Whether the server has accepted the set-up.
     pub(crate) is_playing: bool,
+    /// When the current attempt was made or, once it plays, when that began, Unix ms.
     pub(crate) since: f64,
-    /// When the attempt that is out has had its time.
+    /// When the current attempt times out, Unix ms.
     pub(crate) attempt_deadline: f64,
+    /// How many attempts were made.
     pub(crate) attempts: u32,
-    /// Lines on which an earlier attempt was given up: what still comes there is not for a later one.
+    /// Connections on which earlier attempts were abandoned. Late responses there must not be taken for those
+    /// of a newer attempt.
     pub(crate) abandoned_connections: Vec<ConnectionId>,
     pub(crate) rung: usize,
+    /// The last rung that was sent to the server or reported by it.
     pub(crate) rung_sent: usize,
-    /// The cause with which its viewer ended it.
+    /// The cause with which the viewer ended the session.
     pub(crate) release_cause: u8,
 }
 
+/// A media server.
 #[derive(Default)]
 pub(crate) struct Server {
     pub(crate) id: String,
-    /// None while no list has told of it.
+    /// `None` if no list has named the server yet.
     pub(crate) address: Option<SocketAddr>,
     pub(crate) listing: Listing,
     pub(crate) connections: Vec<ConnectionId>,
+    /// How many sessions play on it.
     pub(crate) playing_sessions: usize,
     pub(crate) last_heard_at: f64,
-    /// How many connections in a row could not be made while plays stand there.
+    /// How many consecutive connections could not be established while sessions play on the server.
     pub(crate) failed_dials: u32,
 }
 
 impl Server {
-    /// The list says that it is no more.
+    /// Whether the list says that the server is gone.
     pub(crate) fn is_gone(&self) -> bool {
         self.listing.standing == Standing::Gone
     }
 
-    /// Where it can be called: none while no list has told of it, or once one says that it is no more.
+    /// The address to dial: `None` if no list has named the server yet, or if it is gone.
     pub(crate) fn dial_address(&self) -> Option<SocketAddr> {
         self.address.filter(|_| !self.is_gone())
     }
 }
 
+/// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
+    /// A timer of the dispatcher.
     Dispatcher(u32),
-    /// This attempt of a session has had its time.
+    /// The attempt with this number of this session times out.
     AttemptDeadline(u64, u32),
+    /// The deadline of a connection may have passed.
     ConnectionDeadline(ConnectionId),
+    /// The name service is queried.
     QueryList,
+    /// Silent servers are checked.
     CheckServers,
+    /// The counters are logged.
     LogStats,
-    /// After a stop, connections are taken no more.
+    /// After a stop signal, no further connections are accepted.
     CloseListener,
-    /// Connections are taken again, after there was no descriptor for one.
+    /// Connections are accepted again, after there was no descriptor for one.
     ResumeAccepting,
-    /// The file is read anew once more, after there was no descriptor for it.
+    /// The configuration file is read again, after there was no descriptor for it.
     ReloadConfig,
+    /// The node answers everything that is pending, and ends.
     StopDeadline,
 }
 
-/// What was found while the desk was busy: how an attempt ended.
+/// The end of an attempt that is still to be reported, because the dispatcher was busy when it ended.
 pub(crate) struct AllocationEnd {
     pub(crate) play: u64,
     pub(crate) server: u32,
     pub(crate) outcome: Outcome,
 }
 
-/// What was done since the start, for the log.
+/// Counters since the start, for the log.
 #[derive(Default, Debug)]
 pub(crate) struct Sums {
+    /// Usable set-ups, without adopted sessions.
     pub(crate) asked: u64,
+    /// Sessions that started to play.
     pub(crate) played: u64,
+    /// Plays that the dispatcher declined.
     pub(crate) declined: u64,
+    /// Plays that the dispatcher failed.
     pub(crate) failed: u64,
+    /// Set-ups and other messages from viewers that could not be used.
     pub(crate) unusable: u64,
+    /// Set-ups that were rejected because too many were pending or too many connections open.
     pub(crate) flooded: u64,
+    /// Set-ups that were sent to servers.
     pub(crate) sent: u64,
+    /// Sessions that finished.
     pub(crate) ended: u64,
+    /// Sessions that broke.
     pub(crate) lost: u64,
+    /// Load reports that the dispatcher requested.
     pub(crate) probes: u64,
+    /// Successful responses that arrived after their attempt was abandoned.
     pub(crate) late: u64,
+    /// Connections to servers that brought input that cannot be parsed.
     pub(crate) spoilt: u64,
+    /// Viewers' connections that were closed to make room.
     pub(crate) evicted: u64,
+    /// Rung changes that servers were to be told.
     pub(crate) steps: u64,
 }
 
+/// The state of a node beside the dispatcher.
 pub(crate) struct NodeState {
     pub(crate) config: Config,
     pub(crate) limits: NodeLimits,
     pub(crate) shares: Shares,
     pub(crate) connections: Connections,
     pub(crate) loop_handle: LoopHandle<'static, Node>,
+    /// The listener and its registration with the event loop; `None` once it is closed.
     pub(crate) listener: Option<(RegistrationToken, Arc<TcpListener>)>,
+    /// The sessions and pending set-ups by play id.
     pub(crate) sessions: HashMap<u64, Session>,
+    /// The servers by the number that the dispatcher uses.
     pub(crate) servers: HashMap<u32, Server>,
+    /// The numbers of the servers by their ids in the list.
     pub(crate) server_numbers: HashMap<String, u32>,
     pub(crate) next_server_number: u32,
     pub(crate) timers: Timers<Timer>,
+    /// Ends of attempts that are still to be reported to the dispatcher.
     pub(crate) finished_allocations: VecDeque<AllocationEnd>,
-    /// Attempts that the desk wants made, and those whose viewer's connection was read only in part.
+    /// Attempts that the dispatcher requested, and those of them whose viewer's connection was read only in
+    /// part.
     pub(crate) outgoing_attempts: VecDeque<Attempt>,
     pub(crate) held_attempts: Vec<Attempt>,
-    /// Ends that no line could carry to their servers.
+    /// Release notices that no connection could carry to their servers.
     pub(crate) pending_releases: VecDeque<ReleaseNotice>,
     pub(crate) ended_sessions: EndedSessions,
-    /// Lines that have more to read than one turn takes.
+    /// Connections that have more input than one turn handles, or that were found closed.
     pub(crate) revisit_queue: VecDeque<ConnectionId>,
-    /// Viewers' lines in the order in which they came.
+    /// Viewers' connections in the order in which they were accepted.
     pub(crate) viewer_connections: VecDeque<ConnectionId>,
-    /// Ends of sessions that found no connection.
+    /// End notices that found no connection to their viewer.
     pub(crate) pending_notices: VecDeque<EndNotice>,
-    /// Set-ups without an answer.
-    pub(crate) undecided_set_ups: usize,
+    /// How many set-ups have no answer yet.
+    pub(crate) pending_set_up_count: usize,
     pub(crate) rng: oorandom::Rand64,
     pub(crate) stats: Sums,
+    /// When the node was told to stop, Unix ms.
     pub(crate) stopping_since: Option<f64>,
 }
 
@@ -269,21 +319,24 @@
             revisit_queue: VecDeque::new(),
             viewer_connections: VecDeque::new(),
             pending_notices: VecDeque::new(),
-            undecided_set_ups: 0,
+            pending_set_up_count: 0,
             stats: Sums::default(),
             stopping_since: None,
         }
     }
 
-    /// Unix ms, from one reading of the wall clock at start.
+    /// The current time in Unix ms, based on one reading of the wall clock at start.
     pub(crate) fn now(&self) -> f64 {
         self.timers.now()
     }
 
+    /// Sets a timer that fires at `due_at`, Unix ms.
     pub(crate) fn schedule(&mut self, due_at: f64, timer: Timer) {
         self.timers.schedule(due_at, timer);
     }
 
+    /// How long the event loop may wait: until the next timer, or not at all if connections wait to be
+    /// handled again.
     pub(crate) fn time_to_next_timer(&self) -> Option<Duration> {
         if !self.revisit_queue.is_empty() {
             return Some(Duration::ZERO);
@@ -291,6 +344,7 @@
         self.timers.time_to_next()
     }
 
+    /// The viewer's side of a connection, or `None` if it is closed or leads to a server.
     pub(crate) fn viewer_connection(&mut self, connection_id: ConnectionId) -> Option<&mut ViewerConnection> {
         match &mut self.connections.get_mut(connection_id)?.role {
             Role::Viewer(viewer) => Some(viewer),
@@ -298,6 +352,7 @@
         }
     }
 
+    /// The server's side of a connection, or `None` if it is closed or leads to a viewer.
     pub(crate) fn server_connection(&mut self, connection_id: ConnectionId) -> Option<&mut ServerConnection> {
         match &mut self.connections.get_mut(connection_id)?.role {
             Role::Server(server_connection) => Some(server_connection),
@@ -305,8 +360,8 @@
         }
     }
 
-    /// Whether a connection is still open at its other end, as far as can be told. What comes meanwhile is acted on at the line's
-    /// own turn.
+    /// Whether the peer has kept the connection open, as far as is known. Input that this reads is handled in
+    /// the connection's own turn.
     pub(crate) fn is_peer_open(&mut self, connection_id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get_mut(connection_id) else { return false };
         if connection.read(MAX_INPUT_BYTES) || connection.closed {
--- a/crates/node/src/stopping.rs
+++ b/crates/node/src/stopping.rs
@@ -1,33 +1,35 @@
-//! A node's end: after SIGTERM it takes what still comes, answers what it has taken, and then ends, by its last moment at the latest.
+//! The shutdown of a node: after SIGTERM it still accepts set-ups for a short time, answers all that it has
+//! accepted, and ends at a fixed deadline at the latest.
 
 use crate::node::Node;
 use crate::shares::RETRY_DELAY_MS;
 use crate::state::Timer;
 use tracing::{info, warn};
 
-/// After SIGTERM connections and set-ups are taken for so long, ms: they keep coming for 0.6 s.
+/// How long connections and set-ups are accepted after SIGTERM, ms. They keep arriving for 0.6 s.
 const ACCEPT_AFTER_STOP_MS: f64 = 900.0;
-/// A node that was told to stop is killed no sooner than this after the longest time limit, which counts as `LONGEST` at
-/// most; by `MARGIN` all that is still owed is answered, ms.
+/// A node that was told to stop is killed no sooner than `STOP_MARGIN_MS` after the longest time limit, which
+/// counts as `MAX_TIME_LIMIT_MS` at most. By then everything that is pending has been answered. Both in ms.
 const MAX_TIME_LIMIT_MS: f64 = 3_000.0;
 const STOP_MARGIN_MS: f64 = 600.0;
 
 impl Node {
-    /// No new plays once the door is closed. A further signal changes nothing: what was taken by then is owed its answer all the
-    /// same, and the end is bounded.
+    /// Starts the shutdown. No new plays are accepted once the listener is closed. A second signal changes
+    /// nothing: the set-ups accepted so far still get their answers, and the deadline is fixed.
     pub(crate) fn stop(&mut self) {
         if self.state.stopping_since.is_some() {
-            return warn!(target: "node", "told to stop again: it is stopping");
+            return warn!(target: "node", "told to stop again: the node is already stopping");
         }
         let now = self.state.now();
         self.state.stopping_since = Some(now);
-        info!(target: "node", open = self.state.undecided_set_ups, standing = self.state.sessions.len(), "stopping");
+        info!(target: "node", open = self.state.pending_set_up_count, standing = self.state.sessions.len(), "stopping");
         let stop_at = now + self.state.limits.max_time_limit.min(MAX_TIME_LIMIT_MS) + STOP_MARGIN_MS;
         self.state.schedule(stop_at, Timer::StopDeadline);
         self.state.schedule(now + ACCEPT_AFTER_STOP_MS, Timer::CloseListener);
     }
 
-    /// Whoever waits in the door's queue was accepted by the machine, and counts as taken: it closes once nobody does.
+    /// Closes the listener once no connection waits in its backlog. The kernel has accepted those
+    /// connections, so they count as accepted by the node.
     pub(crate) fn close_listener(&mut self) {
         if !self.accept_viewers() {
             let now = self.state.now();
@@ -38,8 +40,8 @@
         }
     }
 
-    /// Told to stop, and nothing is owed any more: no answer to a viewer, no half of a set-up that is on its way, no end of a session
-    /// that a server is to hear of.
+    /// Whether the node was told to stop and has nothing left to do: no set-up to answer, no incomplete
+    /// message from a viewer, and no notice to a server that a session has ended.
     pub(crate) fn is_done(&mut self) -> bool {
         if self.halted || self.state.stopping_since.is_none() {
             return self.halted;
@@ -49,7 +51,7 @@
             state.connections.get_mut(*connection_id).is_some_and(|c| !c.input.is_empty())
         });
         let has_open_work = state.listener.is_some()
-            || state.undecided_set_ups > 0
+            || state.pending_set_up_count > 0
             || has_partial_message
             || !state.revisit_queue.is_empty()
             || !state.pending_releases.is_empty()
@@ -57,7 +59,7 @@
         !has_open_work
     }
 
-    /// Takes what has come and was not looked at yet, which may be more to answer; true once there is nothing.
+    /// Handles all input that has arrived, which may add work. Returns true if nothing is left to do.
     pub(crate) fn drain_input_and_check_done(&mut self) -> bool {
         if !self.halted {
             self.accept_viewers();
@@ -69,7 +71,7 @@
         self.is_done()
     }
 
-    /// What is still open is answered, as the end comes before its time.
+    /// Answers everything that is pending, because the deadline has come, and ends the loop.
     pub(crate) fn expire_pending_and_halt(&mut self) {
         self.drain_input_and_check_done();
         self.dispatcher.expire_pending(self.state.now(), &mut self.state);
--- a/crates/node/src/to_servers.rs
+++ b/crates/node/src/to_servers.rs
@@ -1,4 +1,4 @@
-//! What is written to media servers, and the connections to them.
+//! The connections to media servers, and what is sent on them.
 
 use crate::node::SERVER_CHECK_INTERVAL_MS;
 use crate::state::{
@@ -10,11 +10,12 @@
 use tracing::debug;
 
 impl NodeState {
+    /// The id of a server, for the log.
     pub(crate) fn server_id(&self, server: u32) -> &str {
         self.servers.get(&server).map_or("?", |s| s.id.as_str())
     }
 
-    /// The number of a server by its id, a new one for a new id.
+    /// The number of a server with this id. An unknown id gets a new number.
     pub(crate) fn server_number(&mut self, id: &str) -> u32 {
         if let Some(server_number) = self.server_numbers.get(id) {
             return *server_number;
@@ -26,7 +27,8 @@
         server_number
     }
 
-    /// A new connection to a server that is listed; `pressing` if one to another server that has sessions may give way for it.
+    /// Opens a connection to a listed server. If `urgent`, a connection to another server that has sessions
+    /// may be closed for it.
     pub(crate) fn dial(&mut self, server_number: u32, urgent: bool) -> Option<ConnectionId> {
         let address = self.servers.get(&server_number)?.dial_address()?;
         if self.is_at_connection_limit() && !self.close_idle_connection(urgent) {
@@ -34,14 +36,14 @@
         }
         let server = self.servers.get(&server_number)?;
         let stream = pulleystair_connections::connect(address)
-            .inspect_err(|e| debug!(target: "server", id = server.id, "dial: {e}"))
+            .inspect_err(|e| debug!(target: "server", id = server.id, "cannot open a connection: {e}"))
             .ok()?;
         let now = self.now();
         let server_connection = ServerConnection::new(server_number, now);
         let connection_id = self.connections.open(stream, None, Role::Server(server_connection)).ok()?;
         let server = self.servers.get_mut(&server_number)?;
         server.connections.push(connection_id);
-        debug!(target: "server", server = server.id, lines = server.connections.len(), playing = server.playing_sessions, silent = now - server.last_heard_at, "dials");
+        debug!(target: "server", server = server.id, lines = server.connections.len(), playing = server.playing_sessions, silent = now - server.last_heard_at, "opening a connection");
         let dial_deadline = now + self.limits.dial_timeout;
         if let Some(connection) = self.connections.get_mut(connection_id) {
             connection.deadline = dial_deadline;
@@ -50,14 +52,16 @@
         Some(connection_id)
     }
 
-    /// Whether there are as many lines to servers as there may be.
+    /// Whether there are as many connections to servers as there may be.
     pub(crate) fn is_at_connection_limit(&self) -> bool {
         self.server_connection_count() >= self.shares.servers
     }
 
-    /// Closes the line that is needed least, where there is one: nothing is under way on it or waits there unread, and no play
-    /// stands at its server or another line leads there; of these the one that has been silent longest. Where it is pressing, last
-    /// of all the only line to a server with plays, which has had the time to tell of all ends before it; that server is called again.
+    /// Closes the connection to a server that is needed least, and returns whether there was one. No set-up
+    /// may be pending on it and no output may wait, and its server must have no sessions or another
+    /// connection. Of several, the one that was silent longest is closed. If `urgent`, the only connection to
+    /// a server with sessions may be closed as a last resort, once the server has had the time to report all
+    /// earlier ends on it; that server is dialled again later.
     fn close_idle_connection(&mut self, urgent: bool) -> bool {
         let now = self.now();
         let mut idle: Vec<(bool, f64, ConnectionId)> = Vec::new();
@@ -77,7 +81,8 @@
             }
         }
         idle.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
-        // A server tells of an end on one line and on the next that is opened, so what has come on this one may be its only word.
+        // A server reports an end on one connection, or on the next one that is opened. So input on this
+        // connection may be the only report of an end, and has to be handled first.
         let Some((_, _, connection_id)) =
             idle.into_iter().find(|(_, _, connection_id)| self.has_no_unhandled_input(*connection_id))
         else {
@@ -87,25 +92,26 @@
         true
     }
 
-    /// Whether a connection is open and nothing has come on it that was not acted on.
+    /// Whether the peer has kept the connection open and all input on it was handled.
     fn has_no_unhandled_input(&mut self, connection_id: ConnectionId) -> bool {
         self.is_peer_open(connection_id)
             && self.connections.get_mut(connection_id).is_some_and(|connection| connection.input.is_empty())
     }
 
-    /// Lines to servers: all that are no viewer's.
+    /// How many connections to servers are open: all that are not viewers'.
     pub(crate) fn server_connection_count(&self) -> usize {
         self.connections.count() - self.viewer_connections.len()
     }
 
-    /// Lines that a server may have: its part of those that there may be.
+    /// How many connections one server may have: its share of all connections to servers.
     fn max_connections_per_server(&self) -> usize {
         let connected_servers = self.servers.values().filter(|s| !s.connections.is_empty()).count().max(8);
         (self.shares.servers / connected_servers).clamp(1, 8)
     }
 
-    /// A line to set a play up on: one that carries none, else a new one, else the one that carries least. None that its server
-    /// has closed, or may be closing for being idle as the set-up is on its way.
+    /// The connection on which to send a set-up: one without pending set-ups, otherwise a new one, otherwise
+    /// the one with the fewest pending set-ups. A connection that its server has closed is not used, nor one
+    /// that its server may close as idle while the set-up is on its way.
     fn connection_for_set_up(
         &mut self,
         server_number: u32,
@@ -145,7 +151,8 @@
             Some((_, 0, connection_id)) => Some(connection_id),
             Some((_, _, connection_id)) if !may_dial => Some(connection_id),
             Some((_, _, connection_id)) => self.dial(server_number, false).or(Some(connection_id)),
-            // All its lines are of no use: one that carries nothing makes room.
+            // None of the connections to this server can be used. One without pending set-ups is closed to
+            // make room for a new one.
             None => {
                 let is_unused = |connection_id: &ConnectionId| {
                     self.server_connection(*connection_id)
@@ -164,7 +171,7 @@
         }
     }
 
-    /// A line on which a server hears of its standing sessions.
+    /// A connection on which to send requests about a server's sessions: an existing one, or a new one.
     pub(crate) fn connection_to(&mut self, server_number: u32, urgent: bool) -> Option<ConnectionId> {
         let connection_ids = self.servers.get(&server_number)?.connections.clone();
         let usable = connection_ids.into_iter().find(|connection_id| {
@@ -175,7 +182,8 @@
         usable.or_else(|| self.dial(server_number, urgent))
     }
 
-    /// What is given to a connection that is not known to be up waits for the turn in which it is found to be.
+    /// Writes to a server. Bytes for a connection that is not known to be established are sent when it is
+    /// found to be.
     pub(crate) fn write_to_server(&mut self, connection_id: ConnectionId, bytes: &[u8]) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(connection_id) else { return };
@@ -193,12 +201,12 @@
         }
     }
 
-    /// Takes a line to a server out of use; nothing is to be open on it.
+    /// Closes a connection to a server. No set-up may be pending on it.
     pub(crate) fn close_server_connection(&mut self, connection_id: ConnectionId) {
         let bytes_sent =
             self.connections.get_mut(connection_id).map_or(0, |connection| connection.bytes_sent());
         let Some(Role::Server(server_connection)) = self.connections.close(connection_id) else { return };
-        // An end of which nothing has left is told on another line.
+        // Release notices of which no byte was sent are sent on another connection.
         let unsent =
             server_connection.unsent_releases.into_iter().filter(|release| release.offset >= bytes_sent);
         self.pending_releases.extend(unsent.take(MAX_NOTICES.saturating_sub(self.pending_releases.len())));
@@ -207,7 +215,8 @@
         }
     }
 
-    /// Tells a server that a session which stands there is over, on this line or on any other; later, where there is none.
+    /// Notifies a server that a session at it has ended: on the `preferred` connection, on any other, or
+    /// later if there is none.
     pub(crate) fn release_on_server(
         &mut self,
         server: u32,
@@ -219,6 +228,7 @@
         self.send_release(preferred, ReleaseNotice { server, play, cause, created_at, offset: 0 });
     }
 
+    /// Sends a release notice, or keeps it if there is no connection to its server.
     fn send_release(&mut self, preferred: Option<ConnectionId>, mut release: ReleaseNotice) {
         let Some(connection_id) = self.preferred_or_any_connection(release.server, preferred) else {
             if self.pending_releases.len() < MAX_NOTICES {
@@ -237,7 +247,8 @@
         self.write_to_server(connection_id, &bytes);
     }
 
-    /// Ends that no line could carry are told again, until whoever plays there must have heard of it otherwise.
+    /// Sends the pending release notices again. A notice is dropped if its server is gone or `NOTICE_TTL_MS`
+    /// has passed, because the player must have learnt of the end in another way by then.
     pub(crate) fn retry_pending_releases(&mut self, now: f64) {
         for release in std::mem::take(&mut self.pending_releases) {
             let is_reachable = self.servers.get(&release.server).is_some_and(|s| s.dial_address().is_some());
@@ -247,7 +258,7 @@
         }
     }
 
-    /// This line to a server, or any other.
+    /// The `preferred` connection if it is open, otherwise any connection to the server.
     fn preferred_or_any_connection(
         &mut self,
         server_number: u32,
@@ -259,7 +270,8 @@
         usable.or_else(|| self.connection_to(server_number, true))
     }
 
-    /// The server and the viewer's connection of an attempt that is still to begin; none once its session waits for it no more.
+    /// The server and the viewer's connection of an attempt that is still to be started, or `None` if its
+    /// session no longer waits for it.
     pub(crate) fn startable_attempt(&self, attempt: &Attempt) -> Option<(u32, ConnectionId)> {
         let session = self.sessions.get(&attempt.session)?;
         let is_startable =
@@ -267,7 +279,7 @@
         Some((session.server.filter(|_| is_startable)?, session.viewer_connection))
     }
 
-    /// The attempt begins: its set-up is written. False where there is no way to its server.
+    /// Sends the set-up of an attempt. Returns false if there is no connection to the server.
     pub(crate) fn send_set_up(&mut self, attempt: &Attempt, server: u32) -> bool {
         let now = self.now();
         let excluded =
@@ -301,7 +313,7 @@
         true
     }
 
-    /// The set-ups on this line of which nothing has left.
+    /// The plays whose set-ups on this connection have not been sent, not even in part.
     pub(crate) fn unsent_set_ups(&mut self, connection_id: ConnectionId) -> Vec<u64> {
         let Some(connection) =
             self.connections.get_mut(connection_id).filter(|connection| connection.pending() > 0)
@@ -318,7 +330,8 @@
             .collect()
     }
 
-    /// A set-up of which nothing has left is taken off its line: true if so, and it never ran.
+    /// Removes a set-up of which no byte was sent from the output of its connection. Returns true if this was
+    /// possible; the set-up has then never run.
     pub(crate) fn cancel_unsent_set_up(&mut self, connection_id: ConnectionId, play: u64) -> bool {
         let Some(connection) = self.connections.get_mut(connection_id) else { return false };
         let Role::Server(server_connection) = &mut connection.role else { return false };
@@ -346,7 +359,8 @@
         true
     }
 
-    /// The attempt that is out is given up: the server hears of it, unless nothing of it has left, which is true then.
+    /// Abandons the current attempt. Returns true if no byte of it was sent; otherwise the server is told to
+    /// end the session.
     pub(crate) fn abandon_attempt(&mut self, play: u64) -> bool {
         let Some(session) = self.sessions.get_mut(&play) else { return false };
         let Some(connection_id) = session.server_connection.take() else { return true };
@@ -362,14 +376,14 @@
         false
     }
 
-    /// A set-up on this line has its answer, or needs none any more.
+    /// Removes a set-up from a connection, because it was answered or no longer needs an answer.
     pub(crate) fn remove_pending_set_up(&mut self, connection_id: ConnectionId, play: u64) {
         if let Some(server_connection) = self.server_connection(connection_id) {
             server_connection.pending_set_ups.retain(|set_up| set_up.play != play);
         }
     }
 
-    /// The sessions that stand at a server, in order.
+    /// The plays whose sessions play on a server, in order.
     pub(crate) fn sessions_playing_at(&self, server_number: u32) -> Vec<u64> {
         let playing_here =
             self.sessions.iter().filter(|(_, s)| s.is_playing && s.server == Some(server_number));
@@ -378,6 +392,7 @@
         plays
     }
 
+    /// Sends the rung of a playing session to its server, unless the server knows it already.
     pub(crate) fn send_rung(&mut self, play: u64) {
         let Some(session) = self.sessions.get_mut(&play) else { return };
         let (Some(server), true) = (session.server, session.is_playing) else { return };
--- a/crates/node/src/to_viewers.rs
+++ b/crates/node/src/to_viewers.rs
@@ -1,4 +1,4 @@
-//! What is written to viewers: final answers, and the ends of sessions that stood.
+//! What is sent to viewers: final answers to set-ups, and notices that sessions have ended.
 
 use crate::state::{EndNotice, MAX_NOTICES, MAX_UNREAD_BYTES, NOTICE_TTL_MS, NodeState, Role};
 use pulleystair_connections::ConnectionId;
@@ -7,7 +7,7 @@
 use tracing::debug;
 
 impl NodeState {
-    /// Writes on a viewer's line; one that does not read is closed.
+    /// Writes to a viewer. A connection on which too much output waits to be read is closed.
     pub(crate) fn write_to_viewer(&mut self, connection_id: ConnectionId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(connection_id) else { return };
         connection.write(bytes);
@@ -18,14 +18,14 @@
         }
     }
 
-    /// The final answer of a play that does not run.
+    /// Sends the final answer to a set-up that does not play.
     pub(crate) fn reject_play(&mut self, play: u64, cause: u8, retry_after: f64) {
         let Some(session) = self.sessions.remove(&play) else { return };
         self.mark_set_up_answered(session.viewer_connection, play);
         self.write_release(session.viewer_connection, play, cause, retry_after);
     }
 
-    /// A refusal, a failure or the end of what stood, under an id that need not have been taken.
+    /// Sends a release: a refusal, a failure or the end of a session. The play need not be known.
     pub(crate) fn write_release(
         &mut self,
         connection_id: ConnectionId,
@@ -43,15 +43,16 @@
         }
     }
 
-    /// A set-up has its answer, or needs none any more.
+    /// Removes a set-up from the pending ones, because it was answered or no longer needs an answer.
     pub(crate) fn mark_set_up_answered(&mut self, connection_id: ConnectionId, play: u64) {
-        self.undecided_set_ups = self.undecided_set_ups.saturating_sub(1);
+        self.pending_set_up_count = self.pending_set_up_count.saturating_sub(1);
         if let Some(viewer) = self.viewer_connection(connection_id) {
             viewer.pending_set_ups.retain(|p| *p != play);
         }
     }
 
-    /// What has stood is over: its viewer is told, on its own connection or on another, now or as soon as there is one.
+    /// Notifies a viewer that its session has ended: on its own connection or another one, now or as soon as
+    /// there is one.
     pub(crate) fn notify_session_end(
         &mut self,
         play: u64,
@@ -66,7 +67,8 @@
         );
     }
 
-    /// Tells an end that is owed since then, until whoever is owed it must have heard of it otherwise.
+    /// Sends an end notice, or keeps it if there is no connection to the viewer. The notice is dropped if
+    /// `NOTICE_TTL_MS` has passed, because the viewer must have learnt of the end in another way by then.
     pub(crate) fn send_end_notice(&mut self, notice: EndNotice, preferred: ConnectionId) {
         if self.now() - notice.ended_at >= NOTICE_TTL_MS {
             return;
@@ -76,7 +78,7 @@
         } else {
             self.find_viewer_connection(notice.viewer_ip)
         };
-        debug!(target: "play", play = format!("{:016x}", notice.play), it.cause = notice.cause, own = connection_id == Some(preferred), waits = connection_id.is_none(), "over");
+        debug!(target: "play", play = format!("{:016x}", notice.play), it.cause = notice.cause, own = connection_id == Some(preferred), waits = connection_id.is_none(), "session ended");
         match connection_id {
             Some(connection_id) => self.write_end_notice(connection_id, notice),
             None if self.pending_notices.len() < MAX_NOTICES => self.pending_notices.push_back(notice),
@@ -84,7 +86,8 @@
         }
     }
 
-    /// Writes an end on this connection; it is kept in mind, as the connection may end before it has brought it.
+    /// Writes an end notice on this connection. The notice is recorded, because the connection may end before
+    /// the viewer has received it.
     fn write_end_notice(&mut self, connection_id: ConnectionId, mut notice: EndNotice) {
         let (play, cause, now) = (notice.play, notice.cause, self.now());
         notice.written_at = now;
@@ -95,7 +98,7 @@
         self.write_release(connection_id, play, cause, 0.0);
     }
 
-    /// The latest connection on which a viewer of that address has asked for something, else of any.
+    /// The newest proven connection from this address, or from any address if there is none.
     fn find_viewer_connection(&mut self, viewer_ip: Option<IpAddr>) -> Option<ConnectionId> {
         let mut fallback = None;
         for connection_id in self.viewer_connections.clone().into_iter().rev() {
@@ -113,11 +116,11 @@
         fallback
     }
 
-    /// A viewer's connection has proven to be one: what is owed goes out on it.
+    /// Sends the pending end notices on a connection that has just been proven to be a viewer's.
     pub(crate) fn send_pending_notices(&mut self, connection_id: ConnectionId) {
         let now = self.now();
         for notice in std::mem::take(&mut self.pending_notices) {
-            debug!(target: "play", play = format!("{:016x}", notice.play), waited = now - notice.ended_at, "release that waited");
+            debug!(target: "play", play = format!("{:016x}", notice.play), waited = now - notice.ended_at, "connection found for a delayed end notice");
             if now - notice.ended_at < NOTICE_TTL_MS {
                 self.write_end_notice(connection_id, notice);
             }
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -1,4 +1,4 @@
-//! What comes from viewers: set-ups, what gives them up, the ends of sessions, and tests.
+//! What viewers send: set-ups, the withdrawal of set-ups, the ends of sessions, and health checks.
 
 use crate::ended_sessions::EndReport;
 use crate::node::Node;
@@ -12,22 +12,25 @@
 use std::collections::HashSet;
 use tracing::debug;
 
-/// Messages taken off a line in one turn.
+/// Maximum number of reads of one connection in a turn.
 const MAX_READS_PER_TURN: usize = 64;
-/// A connection that has brought nothing usable by then is closed, ms. Such a viewer is owed an end within 3 s.
+/// A connection on which no usable message has arrived is closed after this time, ms. It must be closed
+/// within 3 s.
 const UNPROVEN_TIMEOUT_MS: f64 = 2_400.0;
-/// Set-ups that a connection may have open, and all together.
+/// Maximum number of set-ups that may be pending on one connection, and on all connections together.
 const MAX_SET_UPS_PER_CONNECTION: usize = 48;
 const MAX_PENDING_SET_UPS: usize = 1_024;
-/// Connections beyond those that there may be, on which set-ups are turned away; the reserve of descriptors bears them.
+/// Connections that are accepted beyond the limit, only to reject set-ups on them. They use the reserved
+/// descriptors.
 const EXTRA_CONNECTIONS: usize = 8;
-/// What crosses the close of a connection does so by this at most, ms: the page's time for a set-up that does.
+/// How long after a notice was written a viewer's close may cross it on the network, ms. The platform states
+/// this time for a set-up that crosses a close.
 const CLOSE_CROSSING_MS: f64 = 50.0;
-/// So many turned away on one connection close it.
+/// A connection is closed after this many rejected set-ups.
 const MAX_REFUSALS: usize = 256;
 
 impl Node {
-    /// Takes whoever waits at the door; false if there was no descriptor for some.
+    /// Accepts all waiting connections. Returns false if there was no descriptor for some of them.
     pub(crate) fn accept_viewers(&mut self) -> bool {
         let Some(listener) = self.state.listener.as_ref().map(|registered| registered.1.clone()) else {
             return true;
@@ -37,7 +40,8 @@
                 Ok((stream, _)) => stream,
                 Err(e) if e.kind() == std::io::ErrorKind::Interrupted => continue,
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionAborted => continue,
-                // Out of descriptors: whoever waits gets the place of one that has brought nothing.
+                // No descriptor is left: a connection on which nothing usable has arrived is closed for the
+                // waiting one.
                 Err(e) if is_resource_exhaustion(&e) && self.evict_viewer_connection() => continue,
                 Err(e) if is_resource_exhaustion(&e) => {
                     self.pause_accepting();
@@ -45,7 +49,8 @@
                 }
                 Err(_) => return true,
             };
-            // With set-ups open on all, some more are let in to be told so.
+            // If set-ups are pending on all connections, a few more are accepted in order to reject their
+            // set-ups.
             let max_connections = self.state.shares.viewers;
             if self.state.viewer_connections.len() >= max_connections
                 && !self.evict_viewer_connection()
@@ -66,7 +71,7 @@
                 continue;
             };
             self.state.viewer_connections.push_back(connection_id);
-            debug!(target: "viewer", key = connection_id, viewers = self.state.viewer_connections.len(), "connected");
+            debug!(target: "viewer", key = connection_id, viewers = self.state.viewer_connections.len(), "viewer connected");
             if let Some(connection) = self.state.connections.get_mut(connection_id) {
                 connection.deadline = now + UNPROVEN_TIMEOUT_MS;
             }
@@ -74,7 +79,8 @@
         }
     }
 
-    /// With no descriptor for whoever waits at the door, it would be ready at once, again and again; it is left for a moment.
+    /// Pauses accepting for a moment. Without a descriptor for the waiting connections, the listener would be
+    /// reported as ready again and again.
     fn pause_accepting(&mut self) {
         if let Some((registration, _)) = &self.state.listener {
             let _ = self.state.loop_handle.disable(registration);
@@ -83,14 +89,17 @@
         }
     }
 
+    /// Accepts connections again after a pause.
     pub(crate) fn resume_accepting(&mut self) {
         if let Some((registration, _)) = &self.state.listener {
             let _ = self.state.loop_handle.enable(registration);
         }
     }
 
-    /// Closes the oldest connection that has brought nothing, else the oldest with no open set-up; those on which sessions
-    /// stand come last, as their viewers hear of the end there. What has come by now is taken first.
+    /// Closes a viewer's connection to make room, and returns whether there was one: the oldest on which
+    /// nothing usable has arrived, otherwise the oldest without pending set-ups. Connections of playing
+    /// sessions come last, because their viewers are notified of the end there. Input that has arrived by now
+    /// is handled first.
     pub(crate) fn evict_viewer_connection(&mut self) -> bool {
         let state = &mut self.state;
         let playing_on: HashSet<ConnectionId> =
@@ -103,7 +112,7 @@
                 idle.push((viewer.is_proven, playing_on.contains(&connection_id), connection_id));
             }
         }
-        // Those alike stay in the order in which they came.
+        // The sort is stable, so equal connections stay in the order in which they were accepted.
         idle.sort_by_key(|entry| (entry.0, entry.1));
         for (_, _, connection_id) in idle {
             self.handle_viewer_connection(connection_id);
@@ -120,21 +129,23 @@
         false
     }
 
-    /// A viewer's connection is at its end: what it had open is given up, and ends of sessions that it has not brought are owed.
+    /// Closes a viewer's connection. Its pending set-ups are abandoned, and end notices that the viewer may
+    /// not have received are sent again.
     pub(crate) fn close_viewer_connection(&mut self, connection_id: ConnectionId) {
         self.abandon_pending_set_ups(connection_id);
         let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
         let unread = connection.is_broken() || connection.pending() > 0;
         let Some(Role::Viewer(viewer)) = self.state.connections.close(connection_id) else { return };
         self.state.viewer_connections.retain(|id| *id != connection_id);
-        debug!(target: "viewer", key = connection_id, proven = viewer.is_proven, unread, viewers = self.state.viewer_connections.len(), "gone");
+        debug!(target: "viewer", key = connection_id, proven = viewer.is_proven, unread, viewers = self.state.viewer_connections.len(), "viewer connection closed");
         for notice in viewer.recent_notices.into_iter().filter(|_| unread) {
             self.state.send_end_notice(notice, connection_id);
         }
     }
 
-    /// Its viewer has closed a connection. The end of a session that was told on it just now may have crossed that: then the viewer's
-    /// machine breaks the connection off when it comes there, which is waited for.
+    /// Handles a connection that its viewer has closed. A recent end notice may have crossed the close on the
+    /// network. In that case the viewer's machine resets the connection when the notice arrives, so the
+    /// connection is kept until this would be known.
     fn on_viewer_closed(&mut self, connection_id: ConnectionId) {
         let now = self.state.now();
         let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
@@ -153,7 +164,7 @@
         self.abandon_pending_set_ups(connection_id);
     }
 
-    /// No set-up that is open on a viewer's connection is waited for any more.
+    /// Abandons all set-ups that are pending on a viewer's connection.
     fn abandon_pending_set_ups(&mut self, connection_id: ConnectionId) {
         let abandoned = self
             .state
@@ -165,19 +176,20 @@
         self.report_finished_allocations();
     }
 
-    /// An open set-up is not waited for any more.
+    /// Abandons a pending set-up, because its viewer no longer waits for it.
     fn abandon_set_up(&mut self, play: u64) {
         let Some(session) = self.state.sessions.get(&play) else { return };
         let (connection_id, server) = (session.viewer_connection, session.server);
         self.state.mark_set_up_answered(connection_id, play);
         self.dispatcher.on_viewer_left(play, &mut self.state);
-        // One that is out is forgotten with the outcome that the desk is still told.
+        // A session with a current attempt is removed when the outcome of the attempt is reported to the
+        // dispatcher.
         if server.is_none() {
             self.state.sessions.remove(&play);
         }
     }
 
-    /// Takes what has come; false if that was more than a turn takes, and there may be more.
+    /// Handles the input of a viewer's connection. Returns false if there may be more than one turn handles.
     pub(crate) fn handle_viewer_connection(&mut self, connection_id: ConnectionId) -> bool {
         for _ in 0..MAX_READS_PER_TURN {
             let Some(connection) = self.state.connections.get_mut(connection_id) else { return true };
@@ -206,14 +218,15 @@
         false
     }
 
-    /// Takes the whole messages off; none where the connection is to be closed.
+    /// Handles the complete messages of `input`. Returns how many bytes they take, or `None` if the
+    /// connection is to be closed.
     fn handle_viewer_messages(&mut self, connection_id: ConnectionId, input: &[u8]) -> Option<usize> {
         let mut used = 0;
         loop {
             match Message::parse(&input[used..]) {
                 Ok(None) => return Some(used),
                 Err(e) => {
-                    debug!(target: "viewer", "closed: {e}");
+                    debug!(target: "viewer", "connection closed: message cannot be parsed: {e}");
                     self.state.stats.unusable += 1;
                     return None;
                 }
@@ -228,7 +241,7 @@
         }
     }
 
-    /// Takes one message; false where the connection is to be closed.
+    /// Handles one message. Returns false if the connection is to be closed.
     fn handle_viewer_message(&mut self, connection_id: ConnectionId, message: &Message) -> bool {
         let play = message.session;
         match message.kind {
@@ -272,7 +285,8 @@
         true
     }
 
-    /// The connection is a viewer's: ends are told on it, and it is not closed for having brought nothing.
+    /// Marks a connection as proven to be a viewer's: pending end notices are sent on it, and it is not
+    /// closed for being silent.
     fn mark_proven(&mut self, connection_id: ConnectionId) {
         if self
             .state
@@ -283,6 +297,8 @@
         }
     }
 
+    /// Handles a set-up: starts a play, adopts a session, or rejects it. Returns false if the connection is
+    /// to be closed.
     fn handle_set_up(&mut self, connection_id: ConnectionId, message: &Message) -> bool {
         let play = message.session;
         let now = self.state.now();
@@ -290,8 +306,8 @@
         let set_up = match self.parse_set_up(now, message) {
             Ok(set_up) => set_up,
             Err(cause) => {
-                debug!(target: "viewer", play = format!("{play:016x}"), "not usable: {cause}");
-                // The id of an open play again: that one keeps its answer.
+                debug!(target: "viewer", play = format!("{play:016x}"), "set-up not usable: {cause}");
+                // The id of a pending set-up was used again; that set-up keeps its answer.
                 if is_known {
                     return false;
                 }
@@ -315,13 +331,13 @@
         let is_over_limit = self.state.viewer_connections.len() > self.state.shares.viewers;
         if is_over_limit
             || viewer.pending_set_ups.len() >= MAX_SET_UPS_PER_CONNECTION
-            || self.state.undecided_set_ups >= MAX_PENDING_SET_UPS
+            || self.state.pending_set_up_count >= MAX_PENDING_SET_UPS
         {
             self.state.stats.flooded += 1;
             return self.reject_set_up(connection_id, play, CAUSE_BUSY, self.state.limits.max_retry_after);
         }
         viewer.pending_set_ups.push(play);
-        self.state.undecided_set_ups += 1;
+        self.state.pending_set_up_count += 1;
         let request = set_up.request;
         self.state.sessions.insert(play, new_session(connection_id, viewer_ip, set_up));
         self.mark_proven(connection_id);
@@ -329,7 +345,8 @@
         true
     }
 
-    /// Refuses what was not taken; false where that was once too often on this connection.
+    /// Rejects a set-up that was not accepted. Returns false if there were too many rejections on this
+    /// connection.
     fn reject_set_up(&mut self, connection_id: ConnectionId, play: u64, cause: u8, retry_after: f64) -> bool {
         self.state.write_release(connection_id, play, cause, retry_after);
         let Some(viewer) = self.state.viewer_connection(connection_id) else { return true };
@@ -337,7 +354,7 @@
         viewer.refusals <= MAX_REFUSALS
     }
 
-    /// A session that plays already at that server.
+    /// Adopts a session that plays already at this server.
     fn adopt_session(
         &mut self,
         now: f64,
@@ -349,11 +366,11 @@
         let server = self.state.server_number(server_id);
         let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
         let viewer_ip = connection.peer_ip();
-        // Its viewer keeps the connection while the session stands, to hear of its end.
+        // The viewer keeps the connection while the session plays, to be notified of its end.
         self.mark_proven(connection_id);
         match self.state.ended_sessions.take_report(now, play) {
             None => {}
-            // It has ended already, and the word of that came first.
+            // The session has ended already, and the report of its end arrived first.
             Some(EndReport::Server(CAUSE_WITHDRAWN) | EndReport::Both) => return,
             Some(EndReport::Server(cause)) => {
                 return self.state.notify_session_end(play, connection_id, viewer_ip, cause);
@@ -371,7 +388,7 @@
             }
         }
         self.dispatcher.adopt(now, play, &request, server, &mut self.state);
-        // A server that knows no connection of this front can't tell of the session.
+        // A server without a connection to this node cannot report anything about the session.
         let _ = self.state.connection_to(server, false);
     }
 }
--- a/crates/rtsp/src/lib.rs
+++ b/crates/rtsp/src/lib.rs
@@ -7,11 +7,11 @@
 use std::fmt::Write;
 use thiserror::Error;
 
-/// Most bytes of a message, head and body.
+/// Maximum number of bytes of a message, head and body.
 pub const MAX_BYTES: usize = 16 << 10;
-/// Most bytes of a first line.
+/// Maximum number of bytes of a first line.
 const MAX_FIRST_LINE_BYTES: usize = 1024;
-/// Most header fields of a message.
+/// Maximum number of header fields of a message.
 const MAX_FIELDS: usize = 32;
 /// The protocol version in the first line.
 const VERSION: &str = "RTSP/1.0";
--- a/crates/viewer-protocol/src/lib.rs
+++ b/crates/viewer-protocol/src/lib.rs
@@ -7,7 +7,7 @@
 
 use thiserror::Error;
 
-/// Most bytes of a message, including its length field.
+/// Maximum number of bytes of a message, including its length field.
 pub const MAX_BYTES: usize = 16 << 10;
 /// Bytes of the length field.
 const LENGTH_BYTES: usize = 2;
