--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! What a node is given at start: a file of JSON, with the platform's settings as a call sheet.
+//! The configuration of a node: a JSON file with the platform's settings, read at start and on SIGHUP.
 
 use anyhow::{Context, anyhow};
 use pulleystair::{Settings, number};
@@ -8,98 +8,127 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Bytes of the file at most.
-const MOST: u64 = 16 << 20;
+/// Maximum number of bytes of the file.
+const MAX_FILE_BYTES: u64 = 16 << 20;
 
+/// The contents of the file, and what is derived from it.
 #[derive(Debug, Deserialize)]
 pub struct Config {
+    /// The node's name, which a new file has to repeat.
     #[serde(default)]
     pub name: String,
+    /// The address on which viewers connect.
     pub listen: SocketAddr,
+    /// The seed of the node's random numbers, in hex digits.
     seed: String,
+    /// Limits of the process.
     pub limits: Limits,
+    /// The address of the name service.
     pub resolver: SocketAddr,
+    /// The list of servers known at the start.
     pub known: InitialEvents,
+    /// The platform's settings as they stand in the file; null once `policy_settings` is set.
     settings: serde_json::Value,
+    /// The path of the file, to read it again.
     #[serde(skip)]
     pub path: PathBuf,
+    /// The settings by flat name.
     #[serde(skip)]
     pub policy_settings: Settings,
+    /// The number in `seed`.
     #[serde(skip)]
     pub salt: u64,
 }
 
+/// Limits of the process, as the file states them.
 #[derive(Debug, Deserialize)]
 pub struct Limits {
+    /// How many file descriptors the process may use.
     pub sockets: usize,
 }
 
-/// What the node itself reads of the call sheet.
+/// The part of the settings that the node itself uses.
 #[derive(Debug)]
 pub struct NodeLimits {
+    /// The names of the products, in order.
     pub products: Vec<String>,
+    /// The names of the zones, in order.
     pub zones: Vec<String>,
+    /// The names of the kinds of servers, in order.
     pub kinds: Vec<String>,
+    /// How many cells the fleet of servers has.
     pub cells: usize,
+    /// How many rungs the ladder has.
     pub rungs: usize,
-    /// Time to make a connection to a server, ms.
-    pub dial: f64,
-    /// How often a server tells of its link where a play runs, ms; 0 for never.
-    pub tells: f64,
-    /// The longest time to come back that viewers heed, ms; 0 where they heed none.
-    pub stay_away: f64,
+    /// Time to establish a connection to a server, ms.
+    pub dial_timeout: f64,
+    /// Interval at which a server reports the load of its link while a play runs, ms; 0 if it never does.
+    pub note_interval: f64,
+    /// The longest retry delay that viewers obey, ms; 0 if they obey none.
+    pub max_retry_after: f64,
     /// The longest of the products' time limits, ms.
-    pub longest: f64,
-    /// A server closes a connection that was idle for so long, ms; infinite where the settings name no such time.
-    pub idle: f64,
-    /// Set-ups that a connection to a server may carry at once.
-    pub streams: usize,
+    pub max_time_limit: f64,
+    /// A server closes a connection that was idle for this long, ms; infinite if the settings name no such
+    /// time.
+    pub idle_close: f64,
+    /// Set-ups that may be pending on a connection to a server at the same time.
+    pub max_set_ups_per_connection: usize,
 }
 
 impl Config {
+    /// Reads and checks the file. Errors name the file and the setting.
     pub fn read(path: &Path) -> anyhow::Result<Config> {
-        let place = || path.display().to_string();
-        let size = std::fs::metadata(path).with_context(place)?.len();
-        if size > MOST {
-            return Err(anyhow!("{}: it has {size} bytes, more than {MOST}", place()));
+        let file_name = || path.display().to_string();
+        let size = std::fs::metadata(path).with_context(file_name)?.len();
+        if size > MAX_FILE_BYTES {
+            return Err(anyhow!("{}: the file has {size} bytes, more than {MAX_FILE_BYTES}", file_name()));
         }
-        let text = std::fs::read(path).with_context(place)?;
+        let text = std::fs::read(path).with_context(file_name)?;
         let mut json = serde_json::Deserializer::from_slice(&text);
-        let mut it: Config = serde_path_to_error::deserialize(&mut json)
-            .map_err(|e| anyhow!("{}: {}: {}", place(), e.path(), e.inner()))?;
-        it.policy_settings =
-            settings_from_json(&it.settings).map_err(|e| anyhow!("{}: settings: {e}", place()))?;
-        it.salt = u64::from_str_radix(&it.seed, 16)
-            .map_err(|e| anyhow!("{}: seed: {:?} are no hex digits: {e}", place(), it.seed))?;
-        it.settings = serde_json::Value::Null;
-        // A node without classes could take no set-up, and would turn every viewer away as one that makes no sense.
-        if it.terms().products.is_empty() {
-            return Err(anyhow!("{}: settings: lanes[0].name is missing: no class is named", place()));
+        let mut config: Config = serde_path_to_error::deserialize(&mut json)
+            .map_err(|e| anyhow!("{}: {}: {}", file_name(), e.path(), e.inner()))?;
+        config.policy_settings =
+            settings_from_json(&config.settings).map_err(|e| anyhow!("{}: settings: {e}", file_name()))?;
+        config.salt = u64::from_str_radix(&config.seed, 16).map_err(|e| {
+            anyhow!("{}: seed: {:?} is not a 64-bit number in hex digits: {e}", file_name(), config.seed)
+        })?;
+        config.settings = serde_json::Value::Null;
+        // Without a class the node could accept no set-up, and would reject every viewer's set-up as
+        // unusable.
+        if config.node_limits().products.is_empty() {
+            return Err(anyhow!(
+                "{}: settings: lanes[0].name is missing: the settings name no class",
+                file_name()
+            ));
         }
-        it.path = path.to_path_buf();
-        Ok(it)
+        config.path = path.to_path_buf();
+        Ok(config)
     }
 
-    pub fn terms(&self) -> NodeLimits {
-        let number = |name: &str, other: f64| number(&self.policy_settings, name, other);
-        let names = |of: &str| text_list(&self.policy_settings, |i| format!("{of}.{i}"));
-        let count =
-            |of: &str| (0..).take_while(|i| self.policy_settings.contains_key(&format!("{of}.{i}"))).count();
+    /// Extracts what the node itself uses from the settings.
+    pub fn node_limits(&self) -> NodeLimits {
+        let number = |name: &str, default: f64| number(&self.policy_settings, name, default);
+        let names = |prefix: &str| text_list(&self.policy_settings, |i| format!("{prefix}.{i}"));
+        let count = |prefix: &str| {
+            (0..).take_while(|i| self.policy_settings.contains_key(&format!("{prefix}.{i}"))).count()
+        };
         let products = text_list(&self.policy_settings, |i| format!("products.{i}.name"));
-        let limit = |i: usize| number(&format!("products.{i}.time_limit"), 3_000.0);
-        let heeded = number("ceilings.retry_after", 0.0) > 0.0;
+        let time_limit = |i: usize| number(&format!("products.{i}.time_limit"), 3_000.0);
+        let is_heeded = number("ceilings.retry_after", 0.0) > 0.0;
         NodeLimits {
-            longest: (0..products.len()).map(limit).fold(0.0, f64::max),
+            max_time_limit: (0..products.len()).map(time_limit).fold(0.0, f64::max),
             products,
             zones: names("failure_domains"),
             kinds: names("kinds"),
             cells: number("extra.places", 1.0).max(1.0) as usize,
             rungs: count("extra.ladder_kb").max(1),
-            dial: number("ceilings.dial_timeout", 250.0).max(1.0),
-            tells: number("extra.reports_every", 0.0),
-            stay_away: if heeded { number("ceilings.max_retry_after", 0.0) } else { 0.0 },
-            idle: Some(number("ceilings.idle_close", 0.0)).filter(|ms| *ms > 0.0).unwrap_or(f64::INFINITY),
-            streams: number("ceilings.streams_per_conn", 100.0).max(1.0) as usize,
+            dial_timeout: number("ceilings.dial_timeout", 250.0).max(1.0),
+            note_interval: number("extra.reports_every", 0.0),
+            max_retry_after: if is_heeded { number("ceilings.max_retry_after", 0.0) } else { 0.0 },
+            idle_close: Some(number("ceilings.idle_close", 0.0))
+                .filter(|ms| *ms > 0.0)
+                .unwrap_or(f64::INFINITY),
+            max_set_ups_per_connection: number("ceilings.streams_per_conn", 100.0).max(1.0) as usize,
         }
     }
 }
