--- a/crates/edge/src/hands.rs
+++ b/crates/edge/src/actions.rs
@@ -1,76 +1,84 @@
 //! What the desk has done: allocations, withdrawals, steps, probes and final answers; and servers' figures as it reads them.
 
-use crate::connections::{Errand, Role, Stage, What};
+use crate::connections::{AllocationStage, RequestKind, Role, ServerRequest};
 use pulleystair::{LoadMetric, Outcome};
 use pulleystair_dispatcher::Actions;
 use std::collections::HashMap;
 use tracing::{debug, error};
 
-use crate::floor::{Clock, Floor, News, words};
+use crate::state::{AllocationEnd, EdgeState, Timer, text_answer};
 
-impl Actions for Floor {
+impl Actions for EdgeState {
     fn record_candidates(&mut self, _play: u64, odds: &[(u32, f64, f64)]) {
-        self.company_drew(odds);
+        self.fleet_record_candidates(odds);
     }
 
     fn send(&mut self, play: u64, server: u32, rung: usize, time_out: f64) {
         let now = self.now();
-        let Some(n) = self.book.send(now, play, server, rung) else {
+        let Some(n) = self.sessions.send(now, play, server, rung) else {
             // Rule 2: what the book does not allow does not go out.
-            error!(target: "play", play, server = self.name(server), "not sent: the play has no such step");
-            return self.news.push_back(News { play, server, outcome: Outcome::NeverSent });
+            error!(target: "play", play, server = self.server_name(server), "not sent: the play has no such step");
+            return self.finished_allocations.push_back(AllocationEnd {
+                play,
+                server,
+                outcome: Outcome::NeverSent,
+            });
         };
-        self.out += 1;
-        self.tally.allocations += 1;
-        self.company_sent(now, play, n, server);
-        let Some(session) = self.book.get(play) else { return };
+        self.pending_set_ups += 1;
+        self.stats.allocations += 1;
+        self.fleet_on_sent(now, play, n, server);
+        let Some(session) = self.sessions.get(play) else { return };
         let product = session.product;
         let body = serde_json::json!({
-            "title": session.show.name,
-            "product": self.rundown.products[product].name,
+            "title": session.title.name,
+            "product": self.config.products[product].name,
             "rung": rung,
             "session": session.id,
         });
         let target = self.allocation(play, n);
         let request = self.request_to(server, "POST", &target, &body.to_string());
-        match self.dial(server, Role::Allocation { play, server, stage: Stage::Asked }) {
+        match self.dial(server, Role::Allocation { play, server, stage: AllocationStage::AwaitingResponse }) {
             Ok(key) => {
-                if let Some(line) = self.lines.get_mut(key) {
+                if let Some(line) = self.connections.get_mut(key) {
                     line.write(&request);
                     line.flush();
                 }
-                if let Some(session) = self.book.get_mut(play) {
+                if let Some(session) = self.sessions.get_mut(play) {
                     session.line = Some(key);
                 }
-                self.set_due(key, now + self.rundown.limits.dial_ms);
-                self.clock(now + time_out, Clock::TimeOut(play, n));
+                self.set_connection_deadline(key, now + self.config.limits.dial_ms);
+                self.schedule(now + time_out, Timer::SetUpTimeout(play, n));
             }
             Err(e) => {
-                debug!(target: "server", server = self.name(server), "not reached: {e}");
-                self.news.push_back(News { play, server, outcome: Outcome::Unreachable });
+                debug!(target: "server", server = self.server_name(server), "not reached: {e}");
+                self.finished_allocations.push_back(AllocationEnd {
+                    play,
+                    server,
+                    outcome: Outcome::Unreachable,
+                });
             }
         }
     }
 
     fn withdraw(&mut self, play: u64) {
-        let Some(server) = self.book.get(play).and_then(|s| s.server) else { return };
-        self.news.push_back(News { play, server, outcome: Outcome::Withdrawn });
+        let Some(server) = self.sessions.get(play).and_then(|s| s.server) else { return };
+        self.finished_allocations.push_back(AllocationEnd { play, server, outcome: Outcome::Withdrawn });
     }
 
     fn set_rung(&mut self, play: u64, rung: usize) {
-        let Some(session) = self.book.get_mut(play) else { return };
+        let Some(session) = self.sessions.get_mut(play) else { return };
         session.rung = rung;
         self.tell_rung(play);
     }
 
     fn probe(&mut self, server: u32) {
-        self.company_probed(server);
+        self.fleet_on_probed(server);
         let request = self.request_to(server, "GET", "/load", "");
-        self.run_errand(server, Errand::new(What::Probe, request));
+        self.run_request(server, ServerRequest::new(RequestKind::Probe, request));
     }
 
     fn decline(&mut self, play: u64, pause: f64) {
-        let mut answer = words(503, "no room for this play now");
+        let mut answer = text_answer(503, "no room for this play now");
         if pause > 0.0 {
             answer.retry_after = Some((pause / 1000.0).ceil() as u64);
         }
@@ -78,17 +86,17 @@
     }
 
     fn fail(&mut self, play: u64) {
-        let late = self.book.get(play).is_some_and(|s| self.now() >= s.limit - 5.0);
+        let late = self.sessions.get(play).is_some_and(|s| self.now() >= s.limit - 5.0);
         let answer = if late {
-            words(504, "the play could not be set up in time")
+            text_answer(504, "the play could not be set up in time")
         } else {
-            words(502, "the play could not be set up")
+            text_answer(502, "the play could not be set up")
         };
         self.over(play, "failed", answer);
     }
 
     fn set_timer(&mut self, mark: u32, wait: f64) {
-        self.clock(self.now() + wait, Clock::Desk(mark));
+        self.schedule(self.now() + wait, Timer::Dispatcher(mark));
     }
 
     /// The list comes unasked, from its file.
@@ -97,7 +105,7 @@
 
 /// The figures of a load report that the decisions know: `named_metrics` link, uplink and streams, or the
 /// capped `utilization.link`.
-pub(crate) fn figures(load: Option<&str>) -> Vec<LoadMetric> {
+pub(crate) fn parse_load_report(load: Option<&str>) -> Vec<LoadMetric> {
     let Some(load) = load else { return Vec::new() };
     let report = match pulleystair_orca::parse(load) {
         Ok(report) => report,
@@ -117,7 +125,7 @@
 }
 
 /// A line of notes: a JSON object with `delivered`, `link` and `uplink`, each where the server has it.
-pub(crate) fn note_figures(line: &[u8]) -> Option<Vec<LoadMetric>> {
+pub(crate) fn parse_note(line: &[u8]) -> Option<Vec<LoadMetric>> {
     let note: HashMap<String, f64> = serde_json::from_slice(line).ok()?;
     let of = |name: &str, figure: fn(f64) -> LoadMetric| note.get(name).copied().map(figure);
     let all = [
--- a/crates/edge/src/active_config.rs
+++ b/crates/edge/src/active_config.rs
@@ -115,9 +115,9 @@
 impl Edge {
     /// What runs, less what this front holds itself to for being adrift.
     pub(crate) fn goes_by(&self) -> Sections {
-        let mut sheet = self.desk.active_settings();
-        let mut rundown = self.floor.rundown.clone();
-        let Some(company) = &self.floor.company else { return Sections::new() };
+        let mut sheet = self.dispatcher.active_settings();
+        let mut rundown = self.state.config.clone();
+        let Some(company) = &self.state.fleet else { return Sections::new() };
         for (path, (own, held)) in &company.held {
             match on_the_sheet(&rundown, path) {
                 Some(name) if number(&sheet, &name, f64::NAN) == *held => {
@@ -132,19 +132,19 @@
 
     /// Goes by the stricter figures while it is adrift, and by its own again once it is in step.
     pub(crate) fn hold_to(&mut self, stricter: &[(String, f64)]) {
-        let Some(company) = &self.floor.company else { return };
+        let Some(company) = &self.state.fleet else { return };
         let held = company.held.clone();
         for (path, (own, _)) in held.iter().filter(|(path, _)| !stricter.iter().any(|s| s.0 == **path)) {
             self.go_by(path, *own);
             tracing::info!(target: "fleet", path, own, "in step: goes by its own figure again");
-            self.floor.company.iter_mut().for_each(|it| {
+            self.state.fleet.iter_mut().for_each(|it| {
                 it.held.remove(path);
             });
         }
         for (path, figure) in stricter {
-            let own = match on_the_sheet(&self.floor.rundown, path) {
-                Some(name) => number(&self.desk.active_settings(), &name, f64::NAN),
-                None => self.floor.rundown.rules.drain_grace_ms,
+            let own = match on_the_sheet(&self.state.config, path) {
+                Some(name) => number(&self.dispatcher.active_settings(), &name, f64::NAN),
+                None => self.state.config.rules.drain_grace_ms,
             };
             if own == *figure || held.get(path).is_some_and(|held| held.1 == *figure) {
                 continue;
@@ -152,20 +152,20 @@
             let own = held.get(path).map_or(own, |held| held.0);
             self.go_by(path, *figure);
             tracing::warn!(target: "fleet", path, own, figure, "adrift in a rule: goes by the stricter figure");
-            self.floor.company.iter_mut().for_each(|it| {
+            self.state.fleet.iter_mut().for_each(|it| {
                 it.held.insert(path.clone(), (own, *figure));
             });
         }
     }
 
     fn go_by(&mut self, path: &str, figure: f64) {
-        match on_the_sheet(&self.floor.rundown, path) {
-            Some(name) => self.desk.override_setting(&name, figure),
+        match on_the_sheet(&self.state.config, path) {
+            Some(name) => self.dispatcher.override_setting(&name, figure),
             // A drain is heard of by a look at the list; those are no further apart than the grace.
             None => {
-                let limits = &mut self.floor.rundown.limits;
+                let limits = &mut self.state.config.limits;
                 limits.list_poll_ms = limits.list_poll_ms.min(figure);
-                self.floor.rundown.rules.drain_grace_ms = figure;
+                self.state.config.rules.drain_grace_ms = figure;
             }
         }
     }
--- a/crates/edge/src/approved_versions.rs
+++ b/crates/edge/src/approved_versions.rs
@@ -60,17 +60,17 @@
 
 impl Edge {
     /// Looks at the approved versions; what is not taken leaves those in hand.
-    pub(crate) fn look_at_versions(&mut self) {
-        let floor = &mut self.floor;
-        let Some(company) = floor.company.as_mut() else { return };
+    pub(crate) fn poll_approved_versions(&mut self) {
+        let floor = &mut self.state;
+        let Some(company) = floor.fleet.as_mut() else { return };
         let Some(watched) = company.approved.as_mut() else { return };
-        if !watched.replaced() {
+        if !watched.check_replaced() {
             return;
         }
-        let read = read(watched.file(), &floor.rundown).map_err(|e| e.to_string());
+        let read = read(watched.file(), &floor.config).map_err(|e| e.to_string());
         let taken = read.and_then(|chain| {
             let number = chain.head().map(|d| d.number);
-            company.fellow.set_approved(chain).map(|()| number)
+            company.member.set_approved(chain).map(|()| number)
         });
         match taken {
             Ok(number) => {
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -1,18 +1,18 @@
 //! The front itself: one thread, one event loop. Players' requests and servers' answers are taken off the
-//! lines here, told to the desk, and what the desk wants done is done by the [`Floor`], its hands.
+//! lines here, told to the desk, and what the desk wants done is done by the [`EdgeState`], its hands.
 //!
-//! A play's way: [`Edge::request`] takes the manifest request (`players`), the desk sends it ([`Floor::send`]), the
+//! A play's way: [`Edge::request`] takes the manifest request (`players`), the desk sends it ([`EdgeState::send`]), the
 //! allocation's line tells how that went ([`Edge::allocation`], `servers`), and the waiting player is answered
-//! ([`Floor::answer`]). Segments go by [`Edge::segment`] and [`Edge::errand`]. Files are looked at in `watch`.
+//! ([`EdgeState::answer`]). Segments go by [`Edge::segment`] and [`Edge::on_server_connection`]. Files are looked at in `watch`.
 
-use crate::company::Company;
 use crate::config::Config;
-use crate::connections::{ConnectionId, Doing, Lines, Role, Stage};
-use crate::floor::{Clock, Floor, News, words};
-use crate::seals::Seals;
-use crate::server_list::{Known, List, Watched};
-use crate::sessions::{Book, Bounds, Life};
-use crate::tally::Tally;
+use crate::connections::{AllocationStage, ConnectionId, Connections, PlayerState, Role};
+use crate::fleet::Fleet;
+use crate::server_list::{List, ListContext, WatchedFiles};
+use crate::sessions::{Bounds, Life, SessionTable};
+use crate::state::{AllocationEnd, EdgeState, Timer, text_answer};
+use crate::stats::Stats;
+use crate::tls::TlsConfigs;
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction};
@@ -38,23 +38,23 @@
 const LAST_WORD: Duration = Duration::from_millis(20);
 
 pub struct Edge {
-    pub(crate) desk: Dispatcher,
-    pub(crate) floor: Floor,
+    pub(crate) dispatcher: Dispatcher,
+    pub(crate) state: EdgeState,
 }
 
-pub(crate) fn known(rundown: &Config) -> Known<'_> {
-    Known {
+pub(crate) fn list_context(rundown: &Config) -> ListContext<'_> {
+    ListContext {
         zones: &rundown.zones,
         kinds: rundown.fleet.kinds.iter().map(|k| k.name.as_str()).collect(),
         products: rundown.products.iter().map(|p| p.name.as_str()).collect(),
         cells: rundown.fleet.cells,
-        sealed: rundown.tls.servers.is_some(),
+        uses_tls: rundown.tls.servers.is_some(),
     }
 }
 
 /// Reads the list that a rundown names.
 pub fn read_list(rundown: &Config) -> Result<List, pulleystair_jsonnet::LoadError> {
-    List::read(&rundown.list, &known(rundown))
+    List::load(&rundown.list, &list_context(rundown))
 }
 
 fn since_1970() -> Duration {
@@ -88,8 +88,8 @@
             edge.accept(listener, false);
             Ok(PostAction::Continue)
         })?;
-    edge.floor.door = Some(door);
-    if let Some(at) = edge.floor.rundown.sharing.ask.filter(|_| edge.floor.company.is_some()) {
+    edge.state.listener = Some(door);
+    if let Some(at) = edge.state.config.sharing.ask.filter(|_| edge.state.fleet.is_some()) {
         let asked =
             TcpListener::bind(at).map_err(|e| anyhow::anyhow!("sharing.ask: {at} can't be had: {e}"))?;
         asked.set_nonblocking(true)?;
@@ -100,28 +100,28 @@
         })?;
     }
     handle.insert_source(stop, |event, (), edge| match event.signal() {
-        Signal::SIGHUP => edge.look_at_all(),
+        Signal::SIGHUP => edge.reload_all_files(),
         Signal::SIGXFSZ => {}
         _ => edge.stop(),
     })?;
-    info!(target: "front", %address, servers = edge.floor.servers.len(), "listens");
-    while !edge.floor.done() {
-        let wait = edge.floor.clocks.time_to_next();
+    info!(target: "front", %address, servers = edge.state.servers.len(), "listens");
+    while !edge.state.is_finished() {
+        let wait = edge.state.timers.time_to_next();
         event_loop.dispatch(wait, &mut edge)?;
         edge.ring();
-        while edge.desk.end_turn(edge.floor.now(), &mut edge.floor) {
-            edge.settle();
+        while edge.dispatcher.end_turn(edge.state.now(), &mut edge.state) {
+            edge.process_pending();
         }
-        let now = edge.floor.now();
-        edge.floor.lag.turn_ended(now);
-        edge.floor.wall.sync(now, since_1970().as_secs_f64() * 1000.0);
+        let now = edge.state.now();
+        edge.state.loop_lag.turn_ended(now);
+        edge.state.wall_clock.sync(now, since_1970().as_secs_f64() * 1000.0);
     }
-    info!(target: "front", left = edge.floor.book.held().len(), "stopped");
+    info!(target: "front", left = edge.state.sessions.open_plays().len(), "stopped");
     // The last word is the sums. A log that is read, if slowly, is given the time to take them.
     for _ in 0..LAST_WORDS {
-        let before = edge.floor.dropped.dropped_lines();
-        edge.floor.write_tally();
-        if edge.floor.dropped.dropped_lines() == before {
+        let before = edge.state.dropped_log_lines.dropped_lines();
+        edge.state.log_stats();
+        if edge.state.dropped_log_lines.dropped_lines() == before {
             break;
         }
         std::thread::sleep(LAST_WORD);
@@ -131,16 +131,16 @@
 
 impl ConnectionHandler for Edge {
     fn connection_ready(&mut self, key: ConnectionId) {
-        let now = self.floor.now();
-        self.floor.lag.work_started(now);
-        self.accompany();
-        let Some(line) = self.floor.lines.get_mut(key) else { return };
+        let now = self.state.now();
+        self.state.loop_lag.work_started(now);
+        self.sync_fleet();
+        let Some(line) = self.state.connections.get_mut(key) else { return };
         match &line.role {
             Role::Player(_) => self.player(key),
             Role::Allocation { .. } => self.allocation(key),
-            Role::Errands { .. } => self.errand(key),
+            Role::ServerPool { .. } => self.on_server_connection(key),
         }
-        self.settle();
+        self.process_pending();
     }
 }
 
@@ -161,75 +161,79 @@
             remember: limits.remember_ms,
         };
         // Looked at before they are read: what is replaced meanwhile shows at the next look.
-        let mut keys = rundown.keys.clone().map(Watched::new);
+        let mut keys = rundown.keys.clone().map(WatchedFiles::new);
         keys.iter_mut().for_each(|keys| {
-            keys.replaced();
+            keys.check_replaced();
         });
         let (entry_keys, pass_keys, revoked) =
             rundown.key_rings().map_err(|(path, cause)| anyhow::anyhow!("{path}: {cause}"))?;
-        let mut watched = Watched::new(rundown.list.clone());
-        watched.replaced();
-        let seals = Seals::read(&rundown.tls, since.as_secs())?;
+        let mut watched = WatchedFiles::new(rundown.list.clone());
+        watched.check_replaced();
+        let seals = TlsConfigs::load(&rundown.tls, since.as_secs())?;
         let clocks = Timers::new(since.as_secs_f64() * 1000.0);
-        let company = Company::join(&rundown, &handle, clocks.now(), seed)?;
-        let floor = Floor {
+        let company = Fleet::join(&rundown, &handle, clocks.now(), seed)?;
+        let floor = EdgeState {
             entry_keys,
             pass_keys,
-            keys,
-            seals,
+            keys_file: keys,
+            tls: seals,
             revoked: revoked.into_iter().collect(),
-            lines: Lines::new(handle.clone()),
+            connections: Connections::new(handle.clone()),
             queue: AdmissionQueue::new(rundown.admission.queue_config()),
-            limit: ConcurrencyLimit::new(rundown.admission.limit_config()),
-            out: 0,
-            lag: LoopLag::default(),
-            wall: WallClock::new(since.as_secs_f64() * 1000.0),
-            homes: Vec::new(),
-            homes_file: rundown.homes.clone().map(Watched::new),
-            handle,
-            door: None,
-            book: Book::new(bounds),
-            watched,
-            titles: HashMap::new(),
-            shows: HashMap::new(),
-            next_title: 0,
+            set_up_limit: ConcurrencyLimit::new(rundown.admission.limit_config()),
+            pending_set_ups: 0,
+            loop_lag: LoopLag::default(),
+            wall_clock: WallClock::new(since.as_secs_f64() * 1000.0),
+            home_addresses: Vec::new(),
+            homes_file: rundown.homes.clone().map(WatchedFiles::new),
+            loop_handle: handle,
+            listener: None,
+            sessions: SessionTable::new(bounds),
+            list_file: watched,
+            title_numbers: HashMap::new(),
+            titles_by_number: HashMap::new(),
+            next_title_number: 0,
             servers: Vec::new(),
             server_numbers: HashMap::new(),
-            clocks,
-            news: VecDeque::new(),
-            players: 0,
-            fetchers: HashMap::new(),
-            errands_out: 0,
-            woken: Vec::new(),
-            run: format!("{:x}-{:x}", since.as_millis() as u64, std::process::id()),
-            tally: Tally::default(),
-            tallied: (Tally::default(), 0),
-            dropped,
-            company,
-            stopping: false,
-            halted: false,
-            rundown,
+            timers: clocks,
+            finished_allocations: VecDeque::new(),
+            player_count: 0,
+            fetch_connections: HashMap::new(),
+            open_requests: 0,
+            players_to_resume: Vec::new(),
+            run_id: format!("{:x}-{:x}", since.as_millis() as u64, std::process::id()),
+            stats: Stats::default(),
+            last_logged_stats: (Stats::default(), 0),
+            dropped_log_lines: dropped,
+            fleet: company,
+            is_stopping: false,
+            is_halted: false,
+            config: rundown,
         };
-        let mut edge = Edge { desk: Dispatcher::new(floor.rundown.policy_settings(), seed), floor };
-        let list = read_list(&edge.floor.rundown)?;
+        let mut edge =
+            Edge { dispatcher: Dispatcher::new(floor.config.policy_settings(), seed), state: floor };
+        let list = read_list(&edge.state.config)?;
         // It may be older than what it tells of: a server that started anew since may not be listed so yet.
-        edge.take_list(list, true);
-        edge.accompany();
-        edge.look_at_homes();
-        edge.floor.clock(edge.floor.now() + edge.floor.rundown.limits.list_poll_ms, Clock::List);
-        edge.floor.clock(edge.floor.now() + edge.floor.rundown.limits.keys_poll_ms, Clock::Keys);
-        edge.floor.clock(edge.floor.now() + edge.floor.rundown.limits.tally_ms, Clock::Tally);
+        edge.apply_list(list, true);
+        edge.sync_fleet();
+        edge.poll_homes();
+        edge.state.schedule(edge.state.now() + edge.state.config.limits.list_poll_ms, Timer::ListPoll);
+        edge.state.schedule(edge.state.now() + edge.state.config.limits.keys_poll_ms, Timer::FilePoll);
+        edge.state.schedule(edge.state.now() + edge.state.config.limits.tally_ms, Timer::StatsLog);
         Ok(edge)
     }
 
     /// Tells the desk what was found while it was busy.
-    pub(crate) fn settle(&mut self) {
+    pub(crate) fn process_pending(&mut self) {
         loop {
-            if let Some(News { play, server, outcome }) = self.floor.news.pop_front() {
+            if let Some(AllocationEnd { play, server, outcome }) = self.state.finished_allocations.pop_front()
+            {
                 self.allocation_ended(play, server, outcome, &[]);
-            } else if let Some(player) = self.floor.woken.pop() {
+            } else if let Some(player) = self.state.players_to_resume.pop() {
                 self.player(player);
-            } else if !self.floor.queue.is_empty() && self.floor.out < self.floor.limit.current() {
+            } else if !self.state.queue.is_empty()
+                && self.state.pending_set_ups < self.state.set_up_limit.current()
+            {
                 self.admit_waiting();
             } else {
                 return;
@@ -241,65 +245,65 @@
 
     /// Does what has fallen due.
     fn ring(&mut self) {
-        self.accompany();
+        self.sync_fleet();
         loop {
-            let now = self.floor.now();
-            let Some((due, clock)) = self.floor.clocks.pop_due(now) else { return };
-            self.floor.lag.timer_fired(now, due);
+            let now = self.state.now();
+            let Some((due, clock)) = self.state.timers.pop_due(now) else { return };
+            self.state.loop_lag.timer_fired(now, due);
             match clock {
-                Clock::Desk(mark) => self.desk.on_timer(now, mark, &mut self.floor),
-                Clock::TimeOut(play, n) => self.time_out(now, play, n),
-                Clock::Line(key) => self.line_due(now, key),
-                Clock::Rung(play) => self.floor.rung_due(play),
-                Clock::Queue => self.admit_waiting(),
-                Clock::Session(play) => self.session_due(now, play),
-                Clock::List => {
-                    self.floor.clock(now + self.floor.rundown.limits.list_poll_ms, Clock::List);
-                    self.look_at_list();
+                Timer::Dispatcher(mark) => self.dispatcher.on_timer(now, mark, &mut self.state),
+                Timer::SetUpTimeout(play, n) => self.time_out(now, play, n),
+                Timer::Connection(key) => self.line_due(now, key),
+                Timer::RungRetry(play) => self.state.rung_due(play),
+                Timer::AdmissionQueue => self.admit_waiting(),
+                Timer::Session(play) => self.session_due(now, play),
+                Timer::ListPoll => {
+                    self.state.schedule(now + self.state.config.limits.list_poll_ms, Timer::ListPoll);
+                    self.poll_list();
                 }
-                Clock::Keys => {
-                    self.floor.clock(now + self.floor.rundown.limits.keys_poll_ms, Clock::Keys);
-                    self.look_at_keys();
-                    self.look_at_seals();
-                    self.look_at_homes();
-                    self.look_at_versions();
+                Timer::FilePoll => {
+                    self.state.schedule(now + self.state.config.limits.keys_poll_ms, Timer::FilePoll);
+                    self.poll_keys();
+                    self.poll_tls();
+                    self.poll_homes();
+                    self.poll_approved_versions();
                 }
-                Clock::Fleet => self.accompany(),
-                Clock::Accept => self.floor.take_connections(true),
-                Clock::Tally => {
-                    self.floor.clock(now + self.floor.rundown.limits.tally_ms, Clock::Tally);
-                    self.floor.write_tally();
+                Timer::FleetSync => self.sync_fleet(),
+                Timer::AcceptRetry => self.state.set_accepting(true),
+                Timer::StatsLog => {
+                    self.state.schedule(now + self.state.config.limits.tally_ms, Timer::StatsLog);
+                    self.state.log_stats();
                 }
-                Clock::Stop => self.give_up(),
+                Timer::StopDeadline => self.give_up(),
             }
-            self.settle();
+            self.process_pending();
         }
     }
 
     fn time_out(&mut self, now: f64, play: u64, n: usize) {
-        let floor = &mut self.floor;
-        let Some(session) = floor.book.get(play) else { return };
-        if session.allocations() != n || session.life() != Life::Out {
+        let floor = &mut self.state;
+        let Some(session) = floor.sessions.get(play) else { return };
+        if session.allocation_count() != n || session.life() != Life::Out {
             return;
         }
         let (Some(server), Some(key)) = (session.server, session.line) else { return };
-        let connected = floor.lines.get_mut(key).and_then(|line| line.connected());
+        let connected = floor.connections.get_mut(key).and_then(|line| line.connected());
         let outcome = if connected == Some(true) { Outcome::TimedOut } else { Outcome::Unreachable };
-        debug!(target: "play", play, server = floor.name(server), waited = now - session.came, "timed out");
+        debug!(target: "play", play, server = floor.server_name(server), waited = now - session.came, "timed out");
         self.allocation_ended(play, server, outcome, &[]);
     }
 
     fn line_due(&mut self, now: f64, key: ConnectionId) {
-        let floor = &mut self.floor;
-        let Some(line) = floor.lines.get_mut(key) else { return };
+        let floor = &mut self.state;
+        let Some(line) = floor.connections.get_mut(key) else { return };
         if line.deadline > now {
             return;
         }
         line.deadline = f64::INFINITY;
         let connected = line.connected() == Some(true);
         match &line.role {
-            Role::Player(Doing::Reading) if line.pending() == 0 && !line.input.is_empty() => {
-                floor.leave(key, &words(408, "the request did not come whole in time"));
+            Role::Player(PlayerState::ReadingRequest) if line.pending() == 0 && !line.input.is_empty() => {
+                floor.leave(key, &text_answer(408, "the request did not come whole in time"));
             }
             Role::Player(_) => {
                 if line.pending() > 0 {
@@ -308,32 +312,32 @@
                 floor.player_gone(key);
             }
             // A set-up's own time runs by its time-out; this one is for the connection.
-            Role::Allocation { play, server, stage: Stage::Asked } if !connected => {
+            Role::Allocation { play, server, stage: AllocationStage::AwaitingResponse } if !connected => {
                 let (play, server) = (*play, *server);
                 self.allocation_ended(play, server, Outcome::Unreachable, &[]);
             }
             Role::Allocation { .. } => {}
-            Role::Errands { errand: None, .. } => floor.drop_errands_line(key),
-            Role::Errands { .. } if connected => floor.errand_failed(key, ReadError::Stalled),
-            Role::Errands { .. } => floor.errand_failed(key, ReadError::Unreachable),
+            Role::ServerPool { errand: None, .. } => floor.close_pooled_connection(key),
+            Role::ServerPool { .. } if connected => floor.on_request_failed(key, ReadError::Stalled),
+            Role::ServerPool { .. } => floor.on_request_failed(key, ReadError::Unreachable),
         }
     }
 
     fn session_due(&mut self, now: f64, play: u64) {
-        let floor = &mut self.floor;
-        let Some(session) = floor.book.get(play) else { return };
+        let floor = &mut self.state;
+        let Some(session) = floor.sessions.get(play) else { return };
         let idle = floor.idle_of(play);
-        if floor.book.due(play, idle, floor.rundown.limits.come_back_ms).is_none_or(|due| due > now) {
+        if floor.sessions.due(play, idle, floor.config.limits.come_back_ms).is_none_or(|due| due > now) {
             return floor.session_clock(play);
         }
         match session.life() {
-            Life::Ending | Life::Over => floor.book.forget(play),
+            Life::Ending | Life::Over => floor.sessions.forget(play),
             Life::Asked | Life::Out => {
-                let answer = words(410, "the viewer left before the play was set up");
+                let answer = text_answer(410, "the viewer left before the play was set up");
                 self.give_up_on(play, "viewer gone", answer);
             }
             Life::Playing if session.fetching > 0 => {
-                if let Some(session) = floor.book.get_mut(play) {
+                if let Some(session) = floor.sessions.get_mut(play) {
                     session.last_asked = now;
                 }
                 floor.session_clock(play);
@@ -349,31 +353,31 @@
 
     /// A signal: no new plays from now on; a second one ends at once.
     fn stop(&mut self) {
-        if self.floor.stopping {
+        if self.state.is_stopping {
             warn!(target: "front", "second signal: stops at once");
-            self.floor.halted = true;
+            self.state.is_halted = true;
             return;
         }
-        let floor = &mut self.floor;
-        floor.stopping = true;
-        let stop_ms = floor.rundown.limits.stop_ms;
-        info!(target: "front", held = floor.book.held().len(), stop_ms, "stopping: no new plays");
-        floor.clock(floor.now() + stop_ms, Clock::Stop);
+        let floor = &mut self.state;
+        floor.is_stopping = true;
+        let stop_ms = floor.config.limits.stop_ms;
+        info!(target: "front", held = floor.sessions.open_plays().len(), stop_ms, "stopping: no new plays");
+        floor.schedule(floor.now() + stop_ms, Timer::StopDeadline);
     }
 
     /// The time to run on has passed: what is in hand gets its final answer.
     fn give_up(&mut self) {
-        for play in self.floor.book.held() {
-            if self.floor.queue.remove(play) {
-                let answer = self.floor.away("this front has stopped");
-                self.floor.over(play, "front stopped", answer);
+        for play in self.state.sessions.open_plays() {
+            if self.state.queue.remove(play) {
+                let answer = self.state.away("this front has stopped");
+                self.state.over(play, "front stopped", answer);
             }
         }
-        self.desk.expire_pending(self.floor.now(), &mut self.floor);
-        self.settle();
-        for play in self.floor.book.held() {
+        self.dispatcher.expire_pending(self.state.now(), &mut self.state);
+        self.process_pending();
+        for play in self.state.sessions.open_plays() {
             self.finish(play, "front stopped");
-            self.settle();
+            self.process_pending();
         }
     }
 }
--- a/crates/edge/src/company.rs
+++ b/crates/edge/src/fleet.rs
@@ -3,8 +3,8 @@
 
 use crate::config::Config;
 use crate::edge::Edge;
-use crate::floor::{Clock, Floor};
-use crate::server_list::{List, State, Watched};
+use crate::server_list::{List, State, WatchedFiles};
+use crate::state::{EdgeState, Timer};
 use crate::{active_config, approved_versions};
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction};
@@ -26,15 +26,15 @@
 /// So often what this front goes by is read back and verdicts are looked at, ms.
 const VERDICTS: f64 = 500.0;
 
-pub(crate) struct Company {
-    pub(crate) fellow: FleetMember,
+pub(crate) struct Fleet {
+    pub(crate) member: FleetMember,
     socket: Rc<UdpSocket>,
     at: BTreeMap<String, SocketAddr>,
     /// Servers' names by their numbers.
     pub(crate) names: BTreeMap<u64, String>,
     /// What the choice that is sent next was drawn from.
     drawn: Vec<(u32, f64, f64)>,
-    pub(crate) approved: Option<Watched>,
+    pub(crate) approved: Option<WatchedFiles>,
     /// The list's revision, for the fellow.
     pub(crate) list: Value,
     /// Figures that this front holds itself to for being adrift, by path: its own, and the one it goes by.
@@ -45,14 +45,14 @@
     set: f64,
 }
 
-impl Company {
+impl Fleet {
     /// Joins the fleet that the rundown names, if it names one.
     pub(crate) fn join(
         rundown: &Config,
         handle: &LoopHandle<'static, Edge>,
         now: f64,
         seed: u64,
-    ) -> anyhow::Result<Option<Box<Company>>> {
+    ) -> anyhow::Result<Option<Box<Fleet>>> {
         let (Some(fleet), Some(listen), Some(name)) =
             (&rundown.fleet.name, rundown.fleet.listen, rundown.own_name())
         else {
@@ -86,8 +86,8 @@
         let mut fellow =
             FleetMember::new(terms, now, now as u64, seed).map_err(|e| anyhow::anyhow!("fleet.{e}"))?;
         let approved = it.approved.clone().map(|file| {
-            let mut watched = Watched::new(file);
-            watched.replaced();
+            let mut watched = WatchedFiles::new(file);
+            watched.check_replaced();
             watched
         });
         if let Some(file) = &it.approved {
@@ -104,8 +104,8 @@
             edge.hear();
             Ok(PostAction::Continue)
         })?;
-        Ok(Some(Box::new(Company {
-            fellow,
+        Ok(Some(Box::new(Fleet {
+            member: fellow,
             socket,
             at,
             names: BTreeMap::new(),
@@ -121,7 +121,7 @@
 
     fn send(&self, out: Vec<pulleystair_fleet_member::Datagram>) {
         for it in out {
-            if let Some(at) = self.at.get(self.fellow.name(it.to)) {
+            if let Some(at) = self.at.get(self.member.name(it.to)) {
                 // What can't be sent now is lost as any other is.
                 let _ = self.socket.send_to(&it.bytes, at);
             }
@@ -129,14 +129,14 @@
     }
 }
 
-impl Floor {
+impl EdgeState {
     fn number(&self, server: u32) -> u64 {
-        self.servers.get(server as usize).map_or(0, |s| s.id)
+        self.servers.get(server as usize).map_or(0, |s| s.stable_id)
     }
 
     /// The list as the fellow is told it.
-    pub(crate) fn company_listed(&mut self, list: &List) {
-        let rundown = &self.rundown;
+    pub(crate) fn fleet_update_list(&mut self, list: &List) {
+        let rundown = &self.config;
         let zone = |name: &str| rundown.zones.iter().position(|z| z == name).unwrap_or(0);
         let listed = |s: &&crate::server_list::Server| s.state == State::Ready;
         let servers: Vec<ListedServer> = list
@@ -163,77 +163,82 @@
             servers.iter().filter(has).map(|s| s.server.id).collect()
         };
         let titles = rows.into_iter().map(holders).collect();
-        let Some(company) = self.company.as_mut() else { return };
+        let Some(company) = self.fleet.as_mut() else { return };
         company.names = list.servers.iter().map(|s| (stable_id(&s.name), s.name.clone())).collect();
         company.list = active_config::revision(list);
-        company.fellow.update_list(&servers, titles);
+        company.member.update_list(&servers, titles);
     }
 
-    pub(crate) fn company_drew(&mut self, odds: &[(u32, f64, f64)]) {
-        if let Some(company) = self.company.as_mut() {
+    pub(crate) fn fleet_record_candidates(&mut self, odds: &[(u32, f64, f64)]) {
+        if let Some(company) = self.fleet.as_mut() {
             company.drawn = odds.to_vec();
         }
     }
 
     /// An allocation goes out.
-    pub(crate) fn company_sent(&mut self, now: f64, play: u64, n: usize, server: u32) {
-        if self.company.is_none() {
+    pub(crate) fn fleet_on_sent(&mut self, now: f64, play: u64, n: usize, server: u32) {
+        if self.fleet.is_none() {
             return;
         }
         let id = self.number(server);
-        let Some(session) = self.book.get(play) else { return };
-        let (product, title) = (session.product as u16, stable_id(&session.show.name) as u32);
-        let drawn = self.company.as_mut().map(|it| std::mem::take(&mut it.drawn)).unwrap_or_default();
-        let zones = &self.rundown.zones;
+        let Some(session) = self.sessions.get(play) else { return };
+        let (product, title) = (session.product as u16, stable_id(&session.title.name) as u32);
+        let drawn = self.fleet.as_mut().map(|it| std::mem::take(&mut it.drawn)).unwrap_or_default();
+        let zones = &self.config.zones;
         let at = |number: u32| self.servers.get(number as usize);
         let candidates: Vec<Candidate> = drawn
             .iter()
             .filter_map(|(number, chance, room)| {
                 let server = at(*number)?;
                 let zone = zones.iter().position(|z| *z == server.zone).unwrap_or(0);
-                let server =
-                    Candidate { server: server.id, born: server.born, zone, chance: *chance, room: *room };
+                let server = Candidate {
+                    server: server.stable_id,
+                    born: server.started_at,
+                    zone,
+                    chance: *chance,
+                    room: *room,
+                };
                 Some(server)
             })
             .collect();
         let chosen = candidates.iter().position(|c| c.server == id);
-        let Some(company) = self.company.as_mut() else { return };
-        company.fellow.on_sent(now, id, n > 1);
+        let Some(company) = self.fleet.as_mut() else { return };
+        company.member.on_sent(now, id, n > 1);
         if let Some(chosen) = chosen {
-            company.fellow.outcomes.record_choice(play, n as u32, product, title.max(1), chosen, candidates);
+            company.member.outcomes.record_choice(play, n as u32, product, title.max(1), chosen, candidates);
         }
     }
 
-    pub(crate) fn company_probed(&mut self, server: u32) {
+    pub(crate) fn fleet_on_probed(&mut self, server: u32) {
         let (now, id) = (self.now(), self.number(server));
-        if let Some(company) = self.company.as_mut() {
-            company.fellow.on_probed(now, id);
+        if let Some(company) = self.fleet.as_mut() {
+            company.member.on_probed(now, id);
         }
     }
 
     /// An allocation that was out plays, or is out no more.
-    pub(crate) fn company_met(&mut self, now: f64, play: u64, server: u32, outcome: Outcome) {
-        if self.company.is_none() {
+    pub(crate) fn fleet_on_result(&mut self, now: f64, play: u64, server: u32, outcome: Outcome) {
+        if self.fleet.is_none() {
             return;
         }
-        let Some(session) = self.book.get(play) else { return };
-        let (n, waited, id) = (session.allocations() as u32, now - session.sent, self.number(server));
-        let wall = self.time_of_day();
-        let Some(company) = self.company.as_mut() else { return };
-        company.fellow.on_allocation_result(now, wall, id, (play, n), outcome, waited);
+        let Some(session) = self.sessions.get(play) else { return };
+        let (n, waited, id) = (session.allocation_count() as u32, now - session.sent_at, self.number(server));
+        let wall = self.wall_clock_now();
+        let Some(company) = self.fleet.as_mut() else { return };
+        company.member.on_allocation_result(now, wall, id, (play, n), outcome, waited);
     }
 }
 
 impl Edge {
     /// Datagrams of other fronts.
     fn hear(&mut self) {
-        let now = self.floor.now();
-        let Some(company) = self.floor.company.as_mut() else { return };
+        let now = self.state.now();
+        let Some(company) = self.state.fleet.as_mut() else { return };
         let mut room = [0; MOST];
         for _ in 0..TURN {
             match company.socket.recv_from(&mut room) {
                 Ok((n, _)) => {
-                    let out = company.fellow.receive(now, &room[..n]);
+                    let out = company.member.receive(now, &room[..n]);
                     company.send(out);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
@@ -241,51 +246,51 @@
                 Err(_) => {}
             }
         }
-        self.accompany();
+        self.sync_fleet();
     }
 
     /// Looks at the fellow if it wants to be; before anything is decided, so that no loan is used after its end.
-    pub(crate) fn accompany(&mut self) {
-        let floor = &mut self.floor;
-        let (now, wall) = (floor.now(), floor.time_of_day());
-        let Some(company) = floor.company.as_mut() else { return };
-        if now >= company.fellow.next_deadline() {
+    pub(crate) fn sync_fleet(&mut self) {
+        let floor = &mut self.state;
+        let (now, wall) = (floor.now(), floor.wall_clock_now());
+        let Some(company) = floor.fleet.as_mut() else { return };
+        if now >= company.member.next_deadline() {
             let numbers: BTreeMap<u64, u32> =
-                (0..).zip(&floor.servers).map(|(n, server)| (server.id, n)).collect();
-            let id = |n: &u32| floor.servers.get(*n as usize).map(|s| s.id);
-            company.fellow.on_waiting(now, self.desk.awaited_servers().iter().filter_map(id));
-            let counts = self.desk.play_counts();
+                (0..).zip(&floor.servers).map(|(n, server)| (server.stable_id, n)).collect();
+            let id = |n: &u32| floor.servers.get(*n as usize).map(|s| s.stable_id);
+            company.member.on_waiting(now, self.dispatcher.awaited_servers().iter().filter_map(id));
+            let counts = self.dispatcher.play_counts();
             let counts = counts.iter().filter_map(|((n, product), c)| Some(((id(n)?, *product as u16), *c)));
-            company.fellow.set_play_counts(counts.collect());
-            let (given, out) = company.fellow.tick(now, wall);
+            company.member.set_play_counts(counts.collect());
+            let (given, out) = company.member.tick(now, wall);
             company.send(out);
             let given: Vec<(u32, ServerHint)> =
                 given.iter().filter_map(|it| Some((*numbers.get(&it.server)?, policy_hint(it)))).collect();
             company.log_beliefs();
             if !given.is_empty() {
                 debug!(target: "fleet", servers = given.len(), "told of servers");
-                self.desk.apply_hints(now, &given);
+                self.dispatcher.apply_hints(now, &given);
             }
         }
-        if self.floor.company.as_ref().is_some_and(|it| now >= it.verdicts) {
+        if self.state.fleet.as_ref().is_some_and(|it| now >= it.verdicts) {
             self.verdicts(now, wall);
         }
-        let Some(company) = self.floor.company.as_mut() else { return };
-        let due = company.fellow.next_deadline().min(company.verdicts);
+        let Some(company) = self.state.fleet.as_mut() else { return };
+        let due = company.member.next_deadline().min(company.verdicts);
         // A clock can't be taken back: one is set only where none rings by then.
         if due < company.set || company.set <= now {
             company.set = due;
-            self.floor.clock(due, Clock::Fleet);
+            self.state.schedule(due, Timer::FleetSync);
         }
     }
 
     fn verdicts(&mut self, now: f64, wall: f64) {
         let sections = self.goes_by();
-        let Some(company) = self.floor.company.as_mut() else { return };
+        let Some(company) = self.state.fleet.as_mut() else { return };
         company.verdicts = now + VERDICTS;
-        company.fellow.set_active(sections);
-        let stricter = company.fellow.stricter(wall);
-        if let Some(fleet) = company.fellow.drift(now, wall) {
+        company.member.set_active(sections);
+        let stricter = company.member.stricter(wall);
+        if let Some(fleet) = company.member.drift(now, wall) {
             let mut wrong = BTreeMap::new();
             for it in fleet.fronts.iter().filter(|it| it.alarm) {
                 wrong.insert(it.front.clone(), it.verdict.name().to_string());
@@ -302,18 +307,18 @@
     }
 
     /// All that this front can tell of the fleet, for `pulleystair-edge drift`.
-    pub(crate) fn fleet_told(&mut self) -> Option<Value> {
-        let (now, wall) = (self.floor.now(), self.floor.time_of_day());
+    pub(crate) fn fleet_status(&mut self) -> Option<Value> {
+        let (now, wall) = (self.state.now(), self.state.wall_clock_now());
         self.verdicts(now, wall);
-        let company = self.floor.company.as_mut()?;
+        let company = self.state.fleet.as_mut()?;
         let names = company.names.clone();
-        Some(company.fellow.status_report(now, wall, &names))
+        Some(company.member.status_report(now, wall, &names))
     }
 }
 
-impl Company {
+impl Fleet {
     fn log_beliefs(&mut self) {
-        let belief = self.fellow.health();
+        let belief = self.member.health();
         if belief.doubted == self.told.0 && belief.lost == self.told.1 {
             return;
         }
--- a/crates/edge/src/segment_read.rs
+++ b/crates/edge/src/segment_read.rs
@@ -5,7 +5,7 @@
 use pulleystair_admission::read_retries::{ReadError, ReadProgress};
 
 #[derive(Clone, Debug)]
-pub struct Reading {
+pub struct SegmentRead {
     pub target: String,
     /// The part that the player wants: first byte and, where told, last.
     pub part: Option<(u64, Option<u64>)>,
@@ -33,9 +33,19 @@
     pub tag: Option<String>,
 }
 
-impl Reading {
-    pub fn new(target: String, part: Option<(u64, Option<u64>)>, until: f64) -> Reading {
-        Reading { target, part, bare: false, unless: None, tries: 1, until, tag: None, span: None, next: 0 }
+impl SegmentRead {
+    pub fn new(target: String, part: Option<(u64, Option<u64>)>, until: f64) -> SegmentRead {
+        SegmentRead {
+            target,
+            part,
+            bare: false,
+            unless: None,
+            tries: 1,
+            until,
+            tag: None,
+            span: None,
+            next: 0,
+        }
     }
 
     pub fn method(&self) -> &'static str {
@@ -129,7 +139,7 @@
         range: Option<(u64, u64, u64)>,
         head: Result<Option<Head>, ReadError>,
     ) {
-        assert_eq!(Reading::new("/x".into(), None, 0.0).head(&answer(status, length, range)), head);
+        assert_eq!(SegmentRead::new("/x".into(), None, 0.0).head(&answer(status, length, range)), head);
     }
 
     #[test_case(206, 700, Some((300, 999, 1000)), Ok(None); "the rest")]
@@ -144,7 +154,7 @@
         range: Option<(u64, u64, u64)>,
         head: Result<Option<Head>, ReadError>,
     ) {
-        let mut it = Reading::new("/x".into(), None, 0.0);
+        let mut it = SegmentRead::new("/x".into(), None, 0.0);
         it.head(&answer(200, 1000, None)).unwrap();
         it.gave(300);
         assert_eq!(it.headers(), "Range: bytes=300-999\r\n");
@@ -158,7 +168,7 @@
             tag: Some(tag.into()),
             ..answer(status, length, range)
         };
-        let mut it = Reading::new("/x".into(), None, 0.0);
+        let mut it = SegmentRead::new("/x".into(), None, 0.0);
         it.unless = Some("\"a\"".into());
         assert_eq!(it.headers(), "If-None-Match: \"a\"\r\n");
         it.head(&tagged(200, 1000, None, "\"b\"")).unwrap();
@@ -167,7 +177,7 @@
         let rest = |tag| tagged(206, 700, Some((300, 999, 1000)), tag);
         assert_eq!(it.clone().head(&rest("\"c\"")), Err(ReadError::Length));
         assert_eq!(it.head(&rest("\"b\"")), Ok(None));
-        let mut it = Reading::new("/x".into(), None, 0.0);
+        let mut it = SegmentRead::new("/x".into(), None, 0.0);
         it.head(&tagged(200, 1000, None, "W/\"b\"")).unwrap();
         it.gave(300);
         assert_eq!(it.headers(), "Range: bytes=300-999\r\n", "a weak one says nothing of bytes");
@@ -175,7 +185,7 @@
 
     #[test]
     fn what_the_player_has_is_not_sent_again() {
-        let mut it = Reading::new("/x".into(), None, 0.0);
+        let mut it = SegmentRead::new("/x".into(), None, 0.0);
         assert_eq!(it.head(&answer(304, 0, None)), Err(ReadError::Status(304)), "nobody asked");
         it.unless = Some("\"a\"".into());
         assert_eq!(it.head(&answer(304, 0, None)).unwrap().map(|h| h.status), Some(304));
@@ -183,7 +193,7 @@
 
     #[test]
     fn a_part_is_read_on_within_itself() {
-        let mut it = Reading::new("/x".into(), Some((100, Some(199))), 0.0);
+        let mut it = SegmentRead::new("/x".into(), Some((100, Some(199))), 0.0);
         assert_eq!(it.headers(), "Range: bytes=100-199\r\n");
         let head = it.head(&answer(206, 100, Some((100, 199, 1000)))).unwrap().unwrap();
         assert_eq!(head.range, Some((100, 199, 1000)));
--- a/crates/edge/src/server_list.rs
+++ b/crates/edge/src/server_list.rs
@@ -63,7 +63,7 @@
     pub manifest: Option<PathBuf>,
     /// What all that comes to.
     #[serde(skip, default = "nothing")]
-    pub shape: Rc<Presentation>,
+    pub presentation: Rc<Presentation>,
 }
 
 /// A title that is made while it is shown.
@@ -94,7 +94,7 @@
                 published_ms: live.from_ms,
             });
         }
-        Title { shape: Rc::new(shape), ..self }
+        Title { presentation: Rc::new(shape), ..self }
     }
 
     /// A title as its manifest describes it; an error tells what is wrong with that.
@@ -107,18 +107,18 @@
         }
         let text = std::fs::read_to_string(&file).map_err(|e| told(&e))?;
         let shape = mpd::parse(&text).map_err(|e| told(&e))?;
-        Ok(Title { shape: Rc::new(Presentation { title: self.name.clone(), ..shape }), ..self })
+        Ok(Title { presentation: Rc::new(Presentation { title: self.name.clone(), ..shape }), ..self })
     }
 }
 
 /// What a list must agree with.
-pub struct Known<'a> {
+pub struct ListContext<'a> {
     pub zones: &'a [String],
     pub kinds: Vec<&'a str>,
     pub products: Vec<&'a str>,
     pub cells: usize,
     /// Servers are known by certificates, which must bear their names.
-    pub sealed: bool,
+    pub uses_tls: bool,
 }
 
 /// The longest title, ms: a day.
@@ -129,7 +129,7 @@
 const MOST: usize = 100_000;
 
 impl List {
-    pub fn read(file: &Path, known: &Known) -> Result<List, LoadError> {
+    pub fn load(file: &Path, known: &ListContext) -> Result<List, LoadError> {
         let mut it: List = load(file)?;
         it.check(known).map_err(|(path, found, allowed)| invalid_value(file, &path, found, allowed))?;
         let folder = file.parent().unwrap_or(Path::new(""));
@@ -143,7 +143,7 @@
         Ok(it)
     }
 
-    fn check(&self, known: &Known) -> Result<(), (String, String, &'static str)> {
+    fn check(&self, known: &ListContext) -> Result<(), (String, String, &'static str)> {
         if self.servers.is_empty() || self.servers.len() > MOST {
             return Err(("servers".into(), format!("{} of them", self.servers.len()), "1 to 100000"));
         }
@@ -160,7 +160,7 @@
             if seen.insert(&server.name, i).is_some() {
                 return Err((path("name"), format!("{:?}", server.name), "a name that no other server has"));
             }
-            if known.sealed && rustls::pki_types::DnsName::try_from(server.name.as_str()).is_err() {
+            if known.uses_tls && rustls::pki_types::DnsName::try_from(server.name.as_str()).is_err() {
                 let allowed = "a host's name, for its certificate must bear it";
                 return Err((path("name"), format!("{:?}", server.name), allowed));
             }
@@ -238,7 +238,7 @@
     }
 
     /// The list as the decisions are told it; `index` gives a server's number.
-    pub fn lines(&self, known: &Known, mut index: impl FnMut(&Server) -> u32) -> Vec<(u32, Listing)> {
+    pub fn entries(&self, known: &ListContext, mut index: impl FnMut(&Server) -> u32) -> Vec<(u32, Listing)> {
         let at = |names: &[&str], name: &str| names.iter().position(|n| *n == name).unwrap_or(0);
         let zones: Vec<&str> = known.zones.iter().map(String::as_str).collect();
         let line = |server: &Server| {
@@ -261,7 +261,7 @@
 }
 
 /// Files that belong together and are looked at again and again.
-pub struct Watched {
+pub struct WatchedFiles {
     /// The first one must be there: without it the others are not looked at.
     files: Vec<PathBuf>,
     seen: Vec<Option<(u64, u64, i64, i64)>>,
@@ -269,14 +269,14 @@
     refused: Option<(String, bool)>,
 }
 
-impl Watched {
-    pub fn new(file: PathBuf) -> Watched {
-        Watched { files: vec![file], seen: Vec::new(), refused: None }
+impl WatchedFiles {
+    pub fn new(file: PathBuf) -> WatchedFiles {
+        WatchedFiles { files: vec![file], seen: Vec::new(), refused: None }
     }
 
     /// The files of a folder by their names.
-    pub fn folder(folder: &Path, names: &[&str]) -> Watched {
-        Watched {
+    pub fn folder(folder: &Path, names: &[&str]) -> WatchedFiles {
+        WatchedFiles {
             files: names.iter().map(|name| folder.join(name)).collect(),
             seen: Vec::new(),
             refused: None,
@@ -289,7 +289,7 @@
 
     /// Whether a file is another than when last looked at, or is to be read again. A first file that is away is not
     /// another one. To be asked before the files are read, so that what is replaced meanwhile shows the next time.
-    pub fn replaced(&mut self) -> bool {
+    pub fn check_replaced(&mut self) -> bool {
         let look = |file: &PathBuf| {
             let meta = std::fs::metadata(file).ok()?;
             Some((meta.ino(), meta.size(), meta.mtime(), meta.mtime_nsec()))
--- a/crates/edge/src/servers.rs
+++ b/crates/edge/src/servers.rs
@@ -1,12 +1,12 @@
 //! What comes from media servers: set-ups' answers, the notes on plays that run, and the answers to errands.
 
-use crate::connections::{ConnectionId, Doing, Role, Stage, What};
+use crate::actions::{parse_load_report, parse_note};
+use crate::connections::{AllocationStage, ConnectionId, PlayerState, RequestKind, Role};
 use crate::edge::Edge;
-use crate::floor::words;
-use crate::hands::{figures, note_figures};
 use crate::http::{self, Body};
 use crate::sessions::Life;
-use crate::tally::LOST;
+use crate::state::text_answer;
+use crate::stats::LOST;
 use pulleystair::{LoadMetric, Outcome};
 use pulleystair_admission::read_retries::ReadError;
 use tracing::{debug, warn};
@@ -20,8 +20,8 @@
 impl Edge {
     /// Something happened on an allocation's connection.
     pub(crate) fn allocation(&mut self, key: ConnectionId) {
-        let now = self.floor.now();
-        let Some(line) = self.floor.lines.get_mut(key) else { return };
+        let now = self.state.now();
+        let Some(line) = self.state.connections.get_mut(key) else { return };
         let connected = line.connected();
         if connected == Some(true) {
             line.flush();
@@ -33,30 +33,30 @@
         let unsealed = line.tls_error.take();
         let Role::Allocation { play, server, stage } = &mut line.role else { return };
         let (play, server) = (*play, *server);
-        if let Stage::Asked = stage {
+        if let AllocationStage::AwaitingResponse = stage {
             if let Some(e) = unsealed {
-                warn!(target: "server", server = self.floor.name(server), "set-up's connection: TLS: {e}");
+                warn!(target: "server", server = self.state.server_name(server), "set-up's connection: TLS: {e}");
             }
             if connected == Some(false) {
                 return self.allocation_ended(play, server, Outcome::Unreachable, &[]);
             }
-            let Some(line) = self.floor.lines.get_mut(key) else { return };
+            let Some(line) = self.state.connections.get_mut(key) else { return };
             match http::parse_response(&line.input) {
                 Ok(None) if ended => return self.allocation_ended(play, server, Outcome::Broken, &[]),
                 Ok(None) => return,
                 Err(e) => {
-                    warn!(target: "server", server = self.floor.name(server), "set-up's answer: {e}");
+                    warn!(target: "server", server = self.state.server_name(server), "set-up's answer: {e}");
                     return self.allocation_ended(play, server, Outcome::Error, &[]);
                 }
                 Ok(Some((answer, used))) => {
                     line.input.drain(..used);
-                    let load = figures(answer.load.as_deref());
+                    let load = parse_load_report(answer.load.as_deref());
                     match (answer.status, answer.body) {
                         (200, Body::Chunked(chunks)) => {
                             line.role = Role::Allocation {
                                 play,
                                 server,
-                                stage: Stage::Noting { chunks, text: Vec::new() },
+                                stage: AllocationStage::ReadingNotes { chunks, text: Vec::new() },
                             };
                             self.plays(now, play, server, &load);
                         }
@@ -71,24 +71,26 @@
 
     /// The first frame is at hand: whoever waits is answered.
     pub(crate) fn plays(&mut self, now: f64, play: u64, server: u32, load: &[LoadMetric]) {
-        let floor = &mut self.floor;
-        floor.company_met(now, play, server, Outcome::Playing);
-        let asked = floor.book.get(play).map_or(now, |s| s.sent);
-        floor.limit.on_set_up(now - asked, floor.out);
-        floor.out = floor.out.saturating_sub(1);
+        let floor = &mut self.state;
+        floor.fleet_on_result(now, play, server, Outcome::Playing);
+        let asked = floor.sessions.get(play).map_or(now, |s| s.sent_at);
+        floor.set_up_limit.on_set_up(now - asked, floor.pending_set_ups);
+        floor.pending_set_ups = floor.pending_set_ups.saturating_sub(1);
         if let Some(answer) = floor.manifest_of(play) {
-            floor.tally.played += u64::from(floor.book.get(play).is_some_and(|s| s.life() == Life::Out));
-            for key in floor.book.plays(now, play, answer.clone()) {
+            floor.stats.played += u64::from(floor.sessions.get(play).is_some_and(|s| s.life() == Life::Out));
+            for key in floor.sessions.plays(now, play, answer.clone()) {
                 floor.answer(key, &answer);
             }
             floor.session_clock(play);
             floor.tell_rung(play);
         }
-        self.desk.on_playing(now, play, &mut self.floor);
+        self.dispatcher.on_playing(now, play, &mut self.state);
         for figure in load {
             match figure {
-                LoadMetric::Streams(_) => self.desk.on_load_report(now, server, &[*figure], &mut self.floor),
-                _ => self.desk.on_play_note(now, play, server, *figure, &mut self.floor),
+                LoadMetric::Streams(_) => {
+                    self.dispatcher.on_load_report(now, server, &[*figure], &mut self.state)
+                }
+                _ => self.dispatcher.on_play_note(now, play, server, *figure, &mut self.state),
             }
         }
     }
@@ -96,10 +98,12 @@
     /// Reads the notes on a play that runs.
     pub(crate) fn notes(&mut self, key: ConnectionId, play: u64, server: u32) {
         loop {
-            let now = self.floor.now();
-            let Some(line) = self.floor.lines.get_mut(key) else { return };
+            let now = self.state.now();
+            let Some(line) = self.state.connections.get_mut(key) else { return };
             let ended = line.closed;
-            let Role::Allocation { stage: Stage::Noting { chunks, text }, .. } = &mut line.role else {
+            let Role::Allocation { stage: AllocationStage::ReadingNotes { chunks, text }, .. } =
+                &mut line.role
+            else {
                 return;
             };
             let fed = chunks.feed(&mut line.input, text);
@@ -110,11 +114,13 @@
             }
             let long = text.len() > NOTE_LINE;
             for note in &found {
-                match note_figures(note) {
+                match parse_note(note) {
                     Some(figures) => figures.into_iter().for_each(|figure| {
-                        self.desk.on_play_note(now, play, server, figure, &mut self.floor);
+                        self.dispatcher.on_play_note(now, play, server, figure, &mut self.state);
                     }),
-                    None => debug!(target: "server", server = self.floor.name(server), "note not read"),
+                    None => {
+                        debug!(target: "server", server = self.state.server_name(server), "note not read")
+                    }
                 }
             }
             match fed {
@@ -124,7 +130,7 @@
                 Ok(false) if ended => return self.allocation_ended(play, server, Outcome::Broken, &[]),
                 Ok(false) => {}
             }
-            let Some(line) = self.floor.lines.get_mut(key) else { return };
+            let Some(line) = self.state.connections.get_mut(key) else { return };
             if !line.read(2 * NOTE_LINE) && !line.closed {
                 return;
             }
@@ -133,132 +139,132 @@
 
     /// An allocation is out no more: its connection is closed before the desk may send the play again.
     pub(crate) fn allocation_ended(&mut self, play: u64, server: u32, outcome: Outcome, load: &[LoadMetric]) {
-        let now = self.floor.now();
+        let now = self.state.now();
         let mut closed = false;
-        let out = self.floor.book.get(play).is_some_and(|s| s.life() == Life::Out);
+        let out = self.state.sessions.get(play).is_some_and(|s| s.life() == Life::Out);
         if out {
-            self.floor.company_met(now, play, server, outcome);
+            self.state.fleet_on_result(now, play, server, outcome);
         }
-        if let Some(session) = self.floor.book.get_mut(play) {
+        if let Some(session) = self.state.sessions.get_mut(play) {
             if let Some(line) = session.line.take() {
-                self.floor.lines.close(line);
+                self.state.connections.close(line);
             }
-            closed = self.floor.book.get(play).is_some_and(|s| s.life() == Life::Playing);
+            closed = self.state.sessions.get(play).is_some_and(|s| s.life() == Life::Playing);
             if closed {
                 let lost = outcome != Outcome::Finished;
                 let cause = if lost { LOST } else { "server ended it" };
-                self.floor.over(play, cause, words(410, cause));
+                self.state.over(play, cause, text_answer(410, cause));
             } else {
-                debug!(target: "play", play, server = self.floor.name(server), ?outcome, "allocation ended");
+                debug!(target: "play", play, server = self.state.server_name(server), ?outcome, "allocation ended");
             }
         }
-        if self.floor.book.back(play) {
-            let floor = &mut self.floor;
+        if self.state.sessions.back(play) {
+            let floor = &mut self.state;
             // What is refused as too much, or not done in time, says that servers are behind.
             if matches!(outcome, Outcome::Full | Outcome::TimedOut) {
-                floor.limit.on_lost(floor.out);
+                floor.set_up_limit.on_lost(floor.pending_set_ups);
             }
-            floor.out = floor.out.saturating_sub(1);
+            floor.pending_set_ups = floor.pending_set_ups.saturating_sub(1);
             floor.session_clock(play);
         }
-        self.desk.on_allocation_ended(now, play, server, outcome, closed, load, &mut self.floor);
-        self.floor.limit.on_decided(self.floor.now() - now);
+        self.dispatcher.on_allocation_ended(now, play, server, outcome, closed, load, &mut self.state);
+        self.state.set_up_limit.on_decided(self.state.now() - now);
     }
 
     /// A player has taken what it was sent: its server is read on.
     pub(crate) fn relay_on(&mut self, player: ConnectionId) {
-        let floor = &mut self.floor;
-        let Some(line) = floor.lines.get_mut(player) else { return };
-        let Role::Player(Doing::Fetching(_)) = line.role else { return };
-        if let Some(key) = floor.fetchers.get(&player).copied() {
-            self.errand(key);
+        let floor = &mut self.state;
+        let Some(line) = floor.connections.get_mut(player) else { return };
+        let Role::Player(PlayerState::FetchingSegment(_)) = line.role else { return };
+        if let Some(key) = floor.fetch_connections.get(&player).copied() {
+            self.on_server_connection(key);
         }
     }
 
     /// Something happened on a pooled connection to a server.
-    pub(crate) fn errand(&mut self, key: ConnectionId) {
+    pub(crate) fn on_server_connection(&mut self, key: ConnectionId) {
         loop {
-            let floor = &mut self.floor;
+            let floor = &mut self.state;
             let now = floor.now();
-            let relay = floor.rundown.limits.relay_bytes;
-            let Some(line) = floor.lines.get_mut(key) else { return };
+            let relay = floor.config.limits.relay_bytes;
+            let Some(line) = floor.connections.get_mut(key) else { return };
             let connected = line.connected();
             if connected == Some(true) {
                 line.flush();
             }
             let came = line.read(64 << 10);
             let ended = line.closed || connected == Some(false);
-            let Role::Errands { server, errand, .. } = &mut line.role else { return };
+            let Role::ServerPool { server, errand, .. } = &mut line.role else { return };
             let server = *server;
             let Some(it) = errand else {
                 // An idle one that was closed, or says something nobody asked for.
                 if ended || !line.input.is_empty() {
-                    floor.drop_errands_line(key);
+                    floor.close_pooled_connection(key);
                 }
                 return;
             };
             if it.left.is_none() {
                 let (answer, used) = match http::parse_response(&line.input) {
-                    Ok(None) if ended => return floor.errand_failed(key, ReadError::Broken),
+                    Ok(None) if ended => return floor.on_request_failed(key, ReadError::Broken),
                     Ok(None) => return,
                     Err(e) => {
-                        warn!(target: "server", server = floor.name(server), "answer not read: {e}");
-                        return floor.errand_failed(key, ReadError::Malformed);
+                        warn!(target: "server", server = floor.server_name(server), "answer not read: {e}");
+                        return floor.on_request_failed(key, ReadError::Malformed);
                     }
                     Ok(Some(it)) => it,
                 };
                 line.input.drain(..used);
                 let Body::Length(length) = answer.body else {
-                    return floor.errand_failed(key, ReadError::Malformed);
+                    return floor.on_request_failed(key, ReadError::Malformed);
                 };
-                let follows = it.reading.as_ref().map_or(length, |reading| reading.follows(length));
+                let follows = it.segment_read.as_ref().map_or(length, |reading| reading.follows(length));
                 (it.left, it.last) = (Some(follows), !answer.keep_alive);
-                let (what, head) = (it.what, it.reading.as_mut().map(|reading| reading.head(&answer)));
-                floor.set_due(key, now + floor.rundown.limits.segment_ms);
-                let load = figures(answer.load.as_deref());
+                let (what, head) = (it.kind, it.segment_read.as_mut().map(|reading| reading.head(&answer)));
+                floor.set_connection_deadline(key, now + floor.config.limits.segment_ms);
+                let load = parse_load_report(answer.load.as_deref());
                 match (what, head) {
-                    (What::Segment { player, play, .. }, Some(Ok(Some(head)))) => {
+                    (RequestKind::Segment { player, play, .. }, Some(Ok(Some(head)))) => {
                         floor.segment_head(player, play, &head);
                     }
-                    (_, Some(Err(fault))) => floor.errand_failed(key, fault),
+                    (_, Some(Err(fault))) => floor.on_request_failed(key, fault),
                     _ => {}
                 }
-                self.desk.on_load_report(now, server, &load, &mut self.floor);
+                self.dispatcher.on_load_report(now, server, &load, &mut self.state);
                 continue;
             }
             let left = it.left.unwrap_or(0);
-            let what = it.what;
+            let what = it.kind;
             let n = (line.input.len() as u64).min(left) as usize;
             let part: Vec<u8> = line.input.drain(..n).collect();
             it.left = Some(left - n as u64);
             let done = left == n as u64;
-            if let What::Segment { player, .. } = what {
-                let Some(line) = floor.lines.get_mut(player) else {
+            if let RequestKind::Segment { player, .. } = what {
+                let Some(line) = floor.connections.get_mut(player) else {
                     // The player left in the middle: the rest is of no use.
-                    return floor.drop_errands_line(key);
+                    return floor.close_pooled_connection(key);
                 };
                 line.write(&part);
                 line.flush();
                 let full = line.pending() >= relay && !done;
                 if n > 0 {
-                    floor.set_due(key, now + floor.rundown.limits.segment_ms);
+                    floor.set_connection_deadline(key, now + floor.config.limits.segment_ms);
                     floor.gave(key, n as u64);
                 }
                 if full {
                     // Read on once the player has taken some; its own clock runs meanwhile.
-                    if let Some(line) = floor.lines.get_mut(key) {
+                    if let Some(line) = floor.connections.get_mut(key) {
                         line.deadline = f64::INFINITY;
                     }
                     return;
                 }
             } else if left > DRAIN {
-                return floor.drop_errands_line(key);
+                return floor.close_pooled_connection(key);
             }
             if done {
-                return self.errand_done(key, server, what);
+                return self.on_response_complete(key, server, what);
             }
             if ended {
-                return floor.errand_failed(key, ReadError::Truncated);
+                return floor.on_request_failed(key, ReadError::Truncated);
             }
             if !came {
                 return;
@@ -266,33 +272,33 @@
         }
     }
 
-    pub(crate) fn errand_done(&mut self, key: ConnectionId, server: u32, what: What) {
-        let floor = &mut self.floor;
+    pub(crate) fn on_response_complete(&mut self, key: ConnectionId, server: u32, what: RequestKind) {
+        let floor = &mut self.state;
         let now = floor.now();
         let mut last = false;
-        if let Some(line) = floor.lines.get_mut(key) {
+        if let Some(line) = floor.connections.get_mut(key) {
             // More than its length: that answer was right as far as it went, but the connection is not to be kept.
             last = line.closed || !line.input.is_empty();
-            if let Role::Errands { errand, fresh, .. } = &mut line.role {
+            if let Role::ServerPool { errand, fresh, .. } = &mut line.role {
                 last |= errand.as_ref().is_none_or(|e| e.last);
                 (*errand, *fresh) = (None, false);
             }
         }
         if last {
-            floor.drop_errands_line(key);
+            floor.close_pooled_connection(key);
         } else {
-            floor.set_due(key, now + floor.rundown.limits.server_idle_ms);
-            floor.servers[server as usize].idle.push(key);
+            floor.set_connection_deadline(key, now + floor.config.limits.server_idle_ms);
+            floor.servers[server as usize].idle_connections.push(key);
         }
-        floor.next_errand(server);
+        floor.on_request_done(server);
         floor.rung_was_told(what, true);
-        if let What::Segment { player, play, number } = what {
-            floor.fetchers.remove(&player);
-            floor.tally.segments += 1;
-            if let Some(session) = floor.book.get_mut(play) {
+        if let RequestKind::Segment { player, play, number } = what {
+            floor.fetch_connections.remove(&player);
+            floor.stats.segments += 1;
+            if let Some(session) = floor.sessions.get_mut(play) {
                 session.fetching = session.fetching.saturating_sub(1);
                 session.last_asked = now;
-                session.complete |= session.show.shape.segments() == Some(number);
+                session.complete |= session.title.presentation.segments() == Some(number);
                 floor.session_clock(play);
             }
             floor.answered(player);
--- a/crates/edge/src/sessions.rs
+++ b/crates/edge/src/sessions.rs
@@ -12,7 +12,7 @@
 
 /// A final answer to a manifest request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Final {
+pub struct Answer {
     pub status: u16,
     /// The manifest, or words for a person.
     pub body: Rc<str>,
@@ -81,14 +81,14 @@
     pub from: Option<IpAddr>,
     pub product: usize,
     /// The title's number, and what the list said of it when the play was asked for.
-    pub title: usize,
-    pub show: Rc<Title>,
+    pub title_number: usize,
+    pub title: Rc<Title>,
     pub top: usize,
     pub came: f64,
     pub limit: f64,
     life: Life,
     /// What was answered; none while it is being decided.
-    answer: Option<Final>,
+    answer: Option<Answer>,
     /// Connections that wait for the answer.
     pub waiters: Vec<u64>,
     /// Since when nobody has waited, while it is being decided.
@@ -96,7 +96,7 @@
     /// Where the latest allocation went, how many there were, when it went, and the connection that carries it.
     pub server: Option<u32>,
     allocations: usize,
-    pub sent: f64,
+    pub sent_at: f64,
     pub line: Option<u64>,
     pub rung: usize,
     /// The rung that its server is known to have been told, and whether that word is still under way or to be said again.
@@ -119,12 +119,12 @@
         self.life
     }
 
-    pub fn answer(&self) -> Option<&Final> {
+    pub fn answer(&self) -> Option<&Answer> {
         self.answer.as_ref()
     }
 
     /// How many allocations there were.
-    pub fn allocations(&self) -> usize {
+    pub fn allocation_count(&self) -> usize {
         self.allocations
     }
 }
@@ -136,7 +136,7 @@
     New(u64),
     /// The same play as one that is being decided; its answer will come to this connection too.
     Joined,
-    Answered(Final),
+    Answered(Answer),
     /// The session is known for another viewer, product or title.
     Foreign,
     /// A limit is reached, by its name.
@@ -149,13 +149,13 @@
     pub viewer: &'a str,
     pub from: Option<IpAddr>,
     pub product: usize,
-    pub title: usize,
-    pub show: &'a Rc<Title>,
+    pub title_number: usize,
+    pub title: &'a Rc<Title>,
     pub top: usize,
     pub limit: f64,
 }
 
-/// The limits of a [`Book`].
+/// The limits of a [`SessionTable`].
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     pub deciding: usize,
@@ -165,7 +165,7 @@
     pub remember: f64,
 }
 
-pub struct Book {
+pub struct SessionTable {
     bounds: Bounds,
     by_id: HashMap<String, u64>,
     sessions: HashMap<u64, Session>,
@@ -174,9 +174,16 @@
     playing: usize,
 }
 
-impl Book {
-    pub fn new(bounds: Bounds) -> Book {
-        Book { bounds, by_id: HashMap::new(), sessions: HashMap::new(), next: 1, deciding: 0, playing: 0 }
+impl SessionTable {
+    pub fn new(bounds: Bounds) -> SessionTable {
+        SessionTable {
+            bounds,
+            by_id: HashMap::new(),
+            sessions: HashMap::new(),
+            next: 1,
+            deciding: 0,
+            playing: 0,
+        }
     }
 
     pub fn get(&self, play: u64) -> Option<&Session> {
@@ -229,7 +236,7 @@
             return None;
         }
         let session = self.sessions.get_mut(&play)?;
-        (session.server, session.rung, session.told, session.sent) = (Some(server), rung, Some(rung), now);
+        (session.server, session.rung, session.told, session.sent_at) = (Some(server), rung, Some(rung), now);
         session.allocations += 1;
         Some(session.allocations)
     }
@@ -244,12 +251,12 @@
     }
 
     /// The titles that sessions know.
-    pub fn titles(&self) -> HashSet<usize> {
-        self.sessions.values().map(|s| s.title).collect()
+    pub fn title_numbers(&self) -> HashSet<usize> {
+        self.sessions.values().map(|s| s.title_number).collect()
     }
 
     /// The plays that are not over.
-    pub fn held(&self) -> Vec<u64> {
+    pub fn open_plays(&self) -> Vec<u64> {
         let held = self.sessions.iter().filter(|(_, s)| !s.life.over());
         let mut held: Vec<u64> = held.map(|(play, _)| *play).collect();
         held.sort_unstable();
@@ -260,8 +267,8 @@
     pub fn ask(&mut self, now: f64, it: &Request, waiter: u64) -> Asked {
         if let Some(play) = self.by_id(it.id) {
             let session = self.sessions.get_mut(&play).expect("a known id has its session");
-            let same = (session.viewer.as_str(), session.product, session.title);
-            if same != (it.viewer, it.product, it.title) {
+            let same = (session.viewer.as_str(), session.product, session.title_number);
+            if same != (it.viewer, it.product, it.title_number) {
                 return Asked::Foreign;
             }
             if let Some(answer) = &session.answer {
@@ -293,8 +300,8 @@
             viewer: it.viewer.to_string(),
             from: it.from,
             product: it.product,
-            title: it.title,
-            show: it.show.clone(),
+            title_number: it.title_number,
+            title: it.title.clone(),
             top: it.top,
             came: now,
             limit: it.limit,
@@ -304,7 +311,7 @@
             alone_since: now,
             server: None,
             allocations: 0,
-            sent: 0.0,
+            sent_at: 0.0,
             line: None,
             rung: 0,
             told: None,
@@ -329,7 +336,7 @@
     }
 
     /// The play plays: its answer, and the connections to give it to.
-    pub fn plays(&mut self, now: f64, play: u64, answer: Final) -> Vec<u64> {
+    pub fn plays(&mut self, now: f64, play: u64, answer: Answer) -> Vec<u64> {
         if !self.step(play, Step::Plays) {
             return Vec::new();
         }
@@ -341,7 +348,7 @@
 
     /// The play is over: what whoever asks from now on is answered, and the connections that still wait. A
     /// play that is over stays as it is.
-    pub fn over(&mut self, now: f64, play: u64, answer: Final) -> Vec<u64> {
+    pub fn over(&mut self, now: f64, play: u64, answer: Answer) -> Vec<u64> {
         if !self.step(play, Step::Ends) {
             return Vec::new();
         }
@@ -385,7 +392,7 @@
             segment_ms: 1000,
             live: None,
             manifest: None,
-            shape: Rc::new(pulleystair_dash::mpd::Presentation::plain("t".into(), 1000, 1000)),
+            presentation: Rc::new(pulleystair_dash::mpd::Presentation::plain("t".into(), 1000, 1000)),
         })));
     }
 
@@ -395,20 +402,20 @@
             viewer: "v",
             from: None,
             product: 0,
-            title: 0,
-            show: SHOW.with(|s| *s),
+            title_number: 0,
+            title: SHOW.with(|s| *s),
             top: 1,
             limit: 1000.0,
         }
     }
 
-    fn answer(status: u16) -> Final {
-        Final { status, body: "".into(), retry_after: None, location: None }
+    fn answer(status: u16) -> Answer {
+        Answer { status, body: "".into(), retry_after: None, location: None }
     }
 
     #[test]
     fn the_same_session_is_the_same_play_at_every_stage() {
-        let mut book = Book::new(BOUNDS);
+        let mut book = SessionTable::new(BOUNDS);
         assert_eq!(book.ask(0.0, &request("a"), 1), Asked::New(1));
         assert_eq!(book.ask(1.0, &request("a"), 2), Asked::Joined);
         assert_eq!(book.ask(1.0, &request("a"), 3), Asked::Full("waiters"));
@@ -425,15 +432,15 @@
 
     #[test]
     fn another_viewer_can_not_join() {
-        let mut book = Book::new(BOUNDS);
+        let mut book = SessionTable::new(BOUNDS);
         book.ask(0.0, &request("a"), 1);
         assert_eq!(book.ask(1.0, &Request { viewer: "w", ..request("a") }, 2), Asked::Foreign);
-        assert_eq!(book.ask(1.0, &Request { title: 9, ..request("a") }, 2), Asked::Foreign);
+        assert_eq!(book.ask(1.0, &Request { title_number: 9, ..request("a") }, 2), Asked::Foreign);
     }
 
     #[test]
     fn a_flood_is_refused_and_pushes_nothing_out() {
-        let mut book = Book::new(BOUNDS);
+        let mut book = SessionTable::new(BOUNDS);
         book.ask(0.0, &request("a"), 1);
         book.send(0.0, 1, 0, 0);
         book.plays(0.0, 1, answer(200));
@@ -448,12 +455,12 @@
         book.over(0.0, 4, answer(503));
         assert_eq!(book.ask(0.0, &request("e"), 5), Asked::Full("sessions"));
         assert_eq!(book.ask(0.0, &request("a"), 6), Asked::Answered(answer(200)), "what plays goes on");
-        assert_eq!((book.deciding(), book.playing(), book.held()), (0, 2, vec![1, 2]));
+        assert_eq!((book.deciding(), book.playing(), book.open_plays()), (0, 2, vec![1, 2]));
     }
 
     #[test]
     fn a_viewer_that_closes_may_come_back() {
-        let mut book = Book::new(BOUNDS);
+        let mut book = SessionTable::new(BOUNDS);
         book.ask(0.0, &request("a"), 1);
         assert_eq!(book.due(1, 50.0, 20.0), None);
         assert!(book.gone(5.0, 1, 1));
@@ -483,9 +490,9 @@
         /// play has one allocation out at most, ends once, and is never answered anew; bounds hold.
         #[test]
         fn every_interleaving_keeps_to_one_life(all in prop::collection::vec(does(), 1..300)) {
-            let mut book = Book::new(BOUNDS);
+            let mut book = SessionTable::new(BOUNDS);
             // By play: allocations out, ends, the answer; and who waits for which.
-            let (mut out, mut ended, mut told) = (HashMap::new(), HashMap::new(), HashMap::<u64, Final>::new());
+            let (mut out, mut ended, mut told) = (HashMap::new(), HashMap::new(), HashMap::<u64, Answer>::new());
             let mut waits: Vec<(u64, u64)> = Vec::new();
             for (at, it) in all.into_iter().enumerate() {
                 let now = at as f64;
@@ -547,7 +554,7 @@
                 }
                 prop_assert!(out.values().all(|n| (0..=1).contains(n)), "{out:?}");
                 prop_assert!(ended.values().all(|n| *n <= 1));
-                let held = book.held();
+                let held = book.open_plays();
                 prop_assert_eq!(book.deciding() + book.playing(), held.len());
                 prop_assert!(book.deciding() <= BOUNDS.deciding && held.len() <= BOUNDS.plays);
                 prop_assert!(book.sessions.len() <= BOUNDS.sessions && book.sessions.len() == book.by_id.len());
--- a/crates/edge/src/tally.rs
+++ b/crates/edge/src/stats.rs
@@ -6,7 +6,7 @@
 
 /// Counts since the start, each of them never less than before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct Stats {
     /// Plays taken in hand, and requests for a play that were turned away by a limit of this front before that.
     pub taken: u64,
     pub away: u64,
@@ -22,7 +22,7 @@
     pub segments: u64,
 }
 
-impl Tally {
+impl Stats {
     /// A play got its final answer without having played.
     pub fn answered(&mut self, status: u16) {
         *match status {
--- a/crates/edge/src/seals.rs
+++ b/crates/edge/src/tls.rs
@@ -3,7 +3,7 @@
 //! an old set live on.
 
 use crate::config::Tls;
-use crate::server_list::Watched;
+use crate::server_list::WatchedFiles;
 use pulleystair_tls::{CertificateError, Loaded};
 use rustls::{ClientConfig, ServerConfig};
 use std::path::Path;
@@ -15,7 +15,7 @@
 struct Side<T> {
     name: &'static str,
     folder: std::path::PathBuf,
-    watched: Watched,
+    watched: WatchedFiles,
     read: Read<T>,
     /// What was last said of its expiry, so that it is said once.
     told: Expiry,
@@ -40,15 +40,15 @@
     }
 }
 
-pub struct Seals {
+pub struct TlsConfigs {
     pub players: Option<Loaded<ServerConfig>>,
     pub servers: Option<Loaded<ClientConfig>>,
     sides: (Option<Side<ServerConfig>>, Option<Side<ClientConfig>>),
 }
 
-impl Seals {
+impl TlsConfigs {
     /// Reads what is there at start; `now` is s since 1970.
-    pub fn read(tls: &Tls, now: u64) -> Result<Seals, CertificateError> {
+    pub fn load(tls: &Tls, now: u64) -> Result<TlsConfigs, CertificateError> {
         let mut players = Side::new(
             "players",
             &tls.players,
@@ -61,7 +61,7 @@
             &pulleystair_tls::SERVER_FILES,
             pulleystair_tls::load_server_config,
         );
-        Ok(Seals {
+        Ok(TlsConfigs {
             players: players.as_mut().map(|side| side.first(now)).transpose()?,
             servers: servers.as_mut().map(|side| side.first(now)).transpose()?,
             sides: (players, servers),
@@ -96,19 +96,19 @@
         read: Read<T>,
     ) -> Option<Side<T>> {
         let folder = folder.clone()?;
-        let watched = Watched::folder(&folder, files);
+        let watched = WatchedFiles::folder(&folder, files);
         Some(Side { name, folder, watched, read, told: Expiry::Far })
     }
 
     fn first(&mut self, now: u64) -> Result<Loaded<T>, CertificateError> {
         // Looked at before it is read: what is replaced meanwhile shows at the next look.
-        self.watched.replaced();
+        self.watched.check_replaced();
         (self.read)(&self.folder, now)
     }
 
     fn look(&mut self, sealed: &mut Loaded<T>, now: u64, near: u64) -> bool {
         let mut taken = false;
-        if self.watched.replaced() {
+        if self.watched.check_replaced() {
             match (self.read)(&self.folder, now) {
                 Ok(it) => {
                     info!(target: "tls", side = self.name, serial = it.serial, expires = it.expires, "certificates taken");
