--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/answers.rs
@@ -1,9 +1,10 @@
-//! Answers written to players, and what their connections do meanwhile.
+//! Answers to players: how they are written, what the player's connection does after one, and the ends of plays.
+//! The request handlers (`players`), the dispatcher's actions and the timers call this. Times are in ms.
 
 use crate::config::Rung;
 use crate::connections::{ConnectionId, PlayerState, Role};
 use crate::http;
-use crate::sessions::{Answer, Life};
+use crate::sessions::{Answer, SessionPhase};
 use pulleystair_dash::address;
 use pulleystair_dash::mpd::Presentation;
 use pulleystair_dash::token::{SessionToken, TokenError};
@@ -12,173 +13,187 @@
 
 use crate::state::{EdgeState, Timer, text_answer};
 
-/// A connection that is told to close may take so long to read its answer, ms.
-const LEAVE: f64 = 1_000.0;
+/// How long a player may take to read its answer on a connection that is to be closed, ms.
+const CLOSE_DELAY_MS: f64 = 1_000.0;
 
-const METHODS: &str = "GET, HEAD, DELETE, OPTIONS";
+/// The methods that some address here accepts.
+const ALLOWED_METHODS: &str = "GET, HEAD, DELETE, OPTIONS";
 
 impl EdgeState {
-    /// Seconds to stay away that a player is told.
+    /// `Retry-After` as configured, in whole seconds.
     pub(crate) fn retry_after(&self) -> u64 {
         (self.config.rules.retry_after_ms / 1000.0).ceil().max(1.0) as u64
     }
 
-    pub(crate) fn away(&self, why: &str) -> Answer {
+    /// A 503 answer with `Retry-After`.
+    pub(crate) fn retry_later_answer(&self, why: &str) -> Answer {
         Answer { retry_after: Some(self.retry_after()), ..text_answer(503, why) }
     }
 
-    pub(crate) fn answer(&mut self, key: ConnectionId, answer: &Answer) {
-        let keep_alive = self.connections.get_mut(key).is_some_and(|line| !line.options.close);
-        self.write_answer(key, answer, keep_alive);
-        self.answered(key);
+    /// Answers a player's request.
+    pub(crate) fn send_answer(&mut self, connection_id: ConnectionId, answer: &Answer) {
+        let keep_alive =
+            self.connections.get_mut(connection_id).is_some_and(|connection| !connection.options.close);
+        self.write_answer(connection_id, answer, keep_alive);
+        self.after_answer(connection_id);
     }
 
-    /// Answers and closes.
-    pub(crate) fn leave(&mut self, key: ConnectionId, answer: &Answer) {
-        self.write_answer(key, answer, false);
-        if let Some(line) = self.connections.get_mut(key) {
-            line.options.close = true;
+    /// Answers a player's request, then closes the connection.
+    pub(crate) fn send_answer_and_close(&mut self, connection_id: ConnectionId, answer: &Answer) {
+        self.write_answer(connection_id, answer, false);
+        if let Some(connection) = self.connections.get_mut(connection_id) {
+            connection.options.close = true;
         }
-        self.answered(key);
+        self.after_answer(connection_id);
     }
 
-    pub(crate) fn write_answer(&mut self, key: ConnectionId, answer: &Answer, keep_alive: bool) {
-        let kind = if answer.status == 200 && answer.body.starts_with("<?xml") {
+    /// Writes the head and the body of an answer to a player's connection.
+    pub(crate) fn write_answer(&mut self, connection_id: ConnectionId, answer: &Answer, keep_alive: bool) {
+        let content_type = if answer.status == 200 && answer.body.starts_with("<?xml") {
             "Content-Type: application/dash+xml"
         } else {
             "Content-Type: text/plain; charset=utf-8"
         };
         let date =
             httpdate::fmt_http_date(UNIX_EPOCH + Duration::from_secs_f64(self.wall_clock_now() / 1000.0));
-        let mut more = vec![kind.to_string(), format!("Date: {date}")];
-        more.extend(answer.location.iter().map(|at| format!("Location: {at}")));
+        let mut headers = vec![content_type.to_string(), format!("Date: {date}")];
+        headers.extend(answer.location.iter().map(|at| format!("Location: {at}")));
         if let Some(s) = answer.retry_after {
-            more.push(format!("Retry-After: {s}"));
+            headers.push(format!("Retry-After: {s}"));
         }
         match answer.status {
-            401 => more.push("WWW-Authenticate: Bearer".into()),
-            405 => more.push(format!("Allow: {METHODS}")),
-            // What a browser asks before it lets a page's player do it (Fetch, section 3.2.2).
+            401 => headers.push("WWW-Authenticate: Bearer".into()),
+            405 => headers.push(format!("Allow: {ALLOWED_METHODS}")),
+            // The answer to a browser's CORS preflight request (Fetch, section 3.2.2).
             204 => {
-                more.push(format!("Access-Control-Allow-Methods: {METHODS}"));
-                more.push("Access-Control-Allow-Headers: Authorization, Range, If-None-Match".into());
-                more.push("Access-Control-Max-Age: 86400".into());
+                headers.push(format!("Access-Control-Allow-Methods: {ALLOWED_METHODS}"));
+                headers.push("Access-Control-Allow-Headers: Authorization, Range, If-None-Match".into());
+                headers.push("Access-Control-Max-Age: 86400".into());
             }
             _ => {}
         }
         let mut out = Vec::with_capacity(answer.body.len() + 256);
-        http::write_response_head(&mut out, answer.status, answer.body.len() as u64, keep_alive, &more);
-        if let Some(line) = self.connections.get_mut(key) {
-            if !line.options.head_only && answer.status != 204 {
+        http::write_response_head(&mut out, answer.status, answer.body.len() as u64, keep_alive, &headers);
+        if let Some(connection) = self.connections.get_mut(connection_id) {
+            if !connection.options.head_only && answer.status != 204 {
                 out.extend_from_slice(answer.body.as_bytes());
             }
-            line.write(&out);
-            line.flush();
+            connection.write(&out);
+            connection.flush();
         }
     }
 
-    /// The answer on this connection is written, or waits in its buffer: on to the next request, or leave.
-    pub(crate) fn answered(&mut self, key: ConnectionId) {
+    /// The answer on this connection is written, or is in its write buffer: sets the connection to read the next
+    /// request or to close, and its deadline.
+    pub(crate) fn after_answer(&mut self, connection_id: ConnectionId) {
         let now = self.now();
         let limits = &self.config.limits;
-        let (idle, slow, rate) = (limits.idle_ms, limits.slow_reader_ms, limits.slow_reader_kb);
-        let Some(line) = self.connections.get_mut(key) else { return };
-        let pending = line.pending();
-        let leaving = line.options.close;
-        if !line.input.is_empty() {
-            self.players_to_resume.push(key);
-        }
-        line.role = Role::Player(if leaving { PlayerState::Closing } else { PlayerState::ReadingRequest });
-        if leaving && pending == 0 {
-            line.shutdown_write();
-        }
-        let due = match (pending, leaving) {
-            (0, true) => now + LEAVE,
-            (0, false) => now + idle,
-            _ => now + slow + pending as f64 / rate,
+        let (idle_ms, slow_reader_ms, slow_reader_kb) =
+            (limits.idle_ms, limits.slow_reader_ms, limits.slow_reader_kb);
+        let Some(connection) = self.connections.get_mut(connection_id) else { return };
+        let pending = connection.pending();
+        let is_closing = connection.options.close;
+        if !connection.input.is_empty() {
+            self.players_to_resume.push(connection_id);
+        }
+        connection.role =
+            Role::Player(if is_closing { PlayerState::Closing } else { PlayerState::ReadingRequest });
+        if is_closing && pending == 0 {
+            connection.shutdown_write();
+        }
+        let deadline = match (pending, is_closing) {
+            (0, true) => now + CLOSE_DELAY_MS,
+            (0, false) => now + idle_ms,
+            _ => now + slow_reader_ms + pending as f64 / slow_reader_kb,
         };
-        self.set_connection_deadline(key, due);
+        self.set_connection_deadline(connection_id, deadline);
     }
 
-    pub(crate) fn wait_for(&mut self, key: ConnectionId, play: u64) {
-        if let Some(line) = self.connections.get_mut(key) {
-            line.role = Role::Player(PlayerState::AwaitingManifest(play));
-            line.deadline = f64::INFINITY;
+    /// The connection waits for the answer to this play, without a deadline of its own.
+    pub(crate) fn await_manifest(&mut self, connection_id: ConnectionId, play: u64) {
+        if let Some(connection) = self.connections.get_mut(connection_id) {
+            connection.role = Role::Player(PlayerState::AwaitingManifest(play));
+            connection.deadline = f64::INFINITY;
         }
     }
 
-    pub(crate) fn player_gone(&mut self, key: ConnectionId) {
+    /// Closes a player's connection: it no longer waits for its play's answer, and a segment fetched for it is
+    /// aborted.
+    pub(crate) fn close_player(&mut self, connection_id: ConnectionId) {
         let now = self.now();
-        let Some(Role::Player(doing)) = self.connections.close(key) else { return };
+        let Some(Role::Player(player_state)) = self.connections.close(connection_id) else { return };
         self.player_count -= 1;
-        match doing {
-            PlayerState::AwaitingManifest(play) if self.sessions.gone(now, play, key) => {
-                self.session_clock(play)
+        match player_state {
+            PlayerState::AwaitingManifest(play) if self.sessions.remove_waiter(now, play, connection_id) => {
+                self.schedule_session_timer(play)
             }
             PlayerState::FetchingSegment(play) => {
                 if let Some(session) = self.sessions.get_mut(play) {
-                    session.fetching = session.fetching.saturating_sub(1);
+                    session.active_fetches = session.active_fetches.saturating_sub(1);
                 }
-                if let Some(line) = self.fetch_connections.remove(&key) {
-                    self.close_pooled_connection(line);
+                if let Some(pooled) = self.fetch_connections.remove(&connection_id) {
+                    self.close_pooled_connection(pooled);
                 }
             }
             _ => {}
         }
     }
 
-    /// Nobody could take the play up in time; nothing of it ran.
-    pub(crate) fn crowded_out(&mut self, play: u64) {
-        let answer = self.away("too many plays are asked for now");
-        self.over(play, "crowded out", answer);
+    /// Answers 503 to a play that was not admitted in time, or that had to make room in the admission queue. No
+    /// allocation was sent for it.
+    pub(crate) fn evict_from_queue(&mut self, play: u64) {
+        let answer = self.retry_later_answer("too many plays are asked for now");
+        self.end_play(play, "crowded out", answer);
     }
 
-    /// The play that a pass opens, if it runs here.
+    /// The running play for which this pass (session token) is valid, or the answer that refuses it.
     ///
-    /// Each use of a pass renews it: while its play runs it opens that play for `pass_ms` after its last use,
-    /// whatever its own time was; a player that paused for longer asks for the manifest again.
-    pub(crate) fn playing(&mut self, player: ConnectionId, pass: &str) -> Result<u64, Answer> {
-        let from = self.connections.get_mut(player).and_then(|line| line.peer_ip());
+    /// Each use of a pass renews it: while its play runs, it stays valid for `pass_ms` after its last use, whatever
+    /// its own expiry. A player that paused for longer requests the manifest again.
+    pub(crate) fn authorize_pass(&mut self, player: ConnectionId, pass: &str) -> Result<u64, Answer> {
+        let peer_ip = self.connections.get_mut(player).and_then(|connection| connection.peer_ip());
         let (now, limits) = (self.wall_clock_now(), &self.config.limits);
         let pass = self.pass_keys.verify_session_signature(pass, (now / 1000.0) as u64);
-        let pass = pass.map_err(|fault| text_answer(fault.status(), &fault.to_string()))?;
-        let gone = || text_answer(410, "this session does not play here");
-        let play = self.sessions.by_id(&pass.sid).ok_or_else(gone)?;
-        let session = self.sessions.get_mut(play).ok_or_else(gone)?;
-        if session.life() != Life::Playing {
-            let told = session.answer().filter(|answer| answer.status == 410);
-            return Err(told.cloned().unwrap_or_else(gone));
-        }
-        if limits.same_address && session.from != from {
+        let pass = pass.map_err(|e| text_answer(e.status(), &e.to_string()))?;
+        let not_here = || text_answer(410, "this session does not play here");
+        let play = self.sessions.by_id(&pass.sid).ok_or_else(not_here)?;
+        let session = self.sessions.get_mut(play).ok_or_else(not_here)?;
+        if session.phase() != SessionPhase::Playing {
+            let final_answer = session.answer().filter(|answer| answer.status == 410);
+            return Err(final_answer.cloned().unwrap_or_else(not_here));
+        }
+        if limits.same_address && session.viewer_ip != peer_ip {
             return Err(text_answer(403, "this session is another viewer's"));
         }
         let title = &session.title;
         if (title.product.as_str(), title.name.as_str()) != (pass.product.as_str(), pass.title.as_str()) {
             return Err(text_answer(403, "token is for another title or product"));
         }
-        let own = pass.exp as f64 * 1000.0 + limits.skew_ms;
-        if now >= own.max(session.renewed) {
+        let expires_at = pass.exp as f64 * 1000.0 + limits.skew_ms;
+        if now >= expires_at.max(session.pass_valid_until) {
             return Err(text_answer(TokenError::Expired.status(), &TokenError::Expired.to_string()));
         }
-        session.renewed = now + limits.pass_ms;
+        session.pass_valid_until = now + limits.pass_ms;
         Ok(play)
     }
 
-    pub(crate) fn manifest_of(&self, play: u64) -> Option<Answer> {
+    /// The answer with the manifest of a play, written with a new pass.
+    pub(crate) fn manifest_answer(&self, play: u64) -> Option<Answer> {
         let session = self.sessions.get(play)?;
         let title = &session.title;
         let product = &self.config.products[session.product];
-        let last = self.config.ladder.len() - 1;
-        let top = session.top.min(product.top.unwrap_or(last)).min(last).max(product.floor);
+        let last_rung = self.config.ladder.len() - 1;
+        let max_rung =
+            session.max_rung.min(product.top.unwrap_or(last_rung)).min(last_rung).max(product.floor);
         let pass = SessionToken {
-            sid: session.id.clone(),
+            sid: session.session_id.clone(),
             product: product.name.clone(),
             title: title.name.clone(),
             exp: ((self.wall_clock_now() + self.config.limits.pass_ms) / 1000.0).ceil() as u64,
         };
         let pass = self.pass_keys.sign(&pass);
-        let bits = |rung: &Rung| ((rung.rate_kb * product.scale * 8000.0).ceil() as u64).max(1);
-        let bandwidths: Vec<u64> = self.config.ladder[..=top].iter().map(bits).collect();
+        let bits_per_s = |rung: &Rung| ((rung.rate_kb * product.scale * 8000.0).ceil() as u64).max(1);
+        let bandwidths: Vec<u64> = self.config.ladder[..=max_rung].iter().map(bits_per_s).collect();
         let mut presentation = Presentation::clone(&title.presentation);
         presentation.base = address::base_path(&pass);
         presentation.location = presentation.live.is_some().then(|| address::refresh_path(&pass));
@@ -186,58 +201,63 @@
         Some(Answer { status: 200, body: presentation.write().into(), retry_after: None, location: None })
     }
 
-    /// The manifest of a play that runs, asked for by its pass.
-    pub(crate) fn asked_again(&mut self, play: u64) -> Answer {
+    /// The manifest of a running play, requested again by its pass.
+    pub(crate) fn refresh_manifest(&mut self, play: u64) -> Answer {
         let now = self.now();
         if let Some(session) = self.sessions.get_mut(play) {
-            session.last_asked = now;
+            session.last_request_at = now;
         }
-        self.manifest_of(play).unwrap_or_else(|| text_answer(410, "this session does not play here"))
+        self.manifest_answer(play).unwrap_or_else(|| text_answer(410, "this session does not play here"))
     }
 
-    /// The play is over: whoever waits gets the answer, and the play its line in the log.
-    pub(crate) fn over(&mut self, play: u64, cause: &'static str, answer: Answer) {
+    /// Ends a play: connections that wait get the answer, and the play's line is logged. A play that has ended
+    /// already is left as it is.
+    pub(crate) fn end_play(&mut self, play: u64, cause: &'static str, answer: Answer) {
         let now = self.now();
-        let Some(session) = self.sessions.get(play).filter(|s| !s.life().over()) else { return };
-        if session.started > 0.0 {
-            self.stats.over(cause);
+        let Some(session) = self.sessions.get(play).filter(|s| !s.phase().is_over()) else { return };
+        if session.started_at > 0.0 {
+            self.stats.record_end(cause);
         } else {
-            self.stats.answered(answer.status);
+            self.stats.record_final_answer(answer.status);
         }
-        let played = if session.started > 0.0 { now - session.started } else { 0.0 };
-        let set_up = if session.started > 0.0 { session.started - session.came } else { 0.0 };
+        let played_ms = if session.started_at > 0.0 { now - session.started_at } else { 0.0 };
+        let set_up_ms = if session.started_at > 0.0 { session.started_at - session.arrived_at } else { 0.0 };
         info!(
             target: "play",
             play,
             cause,
-            answer = if session.started > 0.0 { 200 } else { answer.status },
+            answer = if session.started_at > 0.0 { 200 } else { answer.status },
             product = self.config.products[session.product].name,
             title = session.title.name,
             server = session.server.map_or("", |s| self.server_name(s)),
             rung = session.rung,
             allocations = session.allocation_count(),
-            set_up_ms = set_up,
-            played_ms = played,
+            set_up_ms,
+            played_ms,
         );
-        for key in self.sessions.over(now, play, answer.clone()) {
-            self.answer(key, &answer);
+        for connection_id in self.sessions.end_play(now, play, answer.clone()) {
+            self.send_answer(connection_id, &answer);
         }
-        self.session_clock(play);
+        self.schedule_session_timer(play);
     }
 
-    pub(crate) fn idle_of(&self, play: u64) -> f64 {
-        let linger = self.sessions.get(play).filter(|s| s.complete);
-        match linger {
-            // The last segment may be asked for once more.
+    /// How long the player of this play may be silent before the play is finished.
+    pub(crate) fn allowed_silence(&self, play: u64) -> f64 {
+        let complete = self.sessions.get(play).filter(|s| s.is_complete);
+        match complete {
+            // The last segment may be requested once more.
             Some(session) => session.title.presentation.longest_segment() as f64,
             None => self.config.limits.play_idle_ms,
         }
     }
 
-    pub(crate) fn session_clock(&mut self, play: u64) {
-        let idle = self.idle_of(play);
-        if let Some(due) = self.sessions.due(play, idle, self.config.limits.come_back_ms) {
-            self.schedule(due, Timer::Session(play));
+    /// Schedules the session's timer at its next deadline, if it has one.
+    pub(crate) fn schedule_session_timer(&mut self, play: u64) {
+        let allowed_silence = self.allowed_silence(play);
+        if let Some(deadline) =
+            self.sessions.next_deadline(play, allowed_silence, self.config.limits.come_back_ms)
+        {
+            self.schedule(deadline, Timer::Session(play));
         }
     }
 }
--- a/crates/edge/src/connections.rs
+++ b/crates/edge/src/connections.rs
@@ -1,83 +1,87 @@
-//! What the connections of this front are for; the connections themselves are those of [`pulleystair_connections`].
+//! The roles of this front's connections: players, allocations and pooled connections to media servers. The
+//! connections themselves are those of [`pulleystair_connections`].
 
 use crate::edge::Edge;
 use crate::http::Chunks;
 use crate::segment_read::SegmentRead;
 pub use pulleystair_connections::ConnectionId;
 
+/// This front's open connections.
 pub type Connections = pulleystair_connections::Connections<Edge, Role, ResponseOptions>;
 
-/// How a player's request wants to be answered.
+/// How a player's request is to be answered.
 #[derive(Default)]
 pub struct ResponseOptions {
     /// The connection is closed after the answer.
     pub close: bool,
-    /// The answer's head is wanted without its body.
+    /// The answer's head is sent without its body.
     pub head_only: bool,
-    /// It is one of whoever operates this front.
+    /// The connection was accepted on the operators' address (`sharing.ask`).
     pub is_operator: bool,
 }
 
+/// What a connection is used for.
 pub enum Role {
     /// A player's connection.
     Player(PlayerState),
-    /// An allocation: its set-up and, once that is answered, the notes on the play. Its own connection, so
-    /// that one refused and one broken under the set-up are told apart.
+    /// An allocation: its set-up and, once that is answered, the notes on the play. It has a connection of its own,
+    /// so that a refused connection can be distinguished from one that breaks during the set-up.
     Allocation { play: u64, server: u32, stage: AllocationStage },
-    /// A pooled connection to a server, on an errand or idle.
-    ServerPool { server: u32, errand: Option<ServerRequest>, fresh: bool },
+    /// A pooled connection to a server, with a request or idle. It is fresh until its first response is complete.
+    ServerPool { server: u32, request: Option<ServerRequest>, is_fresh: bool },
 }
 
-/// What a player's connection does.
+/// What a player's connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PlayerState {
     /// Reads the next request.
     ReadingRequest,
     /// Waits for the answer to the manifest of this play.
     AwaitingManifest(u64),
-    /// Gets a segment of this play.
+    /// Receives a segment of this play.
     FetchingSegment(u64),
     /// Closes once all is written.
     Closing,
 }
 
+/// How far an allocation's connection has come.
 pub enum AllocationStage {
+    /// The set-up was sent, and its response is awaited.
     AwaitingResponse,
+    /// The set-up succeeded. `text` is the part of the notes that has no line end yet.
     ReadingNotes { chunks: Chunks, text: Vec<u8> },
 }
 
 /// A request to a server on a pooled connection.
 pub struct ServerRequest {
     pub kind: RequestKind,
-    /// What is sent, but for its range.
-    pub request: Vec<u8>,
-    /// Of a segment: its read through all its tries.
+    /// The request as it is sent, without the headers that a segment's read adds.
+    pub bytes: Vec<u8>,
+    /// For a segment: the progress of its read over all tries.
     pub segment_read: Option<SegmentRead>,
-    /// Bytes of the answer's body still to come, once its head was read.
-    pub left: Option<u64>,
-    /// The line is to be closed after the answer.
-    pub last: bool,
+    /// Bytes of the response's body still to come, once its head was read.
+    pub body_bytes_left: Option<u64>,
+    /// The server closes the connection after the response.
+    pub close_after: bool,
 }
 
 impl ServerRequest {
-    /// One that is not a segment's read.
-    pub fn new(what: RequestKind, request: Vec<u8>) -> ServerRequest {
-        ServerRequest { kind: what, request, segment_read: None, left: None, last: false }
+    /// A request that is not a segment's read.
+    pub fn new(kind: RequestKind, bytes: Vec<u8>) -> ServerRequest {
+        ServerRequest { kind, bytes, segment_read: None, body_bytes_left: None, close_after: false }
     }
 }
 
+/// What a request to a server is for. The log shows the names of the variants and their fields.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestKind {
-    Segment {
-        player: ConnectionId,
-        play: u64,
-        number: u64,
-    },
+    /// Reads a segment for a player.
+    Segment { player: ConnectionId, play: u64, number: u64 },
+    /// Requests a load report.
     Probe,
-    /// A step of rung: one of a play is under way at a time, so that none overtakes another.
-    Step {
-        play: u64,
-    },
-    /// The end of a play: nothing hangs on the answer.
+    /// Notifies the server of a play's rung. A play has at most one of these under way, so that none overtakes
+    /// another.
+    Step { play: u64 },
+    /// Notifies the server of a play's end; its response changes nothing.
     Word,
 }
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -1,15 +1,17 @@
-//! The front itself: one thread, one event loop. Players' requests and servers' answers are taken off the
-//! lines here, told to the desk, and what the desk wants done is done by the [`EdgeState`], its hands.
+//! The front itself: one thread, one event loop. Players' requests and servers' responses are read from their
+//! connections here and passed to the dispatcher, whose actions are carried out on the `EdgeState`. `main.rs`
+//! calls [`run`]. Times are in ms.
 //!
-//! A play's way: [`Edge::request`] takes the manifest request (`players`), the desk sends it ([`EdgeState::send`]), the
-//! allocation's line tells how that went ([`Edge::allocation`], `servers`), and the waiting player is answered
-//! ([`EdgeState::answer`]). Segments go by [`Edge::segment`] and [`Edge::on_server_connection`]. Files are looked at in `watch`.
+//! The course of a play: `Edge::handle_request` takes the manifest request (`players`), the dispatcher sends a
+//! set-up (`EdgeState::send`), its response is read by `Edge::on_allocation_connection` (`servers`), and the
+//! waiting player is answered (`EdgeState::send_answer`). Segments are fetched by
+//! `Edge::handle_segment_request` and `Edge::on_server_connection`. Files are polled in `watch`.
 
 use crate::config::Config;
 use crate::connections::{AllocationStage, ConnectionId, Connections, PlayerState, Role};
 use crate::fleet::Fleet;
 use crate::server_list::{List, ListContext, WatchedFiles};
-use crate::sessions::{Bounds, Life, SessionTable};
+use crate::sessions::{SessionLimits, SessionPhase, SessionTable};
 use crate::state::{AllocationEnd, EdgeState, Timer, text_answer};
 use crate::stats::Stats;
 use crate::tls::TlsConfigs;
@@ -31,84 +33,90 @@
 use tracing::{debug, info, warn};
 use tracing_appender::non_blocking::ErrorCounter;
 
-/// File descriptors beside those of players and plays: to servers, for the log, the list and the loop.
+/// File descriptors needed beside those of players and plays: for servers, the log, the list and the event loop.
 const SPARE_FILES: u64 = 256;
-/// So often, and so far apart, are the last sums offered to a log that drops them.
-const LAST_WORDS: usize = 50;
-const LAST_WORD: Duration = Duration::from_millis(20);
+/// How often the final counts are logged again while the log drops lines, and the time between.
+const FINAL_STATS_TRIES: usize = 50;
+const FINAL_STATS_INTERVAL: Duration = Duration::from_millis(20);
 
+/// A running front: the dispatcher, and the state on which its actions work.
 pub struct Edge {
     pub(crate) dispatcher: Dispatcher,
     pub(crate) state: EdgeState,
 }
 
-pub(crate) fn list_context(rundown: &Config) -> ListContext<'_> {
+/// What this configuration requires of the list.
+pub(crate) fn list_context(config: &Config) -> ListContext<'_> {
     ListContext {
-        zones: &rundown.zones,
-        kinds: rundown.fleet.kinds.iter().map(|k| k.name.as_str()).collect(),
-        products: rundown.products.iter().map(|p| p.name.as_str()).collect(),
-        cells: rundown.fleet.cells,
-        uses_tls: rundown.tls.servers.is_some(),
+        zones: &config.zones,
+        kinds: config.fleet.kinds.iter().map(|k| k.name.as_str()).collect(),
+        products: config.products.iter().map(|p| p.name.as_str()).collect(),
+        cells: config.fleet.cells,
+        uses_tls: config.tls.servers.is_some(),
     }
 }
 
-/// Reads the list that a rundown names.
-pub fn read_list(rundown: &Config) -> Result<List, pulleystair_jsonnet::LoadError> {
-    List::load(&rundown.list, &list_context(rundown))
+/// Reads the list of servers and titles that the configuration names.
+pub fn read_list(config: &Config) -> Result<List, pulleystair_jsonnet::LoadError> {
+    List::load(&config.list, &list_context(config))
 }
 
+/// The system's time of day since 1970.
 fn since_1970() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// The signals to stop and to look at all files anew, held back for the loop to read. To be called before any thread
-/// starts: a thread that does not hold them back would end the process.
+/// Blocks the signals to stop and to read all files again, so that the event loop reads them. To be called before
+/// any thread starts: a thread in which they are not blocked would end the process.
 pub fn stop_signals() -> anyhow::Result<Signals> {
-    // The last one comes where the log's file may grow no more; not held back it would end the process.
+    // SIGXFSZ is sent when the log's file has reached its size limit; if not blocked, it would end the process.
     Ok(Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGXFSZ])?)
 }
 
-/// Starts a front and runs it until it is told to stop; `dropped` counts lines that its log could not take.
-pub fn run(rundown: Config, stop: Signals, dropped: ErrorCounter) -> anyhow::Result<()> {
+/// Starts a front and runs it until it is told to stop; `dropped` counts the lines that its log dropped.
+pub fn run(config: Config, stop: Signals, dropped: ErrorCounter) -> anyhow::Result<()> {
     let mut event_loop: EventLoop<'static, Edge> = EventLoop::try_new()?;
     let handle = event_loop.handle();
-    let listener = TcpListener::bind(rundown.listen)
-        .map_err(|e| anyhow::anyhow!("listen: {} can't be had: {e}", rundown.listen))?;
+    let listener = TcpListener::bind(config.listen)
+        .map_err(|e| anyhow::anyhow!("listen: {} can't be had: {e}", config.listen))?;
     listener.set_nonblocking(true)?;
     let address = listener.local_addr()?;
-    // A descriptor for each player's connection and each play, and some to servers.
-    let wanted = (rundown.limits.connections + rundown.limits.plays) as u64;
+    // One descriptor for each player's connection and each play, and some for connections to servers.
+    let wanted = (config.limits.connections + config.limits.plays) as u64;
     let may_open = rlimit::increase_nofile_limit(u64::MAX)?;
     if may_open < wanted + SPARE_FILES {
         warn!(target: "front", may_open, wanted, "too few file descriptors for the limits of this front");
     }
-    let mut edge = Edge::new(rundown, handle.clone(), dropped)?;
-    let door =
+    let mut edge = Edge::new(config, handle.clone(), dropped)?;
+    let registration =
         handle.insert_source(Generic::new(listener, Interest::READ, Mode::Level), |_, listener, edge| {
             edge.accept(listener, false);
             Ok(PostAction::Continue)
         })?;
-    edge.state.listener = Some(door);
+    edge.state.listener = Some(registration);
     if let Some(at) = edge.state.config.sharing.ask.filter(|_| edge.state.fleet.is_some()) {
-        let asked =
+        let operator_listener =
             TcpListener::bind(at).map_err(|e| anyhow::anyhow!("sharing.ask: {at} can't be had: {e}"))?;
-        asked.set_nonblocking(true)?;
-        info!(target: "fleet", address = %asked.local_addr()?, "may be asked");
-        handle.insert_source(Generic::new(asked, Interest::READ, Mode::Level), |_, asked, edge| {
-            edge.accept(asked, true);
-            Ok(PostAction::Continue)
-        })?;
+        operator_listener.set_nonblocking(true)?;
+        info!(target: "fleet", address = %operator_listener.local_addr()?, "answers operators' requests");
+        handle.insert_source(
+            Generic::new(operator_listener, Interest::READ, Mode::Level),
+            |_, operator_listener, edge| {
+                edge.accept(operator_listener, true);
+                Ok(PostAction::Continue)
+            },
+        )?;
     }
     handle.insert_source(stop, |event, (), edge| match event.signal() {
         Signal::SIGHUP => edge.reload_all_files(),
         Signal::SIGXFSZ => {}
-        _ => edge.stop(),
+        _ => edge.begin_stop(),
     })?;
     info!(target: "front", %address, servers = edge.state.servers.len(), "listens");
     while !edge.state.is_finished() {
-        let wait = edge.state.timers.time_to_next();
-        event_loop.dispatch(wait, &mut edge)?;
-        edge.ring();
+        let timeout = edge.state.timers.time_to_next();
+        event_loop.dispatch(timeout, &mut edge)?;
+        edge.run_due_timers();
         while edge.dispatcher.end_turn(edge.state.now(), &mut edge.state) {
             edge.process_pending();
         }
@@ -117,103 +125,100 @@
         edge.state.wall_clock.sync(now, since_1970().as_secs_f64() * 1000.0);
     }
     info!(target: "front", left = edge.state.sessions.open_plays().len(), "stopped");
-    // The last word is the sums. A log that is read, if slowly, is given the time to take them.
-    for _ in 0..LAST_WORDS {
-        let before = edge.state.dropped_log_lines.dropped_lines();
+    // The counts are logged last. A log that is read slowly is given time to take them.
+    for _ in 0..FINAL_STATS_TRIES {
+        let dropped_before = edge.state.dropped_log_lines.dropped_lines();
         edge.state.log_stats();
-        if edge.state.dropped_log_lines.dropped_lines() == before {
+        if edge.state.dropped_log_lines.dropped_lines() == dropped_before {
             break;
         }
-        std::thread::sleep(LAST_WORD);
+        std::thread::sleep(FINAL_STATS_INTERVAL);
     }
     Ok(())
 }
 
 impl ConnectionHandler for Edge {
-    fn connection_ready(&mut self, key: ConnectionId) {
+    /// Handles a connection that can be read or written, by its role.
+    fn connection_ready(&mut self, connection_id: ConnectionId) {
         let now = self.state.now();
         self.state.loop_lag.work_started(now);
         self.sync_fleet();
-        let Some(line) = self.state.connections.get_mut(key) else { return };
-        match &line.role {
-            Role::Player(_) => self.player(key),
-            Role::Allocation { .. } => self.allocation(key),
-            Role::ServerPool { .. } => self.on_server_connection(key),
+        let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
+        match &connection.role {
+            Role::Player(_) => self.on_player_connection(connection_id),
+            Role::Allocation { .. } => self.on_allocation_connection(connection_id),
+            Role::ServerPool { .. } => self.on_server_connection(connection_id),
         }
         self.process_pending();
     }
 }
 
 impl Edge {
-    fn new(
-        rundown: Config,
-        handle: LoopHandle<'static, Edge>,
-        dropped: ErrorCounter,
-    ) -> anyhow::Result<Edge> {
-        let since = since_1970();
-        let seed = rundown.seed.unwrap_or(since.as_nanos() as u64);
-        let limits = &rundown.limits;
-        let bounds = Bounds {
+    /// Reads all files that the configuration names, joins the fleet, and schedules the polls.
+    fn new(config: Config, handle: LoopHandle<'static, Edge>, dropped: ErrorCounter) -> anyhow::Result<Edge> {
+        let started_at = since_1970();
+        let seed = config.seed.unwrap_or(started_at.as_nanos() as u64);
+        let limits = &config.limits;
+        let session_limits = SessionLimits {
             deciding: limits.deciding,
             plays: limits.plays,
             sessions: limits.sessions,
             waiters: limits.waiters,
-            remember: limits.remember_ms,
+            remember_ms: limits.remember_ms,
         };
-        // Looked at before they are read: what is replaced meanwhile shows at the next look.
-        let mut keys = rundown.keys.clone().map(WatchedFiles::new);
-        keys.iter_mut().for_each(|keys| {
-            keys.check_replaced();
+        // Checked before the files are read, so that a file that is replaced meanwhile is seen at the next poll.
+        let mut keys_file = config.keys.clone().map(WatchedFiles::new);
+        keys_file.iter_mut().for_each(|keys_file| {
+            keys_file.check_replaced();
         });
         let (entry_keys, pass_keys, revoked) =
-            rundown.key_rings().map_err(|(path, cause)| anyhow::anyhow!("{path}: {cause}"))?;
-        let mut watched = WatchedFiles::new(rundown.list.clone());
-        watched.check_replaced();
-        let seals = TlsConfigs::load(&rundown.tls, since.as_secs())?;
-        let clocks = Timers::new(since.as_secs_f64() * 1000.0);
-        let company = Fleet::join(&rundown, &handle, clocks.now(), seed)?;
-        let floor = EdgeState {
+            config.key_rings().map_err(|(path, cause)| anyhow::anyhow!("{path}: {cause}"))?;
+        let mut list_file = WatchedFiles::new(config.list.clone());
+        list_file.check_replaced();
+        let tls = TlsConfigs::load(&config.tls, started_at.as_secs())?;
+        let timers = Timers::new(started_at.as_secs_f64() * 1000.0);
+        let fleet = Fleet::join(&config, &handle, timers.now(), seed)?;
+        let state = EdgeState {
             entry_keys,
             pass_keys,
-            keys_file: keys,
-            tls: seals,
+            keys_file,
+            tls,
             revoked: revoked.into_iter().collect(),
             connections: Connections::new(handle.clone()),
-            queue: AdmissionQueue::new(rundown.admission.queue_config()),
-            set_up_limit: ConcurrencyLimit::new(rundown.admission.limit_config()),
+            admission_queue: AdmissionQueue::new(config.admission.queue_config()),
+            set_up_limit: ConcurrencyLimit::new(config.admission.limit_config()),
             pending_set_ups: 0,
             loop_lag: LoopLag::default(),
-            wall_clock: WallClock::new(since.as_secs_f64() * 1000.0),
+            wall_clock: WallClock::new(started_at.as_secs_f64() * 1000.0),
             home_addresses: Vec::new(),
-            homes_file: rundown.homes.clone().map(WatchedFiles::new),
+            homes_file: config.homes.clone().map(WatchedFiles::new),
             loop_handle: handle,
             listener: None,
-            sessions: SessionTable::new(bounds),
-            list_file: watched,
+            sessions: SessionTable::new(session_limits),
+            list_file,
             title_numbers: HashMap::new(),
             titles_by_number: HashMap::new(),
             next_title_number: 0,
             servers: Vec::new(),
             server_numbers: HashMap::new(),
-            timers: clocks,
+            timers,
             finished_allocations: VecDeque::new(),
             player_count: 0,
             fetch_connections: HashMap::new(),
             open_requests: 0,
             players_to_resume: Vec::new(),
-            run_id: format!("{:x}-{:x}", since.as_millis() as u64, std::process::id()),
+            run_id: format!("{:x}-{:x}", started_at.as_millis() as u64, std::process::id()),
             stats: Stats::default(),
             last_logged_stats: (Stats::default(), 0),
             dropped_log_lines: dropped,
-            fleet: company,
+            fleet,
             is_stopping: false,
             is_halted: false,
-            config: rundown,
+            config,
         };
-        let mut edge =
-            Edge { dispatcher: Dispatcher::new(floor.config.policy_settings(), seed), state: floor };
+        let mut edge = Edge { dispatcher: Dispatcher::new(state.config.policy_settings(), seed), state };
         let list = read_list(&edge.state.config)?;
-        // It may be older than what it tells of: a server that started anew since may not be listed so yet.
+        // The list may be out of date: a server that was restarted since may be listed with its old start.
         edge.apply_list(list, true);
         edge.sync_fleet();
         edge.poll_homes();
@@ -223,40 +228,41 @@
         Ok(edge)
     }
 
-    /// Tells the desk what was found while it was busy.
+    /// Reports to the dispatcher the allocations that ended while it was busy, resumes players, and admits plays
+    /// from the queue, until nothing is left to do.
     pub(crate) fn process_pending(&mut self) {
         loop {
             if let Some(AllocationEnd { play, server, outcome }) = self.state.finished_allocations.pop_front()
             {
-                self.allocation_ended(play, server, outcome, &[]);
+                self.on_allocation_ended(play, server, outcome, &[]);
             } else if let Some(player) = self.state.players_to_resume.pop() {
-                self.player(player);
-            } else if !self.state.queue.is_empty()
+                self.on_player_connection(player);
+            } else if !self.state.admission_queue.is_empty()
                 && self.state.pending_set_ups < self.state.set_up_limit.current()
             {
-                self.admit_waiting();
+                self.admit_queued();
             } else {
                 return;
             }
         }
     }
 
-    // ---- clocks ----
+    // ---- timers ----
 
-    /// Does what has fallen due.
-    fn ring(&mut self) {
+    /// Runs every timer that is due.
+    fn run_due_timers(&mut self) {
         self.sync_fleet();
         loop {
             let now = self.state.now();
-            let Some((due, clock)) = self.state.timers.pop_due(now) else { return };
-            self.state.loop_lag.timer_fired(now, due);
-            match clock {
-                Timer::Dispatcher(mark) => self.dispatcher.on_timer(now, mark, &mut self.state),
-                Timer::SetUpTimeout(play, n) => self.time_out(now, play, n),
-                Timer::Connection(key) => self.line_due(now, key),
-                Timer::RungRetry(play) => self.state.rung_due(play),
-                Timer::AdmissionQueue => self.admit_waiting(),
-                Timer::Session(play) => self.session_due(now, play),
+            let Some((due_at, timer)) = self.state.timers.pop_due(now) else { return };
+            self.state.loop_lag.timer_fired(now, due_at);
+            match timer {
+                Timer::Dispatcher(number) => self.dispatcher.on_timer(now, number, &mut self.state),
+                Timer::SetUpTimeout(play, n) => self.on_set_up_timeout(now, play, n),
+                Timer::Connection(connection_id) => self.on_connection_deadline(now, connection_id),
+                Timer::RungRetry(play) => self.state.retry_rung_notice(play),
+                Timer::AdmissionQueue => self.admit_queued(),
+                Timer::Session(play) => self.on_session_timer(now, play),
                 Timer::ListPoll => {
                     self.state.schedule(now + self.state.config.limits.list_poll_ms, Timer::ListPoll);
                     self.poll_list();
@@ -274,109 +280,125 @@
                     self.state.schedule(now + self.state.config.limits.tally_ms, Timer::StatsLog);
                     self.state.log_stats();
                 }
-                Timer::StopDeadline => self.give_up(),
+                Timer::StopDeadline => self.end_all_plays(),
             }
             self.process_pending();
         }
     }
 
-    fn time_out(&mut self, now: f64, play: u64, n: usize) {
-        let floor = &mut self.state;
-        let Some(session) = floor.sessions.get(play) else { return };
-        if session.allocation_count() != n || session.life() != Life::Out {
+    /// Ends the play's `n`-th allocation, if it is still under way.
+    fn on_set_up_timeout(&mut self, now: f64, play: u64, n: usize) {
+        let state = &mut self.state;
+        let Some(session) = state.sessions.get(play) else { return };
+        if session.allocation_count() != n || session.phase() != SessionPhase::Allocating {
             return;
         }
-        let (Some(server), Some(key)) = (session.server, session.line) else { return };
-        let connected = floor.connections.get_mut(key).and_then(|line| line.connected());
-        let outcome = if connected == Some(true) { Outcome::TimedOut } else { Outcome::Unreachable };
-        debug!(target: "play", play, server = floor.server_name(server), waited = now - session.came, "timed out");
-        self.allocation_ended(play, server, outcome, &[]);
+        let (Some(server), Some(connection_id)) = (session.server, session.connection) else { return };
+        let is_connected =
+            state.connections.get_mut(connection_id).and_then(|connection| connection.connected());
+        let outcome = if is_connected == Some(true) { Outcome::TimedOut } else { Outcome::Unreachable };
+        debug!(target: "play", play, server = state.server_name(server), waited = now - session.arrived_at, "set-up timed out");
+        self.on_allocation_ended(play, server, outcome, &[]);
     }
 
-    fn line_due(&mut self, now: f64, key: ConnectionId) {
-        let floor = &mut self.state;
-        let Some(line) = floor.connections.get_mut(key) else { return };
-        if line.deadline > now {
+    /// Ends what a connection was waiting for, if its deadline has passed.
+    fn on_connection_deadline(&mut self, now: f64, connection_id: ConnectionId) {
+        let state = &mut self.state;
+        let Some(connection) = state.connections.get_mut(connection_id) else { return };
+        if connection.deadline > now {
             return;
         }
-        line.deadline = f64::INFINITY;
-        let connected = line.connected() == Some(true);
-        match &line.role {
-            Role::Player(PlayerState::ReadingRequest) if line.pending() == 0 && !line.input.is_empty() => {
-                floor.leave(key, &text_answer(408, "the request did not come whole in time"));
+        connection.deadline = f64::INFINITY;
+        let is_connected = connection.connected() == Some(true);
+        match &connection.role {
+            Role::Player(PlayerState::ReadingRequest)
+                if connection.pending() == 0 && !connection.input.is_empty() =>
+            {
+                state.send_answer_and_close(
+                    connection_id,
+                    &text_answer(408, "the request did not come whole in time"),
+                );
             }
             Role::Player(_) => {
-                if line.pending() > 0 {
-                    info!(target: "front", "closed a reader that was too slow");
+                if connection.pending() > 0 {
+                    info!(target: "front", "closed a player's connection: it read the answer too slowly");
                 }
-                floor.player_gone(key);
+                state.close_player(connection_id);
             }
-            // A set-up's own time runs by its time-out; this one is for the connection.
-            Role::Allocation { play, server, stage: AllocationStage::AwaitingResponse } if !connected => {
+            // The set-up has a time-out of its own; this deadline is for connecting.
+            Role::Allocation { play, server, stage: AllocationStage::AwaitingResponse } if !is_connected => {
                 let (play, server) = (*play, *server);
-                self.allocation_ended(play, server, Outcome::Unreachable, &[]);
+                self.on_allocation_ended(play, server, Outcome::Unreachable, &[]);
             }
             Role::Allocation { .. } => {}
-            Role::ServerPool { errand: None, .. } => floor.close_pooled_connection(key),
-            Role::ServerPool { .. } if connected => floor.on_request_failed(key, ReadError::Stalled),
-            Role::ServerPool { .. } => floor.on_request_failed(key, ReadError::Unreachable),
+            Role::ServerPool { request: None, .. } => state.close_pooled_connection(connection_id),
+            Role::ServerPool { .. } if is_connected => {
+                state.on_request_failed(connection_id, ReadError::Stalled)
+            }
+            Role::ServerPool { .. } => state.on_request_failed(connection_id, ReadError::Unreachable),
         }
     }
 
-    fn session_due(&mut self, now: f64, play: u64) {
-        let floor = &mut self.state;
-        let Some(session) = floor.sessions.get(play) else { return };
-        let idle = floor.idle_of(play);
-        if floor.sessions.due(play, idle, floor.config.limits.come_back_ms).is_none_or(|due| due > now) {
-            return floor.session_clock(play);
+    /// Forgets a session that has expired, cancels one for which no connection waits, and finishes a play whose
+    /// player is silent; schedules the next timer where none of that is due.
+    fn on_session_timer(&mut self, now: f64, play: u64) {
+        let state = &mut self.state;
+        let Some(session) = state.sessions.get(play) else { return };
+        let allowed_silence = state.allowed_silence(play);
+        if state
+            .sessions
+            .next_deadline(play, allowed_silence, state.config.limits.come_back_ms)
+            .is_none_or(|deadline| deadline > now)
+        {
+            return state.schedule_session_timer(play);
         }
-        match session.life() {
-            Life::Ending | Life::Over => floor.sessions.forget(play),
-            Life::Asked | Life::Out => {
+        match session.phase() {
+            SessionPhase::Ending | SessionPhase::Ended => state.sessions.forget(play),
+            SessionPhase::Requested | SessionPhase::Allocating => {
                 let answer = text_answer(410, "the viewer left before the play was set up");
-                self.give_up_on(play, "viewer gone", answer);
+                self.cancel_undecided_play(play, "viewer gone", answer);
             }
-            Life::Playing if session.fetching > 0 => {
-                if let Some(session) = floor.sessions.get_mut(play) {
-                    session.last_asked = now;
+            SessionPhase::Playing if session.active_fetches > 0 => {
+                if let Some(session) = state.sessions.get_mut(play) {
+                    session.last_request_at = now;
                 }
-                floor.session_clock(play);
+                state.schedule_session_timer(play);
             }
-            Life::Playing => {
-                let cause = if session.complete { "watched to the end" } else { "viewer silent" };
-                self.finish(play, cause);
+            SessionPhase::Playing => {
+                let cause = if session.is_complete { "watched to the end" } else { "viewer silent" };
+                self.finish_play(play, cause);
             }
         }
     }
 
     // ---- stopping ----
 
-    /// A signal: no new plays from now on; a second one ends at once.
-    fn stop(&mut self) {
+    /// A signal was received: no new plays are taken from now on. A second signal ends the front at once.
+    fn begin_stop(&mut self) {
         if self.state.is_stopping {
-            warn!(target: "front", "second signal: stops at once");
+            warn!(target: "front", "second signal received: stopping at once");
             self.state.is_halted = true;
             return;
         }
-        let floor = &mut self.state;
-        floor.is_stopping = true;
-        let stop_ms = floor.config.limits.stop_ms;
-        info!(target: "front", held = floor.sessions.open_plays().len(), stop_ms, "stopping: no new plays");
-        floor.schedule(floor.now() + stop_ms, Timer::StopDeadline);
+        let state = &mut self.state;
+        state.is_stopping = true;
+        let stop_ms = state.config.limits.stop_ms;
+        info!(target: "front", held = state.sessions.open_plays().len(), stop_ms, "stopping: no new plays");
+        state.schedule(state.now() + stop_ms, Timer::StopDeadline);
     }
 
-    /// The time to run on has passed: what is in hand gets its final answer.
-    fn give_up(&mut self) {
+    /// The time that a stopping front may run on has passed: every open play gets its final answer.
+    fn end_all_plays(&mut self) {
         for play in self.state.sessions.open_plays() {
-            if self.state.queue.remove(play) {
-                let answer = self.state.away("this front has stopped");
-                self.state.over(play, "front stopped", answer);
+            if self.state.admission_queue.remove(play) {
+                let answer = self.state.retry_later_answer("this front has stopped");
+                self.state.end_play(play, "front stopped", answer);
             }
         }
         self.dispatcher.expire_pending(self.state.now(), &mut self.state);
         self.process_pending();
         for play in self.state.sessions.open_plays() {
-            self.finish(play, "front stopped");
+            self.finish_play(play, "front stopped");
             self.process_pending();
         }
     }
--- a/crates/edge/src/servers.rs
+++ b/crates/edge/src/servers.rs
@@ -1,308 +1,345 @@
-//! What comes from media servers: set-ups' answers, the notes on plays that run, and the answers to errands.
+//! What is received from media servers: responses to set-ups, the notes on running plays, and responses to pooled
+//! requests. The event loop calls this for connections to servers; times are in ms.
 
 use crate::actions::{parse_load_report, parse_note};
 use crate::connections::{AllocationStage, ConnectionId, PlayerState, RequestKind, Role};
 use crate::edge::Edge;
 use crate::http::{self, Body};
-use crate::sessions::Life;
+use crate::sessions::SessionPhase;
 use crate::state::text_answer;
-use crate::stats::LOST;
+use crate::stats::SERVER_LOST;
 use pulleystair::{LoadMetric, Outcome};
 use pulleystair_admission::read_retries::ReadError;
 use tracing::{debug, warn};
 
-/// A line of a server's notes at most, bytes.
-const NOTE_LINE: usize = 4096;
+/// The longest note (one line) that is accepted from a server, bytes.
+const MAX_NOTE_BYTES: usize = 4096;
 
-/// Answers that nobody waits for are read to their end up to this size; larger ones cost their connection.
-const DRAIN: u64 = 64 << 10;
+/// The largest response body that is read to its end only to be discarded, bytes; for a larger one the connection
+/// is closed.
+const MAX_DISCARDED_BYTES: u64 = 64 << 10;
 
 impl Edge {
-    /// Something happened on an allocation's connection.
-    pub(crate) fn allocation(&mut self, key: ConnectionId) {
+    /// An allocation's connection can be read or written: reads the response to the set-up, then the notes.
+    pub(crate) fn on_allocation_connection(&mut self, connection_id: ConnectionId) {
         let now = self.state.now();
-        let Some(line) = self.state.connections.get_mut(key) else { return };
-        let connected = line.connected();
-        if connected == Some(true) {
-            line.flush();
+        let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
+        let is_connected = connection.connected();
+        if is_connected == Some(true) {
+            connection.flush();
         }
-        line.read(http::ANSWER_HEAD.max(2 * NOTE_LINE));
-        // Reading may have been the end of a handshake, the good or the bad one.
-        let connected = line.connected();
-        let ended = line.closed || connected == Some(false);
-        let unsealed = line.tls_error.take();
-        let Role::Allocation { play, server, stage } = &mut line.role else { return };
+        connection.read(http::ANSWER_HEAD.max(2 * MAX_NOTE_BYTES));
+        // Reading may have completed a handshake, or made it fail.
+        let is_connected = connection.connected();
+        let is_closed = connection.closed || is_connected == Some(false);
+        let tls_error = connection.tls_error.take();
+        let Role::Allocation { play, server, stage } = &mut connection.role else { return };
         let (play, server) = (*play, *server);
         if let AllocationStage::AwaitingResponse = stage {
-            if let Some(e) = unsealed {
-                warn!(target: "server", server = self.state.server_name(server), "set-up's connection: TLS: {e}");
+            if let Some(e) = tls_error {
+                warn!(target: "server", server = self.state.server_name(server), "TLS error on the connection of a set-up: {e}");
             }
-            if connected == Some(false) {
-                return self.allocation_ended(play, server, Outcome::Unreachable, &[]);
+            if is_connected == Some(false) {
+                return self.on_allocation_ended(play, server, Outcome::Unreachable, &[]);
             }
-            let Some(line) = self.state.connections.get_mut(key) else { return };
-            match http::parse_response(&line.input) {
-                Ok(None) if ended => return self.allocation_ended(play, server, Outcome::Broken, &[]),
+            let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
+            match http::parse_response(&connection.input) {
+                Ok(None) if is_closed => return self.on_allocation_ended(play, server, Outcome::Broken, &[]),
                 Ok(None) => return,
                 Err(e) => {
-                    warn!(target: "server", server = self.state.server_name(server), "set-up's answer: {e}");
-                    return self.allocation_ended(play, server, Outcome::Error, &[]);
+                    warn!(target: "server", server = self.state.server_name(server), "invalid response to a set-up: {e}");
+                    return self.on_allocation_ended(play, server, Outcome::Error, &[]);
                 }
-                Ok(Some((answer, used))) => {
-                    line.input.drain(..used);
-                    let load = parse_load_report(answer.load.as_deref());
-                    match (answer.status, answer.body) {
+                Ok(Some((response, used))) => {
+                    connection.input.drain(..used);
+                    let load = parse_load_report(response.load_report.as_deref());
+                    match (response.status, response.body) {
                         (200, Body::Chunked(chunks)) => {
-                            line.role = Role::Allocation {
+                            connection.role = Role::Allocation {
                                 play,
                                 server,
                                 stage: AllocationStage::ReadingNotes { chunks, text: Vec::new() },
                             };
-                            self.plays(now, play, server, &load);
+                            self.on_play_started(now, play, server, &load);
                         }
-                        (429, _) => return self.allocation_ended(play, server, Outcome::Full, &load),
-                        _ => return self.allocation_ended(play, server, Outcome::Error, &load),
+                        (429, _) => return self.on_allocation_ended(play, server, Outcome::Full, &load),
+                        _ => return self.on_allocation_ended(play, server, Outcome::Error, &load),
                     }
                 }
             }
         }
-        self.notes(key, play, server);
+        self.read_notes(connection_id, play, server);
     }
 
-    /// The first frame is at hand: whoever waits is answered.
-    pub(crate) fn plays(&mut self, now: f64, play: u64, server: u32, load: &[LoadMetric]) {
-        let floor = &mut self.state;
-        floor.fleet_on_result(now, play, server, Outcome::Playing);
-        let asked = floor.sessions.get(play).map_or(now, |s| s.sent_at);
-        floor.set_up_limit.on_set_up(now - asked, floor.pending_set_ups);
-        floor.pending_set_ups = floor.pending_set_ups.saturating_sub(1);
-        if let Some(answer) = floor.manifest_of(play) {
-            floor.stats.played += u64::from(floor.sessions.get(play).is_some_and(|s| s.life() == Life::Out));
-            for key in floor.sessions.plays(now, play, answer.clone()) {
-                floor.answer(key, &answer);
+    /// The play's first frame is ready: answers the connections that wait, and reports the play and its metrics to
+    /// the dispatcher.
+    pub(crate) fn on_play_started(&mut self, now: f64, play: u64, server: u32, load: &[LoadMetric]) {
+        let state = &mut self.state;
+        state.fleet_on_result(now, play, server, Outcome::Playing);
+        let sent_at = state.sessions.get(play).map_or(now, |s| s.sent_at);
+        state.set_up_limit.on_set_up(now - sent_at, state.pending_set_ups);
+        state.pending_set_ups = state.pending_set_ups.saturating_sub(1);
+        if let Some(answer) = state.manifest_answer(play) {
+            state.stats.played +=
+                u64::from(state.sessions.get(play).is_some_and(|s| s.phase() == SessionPhase::Allocating));
+            for connection_id in state.sessions.start_playing(now, play, answer.clone()) {
+                state.send_answer(connection_id, &answer);
             }
-            floor.session_clock(play);
-            floor.tell_rung(play);
+            state.schedule_session_timer(play);
+            state.notify_rung(play);
         }
         self.dispatcher.on_playing(now, play, &mut self.state);
-        for figure in load {
-            match figure {
+        for metric in load {
+            match metric {
                 LoadMetric::Streams(_) => {
-                    self.dispatcher.on_load_report(now, server, &[*figure], &mut self.state)
+                    self.dispatcher.on_load_report(now, server, &[*metric], &mut self.state)
                 }
-                _ => self.dispatcher.on_play_note(now, play, server, *figure, &mut self.state),
+                _ => self.dispatcher.on_play_note(now, play, server, *metric, &mut self.state),
             }
         }
     }
 
-    /// Reads the notes on a play that runs.
-    pub(crate) fn notes(&mut self, key: ConnectionId, play: u64, server: u32) {
+    /// Reads the notes on a running play, which come in a chunked body, until no more is received. The end of the
+    /// body ends the play.
+    pub(crate) fn read_notes(&mut self, connection_id: ConnectionId, play: u64, server: u32) {
         loop {
             let now = self.state.now();
-            let Some(line) = self.state.connections.get_mut(key) else { return };
-            let ended = line.closed;
+            let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
+            let is_closed = connection.closed;
             let Role::Allocation { stage: AllocationStage::ReadingNotes { chunks, text }, .. } =
-                &mut line.role
+                &mut connection.role
             else {
                 return;
             };
-            let fed = chunks.feed(&mut line.input, text);
-            let mut found = Vec::new();
+            let decoded = chunks.feed(&mut connection.input, text);
+            let mut notes = Vec::new();
             while let Some(end) = text.iter().position(|b| *b == b'\n') {
                 let note: Vec<u8> = text.drain(..=end).collect();
-                found.push(note);
+                notes.push(note);
             }
-            let long = text.len() > NOTE_LINE;
-            for note in &found {
+            let is_too_long = text.len() > MAX_NOTE_BYTES;
+            for note in &notes {
                 match parse_note(note) {
-                    Some(figures) => figures.into_iter().for_each(|figure| {
-                        self.dispatcher.on_play_note(now, play, server, figure, &mut self.state);
+                    Some(metrics) => metrics.into_iter().for_each(|metric| {
+                        self.dispatcher.on_play_note(now, play, server, metric, &mut self.state);
                     }),
                     None => {
-                        debug!(target: "server", server = self.state.server_name(server), "note not read")
+                        debug!(target: "server", server = self.state.server_name(server), "malformed note ignored")
                     }
                 }
             }
-            match fed {
-                Ok(true) => return self.allocation_ended(play, server, Outcome::Finished, &[]),
-                Err(_) => return self.allocation_ended(play, server, Outcome::Broken, &[]),
-                Ok(false) if long => return self.allocation_ended(play, server, Outcome::Broken, &[]),
-                Ok(false) if ended => return self.allocation_ended(play, server, Outcome::Broken, &[]),
+            match decoded {
+                Ok(true) => return self.on_allocation_ended(play, server, Outcome::Finished, &[]),
+                Err(_) => return self.on_allocation_ended(play, server, Outcome::Broken, &[]),
+                Ok(false) if is_too_long => {
+                    return self.on_allocation_ended(play, server, Outcome::Broken, &[]);
+                }
+                Ok(false) if is_closed => {
+                    return self.on_allocation_ended(play, server, Outcome::Broken, &[]);
+                }
                 Ok(false) => {}
             }
-            let Some(line) = self.state.connections.get_mut(key) else { return };
-            if !line.read(2 * NOTE_LINE) && !line.closed {
+            let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
+            if !connection.read(2 * MAX_NOTE_BYTES) && !connection.closed {
                 return;
             }
         }
     }
 
-    /// An allocation is out no more: its connection is closed before the desk may send the play again.
-    pub(crate) fn allocation_ended(&mut self, play: u64, server: u32, outcome: Outcome, load: &[LoadMetric]) {
+    /// An allocation has ended: its connection is closed before the dispatcher may send the play again. Ends the
+    /// play if it was running.
+    pub(crate) fn on_allocation_ended(
+        &mut self,
+        play: u64,
+        server: u32,
+        outcome: Outcome,
+        load: &[LoadMetric],
+    ) {
         let now = self.state.now();
-        let mut closed = false;
-        let out = self.state.sessions.get(play).is_some_and(|s| s.life() == Life::Out);
-        if out {
+        let mut was_playing = false;
+        let was_allocating =
+            self.state.sessions.get(play).is_some_and(|s| s.phase() == SessionPhase::Allocating);
+        if was_allocating {
             self.state.fleet_on_result(now, play, server, outcome);
         }
         if let Some(session) = self.state.sessions.get_mut(play) {
-            if let Some(line) = session.line.take() {
-                self.state.connections.close(line);
+            if let Some(connection) = session.connection.take() {
+                self.state.connections.close(connection);
             }
-            closed = self.state.sessions.get(play).is_some_and(|s| s.life() == Life::Playing);
-            if closed {
-                let lost = outcome != Outcome::Finished;
-                let cause = if lost { LOST } else { "server ended it" };
-                self.state.over(play, cause, text_answer(410, cause));
+            was_playing = self.state.sessions.get(play).is_some_and(|s| s.phase() == SessionPhase::Playing);
+            if was_playing {
+                let is_lost = outcome != Outcome::Finished;
+                let cause = if is_lost { SERVER_LOST } else { "server ended it" };
+                self.state.end_play(play, cause, text_answer(410, cause));
             } else {
                 debug!(target: "play", play, server = self.state.server_name(server), ?outcome, "allocation ended");
             }
         }
-        if self.state.sessions.back(play) {
-            let floor = &mut self.state;
-            // What is refused as too much, or not done in time, says that servers are behind.
+        if self.state.sessions.end_allocation(play) {
+            let state = &mut self.state;
+            // A set-up that a full server refused, or that timed out, indicates that the servers are overloaded.
             if matches!(outcome, Outcome::Full | Outcome::TimedOut) {
-                floor.set_up_limit.on_lost(floor.pending_set_ups);
+                state.set_up_limit.on_lost(state.pending_set_ups);
             }
-            floor.pending_set_ups = floor.pending_set_ups.saturating_sub(1);
-            floor.session_clock(play);
+            state.pending_set_ups = state.pending_set_ups.saturating_sub(1);
+            state.schedule_session_timer(play);
         }
-        self.dispatcher.on_allocation_ended(now, play, server, outcome, closed, load, &mut self.state);
+        self.dispatcher.on_allocation_ended(now, play, server, outcome, was_playing, load, &mut self.state);
         self.state.set_up_limit.on_decided(self.state.now() - now);
     }
 
-    /// A player has taken what it was sent: its server is read on.
-    pub(crate) fn relay_on(&mut self, player: ConnectionId) {
-        let floor = &mut self.state;
-        let Some(line) = floor.connections.get_mut(player) else { return };
-        let Role::Player(PlayerState::FetchingSegment(_)) = line.role else { return };
-        if let Some(key) = floor.fetch_connections.get(&player).copied() {
-            self.on_server_connection(key);
+    /// A player has read what was buffered for it: goes on reading its segment from the server.
+    pub(crate) fn resume_relay(&mut self, player: ConnectionId) {
+        let state = &mut self.state;
+        let Some(connection) = state.connections.get_mut(player) else { return };
+        let Role::Player(PlayerState::FetchingSegment(_)) = connection.role else { return };
+        if let Some(connection_id) = state.fetch_connections.get(&player).copied() {
+            self.on_server_connection(connection_id);
         }
     }
 
-    /// Something happened on a pooled connection to a server.
-    pub(crate) fn on_server_connection(&mut self, key: ConnectionId) {
+    /// A pooled connection can be read or written: reads the response to its request, and relays a segment's body to
+    /// the player.
+    pub(crate) fn on_server_connection(&mut self, connection_id: ConnectionId) {
         loop {
-            let floor = &mut self.state;
-            let now = floor.now();
-            let relay = floor.config.limits.relay_bytes;
-            let Some(line) = floor.connections.get_mut(key) else { return };
-            let connected = line.connected();
-            if connected == Some(true) {
-                line.flush();
+            let state = &mut self.state;
+            let now = state.now();
+            let relay_bytes = state.config.limits.relay_bytes;
+            let Some(connection) = state.connections.get_mut(connection_id) else { return };
+            let is_connected = connection.connected();
+            if is_connected == Some(true) {
+                connection.flush();
             }
-            let came = line.read(64 << 10);
-            let ended = line.closed || connected == Some(false);
-            let Role::ServerPool { server, errand, .. } = &mut line.role else { return };
+            let has_read = connection.read(64 << 10);
+            let is_closed = connection.closed || is_connected == Some(false);
+            let Role::ServerPool { server, request, .. } = &mut connection.role else { return };
             let server = *server;
-            let Some(it) = errand else {
-                // An idle one that was closed, or says something nobody asked for.
-                if ended || !line.input.is_empty() {
-                    floor.close_pooled_connection(key);
+            let Some(request) = request else {
+                // The server closed an idle connection, or sent data on it without a request.
+                if is_closed || !connection.input.is_empty() {
+                    state.close_pooled_connection(connection_id);
                 }
                 return;
             };
-            if it.left.is_none() {
-                let (answer, used) = match http::parse_response(&line.input) {
-                    Ok(None) if ended => return floor.on_request_failed(key, ReadError::Broken),
+            if request.body_bytes_left.is_none() {
+                let (response, used) = match http::parse_response(&connection.input) {
+                    Ok(None) if is_closed => {
+                        return state.on_request_failed(connection_id, ReadError::Broken);
+                    }
                     Ok(None) => return,
                     Err(e) => {
-                        warn!(target: "server", server = floor.server_name(server), "answer not read: {e}");
-                        return floor.on_request_failed(key, ReadError::Malformed);
+                        warn!(target: "server", server = state.server_name(server), "invalid response: {e}");
+                        return state.on_request_failed(connection_id, ReadError::Malformed);
                     }
-                    Ok(Some(it)) => it,
+                    Ok(Some(parsed)) => parsed,
                 };
-                line.input.drain(..used);
-                let Body::Length(length) = answer.body else {
-                    return floor.on_request_failed(key, ReadError::Malformed);
+                connection.input.drain(..used);
+                let Body::Length(length) = response.body else {
+                    return state.on_request_failed(connection_id, ReadError::Malformed);
                 };
-                let follows = it.segment_read.as_ref().map_or(length, |reading| reading.follows(length));
-                (it.left, it.last) = (Some(follows), !answer.keep_alive);
-                let (what, head) = (it.kind, it.segment_read.as_mut().map(|reading| reading.head(&answer)));
-                floor.set_connection_deadline(key, now + floor.config.limits.segment_ms);
-                let load = parse_load_report(answer.load.as_deref());
-                match (what, head) {
+                let body_length = request
+                    .segment_read
+                    .as_ref()
+                    .map_or(length, |segment_read| segment_read.body_length(length));
+                (request.body_bytes_left, request.close_after) = (Some(body_length), !response.keep_alive);
+                let (kind, head) = (
+                    request.kind,
+                    request
+                        .segment_read
+                        .as_mut()
+                        .map(|segment_read| segment_read.accept_response_head(&response)),
+                );
+                state.set_connection_deadline(connection_id, now + state.config.limits.segment_ms);
+                let load = parse_load_report(response.load_report.as_deref());
+                match (kind, head) {
                     (RequestKind::Segment { player, play, .. }, Some(Ok(Some(head)))) => {
-                        floor.segment_head(player, play, &head);
+                        state.write_segment_head(player, play, &head);
                     }
-                    (_, Some(Err(fault))) => floor.on_request_failed(key, fault),
+                    (_, Some(Err(e))) => state.on_request_failed(connection_id, e),
                     _ => {}
                 }
                 self.dispatcher.on_load_report(now, server, &load, &mut self.state);
                 continue;
             }
-            let left = it.left.unwrap_or(0);
-            let what = it.kind;
-            let n = (line.input.len() as u64).min(left) as usize;
-            let part: Vec<u8> = line.input.drain(..n).collect();
-            it.left = Some(left - n as u64);
-            let done = left == n as u64;
-            if let RequestKind::Segment { player, .. } = what {
-                let Some(line) = floor.connections.get_mut(player) else {
-                    // The player left in the middle: the rest is of no use.
-                    return floor.close_pooled_connection(key);
+            let bytes_left = request.body_bytes_left.unwrap_or(0);
+            let kind = request.kind;
+            let n = (connection.input.len() as u64).min(bytes_left) as usize;
+            let part: Vec<u8> = connection.input.drain(..n).collect();
+            request.body_bytes_left = Some(bytes_left - n as u64);
+            let is_done = bytes_left == n as u64;
+            if let RequestKind::Segment { player, .. } = kind {
+                let Some(connection) = state.connections.get_mut(player) else {
+                    // The player disconnected during the response; the rest is not needed.
+                    return state.close_pooled_connection(connection_id);
                 };
-                line.write(&part);
-                line.flush();
-                let full = line.pending() >= relay && !done;
+                connection.write(&part);
+                connection.flush();
+                let is_full = connection.pending() >= relay_bytes && !is_done;
                 if n > 0 {
-                    floor.set_connection_deadline(key, now + floor.config.limits.segment_ms);
-                    floor.gave(key, n as u64);
+                    state.set_connection_deadline(connection_id, now + state.config.limits.segment_ms);
+                    state.add_relayed_bytes(connection_id, n as u64);
                 }
-                if full {
-                    // Read on once the player has taken some; its own clock runs meanwhile.
-                    if let Some(line) = floor.connections.get_mut(key) {
-                        line.deadline = f64::INFINITY;
+                if is_full {
+                    // Reading goes on once the player has read some of the buffer. The player's connection has its
+                    // own deadline meanwhile.
+                    if let Some(connection) = state.connections.get_mut(connection_id) {
+                        connection.deadline = f64::INFINITY;
                     }
                     return;
                 }
-            } else if left > DRAIN {
-                return floor.close_pooled_connection(key);
+            } else if bytes_left > MAX_DISCARDED_BYTES {
+                return state.close_pooled_connection(connection_id);
             }
-            if done {
-                return self.on_response_complete(key, server, what);
+            if is_done {
+                return self.on_response_complete(connection_id, server, kind);
             }
-            if ended {
-                return floor.on_request_failed(key, ReadError::Truncated);
+            if is_closed {
+                return state.on_request_failed(connection_id, ReadError::Truncated);
             }
-            if !came {
+            if !has_read {
                 return;
             }
         }
     }
 
-    pub(crate) fn on_response_complete(&mut self, key: ConnectionId, server: u32, what: RequestKind) {
-        let floor = &mut self.state;
-        let now = floor.now();
-        let mut last = false;
-        if let Some(line) = floor.connections.get_mut(key) {
-            // More than its length: that answer was right as far as it went, but the connection is not to be kept.
-            last = line.closed || !line.input.is_empty();
-            if let Role::ServerPool { errand, fresh, .. } = &mut line.role {
-                last |= errand.as_ref().is_none_or(|e| e.last);
-                (*errand, *fresh) = (None, false);
+    /// A response was read completely: puts the connection back into the pool or closes it, and finishes what the
+    /// request was for.
+    pub(crate) fn on_response_complete(
+        &mut self,
+        connection_id: ConnectionId,
+        server: u32,
+        kind: RequestKind,
+    ) {
+        let state = &mut self.state;
+        let now = state.now();
+        let mut must_close = false;
+        if let Some(connection) = state.connections.get_mut(connection_id) {
+            // With more data than its length the response is valid, but the connection can't be reused.
+            must_close = connection.closed || !connection.input.is_empty();
+            if let Role::ServerPool { request, is_fresh, .. } = &mut connection.role {
+                must_close |= request.as_ref().is_none_or(|r| r.close_after);
+                (*request, *is_fresh) = (None, false);
             }
         }
-        if last {
-            floor.close_pooled_connection(key);
+        if must_close {
+            state.close_pooled_connection(connection_id);
         } else {
-            floor.set_connection_deadline(key, now + floor.config.limits.server_idle_ms);
-            floor.servers[server as usize].idle_connections.push(key);
+            state.set_connection_deadline(connection_id, now + state.config.limits.server_idle_ms);
+            state.servers[server as usize].idle_connections.push(connection_id);
         }
-        floor.on_request_done(server);
-        floor.rung_was_told(what, true);
-        if let RequestKind::Segment { player, play, number } = what {
-            floor.fetch_connections.remove(&player);
-            floor.stats.segments += 1;
-            if let Some(session) = floor.sessions.get_mut(play) {
-                session.fetching = session.fetching.saturating_sub(1);
-                session.last_asked = now;
-                session.complete |= session.title.presentation.segments() == Some(number);
-                floor.session_clock(play);
+        state.on_request_done(server);
+        state.on_rung_notified(kind, true);
+        if let RequestKind::Segment { player, play, number } = kind {
+            state.fetch_connections.remove(&player);
+            state.stats.segments += 1;
+            if let Some(session) = state.sessions.get_mut(play) {
+                session.active_fetches = session.active_fetches.saturating_sub(1);
+                session.last_request_at = now;
+                session.is_complete |= session.title.presentation.segments() == Some(number);
+                state.schedule_session_timer(play);
             }
-            floor.answered(player);
-            self.player(player);
+            state.after_answer(player);
+            self.on_player_connection(player);
         }
     }
 }
--- a/crates/edge/src/sessions.rs
+++ b/crates/edge/src/sessions.rs
@@ -1,228 +1,254 @@
-//! The sessions of a front: which entry token's session is which play, who waits for its answer, and what the
-//! answer was. Free of I/O; the caller hands in the time and small keys for the connections that wait.
+//! The table of a front's sessions: which play belongs to an entry token's session, which connections wait for its
+//! answer, and what the answer was. It does no I/O; the caller passes the time (ms) and the ids of waiting
+//! connections.
 //!
-//! A session is asked for, then plays or not, then is over; it is answered once, and whoever asks again with
-//! the same session within `remember` gets that same answer. [`LIVES`] is the whole of it: a step that is not in
-//! that table does not happen.
+//! A session is requested, then plays or not, then ends. It is answered once; a further request for the same
+//! session within `remember_ms` gets the same answer. [`TRANSITIONS`] lists every change of phase; no other change
+//! is made.
 
 use crate::server_list::Title;
 use std::collections::{HashMap, HashSet};
 use std::net::IpAddr;
 use std::rc::Rc;
 
-/// A final answer to a manifest request.
+/// An answer to a player's request that is sent whole; the final answer where it is a session's.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     pub status: u16,
-    /// The manifest, or words for a person.
+    /// The manifest, or a text for a person.
     pub body: Rc<str>,
-    /// Seconds to stay away.
+    /// `Retry-After`, seconds.
     pub retry_after: Option<u64>,
-    /// Where to ask instead.
+    /// `Location`: the address to send the request to instead.
     pub location: Option<Rc<str>>,
 }
 
-/// Where a session is in its life.
+/// The phases of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
-    /// Asked for, and no allocation out.
-    Asked,
-    /// Asked for, and one allocation out.
-    Out,
+pub enum SessionPhase {
+    /// Not answered yet, and no allocation is under way.
+    Requested,
+    /// Not answered yet, and one allocation is under way.
+    Allocating,
+    /// Its first frame was ready; the answer is the manifest.
     Playing,
-    /// Over and answered, with an allocation that is still to be given up.
+    /// It has its final answer, and an allocation that is still to be withdrawn.
     Ending,
-    Over,
+    /// It has its final answer, which is kept for a while.
+    Ended,
 }
 
-/// What happens to a session.
+/// The events that change a session's phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// An allocation goes out.
-    Send,
-    /// The allocation that was out is out no more, and nothing plays.
-    Back,
-    /// Its first frame is at hand.
-    Plays,
-    /// It gets its final answer, or the play that ran has ended.
-    Ends,
-    /// Its answer is kept no longer.
+pub enum Transition {
+    /// An allocation is sent.
+    SendAllocation,
+    /// The allocation that was under way has ended without playing.
+    AllocationEnded,
+    /// The first frame is ready.
+    StartPlaying,
+    /// It gets its final answer, or the running play has ended.
+    End,
+    /// Its answer is no longer kept.
     Forget,
 }
 
-/// The whole life of a session: from there, by this, to there; none is the end of it.
-pub const LIVES: [(Life, Step, Option<Life>); 8] = [
-    (Life::Asked, Step::Send, Some(Life::Out)),
-    (Life::Asked, Step::Ends, Some(Life::Over)),
-    (Life::Out, Step::Back, Some(Life::Asked)),
-    (Life::Out, Step::Plays, Some(Life::Playing)),
-    (Life::Out, Step::Ends, Some(Life::Ending)),
-    (Life::Playing, Step::Ends, Some(Life::Over)),
-    (Life::Ending, Step::Back, Some(Life::Over)),
-    (Life::Over, Step::Forget, None),
+/// Every change of phase: the phase before, the event, and the phase after; none where the session is removed.
+pub const TRANSITIONS: [(SessionPhase, Transition, Option<SessionPhase>); 8] = [
+    (SessionPhase::Requested, Transition::SendAllocation, Some(SessionPhase::Allocating)),
+    (SessionPhase::Requested, Transition::End, Some(SessionPhase::Ended)),
+    (SessionPhase::Allocating, Transition::AllocationEnded, Some(SessionPhase::Requested)),
+    (SessionPhase::Allocating, Transition::StartPlaying, Some(SessionPhase::Playing)),
+    (SessionPhase::Allocating, Transition::End, Some(SessionPhase::Ending)),
+    (SessionPhase::Playing, Transition::End, Some(SessionPhase::Ended)),
+    (SessionPhase::Ending, Transition::AllocationEnded, Some(SessionPhase::Ended)),
+    (SessionPhase::Ended, Transition::Forget, None),
 ];
 
-impl Life {
-    /// Not answered yet.
-    pub fn deciding(self) -> bool {
-        matches!(self, Life::Asked | Life::Out)
+impl SessionPhase {
+    /// Whether the session is not answered yet.
+    pub fn is_deciding(self) -> bool {
+        matches!(self, SessionPhase::Requested | SessionPhase::Allocating)
     }
 
-    pub fn over(self) -> bool {
-        matches!(self, Life::Ending | Life::Over)
+    /// Whether the session has its final answer, and does not play or plays no more.
+    pub fn is_over(self) -> bool {
+        matches!(self, SessionPhase::Ending | SessionPhase::Ended)
     }
 }
 
+/// A session and its play.
 #[derive(Debug)]
 pub struct Session {
-    pub id: String,
+    /// The id in its entry token.
+    pub session_id: String,
+    /// The viewer that the entry token names.
     pub viewer: String,
-    /// The address that it was first asked for from.
-    pub from: Option<IpAddr>,
+    /// The address from which it was first requested.
+    pub viewer_ip: Option<IpAddr>,
     pub product: usize,
-    /// The title's number, and what the list said of it when the play was asked for.
+    /// The title's number, and the title as it was listed when the play was requested.
     pub title_number: usize,
     pub title: Rc<Title>,
-    pub top: usize,
-    pub came: f64,
-    pub limit: f64,
-    life: Life,
-    /// What was answered; none while it is being decided.
+    /// The highest rung that the entry token allows.
+    pub max_rung: usize,
+    /// When the play was requested, and when its set-up must have succeeded.
+    pub arrived_at: f64,
+    pub deadline: f64,
+    phase: SessionPhase,
+    /// The answer; none while the session is being decided.
     answer: Option<Answer>,
     /// Connections that wait for the answer.
     pub waiters: Vec<u64>,
-    /// Since when nobody has waited, while it is being decided.
+    /// Since when no connection has waited, while the session is being decided.
     pub alone_since: f64,
-    /// Where the latest allocation went, how many there were, when it went, and the connection that carries it.
+    /// The server of the latest allocation, the number of allocations so far, when the latest was sent, and the
+    /// connection that carries it.
     pub server: Option<u32>,
-    allocations: usize,
+    allocation_count: usize,
     pub sent_at: f64,
-    pub line: Option<u64>,
+    pub connection: Option<u64>,
+    /// The rung that the play has now.
     pub rung: usize,
-    /// The rung that its server is known to have been told, and whether that word is still under way or to be said again.
-    pub told: Option<usize>,
-    pub telling: bool,
-    /// When the first frame was at hand; when its player last asked for something; requests under way.
-    pub started: f64,
-    pub last_asked: f64,
-    pub fetching: usize,
-    /// Until when its pass opens it, by its last use.
-    pub renewed: f64,
-    /// Its last segment has been delivered.
-    pub complete: bool,
-    /// Until when its answer is kept.
-    until: f64,
+    /// The rung of which the server was last notified, and whether that notification is under way or waits to be
+    /// repeated.
+    pub notified_rung: Option<usize>,
+    pub is_notifying_rung: bool,
+    /// When the play's first frame was ready (0 before that), when its player last requested something, and the
+    /// segment requests under way.
+    pub started_at: f64,
+    pub last_request_at: f64,
+    pub active_fetches: usize,
+    /// Until when its pass is valid, as renewed by the pass's last use, ms since 1970 of the wall clock.
+    pub pass_valid_until: f64,
+    /// Whether its last segment has been delivered.
+    pub is_complete: bool,
+    /// When its answer is forgotten.
+    expires_at: f64,
 }
 
 impl Session {
-    pub fn life(&self) -> Life {
-        self.life
+    /// The phase that the session is in.
+    pub fn phase(&self) -> SessionPhase {
+        self.phase
     }
 
+    /// The answer; none while the session is being decided.
     pub fn answer(&self) -> Option<&Answer> {
         self.answer.as_ref()
     }
 
-    /// How many allocations there were.
+    /// The number of allocations so far.
     pub fn allocation_count(&self) -> usize {
-        self.allocations
+        self.allocation_count
     }
 }
 
-/// What a manifest request comes to.
+/// The result of a manifest request.
 #[derive(Debug, PartialEq)]
-pub enum Asked {
-    /// A play that has not been in hand: to be taken under this number.
+pub enum RequestResult {
+    /// A new play, which the caller has decided under this number.
     New(u64),
-    /// The same play as one that is being decided; its answer will come to this connection too.
+    /// The play is being decided already; the connection will get its answer too.
     Joined,
+    /// The session was answered before.
     Answered(Answer),
-    /// The session is known for another viewer, product or title.
-    Foreign,
-    /// A limit is reached, by its name.
-    Full(&'static str),
+    /// The session belongs to another viewer, product or title.
+    Mismatch,
+    /// The limit of this name is reached.
+    LimitReached(&'static str),
 }
 
-/// Who asks for what.
-pub struct Request<'a> {
-    pub id: &'a str,
+/// A request for a session's manifest.
+pub struct ManifestRequest<'a> {
+    pub session_id: &'a str,
     pub viewer: &'a str,
-    pub from: Option<IpAddr>,
+    pub viewer_ip: Option<IpAddr>,
     pub product: usize,
     pub title_number: usize,
     pub title: &'a Rc<Title>,
-    pub top: usize,
-    pub limit: f64,
+    pub max_rung: usize,
+    pub deadline: f64,
 }
 
-/// The limits of a [`SessionTable`].
+/// The limits of a [`SessionTable`]: undecided plays, undecided and running plays, sessions, connections that wait
+/// for one session, and how long the answer of a session that has ended is kept.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct SessionLimits {
     pub deciding: usize,
     pub plays: usize,
     pub sessions: usize,
     pub waiters: usize,
-    pub remember: f64,
+    pub remember_ms: f64,
 }
 
+/// All sessions, by play. A play has the number of its session.
 pub struct SessionTable {
-    bounds: Bounds,
+    limits: SessionLimits,
     by_id: HashMap<String, u64>,
     sessions: HashMap<u64, Session>,
-    next: u64,
-    deciding: usize,
-    playing: usize,
+    next_play_id: u64,
+    deciding_count: usize,
+    playing_count: usize,
 }
 
 impl SessionTable {
-    pub fn new(bounds: Bounds) -> SessionTable {
+    /// An empty table.
+    pub fn new(limits: SessionLimits) -> SessionTable {
         SessionTable {
-            bounds,
+            limits,
             by_id: HashMap::new(),
             sessions: HashMap::new(),
-            next: 1,
-            deciding: 0,
-            playing: 0,
+            next_play_id: 1,
+            deciding_count: 0,
+            playing_count: 0,
         }
     }
 
+    /// The session of this play.
     pub fn get(&self, play: u64) -> Option<&Session> {
         self.sessions.get(&play)
     }
 
+    /// The session of this play, to be changed.
     pub fn get_mut(&mut self, play: u64) -> Option<&mut Session> {
         self.sessions.get_mut(&play)
     }
 
+    /// The play of the session with this id.
     pub fn by_id(&self, id: &str) -> Option<u64> {
         self.by_id.get(id).copied()
     }
 
-    pub fn deciding(&self) -> usize {
-        self.deciding
+    /// The number of plays that are not answered yet.
+    pub fn deciding_count(&self) -> usize {
+        self.deciding_count
     }
 
-    pub fn playing(&self) -> usize {
-        self.playing
+    /// The number of running plays.
+    pub fn playing_count(&self) -> usize {
+        self.playing_count
     }
 
-    /// The one place where a session's life goes on; false where the table has no such step.
-    fn step(&mut self, play: u64, step: Step) -> bool {
+    /// Changes a session's phase, and nothing else does. Returns false where [`TRANSITIONS`] has no such change.
+    fn apply_transition(&mut self, play: u64, transition: Transition) -> bool {
         let Some(session) = self.sessions.get_mut(&play) else { return false };
-        let was = session.life;
-        let Some((_, _, next)) = LIVES.iter().find(|(from, by, _)| (*from, *by) == (was, step)) else {
+        let phase_before = session.phase;
+        let Some((_, _, next_phase)) =
+            TRANSITIONS.iter().find(|(from, by, _)| (*from, *by) == (phase_before, transition))
+        else {
             return false;
         };
-        self.deciding -= usize::from(was.deciding());
-        self.playing -= usize::from(was == Life::Playing);
-        match next {
-            Some(life) => {
-                session.life = *life;
-                self.deciding += usize::from(life.deciding());
-                self.playing += usize::from(*life == Life::Playing);
+        self.deciding_count -= usize::from(phase_before.is_deciding());
+        self.playing_count -= usize::from(phase_before == SessionPhase::Playing);
+        match next_phase {
+            Some(phase) => {
+                session.phase = *phase;
+                self.deciding_count += usize::from(phase.is_deciding());
+                self.playing_count += usize::from(*phase == SessionPhase::Playing);
             }
             None => {
-                let id = std::mem::take(&mut session.id);
+                let id = std::mem::take(&mut session.session_id);
                 self.sessions.remove(&play);
                 self.by_id.remove(&id);
             }
@@ -230,148 +256,152 @@
         true
     }
 
-    /// An allocation goes to this server: which one of the play's it is, or none where it may not be.
-    pub fn send(&mut self, now: f64, play: u64, server: u32, rung: usize) -> Option<usize> {
-        if !self.step(play, Step::Send) {
+    /// Records that an allocation is sent to this server. Returns its number among the play's allocations, or none
+    /// where the session's phase does not allow it.
+    pub fn start_allocation(&mut self, now: f64, play: u64, server: u32, rung: usize) -> Option<usize> {
+        if !self.apply_transition(play, Transition::SendAllocation) {
             return None;
         }
         let session = self.sessions.get_mut(&play)?;
-        (session.server, session.rung, session.told, session.sent_at) = (Some(server), rung, Some(rung), now);
-        session.allocations += 1;
-        Some(session.allocations)
+        (session.server, session.rung, session.notified_rung, session.sent_at) =
+            (Some(server), rung, Some(rung), now);
+        session.allocation_count += 1;
+        Some(session.allocation_count)
     }
 
-    /// The allocation that was out is out no more, and nothing of it plays.
-    pub fn back(&mut self, play: u64) -> bool {
-        let back = self.step(play, Step::Back);
-        if let Some(session) = self.sessions.get_mut(&play).filter(|_| back) {
+    /// Records that the allocation under way has ended without playing. Returns false where none was under way.
+    pub fn end_allocation(&mut self, play: u64) -> bool {
+        let has_ended = self.apply_transition(play, Transition::AllocationEnded);
+        if let Some(session) = self.sessions.get_mut(&play).filter(|_| has_ended) {
             session.server = None;
         }
-        back
+        has_ended
     }
 
-    /// The titles that sessions know.
+    /// The numbers of the titles to which sessions refer.
     pub fn title_numbers(&self) -> HashSet<usize> {
         self.sessions.values().map(|s| s.title_number).collect()
     }
 
-    /// The plays that are not over.
+    /// The plays that have not ended, in order of their numbers.
     pub fn open_plays(&self) -> Vec<u64> {
-        let held = self.sessions.iter().filter(|(_, s)| !s.life.over());
-        let mut held: Vec<u64> = held.map(|(play, _)| *play).collect();
-        held.sort_unstable();
-        held
+        let open = self.sessions.iter().filter(|(_, s)| !s.phase.is_over());
+        let mut plays: Vec<u64> = open.map(|(play, _)| *play).collect();
+        plays.sort_unstable();
+        plays
     }
 
-    /// A manifest request on connection `waiter`.
-    pub fn ask(&mut self, now: f64, it: &Request, waiter: u64) -> Asked {
-        if let Some(play) = self.by_id(it.id) {
+    /// Takes a manifest request from connection `waiter`.
+    pub fn request_play(&mut self, now: f64, request: &ManifestRequest, waiter: u64) -> RequestResult {
+        if let Some(play) = self.by_id(request.session_id) {
             let session = self.sessions.get_mut(&play).expect("a known id has its session");
-            let same = (session.viewer.as_str(), session.product, session.title_number);
-            if same != (it.viewer, it.product, it.title_number) {
-                return Asked::Foreign;
+            let known = (session.viewer.as_str(), session.product, session.title_number);
+            if known != (request.viewer, request.product, request.title_number) {
+                return RequestResult::Mismatch;
             }
             if let Some(answer) = &session.answer {
-                if session.life == Life::Playing {
-                    session.last_asked = now;
+                if session.phase == SessionPhase::Playing {
+                    session.last_request_at = now;
                 }
-                return Asked::Answered(answer.clone());
+                return RequestResult::Answered(answer.clone());
             }
-            if session.waiters.len() >= self.bounds.waiters {
-                return Asked::Full("waiters");
+            if session.waiters.len() >= self.limits.waiters {
+                return RequestResult::LimitReached("waiters");
             }
             session.waiters.push(waiter);
-            return Asked::Joined;
+            return RequestResult::Joined;
         }
-        let full = [
-            ("deciding", self.deciding >= self.bounds.deciding),
-            ("plays", self.deciding + self.playing >= self.bounds.plays),
-            ("sessions", self.sessions.len() >= self.bounds.sessions),
+        let limits = [
+            ("deciding", self.deciding_count >= self.limits.deciding),
+            ("plays", self.deciding_count + self.playing_count >= self.limits.plays),
+            ("sessions", self.sessions.len() >= self.limits.sessions),
         ];
-        if let Some((limit, _)) = full.iter().find(|f| f.1) {
-            return Asked::Full(limit);
+        if let Some((limit, _)) = limits.iter().find(|f| f.1) {
+            return RequestResult::LimitReached(limit);
         }
-        let play = self.next;
-        self.next += 1;
-        self.deciding += 1;
-        self.by_id.insert(it.id.to_string(), play);
+        let play = self.next_play_id;
+        self.next_play_id += 1;
+        self.deciding_count += 1;
+        self.by_id.insert(request.session_id.to_string(), play);
         let session = Session {
-            id: it.id.to_string(),
-            viewer: it.viewer.to_string(),
-            from: it.from,
-            product: it.product,
-            title_number: it.title_number,
-            title: it.title.clone(),
-            top: it.top,
-            came: now,
-            limit: it.limit,
-            life: Life::Asked,
+            session_id: request.session_id.to_string(),
+            viewer: request.viewer.to_string(),
+            viewer_ip: request.viewer_ip,
+            product: request.product,
+            title_number: request.title_number,
+            title: request.title.clone(),
+            max_rung: request.max_rung,
+            arrived_at: now,
+            deadline: request.deadline,
+            phase: SessionPhase::Requested,
             answer: None,
             waiters: vec![waiter],
             alone_since: now,
             server: None,
-            allocations: 0,
+            allocation_count: 0,
             sent_at: 0.0,
-            line: None,
+            connection: None,
             rung: 0,
-            told: None,
-            telling: false,
-            started: 0.0,
-            last_asked: now,
-            fetching: 0,
-            renewed: 0.0,
-            complete: false,
-            until: 0.0,
+            notified_rung: None,
+            is_notifying_rung: false,
+            started_at: 0.0,
+            last_request_at: now,
+            active_fetches: 0,
+            pass_valid_until: 0.0,
+            is_complete: false,
+            expires_at: 0.0,
         };
         self.sessions.insert(play, session);
-        Asked::New(play)
+        RequestResult::New(play)
     }
 
-    /// A connection that waited is gone; true if nobody waits any more.
-    pub fn gone(&mut self, now: f64, play: u64, waiter: u64) -> bool {
+    /// A connection that waited was closed. Returns true if no other waits for the undecided session.
+    pub fn remove_waiter(&mut self, now: f64, play: u64, waiter: u64) -> bool {
         let Some(session) = self.sessions.get_mut(&play) else { return false };
         session.waiters.retain(|w| *w != waiter);
         session.alone_since = now;
-        session.waiters.is_empty() && session.life.deciding()
+        session.waiters.is_empty() && session.phase.is_deciding()
     }
 
-    /// The play plays: its answer, and the connections to give it to.
-    pub fn plays(&mut self, now: f64, play: u64, answer: Answer) -> Vec<u64> {
-        if !self.step(play, Step::Plays) {
+    /// Records that the play plays, and its answer. Returns the connections that wait for the answer.
+    pub fn start_playing(&mut self, now: f64, play: u64, answer: Answer) -> Vec<u64> {
+        if !self.apply_transition(play, Transition::StartPlaying) {
             return Vec::new();
         }
         let Some(session) = self.sessions.get_mut(&play) else { return Vec::new() };
-        (session.started, session.last_asked) = (now, now);
+        (session.started_at, session.last_request_at) = (now, now);
         session.answer = Some(answer);
         std::mem::take(&mut session.waiters)
     }
 
-    /// The play is over: what whoever asks from now on is answered, and the connections that still wait. A
-    /// play that is over stays as it is.
-    pub fn over(&mut self, now: f64, play: u64, answer: Answer) -> Vec<u64> {
-        if !self.step(play, Step::Ends) {
+    /// Ends the play with this answer, which later requests get too. Returns the connections that still wait. A
+    /// play that has ended already is left as it is.
+    pub fn end_play(&mut self, now: f64, play: u64, answer: Answer) -> Vec<u64> {
+        if !self.apply_transition(play, Transition::End) {
             return Vec::new();
         }
         let Some(session) = self.sessions.get_mut(&play) else { return Vec::new() };
         session.answer = Some(answer);
-        session.until = now + self.bounds.remember;
+        session.expires_at = now + self.limits.remember_ms;
         std::mem::take(&mut session.waiters)
     }
 
-    /// When the session's timer is to ring next, given how long a player may be silent (`idle`), and how long
-    /// nobody may wait (`alone`).
-    pub fn due(&self, play: u64, idle: f64, alone: f64) -> Option<f64> {
+    /// When the session's timer is to fire next: a running play may be silent for `allowed_silence`, an undecided
+    /// one may have no connection that waits for `allowed_absence`.
+    pub fn next_deadline(&self, play: u64, allowed_silence: f64, allowed_absence: f64) -> Option<f64> {
         let session = self.sessions.get(&play)?;
-        match session.life {
-            Life::Asked | Life::Out => session.waiters.is_empty().then_some(session.alone_since + alone),
-            Life::Playing => Some(session.last_asked + idle),
-            Life::Ending | Life::Over => Some(session.until),
+        match session.phase {
+            SessionPhase::Requested | SessionPhase::Allocating => {
+                session.waiters.is_empty().then_some(session.alone_since + allowed_absence)
+            }
+            SessionPhase::Playing => Some(session.last_request_at + allowed_silence),
+            SessionPhase::Ending | SessionPhase::Ended => Some(session.expires_at),
         }
     }
 
-    /// Forgets a session that is over.
+    /// Removes a session that has ended.
     pub fn forget(&mut self, play: u64) {
-        self.step(play, Step::Forget);
+        self.apply_transition(play, Transition::Forget);
     }
 }
 
@@ -380,10 +410,11 @@
     use super::*;
     use proptest::prelude::*;
 
-    const BOUNDS: Bounds = Bounds { deciding: 2, plays: 3, sessions: 4, waiters: 2, remember: 100.0 };
+    const LIMITS: SessionLimits =
+        SessionLimits { deciding: 2, plays: 3, sessions: 4, waiters: 2, remember_ms: 100.0 };
 
     thread_local! {
-        static SHOW: &'static Rc<Title> = Box::leak(Box::new(Rc::new(Title {
+        static TITLE: &'static Rc<Title> = Box::leak(Box::new(Rc::new(Title {
             name: "t".into(),
             product: "p".into(),
             first_cell: 0,
@@ -396,16 +427,16 @@
         })));
     }
 
-    fn request(id: &str) -> Request<'_> {
-        Request {
-            id,
+    fn request(id: &str) -> ManifestRequest<'_> {
+        ManifestRequest {
+            session_id: id,
             viewer: "v",
-            from: None,
+            viewer_ip: None,
             product: 0,
             title_number: 0,
-            title: SHOW.with(|s| *s),
-            top: 1,
-            limit: 1000.0,
+            title: TITLE.with(|s| *s),
+            max_rung: 1,
+            deadline: 1000.0,
         }
     }
 
@@ -414,150 +445,174 @@
     }
 
     #[test]
-    fn the_same_session_is_the_same_play_at_every_stage() {
-        let mut book = SessionTable::new(BOUNDS);
-        assert_eq!(book.ask(0.0, &request("a"), 1), Asked::New(1));
-        assert_eq!(book.ask(1.0, &request("a"), 2), Asked::Joined);
-        assert_eq!(book.ask(1.0, &request("a"), 3), Asked::Full("waiters"));
-        assert_eq!((book.send(1.5, 1, 7, 0), book.send(1.5, 1, 8, 0)), (Some(1), None), "one at a time");
-        assert_eq!(book.plays(2.0, 1, answer(200)), [1, 2]);
-        assert!(book.plays(2.0, 1, answer(200)).is_empty(), "answered once");
-        assert_eq!(book.ask(3.0, &request("a"), 4), Asked::Answered(answer(200)));
-        assert!(book.over(4.0, 1, answer(410)).is_empty());
-        assert_eq!(book.ask(5.0, &request("a"), 5), Asked::Answered(answer(410)));
-        assert_eq!(book.due(1, 50.0, 50.0), Some(104.0));
-        book.forget(1);
-        assert_eq!(book.ask(105.0, &request("a"), 6), Asked::New(2));
+    fn requests_for_a_session_share_one_play_in_every_phase() {
+        let mut sessions = SessionTable::new(LIMITS);
+        assert_eq!(sessions.request_play(0.0, &request("a"), 1), RequestResult::New(1));
+        assert_eq!(sessions.request_play(1.0, &request("a"), 2), RequestResult::Joined);
+        assert_eq!(sessions.request_play(1.0, &request("a"), 3), RequestResult::LimitReached("waiters"));
+        assert_eq!(
+            (sessions.start_allocation(1.5, 1, 7, 0), sessions.start_allocation(1.5, 1, 8, 0)),
+            (Some(1), None),
+            "one at a time"
+        );
+        assert_eq!(sessions.start_playing(2.0, 1, answer(200)), [1, 2]);
+        assert!(sessions.start_playing(2.0, 1, answer(200)).is_empty(), "answered once");
+        assert_eq!(sessions.request_play(3.0, &request("a"), 4), RequestResult::Answered(answer(200)));
+        assert!(sessions.end_play(4.0, 1, answer(410)).is_empty());
+        assert_eq!(sessions.request_play(5.0, &request("a"), 5), RequestResult::Answered(answer(410)));
+        assert_eq!(sessions.next_deadline(1, 50.0, 50.0), Some(104.0));
+        sessions.forget(1);
+        assert_eq!(sessions.request_play(105.0, &request("a"), 6), RequestResult::New(2));
     }
 
     #[test]
-    fn another_viewer_can_not_join() {
-        let mut book = SessionTable::new(BOUNDS);
-        book.ask(0.0, &request("a"), 1);
-        assert_eq!(book.ask(1.0, &Request { viewer: "w", ..request("a") }, 2), Asked::Foreign);
-        assert_eq!(book.ask(1.0, &Request { title_number: 9, ..request("a") }, 2), Asked::Foreign);
+    fn a_request_of_another_viewer_or_title_is_a_mismatch() {
+        let mut sessions = SessionTable::new(LIMITS);
+        sessions.request_play(0.0, &request("a"), 1);
+        assert_eq!(
+            sessions.request_play(1.0, &ManifestRequest { viewer: "w", ..request("a") }, 2),
+            RequestResult::Mismatch
+        );
+        assert_eq!(
+            sessions.request_play(1.0, &ManifestRequest { title_number: 9, ..request("a") }, 2),
+            RequestResult::Mismatch
+        );
     }
 
     #[test]
-    fn a_flood_is_refused_and_pushes_nothing_out() {
-        let mut book = SessionTable::new(BOUNDS);
-        book.ask(0.0, &request("a"), 1);
-        book.send(0.0, 1, 0, 0);
-        book.plays(0.0, 1, answer(200));
-        book.ask(0.0, &request("b"), 2);
-        book.ask(0.0, &request("c"), 3);
-        assert_eq!(book.ask(0.0, &request("d"), 4), Asked::Full("deciding"));
-        book.send(0.0, 2, 0, 0);
-        book.plays(0.0, 2, answer(200));
-        assert_eq!(book.ask(0.0, &request("d"), 4), Asked::Full("plays"));
-        book.over(0.0, 3, answer(503));
-        assert_eq!(book.ask(0.0, &request("d"), 4), Asked::New(4));
-        book.over(0.0, 4, answer(503));
-        assert_eq!(book.ask(0.0, &request("e"), 5), Asked::Full("sessions"));
-        assert_eq!(book.ask(0.0, &request("a"), 6), Asked::Answered(answer(200)), "what plays goes on");
-        assert_eq!((book.deciding(), book.playing(), book.open_plays()), (0, 2, vec![1, 2]));
+    fn requests_beyond_a_limit_are_refused_and_evict_no_session() {
+        let mut sessions = SessionTable::new(LIMITS);
+        sessions.request_play(0.0, &request("a"), 1);
+        sessions.start_allocation(0.0, 1, 0, 0);
+        sessions.start_playing(0.0, 1, answer(200));
+        sessions.request_play(0.0, &request("b"), 2);
+        sessions.request_play(0.0, &request("c"), 3);
+        assert_eq!(sessions.request_play(0.0, &request("d"), 4), RequestResult::LimitReached("deciding"));
+        sessions.start_allocation(0.0, 2, 0, 0);
+        sessions.start_playing(0.0, 2, answer(200));
+        assert_eq!(sessions.request_play(0.0, &request("d"), 4), RequestResult::LimitReached("plays"));
+        sessions.end_play(0.0, 3, answer(503));
+        assert_eq!(sessions.request_play(0.0, &request("d"), 4), RequestResult::New(4));
+        sessions.end_play(0.0, 4, answer(503));
+        assert_eq!(sessions.request_play(0.0, &request("e"), 5), RequestResult::LimitReached("sessions"));
+        assert_eq!(
+            sessions.request_play(0.0, &request("a"), 6),
+            RequestResult::Answered(answer(200)),
+            "a running play is unaffected"
+        );
+        assert_eq!(
+            (sessions.deciding_count(), sessions.playing_count(), sessions.open_plays()),
+            (0, 2, vec![1, 2])
+        );
     }
 
     #[test]
-    fn a_viewer_that_closes_may_come_back() {
-        let mut book = SessionTable::new(BOUNDS);
-        book.ask(0.0, &request("a"), 1);
-        assert_eq!(book.due(1, 50.0, 20.0), None);
-        assert!(book.gone(5.0, 1, 1));
-        assert_eq!(book.due(1, 50.0, 20.0), Some(25.0));
-        assert_eq!(book.ask(6.0, &request("a"), 2), Asked::Joined);
-        assert_eq!(book.due(1, 50.0, 20.0), None);
+    fn a_viewer_that_disconnects_may_join_again() {
+        let mut sessions = SessionTable::new(LIMITS);
+        sessions.request_play(0.0, &request("a"), 1);
+        assert_eq!(sessions.next_deadline(1, 50.0, 20.0), None);
+        assert!(sessions.remove_waiter(5.0, 1, 1));
+        assert_eq!(sessions.next_deadline(1, 50.0, 20.0), Some(25.0));
+        assert_eq!(sessions.request_play(6.0, &request("a"), 2), RequestResult::Joined);
+        assert_eq!(sessions.next_deadline(1, 50.0, 20.0), None);
     }
 
+    /// An operation on the session of this index: a request or a closing by a connection, or a transition.
     #[derive(Clone, Copy, Debug)]
-    enum Does {
-        Asks(u8, u64),
-        Steps(u8, Step),
-        Leaves(u8, u64),
-    }
-
-    fn does() -> impl Strategy<Value = Does> {
-        let step = prop::sample::select(vec![Step::Send, Step::Back, Step::Plays, Step::Ends, Step::Forget]);
+    enum Operation {
+        Request(u8, u64),
+        Apply(u8, Transition),
+        RemoveWaiter(u8, u64),
+    }
+
+    fn operation() -> impl Strategy<Value = Operation> {
+        let transition = prop::sample::select(vec![
+            Transition::SendAllocation,
+            Transition::AllocationEnded,
+            Transition::StartPlaying,
+            Transition::End,
+            Transition::Forget,
+        ]);
         prop_oneof![
-            3 => (0u8..6, 0u64..30).prop_map(|(s, c)| Does::Asks(s, c)),
-            6 => (0u8..6, step).prop_map(|(s, step)| Does::Steps(s, step)),
-            1 => (0u8..6, 0u64..30).prop_map(|(s, c)| Does::Leaves(s, c)),
+            3 => (0u8..6, 0u64..30).prop_map(|(s, c)| Operation::Request(s, c)),
+            6 => (0u8..6, transition).prop_map(|(s, transition)| Operation::Apply(s, transition)),
+            1 => (0u8..6, 0u64..30).prop_map(|(s, c)| Operation::RemoveWaiter(s, c)),
         ]
     }
 
     proptest! {
-        /// Whatever comes in whatever order: a connection is answered at most once for each time it asked, a
-        /// play has one allocation out at most, ends once, and is never answered anew; bounds hold.
+        /// For operations in any order: a connection is answered at most once for each of its requests, a play has
+        /// at most one allocation under way, ends once, and its final answer does not change; the limits hold.
         #[test]
-        fn every_interleaving_keeps_to_one_life(all in prop::collection::vec(does(), 1..300)) {
-            let mut book = SessionTable::new(BOUNDS);
-            // By play: allocations out, ends, the answer; and who waits for which.
-            let (mut out, mut ended, mut told) = (HashMap::new(), HashMap::new(), HashMap::<u64, Answer>::new());
-            let mut waits: Vec<(u64, u64)> = Vec::new();
-            for (at, it) in all.into_iter().enumerate() {
-                let now = at as f64;
+        fn any_order_of_operations_keeps_the_invariants(operations in prop::collection::vec(operation(), 1..300)) {
+            let mut sessions = SessionTable::new(LIMITS);
+            // By play: allocations under way, ends, the answer. Then which connections wait for which play.
+            let (mut under_way, mut ended, mut answers) = (HashMap::new(), HashMap::new(), HashMap::<u64, Answer>::new());
+            let mut waiting: Vec<(u64, u64)> = Vec::new();
+            for (index, operation) in operations.into_iter().enumerate() {
+                let now = index as f64;
                 let name = |s: u8| ["a", "b", "c", "d", "e", "f"][s as usize];
-                match it {
-                    Does::Asks(s, connection) => match book.ask(now, &request(name(s)), connection) {
-                        Asked::New(play) => waits.push((play, connection)),
-                        Asked::Joined => waits.push((book.by_id(name(s)).unwrap(), connection)),
-                        Asked::Answered(answer) => {
-                            prop_assert_eq!(told.get(&book.by_id(name(s)).unwrap()), Some(&answer));
+                match operation {
+                    Operation::Request(s, connection) => match sessions.request_play(now, &request(name(s)), connection) {
+                        RequestResult::New(play) => waiting.push((play, connection)),
+                        RequestResult::Joined => waiting.push((sessions.by_id(name(s)).unwrap(), connection)),
+                        RequestResult::Answered(answer) => {
+                            prop_assert_eq!(answers.get(&sessions.by_id(name(s)).unwrap()), Some(&answer));
                         }
-                        Asked::Full(_) => {}
-                        Asked::Foreign => prop_assert!(false, "it is the same viewer's"),
+                        RequestResult::LimitReached(_) => {}
+                        RequestResult::Mismatch => prop_assert!(false, "every request is the same viewer's"),
                     },
-                    Does::Leaves(s, connection) => {
-                        if let Some(play) = book.by_id(name(s)) {
-                            book.gone(now, play, connection);
-                            waits.retain(|w| *w != (play, connection));
+                    Operation::RemoveWaiter(s, connection) => {
+                        if let Some(play) = sessions.by_id(name(s)) {
+                            sessions.remove_waiter(now, play, connection);
+                            waiting.retain(|w| *w != (play, connection));
                         }
                     }
-                    Does::Steps(s, step) => {
-                        let Some(play) = book.by_id(name(s)) else { continue };
-                        let was = book.get(play).unwrap().life();
-                        let answered = match step {
-                            Step::Send => {
-                                if book.send(now, play, 0, 0).is_some() {
-                                    *out.entry(play).or_insert(0) += 1;
+                    Operation::Apply(s, transition) => {
+                        let Some(play) = sessions.by_id(name(s)) else { continue };
+                        let phase_before = sessions.get(play).unwrap().phase();
+                        let answered = match transition {
+                            Transition::SendAllocation => {
+                                if sessions.start_allocation(now, play, 0, 0).is_some() {
+                                    *under_way.entry(play).or_insert(0) += 1;
                                 }
                                 Vec::new()
                             }
-                            Step::Back => {
-                                if book.back(play) {
-                                    *out.entry(play).or_insert(0) -= 1;
+                            Transition::AllocationEnded => {
+                                if sessions.end_allocation(play) {
+                                    *under_way.entry(play).or_insert(0) -= 1;
                                 }
                                 Vec::new()
                             }
-                            Step::Plays => book.plays(now, play, answer(200)),
-                            Step::Ends => book.over(now, play, answer(500 + at as u16)),
-                            Step::Forget => {
-                                book.forget(play);
+                            Transition::StartPlaying => sessions.start_playing(now, play, answer(200)),
+                            Transition::End => sessions.end_play(now, play, answer(500 + index as u16)),
+                            Transition::Forget => {
+                                sessions.forget(play);
                                 Vec::new()
                             }
                         };
-                        let is = book.get(play).map(|s| s.life());
-                        if !was.over() && is.is_some_and(Life::over) {
+                        let phase = sessions.get(play).map(|s| s.phase());
+                        if !phase_before.is_over() && phase.is_some_and(SessionPhase::is_over) {
                             *ended.entry(play).or_insert(0) += 1;
                         }
-                        if let Some(session) = book.get(play) {
-                            prop_assert!(was.deciding() || session.answer().is_some());
-                            session.answer().map(|a| told.insert(play, a.clone()));
+                        if let Some(session) = sessions.get(play) {
+                            prop_assert!(phase_before.is_deciding() || session.answer().is_some());
+                            session.answer().map(|a| answers.insert(play, a.clone()));
                         }
                         let mut expected: Vec<u64> = Vec::new();
-                        if was.deciding() && !is.is_some_and(Life::deciding) {
-                            expected = waits.iter().filter(|w| w.0 == play).map(|w| w.1).collect();
-                            waits.retain(|w| w.0 != play);
+                        if phase_before.is_deciding() && !phase.is_some_and(SessionPhase::is_deciding) {
+                            expected = waiting.iter().filter(|w| w.0 == play).map(|w| w.1).collect();
+                            waiting.retain(|w| w.0 != play);
                         }
-                        prop_assert_eq!(answered, expected, "{:?} by {:?}", was, step);
+                        prop_assert_eq!(answered, expected, "{:?} by {:?}", phase_before, transition);
                     }
                 }
-                prop_assert!(out.values().all(|n| (0..=1).contains(n)), "{out:?}");
+                prop_assert!(under_way.values().all(|n| (0..=1).contains(n)), "{under_way:?}");
                 prop_assert!(ended.values().all(|n| *n <= 1));
-                let held = book.open_plays();
-                prop_assert_eq!(book.deciding() + book.playing(), held.len());
-                prop_assert!(book.deciding() <= BOUNDS.deciding && held.len() <= BOUNDS.plays);
-                prop_assert!(book.sessions.len() <= BOUNDS.sessions && book.sessions.len() == book.by_id.len());
+                let open = sessions.open_plays();
+                prop_assert_eq!(sessions.deciding_count() + sessions.playing_count(), open.len());
+                prop_assert!(sessions.deciding_count() <= LIMITS.deciding && open.len() <= LIMITS.plays);
+                prop_assert!(sessions.sessions.len() <= LIMITS.sessions && sessions.sessions.len() == sessions.by_id.len());
             }
         }
     }
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -1,6 +1,7 @@
-//! The floor: what the desk's hands work with. Connections, the sessions' book, servers and their pools, clocks,
-//! and the answers written to players. It never calls the desk; what it finds while the desk is busy goes to
-//! [`EdgeState::finished_allocations`], which [`crate::edge`] tells afterwards.
+//! A front's state beside the dispatcher: connections, sessions, servers and their connection pools, timers, and
+//! the answers written to players. The dispatcher's actions (`actions`) work on it. It never calls the dispatcher;
+//! what it finds while the dispatcher is busy goes to [`EdgeState::finished_allocations`], which [`crate::edge`]
+//! reports to the dispatcher afterwards. Times are in ms.
 
 use crate::config::Config;
 use crate::connections::{ConnectionId, Connections, Role, ServerRequest};
@@ -29,69 +30,81 @@
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
+    /// A timer that the dispatcher asked for, by its number.
     Dispatcher(u32),
-    /// The time-out of a play's so-many-th allocation.
+    /// The time-out of a play's set-up: the play, and which of its allocations.
     SetUpTimeout(u64, usize),
+    /// The deadline of a connection.
     Connection(ConnectionId),
+    /// A session's next deadline, by its play.
     Session(u64),
-    /// The word of a step of this play was lost: it is told again.
+    /// A rung notification of this play was lost and is to be repeated.
     RungRetry(u64),
+    /// The deadline of a play in the admission queue.
     AdmissionQueue,
     ListPoll,
+    /// The poll of keys, certificates, homes and approved versions.
     FilePoll,
+    /// Connections are accepted again after accepting one failed.
     AcceptRetry,
     StatsLog,
     FleetSync,
+    /// The time that a stopping front may run on is over.
     StopDeadline,
 }
 
-/// A media server as the floor knows it: how to reach it, and the lines that are there.
+/// A media server: how to reach it, its connection pool, and the requests that wait for a connection.
 pub(crate) struct MediaServer {
     pub(crate) name: String,
     pub(crate) address: SocketAddr,
-    /// Its number for all fronts alike.
+    /// Its number, the same at all fronts.
     pub(crate) stable_id: u64,
     pub(crate) zone: String,
     /// When its process started, ms since 1970.
     pub(crate) started_at: u64,
     pub(crate) idle_connections: Vec<ConnectionId>,
+    /// Pooled connections to it, idle or in use.
     pub(crate) connection_count: usize,
     pub(crate) waiting_requests: VecDeque<ServerRequest>,
-    /// Further tries of segments' reads there.
+    /// Limits the retries of segment reads at this server.
     pub(crate) retry_budget: RetryBudget,
 }
 
-/// An allocation's end that was found while the desk was busy.
+/// An allocation's end that was found while the dispatcher was busy.
 pub(crate) struct AllocationEnd {
     pub(crate) play: u64,
     pub(crate) server: u32,
     pub(crate) outcome: Outcome,
 }
 
+/// Everything that a front holds beside the dispatcher.
 pub(crate) struct EdgeState {
     pub(crate) config: Config,
     pub(crate) entry_keys: KeyRing,
     pub(crate) pass_keys: KeyRing,
     pub(crate) keys_file: Option<WatchedFiles>,
     pub(crate) tls: TlsConfigs,
+    /// Ids of the sessions that were revoked.
     pub(crate) revoked: HashSet<String>,
     pub(crate) connections: Connections,
     pub(crate) loop_handle: LoopHandle<'static, Edge>,
+    /// The registration of the players' listening socket at the event loop.
     pub(crate) listener: Option<RegistrationToken>,
     pub(crate) sessions: SessionTable,
-    /// Who waits until a set-up more may be out, how many may be and are.
-    pub(crate) queue: AdmissionQueue,
+    /// Plays that wait until another set-up may begin.
+    pub(crate) admission_queue: AdmissionQueue,
+    /// How many set-ups may be under way at once, and how many are.
     pub(crate) set_up_limit: ConcurrencyLimit,
     pub(crate) pending_set_ups: usize,
     pub(crate) loop_lag: LoopLag,
     pub(crate) wall_clock: WallClock,
-    /// Where the fronts of this fleet are to be had by players, by rank, and the file that tells; none where they
-    /// may all set up any session.
+    /// The addresses at which players reach the fronts of this fleet, by rank, and the file that lists them. Empty
+    /// where every front may set up any session.
     pub(crate) home_addresses: Vec<String>,
     pub(crate) homes_file: Option<WatchedFiles>,
     pub(crate) list_file: WatchedFiles,
-    /// Every title has a number that no other ever has; what is listed now is told beside what it is. One that is
-    /// listed no more is kept while a session knows it.
+    /// Every title has a number that is never reused. Beside each title stands whether it is listed now; one that
+    /// is no longer listed is kept while a session refers to it.
     pub(crate) title_numbers: HashMap<(usize, String), usize>,
     pub(crate) titles_by_number: HashMap<usize, (Rc<Title>, bool)>,
     pub(crate) next_title_number: usize,
@@ -100,83 +113,94 @@
     pub(crate) timers: Timers<Timer>,
     pub(crate) finished_allocations: VecDeque<AllocationEnd>,
     pub(crate) player_count: usize,
-    /// The pooled connection that fetches for a player, and how many errands are out or wait.
+    /// By player connection: the pooled connection that fetches a segment for it.
     pub(crate) fetch_connections: HashMap<ConnectionId, ConnectionId>,
+    /// Requests to servers that are under way or wait.
     pub(crate) open_requests: usize,
-    /// Players with a further request at hand when their answer was written.
+    /// Players whose next request was already received when their answer was written.
     pub(crate) players_to_resume: Vec<ConnectionId>,
-    /// Names this run of this front in the names of its allocations.
+    /// Identifies this run of this front in the paths of its allocations.
     pub(crate) run_id: String,
     pub(crate) stats: Stats,
-    /// The sums as they were last written, and the log's count of lines that it dropped.
+    /// The counts as they were last logged, and the number of dropped log lines at that time.
     pub(crate) last_logged_stats: (Stats, usize),
     pub(crate) dropped_log_lines: ErrorCounter,
-    /// Other fronts, where the rundown names any.
+    /// The exchange with other fronts, where the configuration names any.
     pub(crate) fleet: Option<Box<Fleet>>,
+    /// No new plays are taken.
     pub(crate) is_stopping: bool,
-    /// A second signal came.
+    /// A second signal was received: the front ends at once.
     pub(crate) is_halted: bool,
 }
 
+/// An answer with a line of plain text.
 pub(crate) fn text_answer(status: u16, why: &str) -> Answer {
     Answer { status, body: format!("{why}\n").into(), retry_after: None, location: None }
 }
 
 impl EdgeState {
-    /// ms since 1970, never going back.
+    /// The event loop's time, ms since 1970; it never goes back.
     pub(crate) fn now(&self) -> f64 {
         self.timers.now()
     }
 
-    /// ms since 1970 as tokens and live titles have it.
+    /// The wall clock, ms since 1970, as tokens and live titles use it.
     pub(crate) fn wall_clock_now(&self) -> f64 {
         self.wall_clock.time_at(self.now())
     }
 
-    pub(crate) fn schedule(&mut self, at: f64, clock: Timer) {
-        self.timers.schedule(at, clock);
+    /// Has this timer fire at `due_at`.
+    pub(crate) fn schedule(&mut self, due_at: f64, timer: Timer) {
+        self.timers.schedule(due_at, timer);
     }
 
+    /// Whether the event loop is to end: on a second signal, or once a stopping front has no play, no request and
+    /// nothing left to write.
     pub(crate) fn is_finished(&self) -> bool {
-        let idle = self.sessions.deciding() + self.sessions.playing() == 0 && self.open_requests == 0;
+        let is_idle =
+            self.sessions.deciding_count() + self.sessions.playing_count() == 0 && self.open_requests == 0;
         self.is_halted
             || self.is_stopping
-                && idle
+                && is_idle
                 && !self.connections.any_pending(|role| matches!(role, Role::Player(_)))
     }
 
+    /// The server's name for the log.
     pub(crate) fn server_name(&self, server: u32) -> &str {
         self.servers.get(server as usize).map_or("?", |s| s.name.as_str())
     }
 
-    pub(crate) fn set_connection_deadline(&mut self, key: ConnectionId, due: f64) {
-        if let Some(line) = self.connections.get_mut(key) {
-            line.deadline = due;
-            self.schedule(due, Timer::Connection(key));
+    /// Sets a connection's deadline and schedules its timer.
+    pub(crate) fn set_connection_deadline(&mut self, connection_id: ConnectionId, deadline: f64) {
+        if let Some(connection) = self.connections.get_mut(connection_id) {
+            connection.deadline = deadline;
+            self.schedule(deadline, Timer::Connection(connection_id));
         }
     }
 
-    pub(crate) fn set_accepting(&self, so: bool) {
-        let Some(door) = &self.listener else { return };
-        let done = if so { self.loop_handle.enable(door) } else { self.loop_handle.disable(door) };
-        if let Err(e) = done {
-            error!(target: "front", "the listening socket can't be set: {e}");
+    /// Starts or stops accepting players' connections.
+    pub(crate) fn set_accepting(&self, is_accepting: bool) {
+        let Some(listener) = &self.listener else { return };
+        let result =
+            if is_accepting { self.loop_handle.enable(listener) } else { self.loop_handle.disable(listener) };
+        if let Err(e) = result {
+            error!(target: "front", "can't enable or disable the listening socket: {e}");
         }
     }
 
-    /// Writes the sums, where they have changed since they were last written.
+    /// Logs the counts, where they have changed since they were last logged.
     pub(crate) fn log_stats(&mut self) {
-        let sums = (self.stats, self.dropped_log_lines.dropped_lines());
-        if sums == self.last_logged_stats {
+        let counts = (self.stats, self.dropped_log_lines.dropped_lines());
+        if counts == self.last_logged_stats {
             return;
         }
-        self.last_logged_stats = sums;
+        self.last_logged_stats = counts;
         let Stats { taken, away, played, declined, failed, left, ended, lost, allocations, segments } =
-            sums.0;
-        let deciding = self.sessions.deciding();
+            counts.0;
+        let deciding = self.sessions.deciding_count();
         info!(
             target: "tally", taken, away, played, declined, failed, left, deciding, ended, lost, allocations, segments,
-            lines_dropped = sums.1, "since the start",
+            lines_dropped = counts.1, "counts since the start",
         );
     }
 }
