--- a/crates/admission/src/concurrency.rs
+++ b/crates/admission/src/concurrency.rs
@@ -1,129 +1,141 @@
-//! How many plays may be decided at once. The delay of set-ups tells whether servers keep up: while it stays
-//! near what it is without a crowd the limit grows, and it shrinks as the delay does more.
+//! Adaptive limit on how many plays may be decided at once. The set-up delay shows whether the servers keep up:
+//! while it stays near its unloaded value the limit grows, and as the delay rises the limit shrinks.
 //!
-//! The gradient form: the limit is scaled by undisturbed delay over present delay, with room for a small queue.
-//! Against additive increase and multiplicative decrease it settles near the capacity instead of sawing, and it
-//! reacts to how much delay grew and not only that it did; see `docs/notes/dash-path.md`.
+//! The limit follows the gradient form: it is scaled by unloaded delay over present delay, with room for a small
+//! queue. Compared with additive increase and multiplicative decrease, it settles near the capacity instead of
+//! oscillating, and it reacts to how much the delay grew and not only to the fact that it grew; see
+//! `docs/notes/dash-path.md`.
 //!
-//! The front's own work is a second bound: each play that is out will ask for a decision more, at the worst all of
-//! them at once, and what they wait for is this front. So no more are out than it can decide in a stated time, by
-//! what decisions were seen to take.
+//! The front's own work is a second bound. Each play in progress will need one more decision, in the worst case all
+//! of them at the same time, and they all wait for this front. The limit therefore never exceeds the number of plays
+//! that the front can decide within a configured time, at the measured time per decision.
+//!
+//! The front (`pulleystair-edge`) reports each outcome and reads the limit. Times are ms.
 
-/// Bounds and pace of a limit.
+/// Bounds and speed of adaptation of a [`ConcurrencyLimit`].
 #[derive(Clone, Copy, Debug)]
 pub struct LimitConfig {
+    /// Lower bound of the limit.
     pub least: f64,
+    /// Upper bound of the limit.
     pub most: f64,
-    /// Delay may grow by this factor before the limit gives way.
+    /// The delay may grow by this factor before the limit shrinks.
     pub tolerance: f64,
-    /// And by so many ms more: what no viewer notices is no reason to make others wait.
+    /// The delay may grow by this many further ms: growth that no viewer notices is no reason to make others wait.
     pub slack: f64,
-    /// So many outcomes make a sample.
+    /// Number of outcomes in a sample.
     pub sample: usize,
-    /// All that is out can be decided once more within so many ms.
+    /// All plays in progress must be decidable once more within this many ms.
     pub work: f64,
 }
 
-/// Part by which a sample moves the limit.
-const SMOOTH: f64 = 0.2;
-/// Undisturbed delay follows lower samples at once and higher ones by this part: a fleet may grow slower for good.
-const DRIFT: f64 = 0.002;
-/// A sample halves the limit at most.
-const HALF: f64 = 0.5;
-/// Part of a sample that was lost from which the limit does not grow at all. Work that is lost was done in vain: a
-/// limit that grows beside losses settles where much of what servers do is for nobody.
-const LOSSY: f64 = 0.1;
-/// Part by which one decision moves what decisions are reckoned to take: a hundred of them make it.
-const RECENT: f64 = 0.02;
-
+/// Share of the distance to its target by which a sample moves the limit.
+const SMOOTHING: f64 = 0.2;
+/// Share by which the baseline delay follows higher samples; it follows lower ones at once. It rises at all because
+/// a fleet may become slower for good.
+const BASELINE_DRIFT: f64 = 0.002;
+/// Lowest gradient: one sample halves the limit at most.
+const MIN_GRADIENT: f64 = 0.5;
+/// Share of lost plays in a sample from which the limit does not grow at all. The work on a lost play was done in
+/// vain: a limit that grows despite losses settles where much of the servers' work is for nobody.
+const NO_GROWTH_LOSS_SHARE: f64 = 0.1;
+/// Weight of one decision in the mean time per decision, which thus covers about a hundred decisions.
+const DECISION_SMOOTHING: f64 = 0.02;
+
+/// The limit on plays decided at once, adapted to the reported outcomes.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
-    terms: LimitConfig,
+    config: LimitConfig,
     limit: f64,
-    /// Delay without a crowd, ms, once known.
-    undisturbed: Option<f64>,
-    sum: f64,
-    count: usize,
-    /// The most that was in hand while the sample was taken, and whether anything was lost for lack of time.
-    in_hand: usize,
-    lost: usize,
-    /// What a decision takes, ms.
-    decision: f64,
+    /// Set-up delay of an unloaded fleet, ms, once known.
+    baseline_delay: Option<f64>,
+    delay_sum: f64,
+    outcome_count: usize,
+    /// The most plays that were in progress during the sample.
+    max_in_progress: usize,
+    /// Plays of the sample that were lost for lack of time.
+    lost_count: usize,
+    /// Mean time per decision, ms.
+    decision_ms: f64,
 }
 
 impl ConcurrencyLimit {
-    pub fn new(terms: LimitConfig) -> ConcurrencyLimit {
-        // Begins in the middle of what it may be: a front that starts into a crowd must not open wide.
-        let limit = (terms.least * terms.most).sqrt().clamp(terms.least, terms.most);
+    /// Starts at the geometric mean of the bounds.
+    pub fn new(config: LimitConfig) -> ConcurrencyLimit {
+        // A front that starts under overload must not start at the upper bound.
+        let limit = (config.least * config.most).sqrt().clamp(config.least, config.most);
         ConcurrencyLimit {
-            terms,
+            config,
             limit,
-            undisturbed: None,
-            sum: 0.0,
-            count: 0,
-            in_hand: 0,
-            lost: 0,
-            decision: 0.0,
+            baseline_delay: None,
+            delay_sum: 0.0,
+            outcome_count: 0,
+            max_in_progress: 0,
+            lost_count: 0,
+            decision_ms: 0.0,
         }
     }
 
+    /// How many plays may be decided at once now; at least 1.
     pub fn current(&self) -> usize {
-        let by_work = if self.decision > 0.0 { self.terms.work / self.decision } else { f64::INFINITY };
-        self.limit.min(by_work).floor().max(1.0) as usize
+        let limit_by_work =
+            if self.decision_ms > 0.0 { self.config.work / self.decision_ms } else { f64::INFINITY };
+        self.limit.min(limit_by_work).floor().max(1.0) as usize
     }
 
-    /// A decision took so many ms.
-    pub fn on_decided(&mut self, took: f64) {
-        if took.is_finite() && took >= 0.0 {
-            self.decision += RECENT * (took - self.decision);
+    /// Records a decision that took `duration` ms.
+    pub fn on_decided(&mut self, duration: f64) {
+        if duration.is_finite() && duration >= 0.0 {
+            self.decision_ms += DECISION_SMOOTHING * (duration - self.decision_ms);
         }
     }
 
-    /// A play was set up after this delay, with so many in hand.
-    pub fn on_set_up(&mut self, delay: f64, in_hand: usize) {
+    /// Records a play that was set up after `delay` ms, while `in_progress` plays were being decided.
+    pub fn on_set_up(&mut self, delay: f64, in_progress: usize) {
         if delay.is_finite() && delay >= 0.0 {
-            self.sum += delay.max(0.1);
-            self.seen(in_hand);
+            self.delay_sum += delay.max(0.1);
+            self.record_outcome(in_progress);
         }
     }
 
-    /// A play was lost for lack of time: it says as much as a long delay, without telling how long.
-    pub fn on_lost(&mut self, in_hand: usize) {
-        self.lost += 1;
-        self.seen(in_hand);
+    /// Records a play that was lost for lack of time. It counts like a long delay of unknown length.
+    pub fn on_lost(&mut self, in_progress: usize) {
+        self.lost_count += 1;
+        self.record_outcome(in_progress);
     }
 
-    fn seen(&mut self, in_hand: usize) {
-        self.count += 1;
-        self.in_hand = self.in_hand.max(in_hand);
-        if self.count >= self.terms.sample {
-            self.sampled();
+    fn record_outcome(&mut self, in_progress: usize) {
+        self.outcome_count += 1;
+        self.max_in_progress = self.max_in_progress.max(in_progress);
+        if self.outcome_count >= self.config.sample {
+            self.finish_sample();
         }
     }
 
-    fn sampled(&mut self) {
-        let good = self.count - self.lost;
-        let lost = self.lost as f64 / self.count as f64;
-        let gradient = if good == 0 {
-            HALF
+    /// Moves the limit by the sample and starts the next sample.
+    fn finish_sample(&mut self) {
+        let set_up_count = self.outcome_count - self.lost_count;
+        let lost_share = self.lost_count as f64 / self.outcome_count as f64;
+        let gradient = if set_up_count == 0 {
+            MIN_GRADIENT
         } else {
-            let delay = self.sum / good as f64;
-            let base = match self.undisturbed {
-                Some(base) if delay > base => base + DRIFT * (delay - base),
+            let delay = self.delay_sum / set_up_count as f64;
+            let baseline = match self.baseline_delay {
+                Some(baseline) if delay > baseline => baseline + BASELINE_DRIFT * (delay - baseline),
                 _ => delay,
             };
-            self.undisturbed = Some(base);
-            let allowed = self.terms.tolerance * base + self.terms.slack;
-            (allowed / delay * (1.0 - lost)).clamp(HALF, 1.0)
+            self.baseline_delay = Some(baseline);
+            let allowed_delay = self.config.tolerance * baseline + self.config.slack;
+            (allowed_delay / delay * (1.0 - lost_share)).clamp(MIN_GRADIENT, 1.0)
         };
-        let queue = self.limit.sqrt() * (1.0 - lost / LOSSY).max(0.0);
-        let wanted = self.limit * gradient + queue;
-        // A limit that nothing presses on says nothing about capacity: it may fall, not rise.
-        if wanted < self.limit || self.in_hand as f64 * 2.0 > self.limit {
-            self.limit += SMOOTH * (wanted - self.limit);
+        let queue_room = self.limit.sqrt() * (1.0 - lost_share / NO_GROWTH_LOSS_SHARE).max(0.0);
+        let target = self.limit * gradient + queue_room;
+        // A limit that is not used up shows nothing about the capacity: it may fall, but not rise.
+        if target < self.limit || self.max_in_progress as f64 * 2.0 > self.limit {
+            self.limit += SMOOTHING * (target - self.limit);
         }
-        self.limit = self.limit.clamp(self.terms.least, self.terms.most);
-        (self.sum, self.count, self.in_hand, self.lost) = (0.0, 0, 0, 0);
+        self.limit = self.limit.clamp(self.config.least, self.config.most);
+        (self.delay_sum, self.outcome_count, self.max_in_progress, self.lost_count) = (0.0, 0, 0, 0);
     }
 }
 
@@ -131,24 +143,25 @@
 mod tests {
     use super::*;
 
-    const TERMS: LimitConfig =
+    const CONFIG: LimitConfig =
         LimitConfig { least: 4.0, most: 1000.0, tolerance: 1.5, slack: 0.0, sample: 10, work: 200.0 };
 
-    /// A fleet that sets up so many at once in 20 ms, and queues what is more.
-    fn delay(in_hand: usize, capacity: usize) -> f64 {
-        20.0 * (in_hand as f64 / capacity as f64).max(1.0)
+    /// Set-up delay of a fleet that sets up `capacity` plays at once in 20 ms and queues the others.
+    fn fleet_delay(in_progress: usize, capacity: usize) -> f64 {
+        20.0 * (in_progress as f64 / capacity as f64).max(1.0)
     }
 
+    /// Reports the set-ups of a fleet of this capacity while `offered` plays ask for one.
     fn run(limit: &mut ConcurrencyLimit, capacity: usize, offered: usize, outcomes: usize) {
         for _ in 0..outcomes {
-            let in_hand = limit.current().min(offered);
-            limit.on_set_up(delay(in_hand, capacity), in_hand);
+            let in_progress = limit.current().min(offered);
+            limit.on_set_up(fleet_delay(in_progress, capacity), in_progress);
         }
     }
 
     #[test]
-    fn it_settles_near_what_the_fleet_carries_and_follows_it() {
-        let mut limit = ConcurrencyLimit::new(TERMS);
+    fn limit_settles_near_capacity_and_follows_its_changes() {
+        let mut limit = ConcurrencyLimit::new(CONFIG);
         run(&mut limit, 1000, 10, 100);
         run(&mut limit, 100, 5000, 3000);
         assert!((100..260).contains(&limit.current()), "{}", limit.current());
@@ -159,18 +172,18 @@
     }
 
     #[test]
-    fn what_is_lost_brings_it_down_and_it_stays_within_bounds() {
-        let mut limit = ConcurrencyLimit::new(TERMS);
+    fn losses_lower_the_limit_within_its_bounds() {
+        let mut limit = ConcurrencyLimit::new(CONFIG);
         (0..2000).for_each(|_| limit.on_lost(limit.clone().current()));
-        // The small queue keeps a trickle going, by which a fleet that is back is found.
+        // The room for a small queue lets a few plays through, which find out when the fleet is back.
         assert!((4..=10).contains(&limit.current()), "{}", limit.current());
         run(&mut limit, 100_000, 100_000, 50_000);
         assert_eq!(limit.current(), 1000);
     }
 
     #[test]
-    fn a_growth_that_no_viewer_notices_is_no_crowd() {
-        let mut limit = ConcurrencyLimit::new(LimitConfig { slack: 20.0, ..TERMS });
+    fn delay_growth_within_the_slack_does_not_lower_the_limit() {
+        let mut limit = ConcurrencyLimit::new(LimitConfig { slack: 20.0, ..CONFIG });
         let start = limit.current();
         (0..50).for_each(|_| limit.on_set_up(0.5, limit.clone().current()));
         (0..2000).for_each(|_| limit.on_set_up(8.0, limit.clone().current()));
@@ -180,29 +193,29 @@
     }
 
     #[test]
-    fn no_more_are_out_than_can_be_decided_in_time() {
-        let mut limit = ConcurrencyLimit::new(LimitConfig { most: 1e6, ..TERMS });
+    fn time_per_decision_bounds_the_limit() {
+        let mut limit = ConcurrencyLimit::new(LimitConfig { most: 1e6, ..CONFIG });
         run(&mut limit, 1_000_000, 1_000_000, 100_000);
         (0..1000).for_each(|_| limit.on_decided(0.1));
         assert!((1900..=2100).contains(&limit.current()), "{}", limit.current());
         (0..1000).for_each(|_| limit.on_decided(5.0));
         assert!((39..=41).contains(&limit.current()), "{}", limit.current());
         (0..1000).for_each(|_| limit.on_decided(5000.0));
-        assert_eq!(limit.current(), 1, "one at a time goes on, whatever the least");
+        assert_eq!(limit.current(), 1, "one play at a time is allowed, whatever the lower bound");
     }
 
     #[test]
-    fn a_quiet_hour_does_not_open_it() {
-        let mut limit = ConcurrencyLimit::new(TERMS);
+    fn an_unused_limit_does_not_grow() {
+        let mut limit = ConcurrencyLimit::new(CONFIG);
         let before = limit.current();
         run(&mut limit, 1000, 3, 10_000);
         assert!(limit.current() <= before);
     }
 
     #[test]
-    fn nonsense_is_passed_over() {
-        let mut limit = ConcurrencyLimit::new(TERMS);
+    fn invalid_delays_are_ignored() {
+        let mut limit = ConcurrencyLimit::new(CONFIG);
         [f64::NAN, f64::INFINITY, -1.0].iter().for_each(|d| (0..100).for_each(|_| limit.on_set_up(*d, 9)));
-        assert_eq!(limit.current(), ConcurrencyLimit::new(TERMS).current());
+        assert_eq!(limit.current(), ConcurrencyLimit::new(CONFIG).current());
     }
 }
--- a/crates/admission/src/homes.rs
+++ b/crates/admission/src/homes.rs
@@ -1,18 +1,20 @@
-//! Which of several fronts a session is at home at, where it may be set up once only.
+//! Home front of a session: the one front that may set it up, for sessions that must be set up only once.
 //!
-//! Fronts know nothing of each other's sessions. A viewer that asks two of them for the same one, or a second after
-//! the first died, would have it set up twice; where a second set-up does harm, only the session's home may take it,
-//! and the others send it there. The home goes by rendezvous hashing (highest random weight): every front reckons
-//! the same one from the session's name and the count of fronts alone, and a front more or less moves only the
-//! sessions that come to it or were at home there.
+//! Fronts know nothing of each other's sessions. If a viewer asks two fronts for the same session, or asks a second
+//! one after the first died, the session would be set up twice. Where a second set-up does harm, only the session's
+//! home front may set it up, and the other fronts redirect the viewer there. The home is chosen by rendezvous hashing
+//! (highest random weight): every front computes the same home from the session's name and the number of fronts
+//! alone, and adding or removing a front moves only the sessions whose home is that front.
+//!
+//! The front (`pulleystair-edge`) calls this for each new session.
 
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// Home of a session among so many fronts, as its place from 0.
+/// The rank, from 0, of the home front of a session among `fronts` fronts.
 pub fn home_front(session: &str, fronts: usize) -> usize {
     let weight = |front: &usize| {
-        // Keys of no secret: what counts is that all fronts use the same.
+        // The keys are not secret: all fronts must use the same ones.
         let mut hash = SipHasher13::new_with_keys(0, *front as u64);
         hash.write(session.as_bytes());
         hash.finish()
@@ -25,14 +27,14 @@
     use super::*;
 
     #[test]
-    fn every_front_is_home_to_its_part() {
-        let mut at = [0; 5];
-        (0..10_000).for_each(|n| at[home_front(&format!("session-{n}"), 5)] += 1);
-        assert!(at.iter().all(|n| (1800..2200).contains(n)), "{at:?}");
+    fn sessions_are_spread_evenly_over_fronts() {
+        let mut counts = [0; 5];
+        (0..10_000).for_each(|n| counts[home_front(&format!("session-{n}"), 5)] += 1);
+        assert!(counts.iter().all(|n| (1800..2200).contains(n)), "{counts:?}");
     }
 
     #[test]
-    fn a_front_more_moves_only_what_comes_to_it() {
+    fn an_added_front_moves_only_sessions_to_itself() {
         let names: Vec<String> = (0..5000).map(|n| format!("session-{n}")).collect();
         let moved = names.iter().filter(|name| home_front(name, 4) != home_front(name, 5));
         assert!(moved.clone().all(|name| home_front(name, 5) == 4));
@@ -40,7 +42,7 @@
     }
 
     #[test]
-    fn it_is_the_same_in_every_version() {
+    fn home_fronts_are_the_same_in_every_version() {
         let homes: Vec<usize> = ["a", "b", "c", "d", "e", "f"].iter().map(|s| home_front(s, 3)).collect();
         assert_eq!(homes, HOMES, "fronts of two versions must agree while one replaces the other");
     }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,11 +1,14 @@
-//! How much work a front takes on, decided apart from sockets and clocks: callers hand in the time, ms.
+//! Admission control of a front, independent of sockets and timers: callers pass in the time, in ms.
 //!
-//! [`concurrency`] adapts how many plays may be decided at once to measured set-up delay; [`queue`] chooses who of
-//! those that wait is taken next and who is told at once that there is no time left; [`read_retries`] decides what
-//! becomes of a segment's read that failed, within a budget that keeps a sick server from being buried by its
-//! own repeats; [`loop_lag`] whether a front's own loop is behind; [`homes`] which of several fronts may take a session that
-//! is to be set up once only; [`wall_clock`] the time of day by which tokens are judged. Where a play goes, and every
-//! allocation of it, stays with the placing module.
+//! - [`concurrency`]: how many plays may be decided at once, adapted to the measured set-up delay.
+//! - [`queue`]: which waiting play is decided next, and which ones are refused at once because no time is left.
+//! - [`read_retries`]: what to do about a failed segment read, within a budget that keeps retries from overloading a
+//!   faulty server.
+//! - [`loop_lag`]: whether the front's event loop is late.
+//! - [`homes`]: which of several fronts may take a session that must be set up only once.
+//! - [`wall_clock`]: the time of day by which tokens are checked.
+//!
+//! Where a play goes, and each of its allocations, is decided by the placement logic (`pulleystair`).
 
 pub mod concurrency;
 pub mod homes;
--- a/crates/admission/src/loop_lag.rs
+++ b/crates/admission/src/loop_lag.rs
@@ -1,43 +1,45 @@
-//! Whether a front's own loop is behind. One that is refuses further plays before it takes them: what it took it
-//! must answer in time, and it can't while it is busy with more.
+//! Lag of the front's event loop. A front whose loop is late refuses further plays before it takes them: it must
+//! answer in time what it took, and it can't while it is busy with more.
+//!
+//! The loop of the front (`pulleystair-edge`) reports its turns and timers. Times are ms.
 
-/// What was seen of a loop's lag, fading.
+/// The measured lag of an event loop, which decays over time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoopLag {
     lag: f64,
-    at: f64,
-    /// When the round under way did its first work.
-    began: Option<f64>,
+    measured_at: f64,
+    /// When the current turn did its first work.
+    work_started_at: Option<f64>,
 }
 
-/// A lag that is not seen again fades by this time, ms.
-const FADES: f64 = 200.0;
+/// Time constant by which a measured lag decays.
+const DECAY_MS: f64 = 200.0;
 
 impl LoopLag {
-    /// Something is done in the round under way.
+    /// Records that the current turn does some work.
     pub fn work_started(&mut self, now: f64) {
-        self.began.get_or_insert(now);
+        self.work_started_at.get_or_insert(now);
     }
 
-    /// A clock that was due then rings now.
-    pub fn timer_fired(&mut self, now: f64, due: f64) {
-        (self.lag, self.at) = ((now - due).max(self.left(now)), now);
+    /// Records that a timer that was due at `due_at` fires now.
+    pub fn timer_fired(&mut self, now: f64, due_at: f64) {
+        (self.lag, self.measured_at) = ((now - due_at).max(self.decayed_lag(now)), now);
     }
 
-    /// The round has ended; the next one may wait for long without being behind.
+    /// Records the end of the turn. The next turn may begin much later, which is no lag.
     pub fn turn_ended(&mut self, now: f64) {
-        if let Some(began) = self.began.take() {
-            self.timer_fired(now, began);
+        if let Some(started_at) = self.work_started_at.take() {
+            self.timer_fired(now, started_at);
         }
     }
 
-    fn left(&self, now: f64) -> f64 {
-        self.lag * ((self.at - now) / FADES).exp()
+    fn decayed_lag(&self, now: f64) -> f64 {
+        self.lag * ((self.measured_at - now) / DECAY_MS).exp()
     }
 
-    /// Whether the loop is behind by more than this, ms.
-    pub fn exceeds(&self, now: f64, most: f64) -> bool {
-        self.left(now).max(self.began.map_or(0.0, |began| now - began)) > most
+    /// Whether the loop is late by more than `max_lag` ms.
+    pub fn exceeds(&self, now: f64, max_lag: f64) -> bool {
+        self.decayed_lag(now).max(self.work_started_at.map_or(0.0, |started_at| now - started_at)) > max_lag
     }
 }
 
@@ -46,23 +48,23 @@
     use super::*;
 
     #[test]
-    fn a_long_round_is_seen_while_it_lasts_and_a_long_wait_is_none() {
+    fn a_long_turn_is_lag_and_idle_time_is_not() {
         let mut lag = LoopLag::default();
         lag.work_started(1000.0);
         assert!(!lag.exceeds(1040.0, 50.0) && lag.exceeds(1060.0, 50.0));
         lag.turn_ended(1060.0);
-        assert!(lag.exceeds(1061.0, 50.0) && !lag.exceeds(1200.0, 50.0), "it fades");
+        assert!(lag.exceeds(1061.0, 50.0) && !lag.exceeds(1200.0, 50.0), "the lag decays");
         lag.work_started(9000.0);
-        assert!(!lag.exceeds(9001.0, 50.0), "nothing was to be done meanwhile");
+        assert!(!lag.exceeds(9001.0, 50.0), "the loop had no work in between");
     }
 
     #[test]
-    fn a_clock_that_rings_late_is_seen() {
+    fn a_late_timer_is_lag() {
         let mut lag = LoopLag::default();
         lag.timer_fired(1000.0, 999.0);
         assert!(!lag.exceeds(1000.0, 50.0));
         lag.timer_fired(1100.0, 1000.0);
         lag.timer_fired(1101.0, 1101.0);
-        assert!(lag.exceeds(1110.0, 50.0), "one that rings in time does not make up for it at once");
+        assert!(lag.exceeds(1110.0, 50.0), "a timer that fires in time does not clear the lag at once");
     }
 }
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -1,83 +1,90 @@
-//! Who waits for a decision while the limit is reached, for how long, and who is next.
+//! Queue of the plays that wait for a decision while the concurrency limit is reached.
 //!
-//! In order of coming while the wait is short. Once whoever is next has waited too long the newest is taken
-//! first: under a crowd the old ones have the least time left, and serving them in order would answer everyone
-//! late. Whoever can't be answered in time any more is told at once.
+//! Plays are taken in order of arrival while waits are short. Once the play at the head has waited too long, the
+//! newest play is taken first: under overload the oldest plays have the least time left, and serving them in order
+//! would answer every play late. A play that can no longer be answered in time is returned at once, to be refused.
+//!
+//! The front (`pulleystair-edge`) owns the queue and gives the answers. Times are ms.
 
 use std::collections::VecDeque;
 
-/// Bounds of a queue.
+/// Bounds of an [`AdmissionQueue`].
 #[derive(Clone, Copy, Debug)]
 pub struct QueueConfig {
-    /// So many may wait.
+    /// How many plays may wait.
     pub most: usize,
-    /// From this wait of the oldest on, ms, the newest come first.
+    /// Once the oldest play has waited this long, ms, the newest are taken first.
     pub crowded: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Waiting {
+struct WaitingPlay {
     play: u64,
-    came: f64,
-    /// The latest time at which it is worth taking up.
-    until: f64,
+    arrived_at: f64,
+    /// The latest time at which a decision is still of use.
+    deadline: f64,
 }
 
+/// The waiting plays, in order of arrival.
 #[derive(Debug)]
 pub struct AdmissionQueue {
-    terms: QueueConfig,
-    waiting: VecDeque<Waiting>,
+    config: QueueConfig,
+    waiting: VecDeque<WaitingPlay>,
 }
 
 impl AdmissionQueue {
-    pub fn new(terms: QueueConfig) -> AdmissionQueue {
-        AdmissionQueue { terms, waiting: VecDeque::new() }
+    /// An empty queue.
+    pub fn new(config: QueueConfig) -> AdmissionQueue {
+        AdmissionQueue { config, waiting: VecDeque::new() }
     }
 
+    /// How many plays wait.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
+    /// Whether no play waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Lets a play wait until then at the latest. Answers who gives way where the queue is full: whoever has the
-    /// least time left, which may be the one that came.
-    pub fn push(&mut self, now: f64, play: u64, until: f64) -> Option<u64> {
-        self.waiting.push_back(Waiting { play, came: now, until });
-        if self.waiting.len() <= self.terms.most {
+    /// Adds a play that may wait until `deadline`. If the queue is over its bound, removes and returns the play with
+    /// the earliest deadline, which may be the added one.
+    pub fn push(&mut self, now: f64, play: u64, deadline: f64) -> Option<u64> {
+        self.waiting.push_back(WaitingPlay { play, arrived_at: now, deadline });
+        if self.waiting.len() <= self.config.most {
             return None;
         }
-        let least = |a: &(usize, &Waiting), b: &(usize, &Waiting)| a.1.until.total_cmp(&b.1.until);
-        let (at, _) = self.waiting.iter().enumerate().min_by(least)?;
-        self.waiting.remove(at).map(|w| w.play)
+        let by_deadline =
+            |a: &(usize, &WaitingPlay), b: &(usize, &WaitingPlay)| a.1.deadline.total_cmp(&b.1.deadline);
+        let (index, _) = self.waiting.iter().enumerate().min_by(by_deadline)?;
+        self.waiting.remove(index).map(|w| w.play)
     }
 
-    /// Who is taken up now.
+    /// Removes and returns the play that is to be decided now.
     pub fn pop(&mut self, now: f64) -> Option<u64> {
-        let crowded = self.waiting.front().is_some_and(|w| now - w.came >= self.terms.crowded);
-        let next = if crowded { self.waiting.pop_back() } else { self.waiting.pop_front() };
+        let overloaded = self.waiting.front().is_some_and(|w| now - w.arrived_at >= self.config.crowded);
+        let next = if overloaded { self.waiting.pop_back() } else { self.waiting.pop_front() };
         next.map(|w| w.play)
     }
 
-    /// Those for whom it is too late.
+    /// Removes and returns the plays whose deadline has passed.
     pub fn take_expired(&mut self, now: f64) -> Vec<u64> {
-        let late: Vec<u64> = self.waiting.iter().filter(|w| w.until <= now).map(|w| w.play).collect();
-        self.waiting.retain(|w| w.until > now);
-        late
+        let expired: Vec<u64> = self.waiting.iter().filter(|w| w.deadline <= now).map(|w| w.play).collect();
+        self.waiting.retain(|w| w.deadline > now);
+        expired
     }
 
-    /// When the next of them is too late.
+    /// The earliest deadline of the waiting plays.
     pub fn next_deadline(&self) -> Option<f64> {
-        self.waiting.iter().map(|w| w.until).min_by(f64::total_cmp)
+        self.waiting.iter().map(|w| w.deadline).min_by(f64::total_cmp)
     }
 
-    /// Whoever left; true if it was waiting.
+    /// Removes a play whose viewer left; true if it was waiting.
     pub fn remove(&mut self, play: u64) -> bool {
-        let before = self.waiting.len();
+        let len_before = self.waiting.len();
         self.waiting.retain(|w| w.play != play);
-        self.waiting.len() < before
+        self.waiting.len() < len_before
     }
 }
 
@@ -86,11 +93,11 @@
     use super::*;
     use proptest::prelude::*;
 
-    const TERMS: QueueConfig = QueueConfig { most: 4, crowded: 100.0 };
+    const CONFIG: QueueConfig = QueueConfig { most: 4, crowded: 100.0 };
 
     #[test]
-    fn in_order_while_the_wait_is_short_and_the_newest_first_in_a_crowd() {
-        let mut queue = AdmissionQueue::new(TERMS);
+    fn plays_are_taken_in_order_and_newest_first_under_overload() {
+        let mut queue = AdmissionQueue::new(CONFIG);
         (1..=3).for_each(|play| assert_eq!(queue.push(play as f64, play, 1000.0), None));
         assert_eq!(queue.pop(50.0), Some(1));
         assert_eq!(queue.pop(150.0), Some(3));
@@ -99,17 +106,17 @@
     }
 
     #[test]
-    fn a_full_queue_lets_go_whoever_has_least_time_left() {
-        let mut queue = AdmissionQueue::new(TERMS);
-        let times = [900.0, 300.0, 800.0, 700.0];
-        (1..=4).zip(times).for_each(|(play, until)| assert_eq!(queue.push(0.0, play, until), None));
+    fn a_full_queue_evicts_the_play_with_the_earliest_deadline() {
+        let mut queue = AdmissionQueue::new(CONFIG);
+        let deadlines = [900.0, 300.0, 800.0, 700.0];
+        (1..=4).zip(deadlines).for_each(|(play, deadline)| assert_eq!(queue.push(0.0, play, deadline), None));
         assert_eq!(queue.push(1.0, 5, 1000.0), Some(2));
-        assert_eq!(queue.push(2.0, 6, 100.0), Some(6), "the one that came may be it");
+        assert_eq!(queue.push(2.0, 6, 100.0), Some(6), "the added play itself may be evicted");
     }
 
     #[test]
-    fn whoever_is_too_late_is_told() {
-        let mut queue = AdmissionQueue::new(TERMS);
+    fn expired_plays_are_returned() {
+        let mut queue = AdmissionQueue::new(CONFIG);
         queue.push(0.0, 1, 50.0);
         queue.push(0.0, 2, 40.0);
         assert_eq!(queue.next_deadline(), Some(40.0));
@@ -118,30 +125,30 @@
     }
 
     proptest! {
-        /// Whoever comes goes exactly once: taken up, let go, too late, or left.
+        /// Each play leaves the queue exactly once: taken, evicted, expired or removed.
         #[test]
-        fn nobody_is_lost_or_told_twice(steps in prop::collection::vec((0u8..5, 0.0f64..50.0, 10.0f64..400.0), 1..200)) {
-            let (mut queue, mut now, mut came) = (AdmissionQueue::new(TERMS), 0.0, 0u64);
-            let mut gone = Vec::new();
-            for (what, wait, patience) in steps {
-                now += wait;
-                match what {
+        fn each_play_leaves_the_queue_exactly_once(steps in prop::collection::vec((0u8..5, 0.0f64..50.0, 10.0f64..400.0), 1..200)) {
+            let (mut queue, mut now, mut pushed) = (AdmissionQueue::new(CONFIG), 0.0, 0u64);
+            let mut left = Vec::new();
+            for (operation, elapsed, time_left) in steps {
+                now += elapsed;
+                match operation {
                     0 | 1 => {
-                        came += 1;
-                        gone.extend(queue.push(now, came, now + patience));
+                        pushed += 1;
+                        left.extend(queue.push(now, pushed, now + time_left));
                     }
-                    2 => gone.extend(queue.pop(now)),
-                    3 => gone.extend(queue.take_expired(now)),
-                    _ => gone.extend((came > 0 && queue.remove(came)).then_some(came)),
+                    2 => left.extend(queue.pop(now)),
+                    3 => left.extend(queue.take_expired(now)),
+                    _ => left.extend((pushed > 0 && queue.remove(pushed)).then_some(pushed)),
                 }
-                prop_assert!(queue.len() <= TERMS.most);
-                prop_assert_eq!(gone.len() + queue.len(), came as usize);
+                prop_assert!(queue.len() <= CONFIG.most);
+                prop_assert_eq!(left.len() + queue.len(), pushed as usize);
             }
             while let Some(play) = queue.pop(now) {
-                gone.push(play);
+                left.push(play);
             }
-            gone.sort_unstable();
-            prop_assert_eq!(gone, (1..=came).collect::<Vec<u64>>());
+            left.sort_unstable();
+            prop_assert_eq!(left, (1..=pushed).collect::<Vec<u64>>());
         }
     }
 }
--- a/crates/admission/src/read_retries.rs
+++ b/crates/admission/src/read_retries.rs
@@ -1,127 +1,134 @@
-//! Reads of segments that fail. A segment may be asked for twice without harm, so a read is repeated, or taken
-//! up where it broke off, while three things allow it: tries are left, time is left, and the server's budget
-//! holds. A read that can't go on ends so that the player sees it is not whole.
+//! Retries of failed segment reads. A segment may be requested twice without harm, so a failed read is repeated, or
+//! resumed where it broke off, while three conditions hold: tries are left, time is left, and the server's retry
+//! budget is not used up. A read that can't go on ends in such a way that the player sees that it is incomplete.
+//!
+//! The front (`pulleystair-edge`) calls this for each read from a media server. Times are ms.
 
 use std::collections::VecDeque;
 
-/// What went wrong with a read.
+/// Why a read failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadError {
-    /// No connection could be had.
+    /// No connection could be made.
     Unreachable,
-    /// A kept connection turned out to be closed before a byte came: no fault of the server's.
+    /// A reused connection turned out to be closed before a byte arrived; this is not the server's fault.
     Stale,
-    /// The connection ended before the answer's head was whole.
+    /// The connection ended before the response head was complete.
     Broken,
-    /// The head made no sense, or did not fit what was asked for.
+    /// The response head was invalid or did not match the request.
     Malformed,
-    /// The answer was this status.
+    /// The response had this status.
     Status(u16),
-    /// The body ended before its length.
+    /// The body ended before its stated length.
     Truncated,
-    /// More came than the length, or another length than at first.
+    /// More than the stated length arrived, or the length differs from that of the first response.
     Length,
-    /// Nothing came for too long.
+    /// Nothing arrived for too long.
     Stalled,
 }
 
-/// A read under way, as far as the decision needs it.
+/// State of a read in progress, as far as the decision on a retry needs it.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadProgress {
-    /// Tries so far, this one included; those that found a stale connection do not count.
+    /// Tries so far, the current one included; those that found a stale connection do not count.
     pub tries: usize,
-    /// Until when the player is thought to wait.
+    /// When the player is assumed to stop waiting.
     pub deadline: f64,
-    /// Bytes of the body that the player has been given, once the head went out; all bytes are good ones.
+    /// Bytes of the body that were relayed to the player, once the response head was sent. All of them are valid.
     pub bytes_relayed: Option<u64>,
 }
 
-/// What to do with a read that failed.
+/// What to do about a failed read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadAction {
-    /// Ask again, from this byte of the body on, on a new connection.
+    /// Request the segment again from this byte of the body on, on a new connection.
     Again { from: u64 },
-    /// Answer the player with this status; nothing has gone out yet.
+    /// Answer the player with this status; nothing has been sent to it yet.
     Answer(u16),
-    /// Close the player's connection: part of the body has gone out, and the rest can't be had.
+    /// Close the player's connection: part of the body has been sent, and the rest is not available.
     Cut,
 }
 
-/// How often reads may be repeated: tries of one read, and further tries of all reads of a server over a span.
+/// How often reads may be repeated.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryConfig {
+    /// Tries of one read.
     pub tries: usize,
+    /// Length of the sliding span in which the reads of one server are counted, ms.
     pub span: f64,
+    /// Retries allowed within a span, as a share of the first tries.
     pub share: f64,
+    /// Retries allowed within a span in addition to that share.
     pub free: f64,
 }
 
-/// Further tries at one server, against first ones, over a sliding span.
+/// Retries and first tries at one server, counted over a sliding span.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
-    /// Counts of first and further tries in slices of the span, the oldest first, and when each began.
+    /// Slices of the span, the oldest first: start, number of first tries, number of retries.
     slices: VecDeque<(f64, f64, f64)>,
 }
 
-/// A span is counted in so many slices: its end is exact to a part of that.
-const SLICES: f64 = 16.0;
+/// Number of slices that a span is counted in; the span's end is exact to one slice.
+const SLICES_PER_SPAN: f64 = 16.0;
 
 impl RetryBudget {
-    fn slice(&mut self, now: f64, span: f64) -> &mut (f64, f64, f64) {
+    /// The slice of this moment; drops the slices that lie before the span.
+    fn current_slice(&mut self, now: f64, span: f64) -> &mut (f64, f64, f64) {
         while self.slices.front().is_some_and(|s| s.0 <= now - span) {
             self.slices.pop_front();
         }
-        let begun = now - now.rem_euclid(span / SLICES);
-        if self.slices.back().is_none_or(|s| s.0 < begun) {
-            self.slices.push_back((begun, 0.0, 0.0));
+        let slice_start = now - now.rem_euclid(span / SLICES_PER_SPAN);
+        if self.slices.back().is_none_or(|s| s.0 < slice_start) {
+            self.slices.push_back((slice_start, 0.0, 0.0));
         }
-        self.slices.back_mut().expect("one was pushed")
+        self.slices.back_mut().expect("a slice was pushed above")
     }
 
-    /// A first try goes out.
-    pub fn record_first(&mut self, now: f64, terms: &RetryConfig) {
-        self.slice(now, terms.span).1 += 1.0;
+    /// Records the first try of a read.
+    pub fn record_first(&mut self, now: f64, config: &RetryConfig) {
+        self.current_slice(now, config.span).1 += 1.0;
     }
 
-    /// Whether a further try may go out; it counts if so.
-    fn further(&mut self, now: f64, terms: &RetryConfig) -> bool {
-        self.slice(now, terms.span);
-        let sums = self.slices.iter().fold((0.0, 0.0), |sum, s| (sum.0 + s.1, sum.1 + s.2));
-        let may = sums.1 + 1.0 <= terms.free + terms.share * sums.0;
-        if may {
-            self.slice(now, terms.span).2 += 1.0;
+    /// Whether a retry is within the budget; if so, records it.
+    fn take_retry(&mut self, now: f64, config: &RetryConfig) -> bool {
+        self.current_slice(now, config.span);
+        let totals = self.slices.iter().fold((0.0, 0.0), |sum, s| (sum.0 + s.1, sum.1 + s.2));
+        let allowed = totals.1 + 1.0 <= config.free + config.share * totals.0;
+        if allowed {
+            self.current_slice(now, config.span).2 += 1.0;
         }
-        may
+        allowed
     }
 
-    /// What becomes of a read that failed.
+    /// Decides what to do about a failed read; records a retry in the budget.
     pub fn next_action(
         &mut self,
         now: f64,
-        terms: &RetryConfig,
+        config: &RetryConfig,
         read: &ReadProgress,
-        fault: ReadError,
+        error: ReadError,
     ) -> ReadAction {
-        let end = match (read.bytes_relayed, fault) {
+        let final_action = match (read.bytes_relayed, error) {
             (Some(_), _) => ReadAction::Cut,
             (None, ReadError::Stalled) => ReadAction::Answer(504),
-            // What the server does not have, no other try will find.
+            // A retry won't find a segment that the server does not have.
             (None, ReadError::Status(404 | 410)) => return ReadAction::Answer(502),
-            // The part that was asked for lies beyond its end (RFC 9110, section 15.5.17).
+            // The requested range lies beyond the segment's end (RFC 9110, section 15.5.17).
             (None, ReadError::Status(416)) => return ReadAction::Answer(416),
             (None, ReadError::Status(429 | 503)) => return ReadAction::Answer(503),
             (None, _) => ReadAction::Answer(502),
         };
-        // A body that grew or shrank is another one: its bytes can't follow those already given.
-        if fault == ReadError::Length && read.bytes_relayed.is_some() {
-            return end;
+        // A body of another length is another body: its bytes can't follow those already relayed.
+        if error == ReadError::Length && read.bytes_relayed.is_some() {
+            return final_action;
         }
-        let again = ReadAction::Again { from: read.bytes_relayed.unwrap_or(0) };
-        if fault == ReadError::Stale {
-            return again;
+        let retry = ReadAction::Again { from: read.bytes_relayed.unwrap_or(0) };
+        if error == ReadError::Stale {
+            return retry;
         }
-        let may = read.tries < terms.tries && now < read.deadline;
-        if may && self.further(now, terms) { again } else { end }
+        let may_retry = read.tries < config.tries && now < read.deadline;
+        if may_retry && self.take_retry(now, config) { retry } else { final_action }
     }
 }
 
@@ -131,84 +138,84 @@
     use proptest::prelude::*;
     use test_case::test_case;
 
-    const TERMS: RetryConfig = RetryConfig { tries: 3, span: 1600.0, share: 0.2, free: 2.0 };
+    const CONFIG: RetryConfig = RetryConfig { tries: 3, span: 1600.0, share: 0.2, free: 2.0 };
 
-    fn read(given: Option<u64>) -> ReadProgress {
-        ReadProgress { tries: 1, deadline: 1000.0, bytes_relayed: given }
+    fn read_progress(relayed: Option<u64>) -> ReadProgress {
+        ReadProgress { tries: 1, deadline: 1000.0, bytes_relayed: relayed }
     }
 
-    #[test_case(ReadError::Unreachable, None, ReadAction::Again { from: 0 }; "not reached")]
+    #[test_case(ReadError::Unreachable, None, ReadAction::Again { from: 0 }; "unreachable")]
     #[test_case(ReadError::Broken, None, ReadAction::Again { from: 0 }; "broken")]
-    #[test_case(ReadError::Truncated, Some(700), ReadAction::Again { from: 700 }; "cut short: taken up where it broke")]
-    #[test_case(ReadError::Stalled, Some(700), ReadAction::Again { from: 700 }; "stalled: the same")]
+    #[test_case(ReadError::Truncated, Some(700), ReadAction::Again { from: 700 }; "truncated: resumed where it broke off")]
+    #[test_case(ReadError::Stalled, Some(700), ReadAction::Again { from: 700 }; "stalled: resumed as well")]
     #[test_case(ReadError::Status(500), None, ReadAction::Again { from: 0 }; "a server's error")]
-    #[test_case(ReadError::Status(404), None, ReadAction::Answer(502); "not there")]
-    #[test_case(ReadError::Status(503), None, ReadAction::Answer(503); "busy: not asked again at once")]
-    #[test_case(ReadError::Status(416), None, ReadAction::Answer(416); "a part beyond its end")]
-    #[test_case(ReadError::Length, Some(700), ReadAction::Cut; "another body can't be joined on")]
-    #[test_case(ReadError::Length, None, ReadAction::Again { from: 0 }; "a wrong length before a byte went out")]
-    fn a_first_failure(fault: ReadError, given: Option<u64>, next: ReadAction) {
+    #[test_case(ReadError::Status(404), None, ReadAction::Answer(502); "not found")]
+    #[test_case(ReadError::Status(503), None, ReadAction::Answer(503); "busy: not retried at once")]
+    #[test_case(ReadError::Status(416), None, ReadAction::Answer(416); "a range beyond the end")]
+    #[test_case(ReadError::Length, Some(700), ReadAction::Cut; "a body of another length is not resumed")]
+    #[test_case(ReadError::Length, None, ReadAction::Again { from: 0 }; "a wrong length before a byte was relayed")]
+    fn a_first_failure_is_retried_or_answered(error: ReadError, relayed: Option<u64>, expected: ReadAction) {
         let mut budget = RetryBudget::default();
-        budget.record_first(0.0, &TERMS);
-        assert_eq!(budget.next_action(10.0, &TERMS, &read(given), fault), next);
+        budget.record_first(0.0, &CONFIG);
+        assert_eq!(budget.next_action(10.0, &CONFIG, &read_progress(relayed), error), expected);
     }
 
     #[test_case(ReadProgress { tries: 3, deadline: 1000.0, bytes_relayed: None }, ReadAction::Answer(502); "no tries left")]
     #[test_case(ReadProgress { tries: 1, deadline: 5.0, bytes_relayed: None }, ReadAction::Answer(502); "no time left")]
-    #[test_case(ReadProgress { tries: 1, deadline: 5.0, bytes_relayed: Some(9) }, ReadAction::Cut; "no time left in the middle")]
-    fn an_end(read: ReadProgress, next: ReadAction) {
-        assert_eq!(RetryBudget::default().next_action(10.0, &TERMS, &read, ReadError::Broken), next);
+    #[test_case(ReadProgress { tries: 1, deadline: 5.0, bytes_relayed: Some(9) }, ReadAction::Cut; "no time left within the body")]
+    fn a_read_without_tries_or_time_ends(read: ReadProgress, expected: ReadAction) {
+        assert_eq!(RetryBudget::default().next_action(10.0, &CONFIG, &read, ReadError::Broken), expected);
     }
 
     #[test]
-    fn a_sick_server_is_not_buried_and_a_stale_connection_costs_nothing() {
+    fn the_budget_bounds_retries_and_stale_connections_are_free() {
         let mut budget = RetryBudget::default();
-        (0..100).for_each(|i| budget.record_first(f64::from(i), &TERMS));
-        let mut again = 0;
+        (0..100).for_each(|i| budget.record_first(f64::from(i), &CONFIG));
+        let mut retries = 0;
         for _ in 0..100 {
-            let next = budget.next_action(100.0, &TERMS, &read(None), ReadError::Broken);
-            again += usize::from(next == ReadAction::Again { from: 0 });
+            let action = budget.next_action(100.0, &CONFIG, &read_progress(None), ReadError::Broken);
+            retries += usize::from(action == ReadAction::Again { from: 0 });
         }
-        assert_eq!(again, 22, "two free and a fifth of a hundred");
+        assert_eq!(retries, 22, "2 free ones and a fifth of 100 first tries");
         assert_eq!(
-            budget.next_action(100.0, &TERMS, &read(None), ReadError::Stale),
+            budget.next_action(100.0, &CONFIG, &read_progress(None), ReadError::Stale),
             ReadAction::Again { from: 0 }
         );
-        // Long after, only the free ones are left.
+        // Much later, only the free retries are left.
         assert_eq!(
             budget.next_action(
                 9000.0,
-                &TERMS,
-                &ReadProgress { deadline: 9999.0, ..read(None) },
+                &CONFIG,
+                &ReadProgress { deadline: 9999.0, ..read_progress(None) },
                 ReadError::Broken
             ),
             ReadAction::Again { from: 0 }
         );
-        assert!(budget.slices.len() <= 1 + SLICES as usize);
+        assert!(budget.slices.len() <= 1 + SLICES_PER_SPAN as usize);
     }
 
     proptest! {
-        /// Whatever happens in whatever order, a further try that may go out stays within what the span before it
-        /// allows, give or take the slice at its edge.
+        /// In any order of events, the retries within a span stay within what its first tries allow, give or take the
+        /// slice at the span's edge.
         #[test]
-        fn the_budget_holds(steps in prop::collection::vec((0.0f64..60.0, any::<bool>()), 1..300)) {
+        fn retries_stay_within_the_budget(steps in prop::collection::vec((0.0f64..60.0, any::<bool>()), 1..300)) {
             let (mut budget, mut now) = (RetryBudget::default(), 0.0);
-            let (mut firsts, mut furthers) = (Vec::new(), Vec::new());
-            for (wait, first) in steps {
-                now += wait;
-                if first {
-                    budget.record_first(now, &TERMS);
-                    firsts.push(now);
+            let (mut first_tries, mut retries) = (Vec::new(), Vec::new());
+            for (elapsed, is_first) in steps {
+                now += elapsed;
+                if is_first {
+                    budget.record_first(now, &CONFIG);
+                    first_tries.push(now);
                     continue;
                 }
                 let read = ReadProgress { tries: 1, deadline: f64::MAX, bytes_relayed: None };
-                if budget.next_action(now, &TERMS, &read, ReadError::Broken) == ReadAction::Answer(502) {
+                if budget.next_action(now, &CONFIG, &read, ReadError::Broken) == ReadAction::Answer(502) {
                     continue;
                 }
-                furthers.push(now);
-                let within = |all: &[f64], span: f64| all.iter().filter(|t| **t > now - span).count() as f64;
-                let most = TERMS.free + TERMS.share * within(&firsts, TERMS.span);
-                prop_assert!(within(&furthers, TERMS.span - TERMS.span / SLICES) <= most);
+                retries.push(now);
+                let count_within = |all: &[f64], span: f64| all.iter().filter(|t| **t > now - span).count() as f64;
+                let allowed = CONFIG.free + CONFIG.share * count_within(&first_tries, CONFIG.span);
+                prop_assert!(count_within(&retries, CONFIG.span - CONFIG.span / SLICES_PER_SPAN) <= allowed);
             }
         }
     }
--- a/crates/admission/src/wall_clock.rs
+++ b/crates/admission/src/wall_clock.rs
@@ -1,37 +1,40 @@
-//! The time of day by which tokens and live titles are judged.
+//! The time of day by which tokens and live titles are checked.
 //!
-//! A front's own clock never goes back and never jumps, but it began at what the system's clock said at start, which
-//! may have been wrong, and it drifts. The system's clock is put right by steps. So the time of day runs with the
-//! first and follows the second, at a pace that no viewer notices: a step of 10 s is taken up within 100 s, and a
-//! token with a minute to run never ends at one blow, nor does one that ran out come back.
+//! A front's monotonic clock never goes back and never jumps, but it starts at the system time read at start, which
+//! may have been wrong, and it drifts. The system time is corrected in steps. The time of day therefore runs with the
+//! monotonic clock and follows the system time at a rate that no viewer notices: a step of 10 s is followed within
+//! 100 s, so a token with a minute left never expires at once, and an expired token never becomes valid again.
+//!
+//! The front (`pulleystair-edge`) syncs it regularly. Times are ms.
 
-/// Part of the time that passes by which the time of day may run faster or slower meanwhile.
-const PACE: f64 = 0.1;
+/// Share of the elapsed time by which the time of day may be slewed.
+const MAX_SLEW: f64 = 0.1;
 
-/// How far the time of day is from the front's own clock.
+/// Offset of the time of day from the front's monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct WallClock {
-    off: f64,
-    looked: f64,
+    offset: f64,
+    synced_at: f64,
 }
 
 impl WallClock {
-    /// At start both are the same.
+    /// Starts with no offset.
     pub fn new(now: f64) -> WallClock {
-        WallClock { off: 0.0, looked: now }
+        WallClock { offset: 0.0, synced_at: now }
     }
 
-    /// Compares the front's own clock with the system's.
-    pub fn sync(&mut self, now: f64, system: f64) {
-        let may = PACE * (now - self.looked).max(0.0);
-        self.looked = self.looked.max(now);
-        if system.is_finite() {
-            self.off += (system - now - self.off).clamp(-may, may);
+    /// Moves the offset towards the system time, within the allowed slew.
+    pub fn sync(&mut self, now: f64, system_time: f64) {
+        let max_change = MAX_SLEW * (now - self.synced_at).max(0.0);
+        self.synced_at = self.synced_at.max(now);
+        if system_time.is_finite() {
+            self.offset += (system_time - now - self.offset).clamp(-max_change, max_change);
         }
     }
 
+    /// The time of day, ms since 1970, at `now` of the monotonic clock.
     pub fn time_at(&self, now: f64) -> f64 {
-        now + self.off
+        now + self.offset
     }
 }
 
@@ -42,37 +45,40 @@
 
     #[test_case(10_000.0; "ahead")]
     #[test_case(-10_000.0; "back")]
-    fn a_step_is_taken_up_slowly(step: f64) {
-        let mut wall = WallClock::new(0.0);
-        let mut before = 0.0;
-        for s in 1..=200 {
-            let now = f64::from(s) * 1000.0;
-            wall.sync(now, now + step);
-            let passed = wall.time_at(now) - before;
-            assert!((899.0..=1101.0).contains(&passed), "never back, and no jump: {passed}");
-            before = wall.time_at(now);
-            if s == 50 {
-                assert!((wall.time_at(now) - now - step / 2.0).abs() < 1.0);
+    fn a_step_of_the_system_time_is_followed_slowly(step: f64) {
+        let mut clock = WallClock::new(0.0);
+        let mut previous = 0.0;
+        for second in 1..=200 {
+            let now = f64::from(second) * 1000.0;
+            clock.sync(now, now + step);
+            let passed = clock.time_at(now) - previous;
+            assert!(
+                (899.0..=1101.0).contains(&passed),
+                "the time of day goes neither back nor jumps: {passed}"
+            );
+            previous = clock.time_at(now);
+            if second == 50 {
+                assert!((clock.time_at(now) - now - step / 2.0).abs() < 1.0);
             }
         }
-        assert_eq!(wall.time_at(200_000.0), 200_000.0 + step);
+        assert_eq!(clock.time_at(200_000.0), 200_000.0 + step);
     }
 
     #[test]
-    fn a_drift_is_followed() {
-        let mut wall = WallClock::new(0.0);
-        for s in 1..=100_000 {
-            let now = f64::from(s) * 1000.0;
-            wall.sync(now, now * 1.0001);
+    fn a_drift_of_the_system_time_is_followed() {
+        let mut clock = WallClock::new(0.0);
+        for second in 1..=100_000 {
+            let now = f64::from(second) * 1000.0;
+            clock.sync(now, now * 1.0001);
         }
-        assert!((wall.time_at(1e8) - 1e8 * 1.0001).abs() < 1.0);
+        assert!((clock.time_at(1e8) - 1e8 * 1.0001).abs() < 1.0);
     }
 
     #[test]
-    fn a_clock_that_says_nonsense_is_not_followed() {
-        let mut wall = WallClock::new(0.0);
-        [f64::NAN, f64::INFINITY].iter().for_each(|system| wall.sync(1000.0, *system));
-        wall.sync(500.0, 9e9);
-        assert_eq!(wall.time_at(1000.0), 1000.0);
+    fn an_invalid_system_time_is_ignored() {
+        let mut clock = WallClock::new(0.0);
+        [f64::NAN, f64::INFINITY].iter().for_each(|system_time| clock.sync(1000.0, *system_time));
+        clock.sync(500.0, 9e9);
+        assert_eq!(clock.time_at(1000.0), 1000.0);
     }
 }
