--- a/crates/admission/src/concurrency.rs
+++ b/crates/admission/src/concurrency.rs
@@ -16,17 +16,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LimitConfig {
     /// Lower bound of the limit.
-    pub least: f64,
+    pub min_limit: f64,
     /// Upper bound of the limit.
-    pub most: f64,
+    pub max_limit: f64,
     /// The delay may grow by this factor before the limit shrinks.
     pub tolerance: f64,
     /// The delay may grow by this many further ms: growth that no viewer notices is no reason to make others wait.
-    pub slack: f64,
+    pub slack_ms: f64,
     /// Number of outcomes in a sample.
-    pub sample: usize,
+    pub sample_size: usize,
     /// All plays in progress must be decidable once more within this many ms.
-    pub work: f64,
+    pub work_ms: f64,
 }
 
 /// Share of the distance to its target by which a sample moves the limit.
@@ -63,7 +63,7 @@
     /// Starts at the geometric mean of the bounds.
     pub fn new(config: LimitConfig) -> ConcurrencyLimit {
         // A front that starts under overload must not start at the upper bound.
-        let limit = (config.least * config.most).sqrt().clamp(config.least, config.most);
+        let limit = (config.min_limit * config.max_limit).sqrt().clamp(config.min_limit, config.max_limit);
         ConcurrencyLimit {
             config,
             limit,
@@ -79,7 +79,7 @@
     /// How many plays may be decided at once now; at least 1.
     pub fn current(&self) -> usize {
         let limit_by_work =
-            if self.decision_ms > 0.0 { self.config.work / self.decision_ms } else { f64::INFINITY };
+            if self.decision_ms > 0.0 { self.config.work_ms / self.decision_ms } else { f64::INFINITY };
         self.limit.min(limit_by_work).floor().max(1.0) as usize
     }
 
@@ -107,7 +107,7 @@
     fn record_outcome(&mut self, in_progress: usize) {
         self.outcome_count += 1;
         self.max_in_progress = self.max_in_progress.max(in_progress);
-        if self.outcome_count >= self.config.sample {
+        if self.outcome_count >= self.config.sample_size {
             self.finish_sample();
         }
     }
@@ -125,7 +125,7 @@
                 _ => delay,
             };
             self.baseline_delay = Some(baseline);
-            let allowed_delay = self.config.tolerance * baseline + self.config.slack;
+            let allowed_delay = self.config.tolerance * baseline + self.config.slack_ms;
             (allowed_delay / delay * (1.0 - lost_share)).clamp(MIN_GRADIENT, 1.0)
         };
         let queue_room = self.limit.sqrt() * (1.0 - lost_share / NO_GROWTH_LOSS_SHARE).max(0.0);
@@ -134,7 +134,7 @@
         if target < self.limit || self.max_in_progress as f64 * 2.0 > self.limit {
             self.limit += SMOOTHING * (target - self.limit);
         }
-        self.limit = self.limit.clamp(self.config.least, self.config.most);
+        self.limit = self.limit.clamp(self.config.min_limit, self.config.max_limit);
         (self.delay_sum, self.outcome_count, self.max_in_progress, self.lost_count) = (0.0, 0, 0, 0);
     }
 }
@@ -143,8 +143,14 @@
 mod tests {
     use super::*;
 
-    const CONFIG: LimitConfig =
-        LimitConfig { least: 4.0, most: 1000.0, tolerance: 1.5, slack: 0.0, sample: 10, work: 200.0 };
+    const CONFIG: LimitConfig = LimitConfig {
+        min_limit: 4.0,
+        max_limit: 1000.0,
+        tolerance: 1.5,
+        slack_ms: 0.0,
+        sample_size: 10,
+        work_ms: 200.0,
+    };
 
     /// Set-up delay of a fleet that sets up `capacity` plays at once in 20 ms and queues the others.
     fn fleet_delay(in_progress: usize, capacity: usize) -> f64 {
@@ -183,7 +189,7 @@
 
     #[test]
     fn delay_growth_within_the_slack_does_not_lower_the_limit() {
-        let mut limit = ConcurrencyLimit::new(LimitConfig { slack: 20.0, ..CONFIG });
+        let mut limit = ConcurrencyLimit::new(LimitConfig { slack_ms: 20.0, ..CONFIG });
         let start = limit.current();
         (0..50).for_each(|_| limit.on_set_up(0.5, limit.clone().current()));
         (0..2000).for_each(|_| limit.on_set_up(8.0, limit.clone().current()));
@@ -194,7 +200,7 @@
 
     #[test]
     fn time_per_decision_bounds_the_limit() {
-        let mut limit = ConcurrencyLimit::new(LimitConfig { most: 1e6, ..CONFIG });
+        let mut limit = ConcurrencyLimit::new(LimitConfig { max_limit: 1e6, ..CONFIG });
         run(&mut limit, 1_000_000, 1_000_000, 100_000);
         (0..1000).for_each(|_| limit.on_decided(0.1));
         assert!((1900..=2100).contains(&limit.current()), "{}", limit.current());
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -12,9 +12,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct QueueConfig {
     /// How many plays may wait.
-    pub most: usize,
+    pub capacity: usize,
     /// Once the oldest play has waited this long, ms, the newest are taken first.
-    pub crowded: f64,
+    pub newest_first_after_ms: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -52,7 +52,7 @@
     /// the earliest deadline, which may be the added one.
     pub fn push(&mut self, now: f64, play: u64, deadline: f64) -> Option<u64> {
         self.waiting.push_back(WaitingPlay { play, arrived_at: now, deadline });
-        if self.waiting.len() <= self.config.most {
+        if self.waiting.len() <= self.config.capacity {
             return None;
         }
         let by_deadline =
@@ -63,7 +63,8 @@
 
     /// Removes and returns the play that is to be decided now.
     pub fn pop(&mut self, now: f64) -> Option<u64> {
-        let overloaded = self.waiting.front().is_some_and(|w| now - w.arrived_at >= self.config.crowded);
+        let overloaded =
+            self.waiting.front().is_some_and(|w| now - w.arrived_at >= self.config.newest_first_after_ms);
         let next = if overloaded { self.waiting.pop_back() } else { self.waiting.pop_front() };
         next.map(|w| w.play)
     }
@@ -93,7 +94,7 @@
     use super::*;
     use proptest::prelude::*;
 
-    const CONFIG: QueueConfig = QueueConfig { most: 4, crowded: 100.0 };
+    const CONFIG: QueueConfig = QueueConfig { capacity: 4, newest_first_after_ms: 100.0 };
 
     #[test]
     fn plays_are_taken_in_order_and_newest_first_under_overload() {
@@ -141,7 +142,7 @@
                     3 => left.extend(queue.take_expired(now)),
                     _ => left.extend((pushed > 0 && queue.remove(pushed)).then_some(pushed)),
                 }
-                prop_assert!(queue.len() <= CONFIG.most);
+                prop_assert!(queue.len() <= CONFIG.capacity);
                 prop_assert_eq!(left.len() + queue.len(), pushed as usize);
             }
             while let Some(play) = queue.pop(now) {
--- a/crates/admission/src/read_retries.rs
+++ b/crates/admission/src/read_retries.rs
@@ -52,14 +52,14 @@
 /// How often reads may be repeated.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryConfig {
-    /// Tries of one read.
-    pub tries: usize,
+    /// Tries that one read may take.
+    pub max_tries: usize,
     /// Length of the sliding span in which the reads of one server are counted, ms.
-    pub span: f64,
+    pub span_ms: f64,
     /// Retries allowed within a span, as a share of the first tries.
-    pub share: f64,
+    pub retry_share: f64,
     /// Retries allowed within a span in addition to that share.
-    pub free: f64,
+    pub free_retries: f64,
 }
 
 /// Retries and first tries at one server, counted over a sliding span.
@@ -87,16 +87,16 @@
 
     /// Records the first try of a read.
     pub fn record_first(&mut self, now: f64, config: &RetryConfig) {
-        self.current_slice(now, config.span).1 += 1.0;
+        self.current_slice(now, config.span_ms).1 += 1.0;
     }
 
     /// Whether a retry is within the budget; if so, records it.
     fn take_retry(&mut self, now: f64, config: &RetryConfig) -> bool {
-        self.current_slice(now, config.span);
+        self.current_slice(now, config.span_ms);
         let totals = self.slices.iter().fold((0.0, 0.0), |sum, s| (sum.0 + s.1, sum.1 + s.2));
-        let allowed = totals.1 + 1.0 <= config.free + config.share * totals.0;
+        let allowed = totals.1 + 1.0 <= config.free_retries + config.retry_share * totals.0;
         if allowed {
-            self.current_slice(now, config.span).2 += 1.0;
+            self.current_slice(now, config.span_ms).2 += 1.0;
         }
         allowed
     }
@@ -127,7 +127,7 @@
         if error == ReadError::Stale {
             return retry;
         }
-        let may_retry = read.tries < config.tries && now < read.deadline;
+        let may_retry = read.tries < config.max_tries && now < read.deadline;
         if may_retry && self.take_retry(now, config) { retry } else { final_action }
     }
 }
@@ -138,7 +138,8 @@
     use proptest::prelude::*;
     use test_case::test_case;
 
-    const CONFIG: RetryConfig = RetryConfig { tries: 3, span: 1600.0, share: 0.2, free: 2.0 };
+    const CONFIG: RetryConfig =
+        RetryConfig { max_tries: 3, span_ms: 1600.0, retry_share: 0.2, free_retries: 2.0 };
 
     fn read_progress(relayed: Option<u64>) -> ReadProgress {
         ReadProgress { tries: 1, deadline: 1000.0, bytes_relayed: relayed }
@@ -214,8 +215,8 @@
                 }
                 retries.push(now);
                 let count_within = |all: &[f64], span: f64| all.iter().filter(|t| **t > now - span).count() as f64;
-                let allowed = CONFIG.free + CONFIG.share * count_within(&first_tries, CONFIG.span);
-                prop_assert!(count_within(&retries, CONFIG.span - CONFIG.span / SLICES_PER_SPAN) <= allowed);
+                let allowed = CONFIG.free_retries + CONFIG.retry_share * count_within(&first_tries, CONFIG.span_ms);
+                prop_assert!(count_within(&retries, CONFIG.span_ms - CONFIG.span_ms / SLICES_PER_SPAN) <= allowed);
             }
         }
     }
--- a/crates/edge/src/config/check.rs
+++ b/crates/edge/src/config/check.rs
@@ -1,32 +1,32 @@
-//! What can't be meant.
+//! Checks of a configuration that was parsed: ranges of single values, and values that contradict each other.
 
 use super::*;
 use pulleystair_dash::address;
 
 impl Config {
-    /// The first value that can't be: its path, what it is, what is allowed.
+    /// Finds the first invalid value: its path in the file, what was found, what is allowed.
     pub(crate) fn check(&self) -> Result<(), (String, String, &'static str)> {
-        let positive = |path: &str, x: f64| {
-            let good = x.is_finite() && x > 0.0 && x <= 1e12;
-            good.then_some(()).ok_or((path.to_string(), x.to_string(), "a number above 0"))
+        let positive = |path: &str, value: f64| {
+            let is_valid = value.is_finite() && value > 0.0 && value <= 1e12;
+            is_valid.then_some(()).ok_or((path.to_string(), value.to_string(), "a number above 0"))
         };
-        let from_0 = |path: &str, x: f64| {
-            let good = x.is_finite() && (0.0..=1e12).contains(&x);
-            good.then_some(()).ok_or((path.to_string(), x.to_string(), "a number from 0"))
+        let non_negative = |path: &str, value: f64| {
+            let is_valid = value.is_finite() && (0.0..=1e12).contains(&value);
+            is_valid.then_some(()).ok_or((path.to_string(), value.to_string(), "a number from 0"))
         };
-        let part = |path: &str, x: f64| {
-            let good = (0.0..=1.0).contains(&x);
-            good.then_some(()).ok_or((path.to_string(), x.to_string(), "a number from 0 to 1"))
+        let fraction = |path: &str, value: f64| {
+            let is_valid = (0.0..=1.0).contains(&value);
+            is_valid.then_some(()).ok_or((path.to_string(), value.to_string(), "a number from 0 to 1"))
         };
-        let count = |path: &str, n: usize, most: usize| {
-            let good = n > 0 && n <= most;
-            good.then_some(()).ok_or((
+        let count = |path: &str, count: usize, max: usize| {
+            let is_valid = count > 0 && count <= max;
+            is_valid.then_some(()).ok_or((
                 path.to_string(),
-                n.to_string(),
-                "a whole number from 1, not that high",
+                count.to_string(),
+                "a whole number from 1, within its upper bound",
             ))
         };
-        let named = |path: String, name: &str| {
+        let valid_name = |path: String, name: &str| {
             let allowed = "1 to 64 letters, digits, - _ .";
             address::is_valid_name(name).then_some(()).ok_or((path, format!("{name:?}"), allowed))
         };
@@ -41,7 +41,7 @@
         count("ladder", self.ladder.len(), 64)?;
         for (i, rung) in self.ladder.iter().enumerate() {
             positive(&format!("ladder[{i}].rate_kb"), rung.rate_kb)?;
-            from_0(&format!("ladder[{i}].earns"), rung.earns)?;
+            non_negative(&format!("ladder[{i}].earns"), rung.earns)?;
             if i > 0 && rung.rate_kb <= self.ladder[i - 1].rate_kb {
                 let path = format!("ladder[{i}].rate_kb");
                 return Err((path, rung.rate_kb.to_string(), "a rate above that of the rung before"));
@@ -50,7 +50,7 @@
         count("products", self.products.len(), 1000)?;
         for (i, product) in self.products.iter().enumerate() {
             let path = |name: &str| format!("products[{i}].{name}");
-            named(path("name"), &product.name)?;
+            valid_name(path("name"), &product.name)?;
             if self.products[..i].iter().any(|p| p.name == product.name) {
                 return Err((
                     path("name"),
@@ -65,7 +65,7 @@
                 let found = product.time_limit_ms.to_string();
                 return Err((path("time_limit_ms"), found, "a time no shorter than first_frame_target_ms"));
             }
-            from_0(&path("repeat_window_ms"), product.repeat_window_ms)?;
+            non_negative(&path("repeat_window_ms"), product.repeat_window_ms)?;
             positive(&path("scale"), product.scale)?;
             for (name, rung) in [("floor", Some(product.floor)), ("top", product.top)] {
                 if rung.is_some_and(|r| r >= self.ladder.len()) {
@@ -80,29 +80,29 @@
         count("fleet.racks", self.fleet.racks, self.fleet.cells)?;
         count("fleet.kinds", self.fleet.kinds.len(), 256)?;
         for (i, kind) in self.fleet.kinds.iter().enumerate() {
-            named(format!("fleet.kinds[{i}].name"), &kind.name)?;
+            valid_name(format!("fleet.kinds[{i}].name"), &kind.name)?;
             count(&format!("fleet.kinds[{i}].streams"), kind.streams, 1_000_000)?;
         }
         positive("fleet.rack_link_kb", self.fleet.rack_link_kb)?;
         positive("fleet.link_unit_kb", self.fleet.link_unit_kb)?;
         positive("fleet.links_kb", self.fleet.links_kb)?;
-        part("fleet.shared_part", self.fleet.shared_part)?;
-        from_0("fleet.notes_late_ms", self.fleet.notes_late_ms)?;
-        from_0("fleet.stall_cost", self.fleet.stall_cost)?;
-        from_0("fleet.change_costs_s", self.fleet.change_costs_s)?;
-        from_0("rules.drain_grace_ms", self.rules.drain_grace_ms)?;
-        from_0("rules.cold_ms", self.rules.cold_ms)?;
-        part("rules.cold_from", self.rules.cold_from)?;
+        fraction("fleet.shared_part", self.fleet.shared_part)?;
+        non_negative("fleet.notes_late_ms", self.fleet.notes_late_ms)?;
+        non_negative("fleet.stall_cost", self.fleet.stall_cost)?;
+        non_negative("fleet.change_costs_s", self.fleet.change_costs_s)?;
+        non_negative("rules.drain_grace_ms", self.rules.drain_grace_ms)?;
+        non_negative("rules.cold_ms", self.rules.cold_ms)?;
+        fraction("rules.cold_from", self.rules.cold_from)?;
         positive("rules.overload_factor", self.rules.overload_factor)?;
         count("rules.allocations", self.rules.allocations, 100)?;
-        from_0("rules.retry_after_ms", self.rules.retry_after_ms)?;
+        non_negative("rules.retry_after_ms", self.rules.retry_after_ms)?;
         if let Some(budget) = &self.rules.budget {
             positive("rules.budget.span_ms", budget.span_ms)?;
-            from_0("rules.budget.share", budget.share)?;
-            from_0("rules.budget.free", budget.free)?;
+            non_negative("rules.budget.share", budget.share)?;
+            non_negative("rules.budget.free", budget.free)?;
         }
-        from_0("prices.probe", self.prices.probe)?;
-        from_0("prices.cross_zone", self.prices.cross_zone)?;
+        non_negative("prices.probe", self.prices.probe)?;
+        non_negative("prices.cross_zone", self.prices.cross_zone)?;
         positive("admission.least", self.admission.least)?;
         positive("admission.most", self.admission.most)?;
         if self.admission.most < self.admission.least {
@@ -113,61 +113,61 @@
             let found = self.admission.tolerance.to_string();
             return Err(("admission.tolerance".into(), found, "a number from 1 to 100"));
         }
-        from_0("admission.slack_ms", self.admission.slack_ms)?;
+        non_negative("admission.slack_ms", self.admission.slack_ms)?;
         count("admission.sample", self.admission.sample, 100_000)?;
         count("admission.queue", self.admission.queue, 1_000_000)?;
-        from_0("admission.crowded_ms", self.admission.crowded_ms)?;
+        non_negative("admission.crowded_ms", self.admission.crowded_ms)?;
         positive("admission.behind_ms", self.admission.behind_ms)?;
         positive("admission.work_ms", self.admission.work_ms)?;
-        from_0("admission.reserve_ms", self.admission.reserve_ms)?;
+        non_negative("admission.reserve_ms", self.admission.reserve_ms)?;
         count("reads.tries", self.reads.tries, 100)?;
         positive("reads.patience_ms", self.reads.patience_ms)?;
         positive("reads.span_ms", self.reads.span_ms)?;
-        from_0("reads.share", self.reads.share)?;
-        from_0("reads.free", self.reads.free)?;
-        let l = &self.limits;
+        non_negative("reads.share", self.reads.share)?;
+        non_negative("reads.free", self.reads.free)?;
+        let limits = &self.limits;
         let counts = [
-            ("connections", l.connections),
-            ("header_bytes", l.header_bytes),
-            ("relay_bytes", l.relay_bytes),
-            ("deciding", l.deciding),
-            ("plays", l.plays),
-            ("sessions", l.sessions),
-            ("waiters", l.waiters),
-            ("fetches", l.fetches),
-            ("server_connections", l.server_connections),
-            ("server_queue", l.server_queue),
+            ("connections", limits.connections),
+            ("header_bytes", limits.header_bytes),
+            ("relay_bytes", limits.relay_bytes),
+            ("deciding", limits.deciding),
+            ("plays", limits.plays),
+            ("sessions", limits.sessions),
+            ("waiters", limits.waiters),
+            ("fetches", limits.fetches),
+            ("server_connections", limits.server_connections),
+            ("server_queue", limits.server_queue),
         ];
-        for (name, n) in counts {
-            count(&format!("limits.{name}"), n, 10_000_000)?;
+        for (name, value) in counts {
+            count(&format!("limits.{name}"), value, 10_000_000)?;
         }
         let times = [
-            ("header_ms", l.header_ms),
-            ("idle_ms", l.idle_ms),
-            ("slow_reader_ms", l.slow_reader_ms),
-            ("slow_reader_kb", l.slow_reader_kb),
-            ("server_idle_ms", l.server_idle_ms),
-            ("dial_ms", l.dial_ms),
-            ("segment_ms", l.segment_ms),
-            ("play_idle_ms", l.play_idle_ms),
-            ("remember_ms", l.remember_ms),
-            ("come_back_ms", l.come_back_ms),
-            ("list_poll_ms", l.list_poll_ms),
-            ("keys_poll_ms", l.keys_poll_ms),
-            ("pass_ms", l.pass_ms),
-            ("key_overlap_ms", l.key_overlap_ms),
-            ("expiry_ms", l.expiry_ms),
-            ("stop_ms", l.stop_ms),
-            ("tally_ms", l.tally_ms),
+            ("header_ms", limits.header_ms),
+            ("idle_ms", limits.idle_ms),
+            ("slow_reader_ms", limits.slow_reader_ms),
+            ("slow_reader_kb", limits.slow_reader_kb),
+            ("server_idle_ms", limits.server_idle_ms),
+            ("dial_ms", limits.dial_ms),
+            ("segment_ms", limits.segment_ms),
+            ("play_idle_ms", limits.play_idle_ms),
+            ("remember_ms", limits.remember_ms),
+            ("come_back_ms", limits.come_back_ms),
+            ("list_poll_ms", limits.list_poll_ms),
+            ("keys_poll_ms", limits.keys_poll_ms),
+            ("pass_ms", limits.pass_ms),
+            ("key_overlap_ms", limits.key_overlap_ms),
+            ("expiry_ms", limits.expiry_ms),
+            ("stop_ms", limits.stop_ms),
+            ("tally_ms", limits.tally_ms),
         ];
-        for (name, x) in times {
-            positive(&format!("limits.{name}"), x)?;
+        for (name, value) in times {
+            positive(&format!("limits.{name}"), value)?;
         }
-        from_0("limits.skew_ms", l.skew_ms)?;
+        non_negative("limits.skew_ms", limits.skew_ms)?;
         self.check_sharing()?;
-        if l.list_poll_ms > self.rules.drain_grace_ms {
+        if limits.list_poll_ms > self.rules.drain_grace_ms {
             let allowed = "a time no longer than rules.drain_grace_ms";
-            return Err(("limits.list_poll_ms".into(), l.list_poll_ms.to_string(), allowed));
+            return Err(("limits.list_poll_ms".into(), limits.list_poll_ms.to_string(), allowed));
         }
         Ok(())
     }
--- a/crates/edge/src/config/keys.rs
+++ b/crates/edge/src/config/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of tokens, and where players reach the fronts.
+//! Files of token keys, and the file of addresses at which players reach the fronts.
 
 use super::*;
 use pulleystair_dash::token::KeyRing;
@@ -6,71 +6,81 @@
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 
-/// The keys in service, as a file that may be replaced while plays run.
+/// The keys in effect, as a file that may be replaced while plays are running.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Keys {
+    /// Keys of the portal's entry tokens.
     pub entry: Vec<KeyFile>,
+    /// Keys of session tokens; the first one signs.
     pub pass: Vec<KeyFile>,
-    /// Sessions that are to end, and may not come again.
+    /// Sessions that are ended and not accepted again.
     #[serde(default)]
     pub revoked: Vec<String>,
 }
 
-/// Sessions that may be revoked at once.
-const MOST_REVOKED: usize = 100_000;
+/// Maximum number of revoked sessions in the file.
+const MAX_REVOKED: usize = 100_000;
 
-/// Keys by their ids.
+/// Secrets with their key ids.
 type Secrets = Vec<(String, Vec<u8>)>;
 
 impl Keys {
-    /// Reads the file, and the secrets that it names from its folder: those of entries and those of passes.
-    pub fn read(file: &Path) -> Result<(Keys, Secrets, Secrets), LoadError> {
+    /// Loads the file, and the secrets that it names from its folder: those of entry tokens, then those of session tokens.
+    pub fn load(file: &Path) -> Result<(Keys, Secrets, Secrets), LoadError> {
         let keys: Keys = load(file)?;
-        if keys.revoked.len() > MOST_REVOKED {
+        if keys.revoked.len() > MAX_REVOKED {
             let found = format!("{} of them", keys.revoked.len());
             return Err(invalid_value(file, "revoked", found, "at most 100000"));
         }
         let folder = file.parent().unwrap_or(Path::new(""));
-        let secrets = |path: &str, keys: &[KeyFile]| {
-            let fault =
+        let checked_secrets = |path: &str, keys: &[KeyFile]| {
+            let value_error =
                 |cause| LoadError::Value { file: file.display().to_string(), path: path.into(), cause };
-            let secrets = secrets(folder, keys).map_err(fault)?;
-            KeyRing::new(&secrets).map_err(|e| fault(e.to_string()))?;
+            let secrets = load_secrets(folder, keys).map_err(value_error)?;
+            KeyRing::new(&secrets).map_err(|e| value_error(e.to_string()))?;
             Ok(secrets)
         };
-        let (entry, pass) = (secrets("entry", &keys.entry)?, secrets("pass", &keys.pass)?);
+        let (entry, pass) = (checked_secrets("entry", &keys.entry)?, checked_secrets("pass", &keys.pass)?);
         Ok((keys, entry, pass))
     }
 }
 
+/// A key id and the file of its secret.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyFile {
+    /// Id of the key, which tokens name.
     pub kid: String,
-    /// The secret's bytes, a line end after them left out; from the folder of the file that names it.
+    /// File of the secret's bytes, without the line end after them; relative to the folder of the file that names it.
     pub file: PathBuf,
 }
 
-/// Reads where players reach the fronts of a fleet, so many of them.
-pub fn homes(file: &Path, fronts: usize) -> Result<Vec<String>, LoadError> {
-    let homes: Vec<String> = load(file)?;
-    if homes.len() != fronts {
-        return Err(invalid_value(file, "homes", format!("{} of them", homes.len()), "one for each front"));
+/// Loads the file of home addresses: where players reach each of `fronts` fronts, by rank.
+pub fn load_home_addresses(file: &Path, fronts: usize) -> Result<Vec<String>, LoadError> {
+    let addresses: Vec<String> = load(file)?;
+    if addresses.len() != fronts {
+        return Err(invalid_value(
+            file,
+            "homes",
+            format!("{} of them", addresses.len()),
+            "one for each front",
+        ));
     }
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-.:[]".contains(&b);
-    let bad = homes.iter().position(|at| at.is_empty() || at.len() > 255 || !at.bytes().all(plain));
-    match bad {
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-.:[]".contains(&b);
+    let first_invalid =
+        addresses.iter().position(|a| a.is_empty() || a.len() > 255 || !a.bytes().all(is_allowed));
+    match first_invalid {
         Some(i) => {
-            Err(invalid_value(file, &format!("[{i}]"), format!("{:?}", homes[i]), "HOST or HOST:PORT"))
+            Err(invalid_value(file, &format!("[{i}]"), format!("{:?}", addresses[i]), "HOST or HOST:PORT"))
         }
-        None => Ok(homes),
+        None => Ok(addresses),
     }
 }
 
-/// The secrets of keys, from their files; a line end after them is left out.
-fn secrets(folder: &Path, keys: &[KeyFile]) -> Result<Secrets, String> {
-    let read = |key: &KeyFile| {
+/// Loads the secrets of keys from their files, without the line end after them.
+fn load_secrets(folder: &Path, keys: &[KeyFile]) -> Result<Secrets, String> {
+    let load_secret = |key: &KeyFile| {
         let file = folder.join(&key.file);
         let secret = std::fs::read(&file);
         let mut secret = secret.map_err(|e| format!("key {:?}: {}: {e}", key.kid, file.display()))?;
@@ -79,21 +89,21 @@
         }
         Ok((key.kid.clone(), secret))
     };
-    keys.iter().map(read).collect()
+    keys.iter().map(load_secret).collect()
 }
 
 impl Config {
-    /// The rings of entries and of passes, and the sessions revoked; a fault comes with its path.
+    /// The key rings of entry tokens and of session tokens, and the revoked sessions; an error comes with its path.
     pub fn key_rings(&self) -> Result<(KeyRing, KeyRing, Vec<String>), (&'static str, String)> {
-        let ring = |path, secrets: &Secrets| KeyRing::new(secrets).map_err(|e| (path, e.to_string()));
+        let key_ring = |path, secrets: &Secrets| KeyRing::new(secrets).map_err(|e| (path, e.to_string()));
         if let Some(file) = &self.keys {
-            let (keys, entry, pass) = Keys::read(file).map_err(|e| ("keys", e.to_string()))?;
-            return Ok((ring("keys", &entry)?, ring("keys", &pass)?, keys.revoked));
+            let (keys, entry, pass) = Keys::load(file).map_err(|e| ("keys", e.to_string()))?;
+            return Ok((key_ring("keys", &entry)?, key_ring("keys", &pass)?, keys.revoked));
         }
-        let of = |path, keys: &[KeyFile]| {
-            let secrets = secrets(Path::new(""), keys).map_err(|e| (path, e))?;
-            ring(path, &secrets)
+        let load_ring = |path, keys: &[KeyFile]| {
+            let secrets = load_secrets(Path::new(""), keys).map_err(|e| (path, e))?;
+            key_ring(path, &secrets)
         };
-        Ok((of("entry_keys", &self.entry_keys)?, of("pass_keys", &self.pass_keys)?, Vec::new()))
+        Ok((load_ring("entry_keys", &self.entry_keys)?, load_ring("pass_keys", &self.pass_keys)?, Vec::new()))
     }
 }
--- a/crates/edge/src/config/limits.rs
+++ b/crates/edge/src/config/limits.rs
@@ -1,60 +1,73 @@
-//! How much a front takes on, holds and waits for.
+//! Limits of a front: how much it accepts, how much it holds, and how long it waits. Names are the keys of the
+//! configuration file. Times are ms, rates kB/s.
 
 use pulleystair_admission::{concurrency, queue, read_retries};
 use serde::{Deserialize, Serialize};
 
+/// Limits on connections, requests, plays, and the times allowed for them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
     /// Connections of players; further ones are answered 503 and closed.
     pub connections: usize,
-    /// A request's line and headers.
+    /// Size of a request line with its headers.
     pub header_bytes: usize,
-    /// Time to send them, from the first byte; and how long a connection may be idle between requests.
+    /// Time to send the request head, from its first byte.
     pub header_ms: f64,
+    /// How long a connection may be idle between requests.
     pub idle_ms: f64,
-    /// A reader must take an answer within this, plus the answer's size over this rate.
+    /// A player must have read a response within this time plus the response's size over `slow_reader_kb`.
     pub slow_reader_ms: f64,
+    /// The rate for `slow_reader_ms`, kB/s.
     pub slow_reader_kb: f64,
-    /// Socket send buffer towards players; 0 leaves it to the system.
+    /// Socket send buffer towards players; 0 leaves its size to the system.
     pub send_buffer_bytes: usize,
-    /// Bytes of a relayed answer that wait for a player before reading on from the server.
+    /// Bytes of a relayed response that may be queued for a player before the front stops reading from the server.
     pub relay_bytes: usize,
-    /// Plays being decided, plays held in all, and sessions known in all (those that ended included).
+    /// Plays being decided at the same time.
     pub deciding: usize,
+    /// All plays that the front holds.
     pub plays: usize,
+    /// All sessions that the front knows, including ended ones.
     pub sessions: usize,
-    /// Requests that may wait on one session's answer, and reads of one play's segments at once.
+    /// Requests that may wait for the answer of one session.
     pub waiters: usize,
+    /// Concurrent segment reads of one play.
     pub fetches: usize,
-    /// A pass opens its play only from the address that asked for it. Viewers behind changing addresses lose theirs.
+    /// Whether a session token is valid only from the address that requested the play. Viewers whose address changes
+    /// lose their plays.
     pub same_address: bool,
-    /// Connections for segments, steps and probes to one server, and errands that may wait for one.
+    /// Pooled connections to one server, for segments, rung changes and probes.
     pub server_connections: usize,
+    /// Requests that may wait for such a connection.
     pub server_queue: usize,
     /// An idle connection to a server is closed after this.
     pub server_idle_ms: f64,
-    /// A connection to a server must be there within this, and a segment come on within that.
+    /// A connection to a server must be established within this time.
     pub dial_ms: f64,
+    /// A segment read fails if nothing arrives for this time.
     pub segment_ms: f64,
-    /// A play without requests for so long has ended; how long an ended one's answer is kept.
+    /// A play without requests for this time has ended.
     pub play_idle_ms: f64,
+    /// How long the answer of an ended play is kept.
     pub remember_ms: f64,
-    /// A viewer whose connection closed while the set-up is out may come back for its answer within this.
+    /// A viewer whose connection closed during the set-up may reconnect for its answer within this time.
     pub come_back_ms: f64,
-    /// How often the files of the list, and those of keys and certificates, are looked at.
+    /// How often the server list file is polled.
     pub list_poll_ms: f64,
+    /// How often the files of keys, certificates, home addresses and approved versions are polled.
     pub keys_poll_ms: f64,
-    /// A session token opens its play for so long after its last use; clocks may be so far apart; a key that was
-    /// taken out is read for so long.
+    /// A session token is valid for this time after its last use.
     pub pass_ms: f64,
+    /// Clocks may differ by this much.
     pub skew_ms: f64,
+    /// A removed key is still accepted for this time.
     pub key_overlap_ms: f64,
-    /// A certificate that runs out within this is told of in the log.
+    /// A certificate that expires within this time is logged.
     pub expiry_ms: f64,
-    /// How often what was done since the start is written to the log, where that has changed.
+    /// How often the totals since the start are logged, if they have changed.
     pub tally_ms: f64,
-    /// After a signal to stop, plays may run on for so long.
+    /// After a signal to stop, plays may continue for this time.
     pub stop_ms: f64,
 }
 
@@ -95,15 +108,20 @@
     }
 }
 
-/// Reads of segments that fail are repeated, or taken up where they broke off: so often each, while the player is
-/// thought to wait, and at each server within any span so many free plus a share of its first tries.
+/// Retries of failed segment reads: how often one read is tried, for how long the player is assumed to wait, and how many
+/// retries one server gets within any span.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Reads {
+    /// Tries of one read.
     pub tries: usize,
+    /// How long the player is assumed to wait for a segment.
     pub patience_ms: f64,
+    /// Length of the sliding span in which the retries at one server are counted.
     pub span_ms: f64,
+    /// Retries allowed within a span, as a share of the first tries.
     pub share: f64,
+    /// Retries allowed within a span in addition to that share.
     pub free: f64,
 }
 
@@ -114,34 +132,39 @@
 }
 
 impl Reads {
+    /// These limits as the admission package takes them.
     pub fn retry_config(&self) -> read_retries::RetryConfig {
         read_retries::RetryConfig {
-            tries: self.tries,
-            span: self.span_ms,
-            share: self.share,
-            free: self.free,
+            max_tries: self.tries,
+            span_ms: self.span_ms,
+            retry_share: self.share,
+            free_retries: self.free,
         }
     }
 }
 
-/// How many set-ups may be out at once, adapted to their delay, and who waits meanwhile.
+/// Admission of plays: how many set-ups may be in progress at once, adapted to their delay, and which plays wait.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Admission {
+    /// Lower bound of the concurrency limit.
     pub least: f64,
+    /// Upper bound of the concurrency limit.
     pub most: f64,
-    /// Delay may grow by this factor and so much more before the limit gives way; so many outcomes make a sample.
+    /// The set-up delay may grow by this factor, plus `slack_ms`, before the limit shrinks.
     pub tolerance: f64,
     pub slack_ms: f64,
+    /// Number of outcomes in a sample.
     pub sample: usize,
-    /// Plays that may wait; from this wait of the oldest on the newest come first; whoever has no more time left
-    /// than the reserve is told at once.
+    /// Plays that may wait for a decision.
     pub queue: usize,
+    /// Once the oldest play has waited this long, the newest are decided first.
     pub crowded_ms: f64,
+    /// A play with no more time left than this is refused at once.
     pub reserve_ms: f64,
-    /// While this front's own loop is behind by more than this, it takes no further plays; and no more set-ups are
-    /// out than it could decide on once more within that time.
+    /// While the front's event loop is late by more than this, it takes no further plays.
     pub behind_ms: f64,
+    /// No more set-ups are in progress than the front could decide once more within this time.
     pub work_ms: f64,
 }
 
@@ -163,12 +186,21 @@
 }
 
 impl Admission {
+    /// The bounds of the concurrency limit as the admission package takes them.
     pub fn limit_config(&self) -> concurrency::LimitConfig {
         let Admission { least, most, tolerance, slack_ms: slack, sample, work_ms: work, .. } = *self;
-        concurrency::LimitConfig { least, most, tolerance, slack, sample, work }
+        concurrency::LimitConfig {
+            min_limit: least,
+            max_limit: most,
+            tolerance,
+            slack_ms: slack,
+            sample_size: sample,
+            work_ms: work,
+        }
     }
 
+    /// The bounds of the queue as the admission package takes them.
     pub fn queue_config(&self) -> queue::QueueConfig {
-        queue::QueueConfig { most: self.queue, crowded: self.crowded_ms }
+        queue::QueueConfig { capacity: self.queue, newest_first_after_ms: self.crowded_ms }
     }
 }
--- a/crates/edge/src/config/mod.rs
+++ b/crates/edge/src/config/mod.rs
@@ -1,6 +1,6 @@
-//! The rundown: all that a front is given at start, as a Jsonnet file. Read and checked here, shown by
-//! `pulleystair-edge show`, and turned into the decisions' call sheet at one place, [`Config::policy_settings`].
-//! Times are ms, rates kB a second, sizes bytes.
+//! The configuration of a front: a Jsonnet file read at start. It is loaded and checked here, printed by
+//! `pulleystair-edge show`, and converted to the settings of the placement logic at one place,
+//! [`Config::policy_settings`]. Times are ms, rates kB/s, sizes bytes. Field names are the keys of the file.
 
 mod check;
 mod keys;
@@ -8,7 +8,7 @@
 mod settings;
 mod sharing;
 
-pub use keys::{KeyFile, Keys, homes};
+pub use keys::{KeyFile, Keys, load_home_addresses};
 pub use limits::{Admission, Limits, Reads};
 use pulleystair_jsonnet::{LoadError, invalid_value, load};
 use serde::{Deserialize, Serialize};
@@ -17,84 +17,108 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
+/// The configuration file of a front.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Where players come; port 0 takes any, and the first line of the log tells which.
+    /// Address on which the front listens for players. With port 0 the system chooses a port, which the first log line
+    /// states.
     pub listen: SocketAddr,
-    /// The zone that this front is in, one of `zones`.
+    /// The zone of this front, one of `zones`.
     pub zone: String,
+    /// All zones.
     pub zones: Vec<String>,
-    /// How many fronts there are, and this one's place among them from 0.
+    /// Number of fronts.
     pub fronts: usize,
+    /// Rank of this front among all fronts, from 0.
     pub rank: usize,
-    /// Start of the decisions' chance; left out, it is drawn from the clock.
+    /// Seed of the random numbers used for decisions; taken from the clock if absent.
     pub seed: Option<u64>,
-    /// The list of servers and titles, from this file's folder.
+    /// File of the list of servers and titles, relative to this file's folder.
     pub list: PathBuf,
+    /// The products that plays are of.
     pub products: Vec<Product>,
+    /// The rungs that plays may have, by ascending rate.
     pub ladder: Vec<Rung>,
+    /// The fleet of fronts and the media servers.
     pub fleet: Fleet,
-    /// How fronts share, where the fleet names its peers.
+    /// How fronts exchange state; used if `fleet` names its peers.
     #[serde(default)]
     pub sharing: Sharing,
+    /// The rules that every decision must keep.
     pub rules: Rules,
+    /// Costs that decisions weigh.
     #[serde(default)]
     pub prices: Prices,
+    /// Limits of this front.
     #[serde(default)]
     pub limits: Limits,
+    /// Retries of failed segment reads.
     #[serde(default)]
     pub reads: Reads,
+    /// How many plays this front takes on at once.
     #[serde(default)]
     pub admission: Admission,
-    /// A file that tells where players reach each front, by rank, as a list of `HOST:PORT`; looked at like the keys.
-    /// With it a session of a product that may not be set up twice is taken by its home alone.
+    /// File of the addresses at which players reach the fronts, by rank, as a list of `HOST:PORT`; polled like the keys.
+    /// With it, a session of a product that must not be set up twice is accepted only by its home front.
     pub homes: Option<PathBuf>,
-    /// Keys of the portal's entry tokens, and of this fleet's session tokens; the first one signs.
+    /// Keys of the portal's entry tokens.
     #[serde(default)]
     pub entry_keys: Vec<KeyFile>,
+    /// Keys of this fleet's session tokens; the first one signs.
     #[serde(default)]
     pub pass_keys: Vec<KeyFile>,
-    /// A file with those keys in place of the above, looked at again and again and read when replaced.
+    /// File with these keys, instead of `entry_keys` and `pass_keys`; polled, and loaded again when it was replaced.
     pub keys: Option<PathBuf>,
+    /// Folders of certificates.
     #[serde(default)]
     pub tls: Tls,
 }
 
-/// Folders of certificates, looked at like the keys; a side that is left out is not sealed.
+/// Folders of certificates, polled like the keys; a side without one does not use TLS.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tls {
-    /// `chain.pem`, `key.pem`, `authority.pem`, and `viewers.pem` where players must show a certificate.
+    /// `chain.pem`, `key.pem`, `authority.pem`, and `viewers.pem` if players must present a certificate.
     pub players: Option<PathBuf>,
-    /// `authority.pem`, and `chain.pem` with `key.pem` where media servers ask for one.
+    /// `authority.pem`, and `chain.pem` with `key.pem` if media servers require a certificate.
     pub servers: Option<PathBuf>,
 }
 
+/// A product: the kind of play that a viewer buys.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Product {
+    /// Its name.
     pub name: String,
+    /// Weight of its plays in decisions.
     pub importance: f64,
+    /// Within this time of its request a play should start.
     pub first_frame_target_ms: f64,
+    /// Within this time of its request a play must start or be answered otherwise.
     pub time_limit_ms: f64,
+    /// What a second set-up of one of its plays does.
     #[serde(default)]
     pub effect: Effect,
-    /// Where a set-up that may have run may be sent again: `all`, the same `zone`, or the same `cell`.
+    /// Where a set-up that may have been carried out may be repeated: at `all` servers, in the same `zone`, or in the
+    /// same `cell`.
     #[serde(default)]
     pub repeat_group: Group,
+    /// For how long such a set-up may be repeated.
     #[serde(default)]
     pub repeat_window_ms: f64,
-    /// Lowest and highest rung, as indices of the ladder.
+    /// Lowest rung, as an index of the ladder.
     #[serde(default)]
     pub floor: usize,
+    /// Highest rung, as an index of the ladder; the top of the ladder if absent.
     pub top: Option<usize>,
-    /// Its rates over those of the ladder.
+    /// Factor of its rates to those of the ladder.
     #[serde(default = "one")]
     pub scale: f64,
+    /// Whether its titles are live.
     #[serde(default)]
     pub live: bool,
-    /// Plays of one title that this front may hold; 0 for no cap.
+    /// Plays of one title that this front may hold; 0 for no bound.
     #[serde(default)]
     pub seats: usize,
 }
@@ -109,6 +133,7 @@
     NonIdempotent,
 }
 
+/// The servers at which a set-up may be repeated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Group {
@@ -118,84 +143,103 @@
     Cell,
 }
 
+/// A rung of the ladder.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rung {
+    /// Rate of a play at this rung.
     pub rate_kb: f64,
-    /// What a second at this rung earns, in parts of the importance.
+    /// Value of one second at this rung, as a fraction of the importance.
     pub earns: f64,
 }
 
+/// The fleet of fronts, and the fleet of media servers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// The fleet's name, where this front listens for others, and where each front is reached, by rank, this one among
-    /// them. With them fronts share what they know; without them, not a word of it goes out.
+    /// Name of the fleet. With `name`, `listen` and `peers` fronts exchange what they know; without them, nothing is sent.
     pub name: Option<String>,
+    /// Address on which this front listens for other fronts.
     pub listen: Option<SocketAddr>,
+    /// All fronts with the addresses at which they are reached, by rank, including this one.
     #[serde(default)]
     pub peers: Vec<Peer>,
-    /// Cells that titles are held by; a cell's rack is its number modulo `racks`.
+    /// Number of cells, which hold the titles.
     pub cells: usize,
+    /// Number of racks; the rack of a cell is its number modulo `racks`.
     pub racks: usize,
+    /// Kinds of media servers.
     pub kinds: Vec<Kind>,
-    /// Mean uplink of a rack, link of a server for each unit of its weight, and all links together, kB/s.
+    /// Mean uplink of a rack, kB/s.
     pub rack_link_kb: f64,
+    /// Link of a server per unit of its weight, kB/s.
     pub link_unit_kb: f64,
+    /// Links of all servers together, kB/s.
     pub links_kb: f64,
-    /// What a further viewer of a live title adds to a stream at the same server, as a part of the rate.
+    /// Load that a further viewer of a live title adds to a stream at the same server, as a fraction of the rate.
     #[serde(default = "one")]
     pub shared_part: f64,
-    /// How late servers' notes on their plays are.
+    /// Delay of the notes that servers send on their plays.
     pub notes_late_ms: f64,
-    /// Points of importance lost for each point of the rate that is missing.
+    /// Importance lost per missing unit of the rate.
     pub stall_cost: f64,
-    /// A change of rung costs so many seconds of importance.
+    /// Cost of a change of rung, in seconds of importance.
     pub change_costs_s: f64,
 }
 
+/// A kind of media server.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
+    /// Its name.
     pub name: String,
-    /// Streams that such a server runs at most.
+    /// Maximum number of streams of such a server.
     pub streams: usize,
 }
 
+/// Rules that every decision keeps.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// Nothing new to a server so long after this front learned that it drains or is gone.
+    /// Nothing new is sent to a server once this time has passed since this front learned that it drains or is gone.
     pub drain_grace_ms: f64,
-    /// A server is cold for so long after its start, begins at this part of its pace, and falls over when sent
-    /// more than this multiple.
+    /// How long a server is cold after its start.
     pub cold_ms: f64,
+    /// Fraction of its full pace at which a cold server begins.
     pub cold_from: f64,
+    /// A cold server breaks down when it is sent more than this multiple of its pace.
     pub overload_factor: f64,
-    /// Allocations that a play may have.
+    /// Maximum number of allocations of a play.
     pub allocations: usize,
+    /// Bound on further allocations of all plays.
     pub budget: Option<Budget>,
-    /// The longest time to come back that players are told; 0 tells none.
+    /// Longest Retry-After that players are given; 0 for none.
     #[serde(default)]
     pub retry_after_ms: f64,
+    /// Whether servers may be probed.
     #[serde(default)]
     pub probes: bool,
 }
 
-/// Further allocations in any span: so many free, plus a share of the plays taken.
+/// Bound on further allocations (after a play's first) in any span.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
+    /// Length of the span.
     pub span_ms: f64,
+    /// Further allocations allowed, as a share of the plays taken.
     pub share: f64,
+    /// Further allocations allowed in addition to that share.
     pub free: f64,
 }
 
-/// What things cost, in points of service; 0 for what is free.
+/// Costs that decisions weigh, in points of service; 0 for none.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Prices {
+    /// Cost of a probe.
     pub probe: f64,
+    /// Cost of sending a play to a server in another zone.
     pub cross_zone: f64,
 }
 
@@ -204,38 +248,39 @@
 }
 
 impl Config {
-    /// Reads and checks a rundown; its paths come out relative to where the file is.
+    /// Loads and checks a configuration file. Its paths, which are relative to the folder of the file, are joined to that
+    /// folder.
     pub fn read(file: &Path) -> Result<Config, LoadError> {
-        let mut it: Config = load(file)?;
-        it.check().map_err(|(path, found, allowed)| invalid_value(file, &path, found, allowed))?;
+        let mut config: Config = load(file)?;
+        config.check().map_err(|(path, found, allowed)| invalid_value(file, &path, found, allowed))?;
         let folder = file.parent().unwrap_or(Path::new(""));
-        it.list = folder.join(&it.list);
-        it.keys = it.keys.map(|keys| folder.join(keys));
-        it.sharing.approved = it.sharing.approved.map(|approved| folder.join(approved));
-        it.homes = it.homes.map(|homes| folder.join(homes));
-        it.tls.players = it.tls.players.map(|tls| folder.join(tls));
-        it.tls.servers = it.tls.servers.map(|tls| folder.join(tls));
-        for key in it.entry_keys.iter_mut().chain(&mut it.pass_keys) {
+        config.list = folder.join(&config.list);
+        config.keys = config.keys.map(|keys| folder.join(keys));
+        config.sharing.approved = config.sharing.approved.map(|approved| folder.join(approved));
+        config.homes = config.homes.map(|homes| folder.join(homes));
+        config.tls.players = config.tls.players.map(|tls| folder.join(tls));
+        config.tls.servers = config.tls.servers.map(|tls| folder.join(tls));
+        for key in config.entry_keys.iter_mut().chain(&mut config.pass_keys) {
             key.file = folder.join(&key.file);
         }
-        if it.keys.is_some() && !(it.entry_keys.is_empty() && it.pass_keys.is_empty()) {
+        if config.keys.is_some() && !(config.entry_keys.is_empty() && config.pass_keys.is_empty()) {
             return Err(invalid_value(file, "keys", "entry_keys or pass_keys beside it", "either, not both"));
         }
-        let fault = |path: &str, cause| LoadError::Value {
+        let value_error = |path: &str, cause| LoadError::Value {
             file: file.display().to_string(),
             path: path.into(),
             cause,
         };
-        it.key_rings().map_err(|(path, cause)| fault(path, cause))?;
+        config.key_rings().map_err(|(path, cause)| value_error(path, cause))?;
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
-        if let Some(folder) = &it.tls.players {
+        if let Some(folder) = &config.tls.players {
             pulleystair_tls::load_player_config(folder, now)
-                .map_err(|e| fault("tls.players", e.to_string()))?;
+                .map_err(|e| value_error("tls.players", e.to_string()))?;
         }
-        if let Some(folder) = &it.tls.servers {
+        if let Some(folder) = &config.tls.servers {
             pulleystair_tls::load_server_config(folder, now)
-                .map_err(|e| fault("tls.servers", e.to_string()))?;
+                .map_err(|e| value_error("tls.servers", e.to_string()))?;
         }
-        Ok(it)
+        Ok(config)
     }
 }
--- a/crates/edge/src/config/sharing.rs
+++ b/crates/edge/src/config/sharing.rs
@@ -1,4 +1,4 @@
-//! How fronts share what they know.
+//! The exchange of state between fronts: its configuration and the checks of it. Times are ms.
 
 use super::Config;
 use pulleystair_dash::address;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A front as the others reach it.
+/// A front and the address at which the other fronts reach it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peer {
@@ -14,31 +14,35 @@
     pub at: SocketAddr,
 }
 
+/// How fronts exchange what they know.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Sharing {
-    /// How often others are asked, and how many each time.
+    /// Interval between gossip rounds.
     pub every_ms: f64,
+    /// How many other fronts are contacted in each round.
     pub fan_out: usize,
-    /// What this front sends to others, at most, bytes a second.
+    /// Maximum rate at which this front sends to the others, bytes/s.
     pub bytes_s: f64,
-    /// Not heard for so long, a front is doubted; for so long, unheard.
+    /// A front that was not heard from for this time is doubted.
     pub doubted_ms: f64,
+    /// A front that was not heard from for this time counts as unheard.
     pub unheard_ms: f64,
-    /// Parts of a cold server's pace are lent for so long.
+    /// How long a lease on part of a cold server's pace lasts.
     pub lend_ms: f64,
-    /// Further allocations and probes of all fronts to one server, a second; 0 for no bound but each front's own.
+    /// Further allocations (after a play's first) of all fronts together to one server, per second; 0 for no shared bound.
     pub further_s: f64,
+    /// Probes of all fronts together to one server, per second; 0 for no shared bound.
     pub probes_s: f64,
-    /// The approved versions, an append-only file, looked at like the keys.
+    /// Append-only file of the approved versions, polled like the keys.
     pub approved: Option<PathBuf>,
-    /// A verdict is an alarm once it has stood so long.
+    /// A verdict raises an alarm once it has lasted this long.
     pub hold_ms: f64,
-    /// While adrift in a rule, go by the stricter of both figures.
+    /// Whether a front that is adrift in a rule applies the stricter of the approved and its own value.
     pub stricter: bool,
-    /// Estimates are made over buckets of so long, the present one and the one before.
+    /// Length of the buckets that estimates are made over: the current bucket and the one before.
     pub bucket_ms: f64,
-    /// Where `pulleystair-edge drift` asks this front, on this machine alone.
+    /// Address at which `pulleystair-edge drift` queries this front; must be a loopback address.
     pub ask: Option<SocketAddr>,
 }
 
@@ -62,18 +66,20 @@
     }
 }
 
-type Wrong = (String, String, &'static str);
+/// An invalid value: its path in the file, what was found, what is allowed.
+type InvalidValue = (String, String, &'static str);
 
 impl Config {
-    /// This front's name among its peers, where it shares.
+    /// This front's name among its peers; none if it does not share.
     pub fn own_name(&self) -> Option<&str> {
         self.fleet.peers.get(self.rank).map(|peer| peer.name.as_str())
     }
 
-    pub(super) fn check_sharing(&self) -> Result<(), Wrong> {
-        let (fleet, it) = (&self.fleet, &self.sharing);
-        let told = [fleet.name.is_some(), fleet.listen.is_some(), !fleet.peers.is_empty()];
-        if told.contains(&true) && told.contains(&false) {
+    /// Checks the values of `fleet` and `sharing` that concern the exchange between fronts.
+    pub(super) fn check_sharing(&self) -> Result<(), InvalidValue> {
+        let (fleet, sharing) = (&self.fleet, &self.sharing);
+        let given = [fleet.name.is_some(), fleet.listen.is_some(), !fleet.peers.is_empty()];
+        if given.contains(&true) && given.contains(&false) {
             let found = "one without the others".to_string();
             return Err(("fleet.name, listen, peers".into(), found, "all three, or none of them"));
         }
@@ -95,25 +101,25 @@
             }
         }
         let bounds = [
-            ("every_ms", it.every_ms, 10.0, 60_000.0),
-            ("fan_out", it.fan_out as f64, 1.0, 100.0),
-            ("bytes_s", it.bytes_s, 2_400.0, 1e9),
-            ("doubted_ms", it.doubted_ms, it.every_ms, 3.6e6),
-            ("unheard_ms", it.unheard_ms, it.doubted_ms, 3.6e6),
-            ("lend_ms", it.lend_ms, 2.0 * it.every_ms, 600_000.0),
-            ("further_s", it.further_s, 0.0, 1e9),
-            ("probes_s", it.probes_s, 0.0, 1e9),
-            ("hold_ms", it.hold_ms, 0.0, 3.6e6),
-            ("bucket_ms", it.bucket_ms, 100.0, 8.64e7),
+            ("every_ms", sharing.every_ms, 10.0, 60_000.0),
+            ("fan_out", sharing.fan_out as f64, 1.0, 100.0),
+            ("bytes_s", sharing.bytes_s, 2_400.0, 1e9),
+            ("doubted_ms", sharing.doubted_ms, sharing.every_ms, 3.6e6),
+            ("unheard_ms", sharing.unheard_ms, sharing.doubted_ms, 3.6e6),
+            ("lend_ms", sharing.lend_ms, 2.0 * sharing.every_ms, 600_000.0),
+            ("further_s", sharing.further_s, 0.0, 1e9),
+            ("probes_s", sharing.probes_s, 0.0, 1e9),
+            ("hold_ms", sharing.hold_ms, 0.0, 3.6e6),
+            ("bucket_ms", sharing.bucket_ms, 100.0, 8.64e7),
         ];
-        for (name, x, least, most) in bounds {
-            if !(x.is_finite() && (least..=most).contains(&x)) {
-                let allowed = "a number in its bounds (docs/operate-fleet.md)";
-                return Err((format!("sharing.{name}"), x.to_string(), allowed));
+        for (name, value, min, max) in bounds {
+            if !(value.is_finite() && (min..=max).contains(&value)) {
+                let allowed = "a number within its bounds (docs/operate-fleet.md)";
+                return Err((format!("sharing.{name}"), value.to_string(), allowed));
             }
         }
-        if let Some(ask) = it.ask.filter(|ask| !ask.ip().is_loopback()) {
-            return Err(("sharing.ask".into(), ask.to_string(), "an address of this machine alone"));
+        if let Some(ask) = sharing.ask.filter(|ask| !ask.ip().is_loopback()) {
+            return Err(("sharing.ask".into(), ask.to_string(), "a loopback address"));
         }
         Ok(())
     }
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -1,7 +1,7 @@
 //! Files that are looked at while the front runs: the list, token keys, certificates and homes. Each is read and checked
 //! whole; of a bad one nothing is taken, and what is in hand stays.
 
-use crate::config::{Keys, homes};
+use crate::config::{Keys, load_home_addresses};
 use crate::connections::ConnectionId;
 use crate::edge::{Edge, list_context, read_list};
 use crate::server_list::{List, WatchedFiles};
@@ -101,7 +101,7 @@
         let floor = &mut self.state;
         let Some(watched) = floor.homes_file.as_mut() else { return };
         if watched.check_replaced() {
-            match homes(watched.file(), floor.config.fronts) {
+            match load_home_addresses(watched.file(), floor.config.fronts) {
                 Ok(homes) => {
                     info!(target: "list", ?homes, "homes taken");
                     floor.home_addresses = homes;
@@ -143,7 +143,7 @@
             return;
         }
         let now = (now / 1000.0) as u64;
-        let taken = Keys::read(watched.file()).map_err(|e| e.to_string()).and_then(|(keys, entry, pass)| {
+        let taken = Keys::load(watched.file()).map_err(|e| e.to_string()).and_then(|(keys, entry, pass)| {
             let (entries, passes) = (&mut floor.entry_keys, &mut floor.pass_keys);
             // Both are asked before either is changed.
             entries
