--- a/crates/edge/src/approved_versions.rs
+++ b/crates/edge/src/approved_versions.rs
@@ -74,12 +74,12 @@
         });
         match taken {
             Ok(number) => {
-                watched.taken();
+                watched.record_acceptance();
                 info!(target: "fleet", number, "approved version taken");
             }
             Err(e) => {
                 // It may be in the middle of being written.
-                if watched.refused(&e, true) {
+                if watched.record_refusal(&e, true) {
                     warn!(target: "fleet", "approved version not taken, the one in hand stays: {e}");
                 }
             }
--- a/crates/edge/src/server_list.rs
+++ b/crates/edge/src/server_list.rs
@@ -1,5 +1,6 @@
-//! The list of servers and titles, from a file that is looked at again and again and read when replaced. Other
-//! sources of the list (a registry, xDS, the planner) come in by the same door: a [`List`] that was checked.
+//! The list of servers and titles: a file that is polled and loaded again when it was replaced. Every other source of the
+//! list (a registry, xDS, a planner) would deliver the same type, a checked [`List`]. Also the polling of files for
+//! replacement, [`WatchedFiles`].
 
 use pulleystair::{Listing, Standing};
 use pulleystair_dash::address;
@@ -12,6 +13,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
+/// The media servers and titles that this front serves from.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct List {
@@ -19,6 +21,7 @@
     pub titles: Vec<Title>,
 }
 
+/// A media server of the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
@@ -26,17 +29,18 @@
     pub address: SocketAddr,
     pub zone: String,
     pub kind: String,
-    /// The cell that it is; what lies there it holds.
+    /// Its cell; it holds the titles of that cell.
     pub cell: usize,
-    /// Its size beside other servers'.
+    /// Its capacity relative to other servers.
     pub weight: f64,
     #[serde(default)]
     pub state: State,
-    /// When its process last started, ms since 1970; 0 for long ago.
+    /// When its process last started, ms since 1970; 0 if that was long ago.
     #[serde(default)]
     pub started_ms: f64,
 }
 
+/// Whether a server takes new plays.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
@@ -45,132 +49,144 @@
     Draining,
 }
 
+/// A title that viewers may ask for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Title {
     pub name: String,
     pub product: String,
-    /// Held by so many cells in a row from this one.
+    /// The first of the consecutive cells that hold the title.
     pub first_cell: usize,
+    /// Number of cells that hold the title.
     pub holders: usize,
-    /// How long it is, and its segments; left out where a manifest tells. 0 for a live title without a known end.
+    /// Duration of the title; absent if a manifest states it, 0 for a live title without a known end.
     #[serde(default)]
     pub duration_ms: u64,
+    /// Duration of a segment; absent if a manifest states it.
     #[serde(default)]
     pub segment_ms: u64,
+    /// Set for a live title without a manifest.
     pub live: Option<Live>,
-    /// An MPD that describes it, from the list's folder.
+    /// File of an MPD that describes the title, relative to the list's folder.
     pub manifest: Option<PathBuf>,
-    /// What all that comes to.
+    /// The presentation that results from the fields above; set by [`List::load`].
     #[serde(skip, default = "nothing")]
     pub presentation: Rc<Presentation>,
 }
 
-/// A title that is made while it is shown.
+/// Times of a live title.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Live {
     /// When its first segment began, ms since 1970.
     pub from_ms: u64,
-    /// How often players ask for the manifest again, and how far back segments are kept.
+    /// How often players refresh the manifest.
     pub update_ms: u64,
+    /// How far back segments are kept.
     pub window_ms: u64,
 }
 
+/// Placeholder for the presentation of a title that was only parsed.
 fn nothing() -> Rc<Presentation> {
     Rc::new(Presentation::plain(String::new(), 1, 1))
 }
 
 impl Title {
-    /// A title of even segments.
-    pub fn shaped(self) -> Title {
-        let mut shape = Presentation::plain(self.name.clone(), self.duration_ms, self.segment_ms);
+    /// The title with a presentation of equal segments, as its own fields state it.
+    pub fn with_even_segments(self) -> Title {
+        let mut presentation = Presentation::plain(self.name.clone(), self.duration_ms, self.segment_ms);
         if let Some(live) = self.live {
-            shape.duration_ms = Some(self.duration_ms).filter(|ms| *ms > 0);
-            shape.live = Some(mpd::Live {
+            presentation.duration_ms = Some(self.duration_ms).filter(|ms| *ms > 0);
+            presentation.live = Some(mpd::Live {
                 from_ms: live.from_ms,
                 update_ms: Some(live.update_ms),
                 window_ms: Some(live.window_ms),
                 published_ms: live.from_ms,
             });
         }
-        Title { presentation: Rc::new(shape), ..self }
+        Title { presentation: Rc::new(presentation), ..self }
     }
 
-    /// A title as its manifest describes it; an error tells what is wrong with that.
-    fn described(self, folder: &Path, file: &Path) -> Result<Title, String> {
+    /// The title with the presentation of its manifest; an error names the manifest and what is wrong with it.
+    fn with_manifest(self, folder: &Path, file: &Path) -> Result<Title, String> {
         let file = folder.join(file);
-        let told = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
-        let size = std::fs::metadata(&file).map_err(|e| told(&e))?.len();
+        let manifest_error = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
+        let size = std::fs::metadata(&file).map_err(|e| manifest_error(&e))?.len();
         if size > mpd::MAX_BYTES as u64 {
-            return Err(told(&format!("{size} bytes; {} at most", mpd::MAX_BYTES)));
+            return Err(manifest_error(&format!("{size} bytes; {} at most", mpd::MAX_BYTES)));
         }
-        let text = std::fs::read_to_string(&file).map_err(|e| told(&e))?;
-        let shape = mpd::parse(&text).map_err(|e| told(&e))?;
-        Ok(Title { presentation: Rc::new(Presentation { title: self.name.clone(), ..shape }), ..self })
+        let text = std::fs::read_to_string(&file).map_err(|e| manifest_error(&e))?;
+        let presentation = mpd::parse(&text).map_err(|e| manifest_error(&e))?;
+        Ok(Title { presentation: Rc::new(Presentation { title: self.name.clone(), ..presentation }), ..self })
     }
 }
 
-/// What a list must agree with.
+/// What a list must agree with: the values of the configuration that its entries refer to.
 pub struct ListContext<'a> {
     pub zones: &'a [String],
     pub kinds: Vec<&'a str>,
     pub products: Vec<&'a str>,
     pub cells: usize,
-    /// Servers are known by certificates, which must bear their names.
+    /// Whether servers are verified by certificates, which must contain their names.
     pub uses_tls: bool,
 }
 
-/// The longest title, ms: a day.
-const LONGEST: u64 = 86_400_000;
-/// No clock is further, ms since 1970: the year 9999.
-const FAR: u64 = 253_370_764_800_000;
-/// Servers and titles that a list may hold.
-const MOST: usize = 100_000;
+/// Maximum duration of a title, ms: one day.
+const MAX_TITLE_MS: u64 = 86_400_000;
+/// Latest point in time that is accepted, ms since 1970: the year 9999.
+const MAX_TIME_MS: u64 = 253_370_764_800_000;
+/// Maximum number of servers, and of titles, in a list.
+const MAX_ENTRIES: usize = 100_000;
 
 impl List {
-    pub fn load(file: &Path, known: &ListContext) -> Result<List, LoadError> {
-        let mut it: List = load(file)?;
-        it.check(known).map_err(|(path, found, allowed)| invalid_value(file, &path, found, allowed))?;
+    /// Loads and checks a list file and the manifests that it names.
+    pub fn load(file: &Path, context: &ListContext) -> Result<List, LoadError> {
+        let mut list: List = load(file)?;
+        list.check(context).map_err(|(path, found, allowed)| invalid_value(file, &path, found, allowed))?;
         let folder = file.parent().unwrap_or(Path::new(""));
-        let titles = it.titles.into_iter().enumerate().map(|(i, title)| match title.manifest.clone() {
-            None => Ok(title.shaped()),
-            Some(manifest) => title.described(folder, &manifest).map_err(|found| {
+        let titles = list.titles.into_iter().enumerate().map(|(i, title)| match title.manifest.clone() {
+            None => Ok(title.with_even_segments()),
+            Some(manifest) => title.with_manifest(folder, &manifest).map_err(|found| {
                 invalid_value(file, &format!("titles[{i}].manifest"), found, "a manifest that can be read")
             }),
         });
-        it.titles = titles.collect::<Result<_, _>>()?;
-        Ok(it)
+        list.titles = titles.collect::<Result<_, _>>()?;
+        Ok(list)
     }
 
-    fn check(&self, known: &ListContext) -> Result<(), (String, String, &'static str)> {
-        if self.servers.is_empty() || self.servers.len() > MOST {
+    /// Finds the first invalid value: its path in the file, what was found, what is allowed.
+    fn check(&self, context: &ListContext) -> Result<(), (String, String, &'static str)> {
+        if self.servers.is_empty() || self.servers.len() > MAX_ENTRIES {
             return Err(("servers".into(), format!("{} of them", self.servers.len()), "1 to 100000"));
         }
-        if self.titles.len() > MOST {
+        if self.titles.len() > MAX_ENTRIES {
             return Err(("titles".into(), format!("{} of them", self.titles.len()), "at most 100000"));
         }
-        let mut seen = HashMap::new();
+        let mut seen_names = HashMap::new();
         for (i, server) in self.servers.iter().enumerate() {
             let path = |name: &str| format!("servers[{i}].{name}");
             if !address::is_valid_name(&server.name) {
                 let allowed = "1 to 64 letters, digits, - _ .";
                 return Err((path("name"), format!("{:?}", server.name), allowed));
             }
-            if seen.insert(&server.name, i).is_some() {
+            if seen_names.insert(&server.name, i).is_some() {
                 return Err((path("name"), format!("{:?}", server.name), "a name that no other server has"));
             }
-            if known.uses_tls && rustls::pki_types::DnsName::try_from(server.name.as_str()).is_err() {
-                let allowed = "a host's name, for its certificate must bear it";
+            if context.uses_tls && rustls::pki_types::DnsName::try_from(server.name.as_str()).is_err() {
+                let allowed = "a host name, because the server's certificate must contain it";
                 return Err((path("name"), format!("{:?}", server.name), allowed));
             }
-            if !known.zones.contains(&server.zone) {
-                return Err((path("zone"), format!("{:?}", server.zone), "one of the rundown's zones"));
+            if !context.zones.contains(&server.zone) {
+                return Err((path("zone"), format!("{:?}", server.zone), "one of the configuration's zones"));
             }
-            if !known.kinds.contains(&server.kind.as_str()) {
-                return Err((path("kind"), format!("{:?}", server.kind), "one of the rundown's fleet.kinds"));
+            if !context.kinds.contains(&server.kind.as_str()) {
+                return Err((
+                    path("kind"),
+                    format!("{:?}", server.kind),
+                    "one of the configuration's fleet.kinds",
+                ));
             }
-            if server.cell >= known.cells {
+            if server.cell >= context.cells {
                 return Err((path("cell"), server.cell.to_string(), "a number under fleet.cells"));
             }
             if !(server.weight.is_finite() && server.weight > 0.0) {
@@ -180,28 +196,28 @@
                 return Err((path("started_ms"), server.started_ms.to_string(), "a time from 0"));
             }
         }
-        let mut seen = HashMap::new();
+        let mut seen_names = HashMap::new();
         for (i, title) in self.titles.iter().enumerate() {
             let path = |name: &str| format!("titles[{i}].{name}");
             if !address::is_valid_name(&title.name) {
                 let allowed = "1 to 64 letters, digits, - _ .";
                 return Err((path("name"), format!("{:?}", title.name), allowed));
             }
-            if seen.insert((&title.product, &title.name), i).is_some() {
+            if seen_names.insert((&title.product, &title.name), i).is_some() {
                 let allowed = "a name that no other title of the product has";
                 return Err((path("name"), format!("{:?}", title.name), allowed));
             }
-            if !known.products.contains(&title.product.as_str()) {
+            if !context.products.contains(&title.product.as_str()) {
                 return Err((
                     path("product"),
                     format!("{:?}", title.product),
-                    "one of the rundown's products",
+                    "one of the configuration's products",
                 ));
             }
-            if title.first_cell >= known.cells {
+            if title.first_cell >= context.cells {
                 return Err((path("first_cell"), title.first_cell.to_string(), "a number under fleet.cells"));
             }
-            if title.holders == 0 || title.holders > known.cells {
+            if title.holders == 0 || title.holders > context.cells {
                 return Err((path("holders"), title.holders.to_string(), "1 to fleet.cells"));
             }
             if title.manifest.is_some() {
@@ -211,21 +227,21 @@
                 }
                 continue;
             }
-            if (title.duration_ms == 0 && title.live.is_none()) || title.duration_ms > LONGEST {
+            if (title.duration_ms == 0 && title.live.is_none()) || title.duration_ms > MAX_TITLE_MS {
                 return Err((path("duration_ms"), title.duration_ms.to_string(), "1 to 86400000"));
             }
-            let longest = if title.duration_ms == 0 { LONGEST } else { title.duration_ms };
-            if title.segment_ms == 0 || title.segment_ms > longest {
+            let max_segment_ms = if title.duration_ms == 0 { MAX_TITLE_MS } else { title.duration_ms };
+            if title.segment_ms == 0 || title.segment_ms > max_segment_ms {
                 return Err((path("segment_ms"), title.segment_ms.to_string(), "1 to duration_ms"));
             }
             if let Some(live) = title.live {
-                if live.from_ms > FAR {
+                if live.from_ms > MAX_TIME_MS {
                     return Err((path("live.from_ms"), live.from_ms.to_string(), "a time in ms since 1970"));
                 }
-                if live.update_ms == 0 || live.update_ms > LONGEST {
+                if live.update_ms == 0 || live.update_ms > MAX_TITLE_MS {
                     return Err((path("live.update_ms"), live.update_ms.to_string(), "1 to 86400000"));
                 }
-                if live.window_ms < title.segment_ms || live.window_ms > LONGEST {
+                if live.window_ms < title.segment_ms || live.window_ms > MAX_TITLE_MS {
                     return Err((
                         path("live.window_ms"),
                         live.window_ms.to_string(),
@@ -237,15 +253,19 @@
         Ok(())
     }
 
-    /// The list as the decisions are told it; `index` gives a server's number.
-    pub fn entries(&self, known: &ListContext, mut index: impl FnMut(&Server) -> u32) -> Vec<(u32, Listing)> {
-        let at = |names: &[&str], name: &str| names.iter().position(|n| *n == name).unwrap_or(0);
-        let zones: Vec<&str> = known.zones.iter().map(String::as_str).collect();
-        let line = |server: &Server| {
+    /// The servers in the form that the dispatcher takes; `index` returns the number of a server.
+    pub fn entries(
+        &self,
+        context: &ListContext,
+        mut index: impl FnMut(&Server) -> u32,
+    ) -> Vec<(u32, Listing)> {
+        let position = |names: &[&str], name: &str| names.iter().position(|n| *n == name).unwrap_or(0);
+        let zones: Vec<&str> = context.zones.iter().map(String::as_str).collect();
+        let entry = |server: &Server| {
             let listing = Listing {
                 server: 0,
-                zone: at(&zones, &server.zone),
-                kind: at(&known.kinds, &server.kind),
+                zone: position(&zones, &server.zone),
+                kind: position(&context.kinds, &server.kind),
                 cell: server.cell,
                 standing: match server.state {
                     State::Ready => Standing::Ready,
@@ -256,70 +276,74 @@
             };
             (index(server), listing)
         };
-        self.servers.iter().map(line).collect()
+        self.servers.iter().map(entry).collect()
     }
 }
 
-/// Files that belong together and are looked at again and again.
+/// Files that belong together and are polled for replacement.
 pub struct WatchedFiles {
-    /// The first one must be there: without it the others are not looked at.
+    /// The first file must exist: without it the others are not checked.
     files: Vec<PathBuf>,
-    seen: Vec<Option<(u64, u64, i64, i64)>>,
-    /// Why what is there was not taken when last read, and whether it is to be read again all the same.
-    refused: Option<(String, bool)>,
+    /// Inode, size and modification time of each file at the last check; none for a missing file.
+    last_seen: Vec<Option<(u64, u64, i64, i64)>>,
+    /// Why the present content was refused, and whether it is to be read again although it was not replaced.
+    refusal: Option<(String, bool)>,
 }
 
 impl WatchedFiles {
+    /// Watches a single file.
     pub fn new(file: PathBuf) -> WatchedFiles {
-        WatchedFiles { files: vec![file], seen: Vec::new(), refused: None }
+        WatchedFiles { files: vec![file], last_seen: Vec::new(), refusal: None }
     }
 
-    /// The files of a folder by their names.
-    pub fn folder(folder: &Path, names: &[&str]) -> WatchedFiles {
+    /// Watches the files of these names in a folder.
+    pub fn in_folder(folder: &Path, names: &[&str]) -> WatchedFiles {
         WatchedFiles {
             files: names.iter().map(|name| folder.join(name)).collect(),
-            seen: Vec::new(),
-            refused: None,
+            last_seen: Vec::new(),
+            refusal: None,
         }
     }
 
+    /// The first file.
     pub fn file(&self) -> &Path {
         &self.files[0]
     }
 
-    /// Whether a file is another than when last looked at, or is to be read again. A first file that is away is not
-    /// another one. To be asked before the files are read, so that what is replaced meanwhile shows the next time.
+    /// Whether a file was replaced since the last check, or is to be read again. A missing first file does not count as
+    /// replaced. Call this before the files are read, so that a replacement during the read is seen at the next check.
     pub fn check_replaced(&mut self) -> bool {
-        let look = |file: &PathBuf| {
+        let file_version = |file: &PathBuf| {
             let meta = std::fs::metadata(file).ok()?;
             Some((meta.ino(), meta.size(), meta.mtime(), meta.mtime_nsec()))
         };
-        let now: Vec<_> = self.files.iter().map(look).collect();
-        if now[0].is_none() {
+        let current: Vec<_> = self.files.iter().map(file_version).collect();
+        if current[0].is_none() {
             return false;
         }
-        if now != self.seen {
-            (self.seen, self.refused) = (now, None);
+        if current != self.last_seen {
+            (self.last_seen, self.refusal) = (current, None);
             return true;
         }
-        self.refused.as_ref().is_some_and(|(_, again)| *again)
+        self.refusal.as_ref().is_some_and(|(_, reread)| *reread)
     }
 
-    /// What was read is not taken. With `again` it is read anew at each look, whether replaced or not: what was at
-    /// fault may lie outside these files. True where this cause is to be told, which it is once.
-    pub fn refused(&mut self, cause: &impl ToString, again: bool) -> bool {
+    /// Records that the content was refused. With `reread` the files are read again at each check, even if they were not
+    /// replaced, because the cause may lie outside these files. Returns true if this cause is to be logged: once.
+    pub fn record_refusal(&mut self, cause: &impl ToString, reread: bool) -> bool {
         let cause = cause.to_string();
-        let told = self.refused.as_ref().is_some_and(|(known, _)| *known == cause);
-        self.refused = Some((cause, again));
-        !told
+        let is_logged = self.refusal.as_ref().is_some_and(|(logged, _)| *logged == cause);
+        self.refusal = Some((cause, reread));
+        !is_logged
     }
 
-    pub fn taken(&mut self) {
-        self.refused = None;
+    /// Records that the content was accepted.
+    pub fn record_acceptance(&mut self) {
+        self.refusal = None;
     }
 
-    /// Looks at them anew the next time, whether they were replaced or not.
-    pub fn again(&mut self) {
-        self.seen.clear();
+    /// Makes the next check report a replacement in any case.
+    pub fn force_reread(&mut self) {
+        self.last_seen.clear();
     }
 }
--- a/crates/edge/src/tls.rs
+++ b/crates/edge/src/tls.rs
@@ -1,6 +1,6 @@
-//! The certificates in service, towards players and towards media servers: read at start, and again whenever their
-//! folder has changed. A bad set is refused whole and the one in service stays; connections that were made under
-//! an old set live on.
+//! The certificates in effect, towards players and towards media servers: loaded at start, and again whenever a file of
+//! their folder was replaced. An invalid set is refused as a whole and the present one stays in effect; connections made
+//! under an earlier set stay open. Times are s since 1970.
 
 use crate::config::Tls;
 use crate::server_list::WatchedFiles;
@@ -9,19 +9,20 @@
 use std::path::Path;
 use tracing::{error, info, warn};
 
-type Read<T> = fn(&Path, u64) -> Result<Loaded<T>, CertificateError>;
+/// Loads and checks a folder of certificates, as of a time.
+type LoadFn<T> = fn(&Path, u64) -> Result<Loaded<T>, CertificateError>;
 
-/// One side's.
-struct Side<T> {
+/// The folder of one side: towards players or towards media servers.
+struct WatchedSide<T> {
     name: &'static str,
     folder: std::path::PathBuf,
     watched: WatchedFiles,
-    read: Read<T>,
-    /// What was last said of its expiry, so that it is said once.
-    told: Expiry,
+    load: LoadFn<T>,
+    /// The expiry state that was last logged, so that each is logged once.
+    logged_expiry: Expiry,
 }
 
-/// How near its end a certificate is.
+/// How near its expiry a certificate is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expiry {
     Far,
@@ -30,112 +31,115 @@
 }
 
 impl Expiry {
-    /// Of a certificate that runs out then, where `near` s before is near; times in s since 1970.
-    pub fn of(expires: Option<u64>, now: u64, near: u64) -> Expiry {
+    /// State of a certificate that expires at `expires`; the last `warn_before_s` s before that count as near.
+    pub fn from_times(expires: Option<u64>, now: u64, warn_before_s: u64) -> Expiry {
         match expires {
-            Some(at) if at < now => Expiry::Past,
-            Some(at) if at <= now + near => Expiry::Near,
+            Some(expires) if expires < now => Expiry::Past,
+            Some(expires) if expires <= now + warn_before_s => Expiry::Near,
             _ => Expiry::Far,
         }
     }
 }
 
+/// The TLS configurations in effect; none for a side that does not use TLS.
 pub struct TlsConfigs {
     pub players: Option<Loaded<ServerConfig>>,
     pub servers: Option<Loaded<ClientConfig>>,
-    sides: (Option<Side<ServerConfig>>, Option<Side<ClientConfig>>),
+    sides: (Option<WatchedSide<ServerConfig>>, Option<WatchedSide<ClientConfig>>),
 }
 
 impl TlsConfigs {
-    /// Reads what is there at start; `now` is s since 1970.
+    /// Loads the certificates at start.
     pub fn load(tls: &Tls, now: u64) -> Result<TlsConfigs, CertificateError> {
-        let mut players = Side::new(
+        let mut players = WatchedSide::new(
             "players",
             &tls.players,
             &pulleystair_tls::PLAYER_FILES,
             pulleystair_tls::load_player_config,
         );
-        let mut servers = Side::new(
+        let mut servers = WatchedSide::new(
             "servers",
             &tls.servers,
             &pulleystair_tls::SERVER_FILES,
             pulleystair_tls::load_server_config,
         );
         Ok(TlsConfigs {
-            players: players.as_mut().map(|side| side.first(now)).transpose()?,
-            servers: servers.as_mut().map(|side| side.first(now)).transpose()?,
+            players: players.as_mut().map(|side| side.load_first(now)).transpose()?,
+            servers: servers.as_mut().map(|side| side.load_first(now)).transpose()?,
             sides: (players, servers),
         })
     }
 
-    /// Looks whether anything was replaced; true where media servers are now known by another set, so that idle
-    /// connections to them are not to be used again.
-    pub fn look(&mut self, now: u64, near: u64) -> bool {
+    /// Loads what was replaced. Returns true if media servers are now verified by another set, in which case idle
+    /// connections to them must not be used again.
+    pub fn poll(&mut self, now: u64, warn_before_s: u64) -> bool {
         let (players, servers) = &mut self.sides;
-        if let (Some(side), Some(sealed)) = (players, &mut self.players) {
-            side.look(sealed, now, near);
+        if let (Some(side), Some(loaded)) = (players, &mut self.players) {
+            side.poll(loaded, now, warn_before_s);
         }
         match (servers, &mut self.servers) {
-            (Some(side), Some(sealed)) => side.look(sealed, now, near),
+            (Some(side), Some(loaded)) => side.poll(loaded, now, warn_before_s),
             _ => false,
         }
     }
 
-    /// Looks at all of it anew, whether it was replaced or not.
-    pub fn again(&mut self) {
-        self.sides.0.iter_mut().for_each(|side| side.watched.again());
-        self.sides.1.iter_mut().for_each(|side| side.watched.again());
+    /// Makes the next poll load all certificates again, even if they were not replaced.
+    pub fn force_reread(&mut self) {
+        self.sides.0.iter_mut().for_each(|side| side.watched.force_reread());
+        self.sides.1.iter_mut().for_each(|side| side.watched.force_reread());
     }
 }
 
-impl<T> Side<T> {
+impl<T> WatchedSide<T> {
     fn new(
         name: &'static str,
         folder: &Option<std::path::PathBuf>,
         files: &[&str],
-        read: Read<T>,
-    ) -> Option<Side<T>> {
+        load: LoadFn<T>,
+    ) -> Option<WatchedSide<T>> {
         let folder = folder.clone()?;
-        let watched = WatchedFiles::folder(&folder, files);
-        Some(Side { name, folder, watched, read, told: Expiry::Far })
+        let watched = WatchedFiles::in_folder(&folder, files);
+        Some(WatchedSide { name, folder, watched, load, logged_expiry: Expiry::Far })
     }
 
-    fn first(&mut self, now: u64) -> Result<Loaded<T>, CertificateError> {
-        // Looked at before it is read: what is replaced meanwhile shows at the next look.
+    fn load_first(&mut self, now: u64) -> Result<Loaded<T>, CertificateError> {
+        // Checked before the files are read, so that a replacement during the read is seen at the next poll.
         self.watched.check_replaced();
-        (self.read)(&self.folder, now)
+        (self.load)(&self.folder, now)
     }
 
-    fn look(&mut self, sealed: &mut Loaded<T>, now: u64, near: u64) -> bool {
-        let mut taken = false;
+    /// Loads the folder again if it was replaced, and logs a certificate that is near its expiry or past it. Returns true
+    /// if another set is now in effect.
+    fn poll(&mut self, loaded: &mut Loaded<T>, now: u64, warn_before_s: u64) -> bool {
+        let mut replaced = false;
         if self.watched.check_replaced() {
-            match (self.read)(&self.folder, now) {
-                Ok(it) => {
-                    info!(target: "tls", side = self.name, serial = it.serial, expires = it.expires, "certificates taken");
-                    (*sealed, self.told, taken) = (it, Expiry::Far, true);
-                    self.watched.taken();
+            match (self.load)(&self.folder, now) {
+                Ok(new) => {
+                    info!(target: "tls", side = self.name, serial = new.serial, expires = new.expires, "certificates taken");
+                    (*loaded, self.logged_expiry, replaced) = (new, Expiry::Far, true);
+                    self.watched.record_acceptance();
                 }
                 Err(e) => {
-                    if self.watched.refused(&e, true) {
-                        error!(target: "tls", side = self.name, "certificates not taken, those in service stay: {e}");
+                    if self.watched.record_refusal(&e, true) {
+                        error!(target: "tls", side = self.name, "certificates not taken, the current ones stay in effect: {e}");
                     }
                 }
             }
         }
-        let expiry = Expiry::of(sealed.expires, now, near);
-        if expiry != self.told {
-            self.told = expiry;
-            let (side, serial) = (self.name, &sealed.serial);
+        let expiry = Expiry::from_times(loaded.expires, now, warn_before_s);
+        if expiry != self.logged_expiry {
+            self.logged_expiry = expiry;
+            let (side, serial) = (self.name, &loaded.serial);
             match expiry {
                 Expiry::Far => {}
                 Expiry::Near => {
-                    warn!(target: "tls", side, serial, expires = sealed.expires, "certificate runs out soon")
+                    warn!(target: "tls", side, serial, expires = loaded.expires, "certificate runs out soon")
                 }
                 Expiry::Past => {
-                    error!(target: "tls", side, serial, expires = sealed.expires, "certificate has expired and is still shown");
+                    error!(target: "tls", side, serial, expires = loaded.expires, "certificate has expired and is still presented");
                 }
             }
         }
-        taken
+        replaced
     }
 }
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -1,5 +1,6 @@
-//! Files that are looked at while the front runs: the list, token keys, certificates and homes. Each is read and checked
-//! whole; of a bad one nothing is taken, and what is in hand stays.
+//! Polling of the files that may be replaced while the front runs: the server list, token keys, certificates and home
+//! addresses. Each is loaded and checked as a whole; an invalid one is logged and changes nothing. Called by the event
+//! loop's timers and on SIGHUP.
 
 use crate::config::{Keys, load_home_addresses};
 use crate::connections::ConnectionId;
@@ -13,33 +14,34 @@
 use tracing::{error, info};
 
 impl Edge {
+    /// Loads the server list if its file was replaced.
     pub(crate) fn poll_list(&mut self) {
-        let floor = &mut self.state;
-        if !floor.list_file.check_replaced() {
+        let state = &mut self.state;
+        if !state.list_file.check_replaced() {
             return;
         }
-        match read_list(&floor.config) {
+        match read_list(&state.config) {
             Ok(list) => {
-                floor.list_file.taken();
+                state.list_file.record_acceptance();
                 self.apply_list(list, false);
             }
-            // One that could not be read may hold a drain: it is read as soon as it can be. One that was read and is
-            // wrong stays wrong until it is replaced, and may be too large to be read at every look.
+            // An unreadable list may contain a drain, so it is read again at every check until that succeeds. A list that
+            // was read and is invalid stays invalid until it is replaced, and may be too large to be read at every check.
             Err(e) => {
-                if floor.list_file.refused(&e, matches!(e, LoadError::Unreadable { .. })) {
-                    error!(target: "list", "list not taken, the one in hand stays: {e}");
+                if state.list_file.record_refusal(&e, matches!(e, LoadError::Unreadable { .. })) {
+                    error!(target: "list", "list not taken, the current one stays in effect: {e}");
                 }
             }
         }
     }
 
-    /// Puts a list in service; `old` where nobody has said that it is of now, as at start.
-    pub(crate) fn apply_list(&mut self, list: List, old: bool) {
+    /// Puts a list into effect. `may_be_outdated` is true if nothing shows that the list is current, as at start.
+    pub(crate) fn apply_list(&mut self, list: List, may_be_outdated: bool) {
         let now = self.state.now();
-        let floor = &mut self.state;
-        let (servers, numbers) = (&mut floor.servers, &mut floor.server_numbers);
-        let mut stale = Vec::new();
-        let lines = list.entries(&list_context(&floor.config), |server| {
+        let state = &mut self.state;
+        let (servers, numbers) = (&mut state.servers, &mut state.server_numbers);
+        let mut outdated_connections = Vec::new();
+        let entries = list.entries(&list_context(&state.config), |server| {
             let next = servers.len() as u32;
             let number = *numbers.entry(server.name.clone()).or_insert(next);
             if number == next {
@@ -56,120 +58,123 @@
                 });
             } else if servers[number as usize].address != server.address {
                 servers[number as usize].address = server.address;
-                stale.append(&mut servers[number as usize].idle_connections);
+                outdated_connections.append(&mut servers[number as usize].idle_connections);
             }
-            let at = &mut servers[number as usize];
-            (at.zone, at.started_at) = (server.zone.clone(), server.started_ms as u64);
+            let media_server = &mut servers[number as usize];
+            (media_server.zone, media_server.started_at) = (server.zone.clone(), server.started_ms as u64);
             number
         });
-        stale.into_iter().for_each(|key| floor.close_pooled_connection(key));
-        floor.titles_by_number.values_mut().for_each(|(_, listed)| *listed = false);
+        outdated_connections.into_iter().for_each(|connection| state.close_pooled_connection(connection));
+        state.titles_by_number.values_mut().for_each(|(_, listed)| *listed = false);
         for title in &list.titles {
-            let product = floor.config.products.iter().position(|p| p.name == title.product);
-            let next = floor.next_title_number;
+            let product = state.config.products.iter().position(|p| p.name == title.product);
+            let next = state.next_title_number;
             let number =
-                *floor.title_numbers.entry((product.unwrap_or(0), title.name.clone())).or_insert(next);
-            floor.next_title_number += usize::from(number == next);
-            floor.titles_by_number.insert(number, (Rc::new(title.clone()), true));
+                *state.title_numbers.entry((product.unwrap_or(0), title.name.clone())).or_insert(next);
+            state.next_title_number += usize::from(number == next);
+            state.titles_by_number.insert(number, (Rc::new(title.clone()), true));
         }
-        if floor.titles_by_number.len() > list.titles.len() {
-            let known = floor.sessions.title_numbers();
-            floor.titles_by_number.retain(|number, (_, listed)| *listed || known.contains(number));
-            let shows = &floor.titles_by_number;
-            floor.title_numbers.retain(|_, number| shows.contains_key(number));
+        if state.titles_by_number.len() > list.titles.len() {
+            let titles_in_use = state.sessions.title_numbers();
+            state.titles_by_number.retain(|number, (_, listed)| *listed || titles_in_use.contains(number));
+            let titles_by_number = &state.titles_by_number;
+            state.title_numbers.retain(|_, number| titles_by_number.contains_key(number));
         }
-        floor.fleet_update_list(&list);
+        state.fleet_update_list(&list);
         let draining = list.servers.iter().filter(|s| s.state == crate::server_list::State::Draining).count();
         info!(target: "list", servers = list.servers.len(), draining, titles = list.titles.len(), "list taken");
-        self.dispatcher.update_list(now, true, old, &lines);
+        self.dispatcher.update_list(now, true, may_be_outdated, &entries);
     }
 
-    /// Puts replaced certificates in service. Connections of players live on; idle ones to servers are closed, for
-    /// they were made with servers that another set vouched for.
+    /// Puts replaced certificates into effect. Connections of players stay open; idle connections to servers are closed,
+    /// because the servers were verified by the previous certificates.
     pub(crate) fn poll_tls(&mut self) {
-        let floor = &mut self.state;
-        let near = (floor.config.limits.expiry_ms / 1000.0) as u64;
-        if floor.tls.look((floor.wall_clock_now() / 1000.0) as u64, near) {
-            let idle: Vec<ConnectionId> =
-                floor.servers.iter_mut().flat_map(|s| std::mem::take(&mut s.idle_connections)).collect();
-            idle.into_iter().for_each(|key| floor.close_pooled_connection(key));
+        let state = &mut self.state;
+        let warn_before_s = (state.config.limits.expiry_ms / 1000.0) as u64;
+        if state.tls.poll((state.wall_clock_now() / 1000.0) as u64, warn_before_s) {
+            let idle_connections: Vec<ConnectionId> =
+                state.servers.iter_mut().flat_map(|s| std::mem::take(&mut s.idle_connections)).collect();
+            idle_connections.into_iter().for_each(|connection| state.close_pooled_connection(connection));
         }
     }
 
-    /// Takes up where the fronts are to be had. Until that is known this front takes what comes.
+    /// Loads the home addresses of the fronts if their file was replaced. Until they are known this front accepts every
+    /// session.
     pub(crate) fn poll_homes(&mut self) {
-        let floor = &mut self.state;
-        let Some(watched) = floor.homes_file.as_mut() else { return };
+        let state = &mut self.state;
+        let Some(watched) = state.homes_file.as_mut() else { return };
         if watched.check_replaced() {
-            match load_home_addresses(watched.file(), floor.config.fronts) {
+            match load_home_addresses(watched.file(), state.config.fronts) {
                 Ok(homes) => {
                     info!(target: "list", ?homes, "homes taken");
-                    floor.home_addresses = homes;
-                    watched.taken();
+                    state.home_addresses = homes;
+                    watched.record_acceptance();
                 }
                 Err(e) => {
-                    if watched.refused(&e, true) {
-                        error!(target: "list", "homes not taken, those in hand stay: {e}");
+                    if watched.record_refusal(&e, true) {
+                        error!(target: "list", "homes not taken, the current ones stay in effect: {e}");
                     }
                 }
             }
         }
     }
 
-    /// Told to look at all files now.
+    /// Loads all files again now, on SIGHUP.
     pub(crate) fn reload_all_files(&mut self) {
-        info!(target: "front", "looks at list, keys and certificates anew");
-        self.state.list_file.again();
-        self.state.keys_file.iter_mut().for_each(WatchedFiles::again);
-        self.state.tls.again();
-        self.state.homes_file.iter_mut().for_each(WatchedFiles::again);
+        info!(target: "front", "reloading the list, keys, certificates, homes and approved versions");
+        self.state.list_file.force_reread();
+        self.state.keys_file.iter_mut().for_each(WatchedFiles::force_reread);
+        self.state.tls.force_reread();
+        self.state.homes_file.iter_mut().for_each(WatchedFiles::force_reread);
         self.poll_homes();
         self.poll_list();
         self.poll_keys();
         self.poll_tls();
-        if let Some(approved) = self.state.fleet.as_mut().and_then(|it| it.approved.as_mut()) {
-            approved.again();
+        if let Some(approved) = self.state.fleet.as_mut().and_then(|fleet| fleet.approved.as_mut()) {
+            approved.force_reread();
         }
         self.poll_approved_versions();
     }
 
-    /// Puts replaced keys in service: checked whole first, so that of a bad set nothing is taken.
+    /// Puts replaced keys into effect. The whole set is checked first, so that an invalid set changes nothing.
     pub(crate) fn poll_keys(&mut self) {
-        let floor = &mut self.state;
-        let now = floor.wall_clock_now();
-        let overlap = (floor.config.limits.key_overlap_ms / 1000.0).ceil() as u64;
-        let Some(watched) = floor.keys_file.as_mut() else { return };
+        let state = &mut self.state;
+        let now = state.wall_clock_now();
+        let overlap_s = (state.config.limits.key_overlap_ms / 1000.0).ceil() as u64;
+        let Some(watched) = state.keys_file.as_mut() else { return };
         if !watched.check_replaced() {
             return;
         }
-        let now = (now / 1000.0) as u64;
-        let taken = Keys::load(watched.file()).map_err(|e| e.to_string()).and_then(|(keys, entry, pass)| {
-            let (entries, passes) = (&mut floor.entry_keys, &mut floor.pass_keys);
-            // Both are asked before either is changed.
-            entries
-                .may_replace(&entry, now)
-                .and(passes.may_replace(&pass, now))
-                .map_err(|e| e.to_string())?;
-            entries.replace(&entry, now, overlap).map_err(|e| e.to_string())?;
-            passes.replace(&pass, now, overlap).map_err(|e| e.to_string())?;
-            Ok(keys.revoked)
-        });
-        let revoked = match taken {
+        let now_s = (now / 1000.0) as u64;
+        let replaced =
+            Keys::load(watched.file()).map_err(|e| e.to_string()).and_then(|(keys, entry, pass)| {
+                let (entry_ring, pass_ring) = (&mut state.entry_keys, &mut state.pass_keys);
+                // Both are checked before either is changed.
+                entry_ring
+                    .may_replace(&entry, now_s)
+                    .and(pass_ring.may_replace(&pass, now_s))
+                    .map_err(|e| e.to_string())?;
+                entry_ring.replace(&entry, now_s, overlap_s).map_err(|e| e.to_string())?;
+                pass_ring.replace(&pass, now_s, overlap_s).map_err(|e| e.to_string())?;
+                Ok(keys.revoked)
+            });
+        let revoked = match replaced {
             Ok(revoked) => revoked,
-            // The secrets are files of their own, and may come after the file that names them.
+            // The secrets are separate files, which may be written after the file that names them.
             Err(e) => {
-                if watched.refused(&e, true) {
-                    error!(target: "keys", "keys not taken, those in service stay: {e}");
+                if watched.record_refusal(&e, true) {
+                    error!(target: "keys", "keys not taken, the current ones stay in effect: {e}");
                 }
                 return;
             }
         };
-        watched.taken();
-        let (entry, pass) = (&floor.entry_keys, &floor.pass_keys);
+        watched.record_acceptance();
+        let (entry, pass) = (&state.entry_keys, &state.pass_keys);
         info!(target: "keys", ?entry, ?pass, revoked = revoked.len(), "keys taken");
-        floor.revoked = revoked.into_iter().collect();
-        let ended: Vec<u64> = floor.revoked.iter().filter_map(|id| floor.sessions.by_id(id)).collect();
-        for play in ended {
+        state.revoked = revoked.into_iter().collect();
+        let revoked_plays: Vec<u64> =
+            state.revoked.iter().filter_map(|id| state.sessions.by_id(id)).collect();
+        for play in revoked_plays {
             self.revoke(play);
             self.process_pending();
         }
