--- a/crates/edge/src/active_config.rs
+++ b/crates/edge/src/active_config.rs
@@ -1,5 +1,6 @@
-//! What this front goes by, read back from what runs: the decisions, the limits, the list. Never from the files that it
-//! was to be read from.
+//! The configuration in effect, read back from the running front: from the placement logic, the limits and the server list,
+//! never from the files that they were loaded from. It is divided into sections, by which drift from the approved version
+//! is detected. Names of sections and values are the same at all fronts.
 
 use crate::config::{Budget, Config, Rung};
 use crate::edge::Edge;
@@ -8,8 +9,8 @@
 use pulleystair_drift::{Sections, digest, hex};
 use serde_json::{Value, json};
 
-/// The list's revision: a checksum of all that it says of servers.
-pub(crate) fn revision(list: &List) -> Value {
+/// Revision of a server list: a checksum of its servers, and how many there are.
+pub(crate) fn list_revision(list: &List) -> Value {
     let servers: Vec<Value> = list
         .servers
         .iter()
@@ -19,48 +20,48 @@
     json!({ "revision": hex(&digest(&json!(servers)))[..16], "servers": list.servers.len(), "draining": draining })
 }
 
-/// The decisions' sheet, as far as it says what the rundown says, in the rundown's words.
-fn as_rundown(was: &Config, sheet: &Settings) -> Config {
-    let mut it = was.clone();
-    let of = |name: &str, otherwise: f64| number(sheet, name, otherwise);
-    it.ladder = (0..was.ladder.len())
+/// The configuration `original` with the values that the settings of the placement logic contain.
+fn config_from_settings(original: &Config, settings: &Settings) -> Config {
+    let mut config = original.clone();
+    let value = |name: &str, default: f64| number(settings, name, default);
+    config.ladder = (0..original.ladder.len())
         .map(|i| Rung {
-            rate_kb: of(&format!("extra.ladder_kb.{i}"), f64::NAN),
-            earns: of(&format!("extra.rung_worth.{i}"), f64::NAN),
+            rate_kb: value(&format!("extra.ladder_kb.{i}"), f64::NAN),
+            earns: value(&format!("extra.rung_worth.{i}"), f64::NAN),
         })
         .collect();
-    it.rules.cold_ms = of("rules.cold", 0.0);
-    it.rules.cold_from = of("rules.cold_from", 0.0);
-    it.rules.overload_factor = of("rules.overload_factor", 0.0);
-    it.rules.allocations = of("ceilings.attempts_cap", 0.0) as usize;
-    it.rules.retry_after_ms = of("ceilings.max_retry_after", 0.0);
-    it.rules.probes = of("ceilings.probes", 0.0) > 0.0;
-    it.rules.budget = sheet.contains_key("rules.budget_share").then(|| Budget {
-        span_ms: of("rules.budget_span", 0.0),
-        share: of("rules.budget_share", 0.0),
-        free: of("rules.free_resends", 0.0),
+    config.rules.cold_ms = value("rules.cold", 0.0);
+    config.rules.cold_from = value("rules.cold_from", 0.0);
+    config.rules.overload_factor = value("rules.overload_factor", 0.0);
+    config.rules.allocations = value("ceilings.attempts_cap", 0.0) as usize;
+    config.rules.retry_after_ms = value("ceilings.max_retry_after", 0.0);
+    config.rules.probes = value("ceilings.probes", 0.0) > 0.0;
+    config.rules.budget = settings.contains_key("rules.budget_share").then(|| Budget {
+        span_ms: value("rules.budget_span", 0.0),
+        share: value("rules.budget_share", 0.0),
+        free: value("rules.free_resends", 0.0),
     });
-    it.prices.cross_zone = of("costs.cross_zone", 0.0);
-    it.prices.probe = of("costs.probe", 0.0);
-    for (i, product) in it.products.iter_mut().enumerate() {
-        product.importance = of(&format!("products.{i}.importance"), 0.0);
-        product.first_frame_target_ms = of(&format!("products.{i}.first_frame_target"), 0.0);
-        product.repeat_window_ms = of(&format!("products.{i}.repeat_window"), 0.0);
-        product.floor = of(&format!("extra.class_floor.{i}"), 0.0) as usize;
-        product.scale = of(&format!("extra.class_scale.{i}"), 0.0);
-        product.seats = of(&format!("extra.seats.{i}"), 0.0) as usize;
+    config.prices.cross_zone = value("costs.cross_zone", 0.0);
+    config.prices.probe = value("costs.probe", 0.0);
+    for (i, product) in config.products.iter_mut().enumerate() {
+        product.importance = value(&format!("products.{i}.importance"), 0.0);
+        product.first_frame_target_ms = value(&format!("products.{i}.first_frame_target"), 0.0);
+        product.repeat_window_ms = value(&format!("products.{i}.repeat_window"), 0.0);
+        product.floor = value(&format!("extra.class_floor.{i}"), 0.0) as usize;
+        product.scale = value(&format!("extra.class_scale.{i}"), 0.0);
+        product.seats = value(&format!("extra.seats.{i}"), 0.0) as usize;
     }
-    it
+    config
 }
 
-/// The sections of a rundown, in its own words.
-pub fn sections(it: &Config, list: Value) -> Sections {
-    let plain = |value: serde_json::Result<Value>| value.unwrap_or(Value::Null);
-    let by_name = |of: &dyn Fn(&crate::config::Product) -> Value| -> Value {
-        it.products.iter().map(|p| (p.name.clone(), of(p))).collect::<serde_json::Map<_, _>>().into()
+/// The sections of a configuration, by the names of its keys; `list` is the revision of the server list.
+pub fn sections(config: &Config, list: Value) -> Sections {
+    let or_null = |value: serde_json::Result<Value>| value.unwrap_or(Value::Null);
+    let by_product = |section: &dyn Fn(&crate::config::Product) -> Value| -> Value {
+        config.products.iter().map(|p| (p.name.clone(), section(p))).collect::<serde_json::Map<_, _>>().into()
     };
-    let product = |p: &crate::config::Product| {
-        let mut value = plain(serde_json::to_value(p));
+    let product_values = |p: &crate::config::Product| {
+        let mut value = or_null(serde_json::to_value(p));
         if let Some(value) = value.as_object_mut() {
             ["name", "floor", "seats"].iter().for_each(|part| {
                 value.remove(*part);
@@ -69,25 +70,25 @@
         value
     };
     let limits = json!({
-        "limits": plain(serde_json::to_value(&it.limits)),
-        "reads": plain(serde_json::to_value(&it.reads)),
-        "admission": plain(serde_json::to_value(&it.admission)),
+        "limits": or_null(serde_json::to_value(&config.limits)),
+        "reads": or_null(serde_json::to_value(&config.reads)),
+        "admission": or_null(serde_json::to_value(&config.admission)),
     });
     let parts = json!({
-        "tls_players": it.tls.players.is_some(),
-        "tls_servers": it.tls.servers.is_some(),
-        "homes": it.homes.is_some(),
-        "sharing": !it.fleet.peers.is_empty(),
-        "stricter": it.sharing.stricter,
+        "tls_players": config.tls.players.is_some(),
+        "tls_servers": config.tls.servers.is_some(),
+        "homes": config.homes.is_some(),
+        "sharing": !config.fleet.peers.is_empty(),
+        "stricter": config.sharing.stricter,
     });
     let policy: Vec<&str> = POLICY.to_vec();
     Sections::from([
-        ("ladder".into(), plain(serde_json::to_value(&it.ladder))),
-        ("products".into(), by_name(&product)),
-        ("floors".into(), by_name(&|p| json!(p.floor))),
-        ("seats".into(), by_name(&|p| json!(p.seats))),
-        ("rules".into(), plain(serde_json::to_value(&it.rules))),
-        ("prices".into(), plain(serde_json::to_value(&it.prices))),
+        ("ladder".into(), or_null(serde_json::to_value(&config.ladder))),
+        ("products".into(), by_product(&product_values)),
+        ("floors".into(), by_product(&|p| json!(p.floor))),
+        ("seats".into(), by_product(&|p| json!(p.seats))),
+        ("rules".into(), or_null(serde_json::to_value(&config.rules))),
+        ("prices".into(), or_null(serde_json::to_value(&config.prices))),
         ("limits".into(), limits),
         ("list".into(), list),
         ("parts".into(), parts),
@@ -95,8 +96,9 @@
     ])
 }
 
-/// A figure of the rules by its path: its name on the call sheet, where it has one.
-pub(crate) fn on_the_sheet(it: &Config, path: &str) -> Option<String> {
+/// Name of the setting for a value of the rules, given by its path in the sections; none for a value that only this front
+/// itself uses.
+pub(crate) fn setting_name(config: &Config, path: &str) -> Option<String> {
     let name = match path {
         "rules.budget.share" => "rules.budget_share",
         "rules.budget.free" => "rules.free_resends",
@@ -105,7 +107,7 @@
         "rules.allocations" => "ceilings.attempts_cap",
         _ => {
             let product = path.strip_prefix("floors.")?;
-            let i = it.products.iter().position(|p| p.name == product)?;
+            let i = config.products.iter().position(|p| p.name == product)?;
             return Some(format!("extra.class_floor.{i}"));
         }
     };
@@ -113,59 +115,61 @@
 }
 
 impl Edge {
-    /// What runs, less what this front holds itself to for being adrift.
-    pub(crate) fn goes_by(&self) -> Sections {
-        let mut sheet = self.dispatcher.active_settings();
-        let mut rundown = self.state.config.clone();
-        let Some(company) = &self.state.fleet else { return Sections::new() };
-        for (path, (own, held)) in &company.held {
-            match on_the_sheet(&rundown, path) {
-                Some(name) if number(&sheet, &name, f64::NAN) == *held => {
-                    sheet.insert(name, pulleystair::Value::Number(*own));
+    /// The sections of the configuration in effect, with this front's own values in place of stricter ones that it applies
+    /// while adrift; empty without a fleet.
+    pub(crate) fn active_sections(&self) -> Sections {
+        let mut settings = self.dispatcher.active_settings();
+        let mut config = self.state.config.clone();
+        let Some(fleet) = &self.state.fleet else { return Sections::new() };
+        for (path, (own, stricter)) in &fleet.stricter_values {
+            match setting_name(&config, path) {
+                Some(name) if number(&settings, &name, f64::NAN) == *stricter => {
+                    settings.insert(name, pulleystair::Value::Number(*own));
                 }
                 Some(_) => {}
-                None => rundown.rules.drain_grace_ms = *own,
+                None => config.rules.drain_grace_ms = *own,
             }
         }
-        sections(&as_rundown(&rundown, &sheet), company.list.clone())
+        sections(&config_from_settings(&config, &settings), fleet.list_revision.clone())
     }
 
-    /// Goes by the stricter figures while it is adrift, and by its own again once it is in step.
-    pub(crate) fn hold_to(&mut self, stricter: &[(String, f64)]) {
-        let Some(company) = &self.state.fleet else { return };
-        let held = company.held.clone();
-        for (path, (own, _)) in held.iter().filter(|(path, _)| !stricter.iter().any(|s| s.0 == **path)) {
-            self.go_by(path, *own);
+    /// Applies the stricter values while this front is adrift, and its own values again once it is in step.
+    pub(crate) fn apply_stricter_values(&mut self, stricter: &[(String, f64)]) {
+        let Some(fleet) = &self.state.fleet else { return };
+        let applied = fleet.stricter_values.clone();
+        for (path, (own, _)) in applied.iter().filter(|(path, _)| !stricter.iter().any(|s| s.0 == **path)) {
+            self.apply_value(path, *own);
             tracing::info!(target: "fleet", path, own, "in step: goes by its own figure again");
-            self.state.fleet.iter_mut().for_each(|it| {
-                it.held.remove(path);
+            self.state.fleet.iter_mut().for_each(|fleet| {
+                fleet.stricter_values.remove(path);
             });
         }
-        for (path, figure) in stricter {
-            let own = match on_the_sheet(&self.state.config, path) {
+        for (path, value) in stricter {
+            let own = match setting_name(&self.state.config, path) {
                 Some(name) => number(&self.dispatcher.active_settings(), &name, f64::NAN),
                 None => self.state.config.rules.drain_grace_ms,
             };
-            if own == *figure || held.get(path).is_some_and(|held| held.1 == *figure) {
+            if own == *value || applied.get(path).is_some_and(|applied| applied.1 == *value) {
                 continue;
             }
-            let own = held.get(path).map_or(own, |held| held.0);
-            self.go_by(path, *figure);
-            tracing::warn!(target: "fleet", path, own, figure, "adrift in a rule: goes by the stricter figure");
-            self.state.fleet.iter_mut().for_each(|it| {
-                it.held.insert(path.clone(), (own, *figure));
+            let own = applied.get(path).map_or(own, |applied| applied.0);
+            self.apply_value(path, *value);
+            tracing::warn!(target: "fleet", path, own, figure = value, "adrift in a rule: goes by the stricter figure");
+            self.state.fleet.iter_mut().for_each(|fleet| {
+                fleet.stricter_values.insert(path.clone(), (own, *value));
             });
         }
     }
 
-    fn go_by(&mut self, path: &str, figure: f64) {
-        match on_the_sheet(&self.state.config, path) {
-            Some(name) => self.dispatcher.override_setting(&name, figure),
-            // A drain is heard of by a look at the list; those are no further apart than the grace.
+    /// Puts a value of the rules, given by its path, into effect.
+    fn apply_value(&mut self, path: &str, value: f64) {
+        match setting_name(&self.state.config, path) {
+            Some(name) => self.dispatcher.override_setting(&name, value),
+            // A drain is noticed by a poll of the list, so the interval of polls must not exceed the grace period.
             None => {
                 let limits = &mut self.state.config.limits;
-                limits.list_poll_ms = limits.list_poll_ms.min(figure);
-                self.state.config.rules.drain_grace_ms = figure;
+                limits.list_poll_ms = limits.list_poll_ms.min(value);
+                self.state.config.rules.drain_grace_ms = value;
             }
         }
     }
--- a/crates/edge/src/approved_versions.rs
+++ b/crates/edge/src/approved_versions.rs
@@ -1,5 +1,5 @@
-//! The approved versions: a file that is read at start and looked at while the front runs. One that is no chain, goes not
-//! on from the one in hand, or approves what can't be meant is not taken.
+//! The file of approved versions: loaded at start and polled while the front runs. It is refused if it is not a valid chain
+//! of versions, does not continue the chain loaded before, or approves a configuration that is invalid.
 
 use crate::config::Config;
 use crate::edge::Edge;
@@ -9,78 +9,82 @@
 use std::path::Path;
 use tracing::{info, warn};
 
-/// The largest file of versions, bytes.
-const MOST: u64 = 64 << 20;
+/// Size of the largest file of versions that is read.
+const MAX_BYTES: u64 = 64 << 20;
 
-/// Reads and checks the file; an error tells path and cause.
-pub fn read(file: &Path, rundown: &Config) -> anyhow::Result<VersionChain> {
-    let fault = |cause: String| anyhow::anyhow!("sharing.approved: {}: {cause}", file.display());
-    let size = std::fs::metadata(file).map_err(|e| fault(e.to_string()))?.len();
-    if size > MOST {
-        return Err(fault(format!("{size} bytes; {MOST} at most")));
+/// Loads and checks the file; an error names the path and the cause.
+pub fn read(file: &Path, config: &Config) -> anyhow::Result<VersionChain> {
+    let file_error = |cause: String| anyhow::anyhow!("sharing.approved: {}: {cause}", file.display());
+    let size = std::fs::metadata(file).map_err(|e| file_error(e.to_string()))?.len();
+    if size > MAX_BYTES {
+        return Err(file_error(format!("{size} bytes; {MAX_BYTES} at most")));
     }
-    let text = std::fs::read_to_string(file).map_err(|e| fault(e.to_string()))?;
-    let chain = VersionChain::parse(&text).map_err(|e| fault(e.to_string()))?;
-    for (i, document) in chain.documents.iter().enumerate() {
-        means(rundown, &chain.sections(i)).map_err(|(path, found, allowed)| {
-            fault(format!("version {}: {path}: {found}; allowed: {allowed}", document.number))
+    let text = std::fs::read_to_string(file).map_err(|e| file_error(e.to_string()))?;
+    let chain = VersionChain::parse(&text).map_err(|e| file_error(e.to_string()))?;
+    for (i, version) in chain.documents.iter().enumerate() {
+        check_sections(config, &chain.sections(i)).map_err(|(path, found, allowed)| {
+            file_error(format!("version {}: {path}: {found}; allowed: {allowed}", version.number))
         })?;
     }
     Ok(chain)
 }
 
-/// Whether a front of this rundown could run by these sections.
-fn means(rundown: &Config, sections: &Sections) -> Result<(), (String, String, &'static str)> {
-    let mut it = rundown.clone();
-    let form = |path: &str, e: serde_json::Error| (path.to_string(), e.to_string(), "what a rundown may say");
-    let get = |path: &str| sections.get(path).cloned();
-    if let Some(value) = get("rules") {
-        it.rules = serde_json::from_value(value).map_err(|e| form("rules", e))?;
+/// Checks that a front with this configuration could run with these sections. An error has the path of the invalid value,
+/// what was found, and what is allowed.
+fn check_sections(config: &Config, sections: &Sections) -> Result<(), (String, String, &'static str)> {
+    let mut changed = config.clone();
+    let parse_error = |path: &str, e: serde_json::Error| {
+        (path.to_string(), e.to_string(), "what a configuration may contain")
+    };
+    let section = |name: &str| sections.get(name).cloned();
+    if let Some(value) = section("rules") {
+        changed.rules = serde_json::from_value(value).map_err(|e| parse_error("rules", e))?;
     }
-    if let Some(value) = get("prices") {
-        it.prices = serde_json::from_value(value).map_err(|e| form("prices", e))?;
+    if let Some(value) = section("prices") {
+        changed.prices = serde_json::from_value(value).map_err(|e| parse_error("prices", e))?;
     }
-    if let Some(value) = get("ladder") {
-        it.ladder = serde_json::from_value(value).map_err(|e| form("ladder", e))?;
+    if let Some(value) = section("ladder") {
+        changed.ladder = serde_json::from_value(value).map_err(|e| parse_error("ladder", e))?;
     }
-    if let Some(value) = get("limits").and_then(|it| it.get("limits").cloned()) {
-        it.limits = serde_json::from_value(value).map_err(|e| form("limits", e))?;
+    if let Some(value) = section("limits").and_then(|limits| limits.get("limits").cloned()) {
+        changed.limits = serde_json::from_value(value).map_err(|e| parse_error("limits", e))?;
     }
-    for (section, floor) in [("floors", true), ("seats", false)] {
-        for (name, value) in get(section).as_ref().and_then(Value::as_object).into_iter().flatten() {
-            let path = format!("{section}.{name}");
+    for (section_name, is_floor) in [("floors", true), ("seats", false)] {
+        for (name, value) in section(section_name).as_ref().and_then(Value::as_object).into_iter().flatten() {
+            let path = format!("{section_name}.{name}");
             let count = value.as_u64().ok_or((path.clone(), value.to_string(), "a whole number"))? as usize;
-            let product = it.products.iter_mut().find(|p| p.name == *name);
-            let product = product.ok_or((path, "no such product".into(), "one of the rundown's products"))?;
-            if floor { product.floor = count } else { product.seats = count }
+            let product = changed.products.iter_mut().find(|p| p.name == *name);
+            let product =
+                product.ok_or((path, "no such product".into(), "one of the configuration's products"))?;
+            if is_floor { product.floor = count } else { product.seats = count }
         }
     }
-    it.check()
+    changed.check()
 }
 
 impl Edge {
-    /// Looks at the approved versions; what is not taken leaves those in hand.
+    /// Loads the approved versions if their file was replaced; refused ones leave the current ones in effect.
     pub(crate) fn poll_approved_versions(&mut self) {
-        let floor = &mut self.state;
-        let Some(company) = floor.fleet.as_mut() else { return };
-        let Some(watched) = company.approved.as_mut() else { return };
+        let state = &mut self.state;
+        let Some(fleet) = state.fleet.as_mut() else { return };
+        let Some(watched) = fleet.approved_file.as_mut() else { return };
         if !watched.check_replaced() {
             return;
         }
-        let read = read(watched.file(), &floor.config).map_err(|e| e.to_string());
-        let taken = read.and_then(|chain| {
-            let number = chain.head().map(|d| d.number);
-            company.member.set_approved(chain).map(|()| number)
+        let loaded = read(watched.file(), &state.config).map_err(|e| e.to_string());
+        let accepted = loaded.and_then(|chain| {
+            let number = chain.head().map(|version| version.number);
+            fleet.member.set_approved(chain).map(|()| number)
         });
-        match taken {
+        match accepted {
             Ok(number) => {
                 watched.record_acceptance();
                 info!(target: "fleet", number, "approved version taken");
             }
             Err(e) => {
-                // It may be in the middle of being written.
+                // The file may be in the middle of being written.
                 if watched.record_refusal(&e, true) {
-                    warn!(target: "fleet", "approved version not taken, the one in hand stays: {e}");
+                    warn!(target: "fleet", "approved version not taken, the current one stays in effect: {e}");
                 }
             }
         }
--- a/crates/edge/src/fleet.rs
+++ b/crates/edge/src/fleet.rs
@@ -1,5 +1,6 @@
-//! The company of other fronts: this front's fellow, its socket, and what they are told of and tell. All that is decided
-//! is decided by the fellow's packages and the module; without peers in the rundown none of it is there.
+//! The exchange with the other fronts of the fleet: this front's [`FleetMember`], its UDP socket, and the adapter between
+//! them and the front's state. All decisions are made by the fleet member's packages and the placement logic. Without
+//! peers in the configuration there is no [`Fleet`]. Times are ms.
 
 use crate::config::Config;
 use crate::edge::Edge;
@@ -20,311 +21,329 @@
 use std::rc::Rc;
 use tracing::{debug, info, warn};
 
-/// Datagrams taken in one turn, and the largest; a longer one shows by its length.
-const TURN: usize = 256;
-const MOST: usize = 2_048;
-/// So often what this front goes by is read back and verdicts are looked at, ms.
-const VERDICTS: f64 = 500.0;
+/// Datagrams received in one turn of the event loop.
+const MAX_DATAGRAMS_PER_TURN: usize = 256;
+/// Size of the receive buffer, which exceeds the largest valid datagram, so that a longer one is recognised by its length.
+const RECEIVE_BUFFER_BYTES: usize = 2_048;
+/// Interval at which the active configuration is read back and the drift verdicts are evaluated.
+const VERDICT_INTERVAL_MS: f64 = 500.0;
 
+/// This front's side of the exchange.
 pub(crate) struct Fleet {
     pub(crate) member: FleetMember,
     socket: Rc<UdpSocket>,
-    at: BTreeMap<String, SocketAddr>,
-    /// Servers' names by their numbers.
-    pub(crate) names: BTreeMap<u64, String>,
-    /// What the choice that is sent next was drawn from.
-    drawn: Vec<(u32, f64, f64)>,
-    pub(crate) approved: Option<WatchedFiles>,
-    /// The list's revision, for the fellow.
-    pub(crate) list: Value,
-    /// Figures that this front holds itself to for being adrift, by path: its own, and the one it goes by.
-    pub(crate) held: BTreeMap<String, (f64, f64)>,
-    /// What was last written to the log: servers doubted, the lost zone, fronts that are wrong.
-    told: (BTreeSet<u64>, Option<usize>, BTreeMap<String, String>),
-    verdicts: f64,
-    set: f64,
+    /// Addresses of the other fronts, by name.
+    addresses: BTreeMap<String, SocketAddr>,
+    /// Names of the media servers, by stable id.
+    pub(crate) server_names: BTreeMap<u64, String>,
+    /// The candidates that the next allocation was drawn from: server, chance, room.
+    drawn_candidates: Vec<(u32, f64, f64)>,
+    /// The file of approved versions.
+    pub(crate) approved_file: Option<WatchedFiles>,
+    /// Revision of the server list, for the fleet member.
+    pub(crate) list_revision: Value,
+    /// Values that this front applies because it is adrift, by path: its own value and the stricter one.
+    pub(crate) stricter_values: BTreeMap<String, (f64, f64)>,
+    /// What was logged last: doubted servers, the lost zone, and fronts under alarm with their verdicts.
+    last_logged: (BTreeSet<u64>, Option<usize>, BTreeMap<String, String>),
+    /// When the verdicts are evaluated next.
+    next_verdicts_at: f64,
+    /// When the timer that was scheduled last is due.
+    timer_due_at: f64,
 }
 
 impl Fleet {
-    /// Joins the fleet that the rundown names, if it names one.
+    /// Joins the fleet that the configuration names, if it names one.
     pub(crate) fn join(
-        rundown: &Config,
+        config: &Config,
         handle: &LoopHandle<'static, Edge>,
         now: f64,
         seed: u64,
     ) -> anyhow::Result<Option<Box<Fleet>>> {
-        let (Some(fleet), Some(listen), Some(name)) =
-            (&rundown.fleet.name, rundown.fleet.listen, rundown.own_name())
+        let (Some(fleet_name), Some(listen), Some(name)) =
+            (&config.fleet.name, config.fleet.listen, config.own_name())
         else {
             return Ok(None);
         };
-        let it = &rundown.sharing;
-        let others = rundown.fleet.peers.iter().filter(|p| p.name != name);
-        let longest = rundown.products.iter().map(|p| p.time_limit_ms).fold(1_000.0, f64::max);
-        let terms = FleetConfig {
+        let sharing = &config.sharing;
+        let others = config.fleet.peers.iter().filter(|p| p.name != name);
+        let max_time_limit = config.products.iter().map(|p| p.time_limit_ms).fold(1_000.0, f64::max);
+        let fleet_config = FleetConfig {
             gossip: GossipConfig {
-                fleet: fleet.clone(),
+                fleet: fleet_name.clone(),
                 name: name.to_string(),
                 peers: others.clone().map(|p| p.name.clone()).collect(),
-                interval: it.every_ms,
-                fan_out: it.fan_out,
-                bytes_s: it.bytes_s,
-                doubted_after: it.doubted_ms,
-                unheard_after: it.unheard_ms,
+                interval: sharing.every_ms,
+                fan_out: sharing.fan_out,
+                bytes_s: sharing.bytes_s,
+                doubted_after: sharing.doubted_ms,
+                unheard_after: sharing.unheard_ms,
             },
-            zone: rundown.zones.iter().position(|z| *z == rundown.zone).unwrap_or(0),
-            zones: rundown.zones.clone(),
-            lease_ms: it.lend_ms,
-            further_s: it.further_s,
-            probes_s: it.probes_s,
-            alarm_delay: it.hold_ms,
-            stricter: it.stricter,
-            bucket: it.bucket_ms,
-            max_set_up: longest,
+            zone: config.zones.iter().position(|z| *z == config.zone).unwrap_or(0),
+            zones: config.zones.clone(),
+            lease_ms: sharing.lend_ms,
+            further_s: sharing.further_s,
+            probes_s: sharing.probes_s,
+            alarm_delay: sharing.hold_ms,
+            stricter: sharing.stricter,
+            bucket: sharing.bucket_ms,
+            max_set_up: max_time_limit,
         };
-        let at = others.map(|p| (p.name.clone(), p.at)).collect();
-        let mut fellow =
-            FleetMember::new(terms, now, now as u64, seed).map_err(|e| anyhow::anyhow!("fleet.{e}"))?;
-        let approved = it.approved.clone().map(|file| {
+        let addresses = others.map(|p| (p.name.clone(), p.at)).collect();
+        let mut member = FleetMember::new(fleet_config, now, now as u64, seed)
+            .map_err(|e| anyhow::anyhow!("fleet.{e}"))?;
+        let approved_file = sharing.approved.clone().map(|file| {
             let mut watched = WatchedFiles::new(file);
             watched.check_replaced();
             watched
         });
-        if let Some(file) = &it.approved {
-            let chain = approved_versions::read(file, rundown)?;
-            fellow.set_approved(chain).map_err(|e| anyhow::anyhow!("sharing.approved: {e}"))?;
+        if let Some(file) = &sharing.approved {
+            let chain = approved_versions::read(file, config)?;
+            member.set_approved(chain).map_err(|e| anyhow::anyhow!("sharing.approved: {e}"))?;
         }
         let socket = UdpSocket::bind(listen)
             .map_err(|e| anyhow::anyhow!("fleet.listen: {listen} can't be had: {e}"))?;
         socket.set_nonblocking(true)?;
-        info!(target: "fleet", fleet, name, address = %socket.local_addr()?, "joins");
+        info!(target: "fleet", fleet = fleet_name, name, address = %socket.local_addr()?, "joins");
         let socket = Rc::new(socket);
         let source = Generic::new(socket.try_clone()?, Interest::READ, Mode::Level);
         handle.insert_source(source, |_, _, edge: &mut Edge| {
-            edge.hear();
+            edge.receive_datagrams();
             Ok(PostAction::Continue)
         })?;
         Ok(Some(Box::new(Fleet {
-            member: fellow,
+            member,
             socket,
-            at,
-            names: BTreeMap::new(),
-            drawn: Vec::new(),
-            approved,
-            list: Value::Null,
-            held: BTreeMap::new(),
-            told: (BTreeSet::new(), None, BTreeMap::new()),
-            verdicts: now,
-            set: f64::INFINITY,
+            addresses,
+            server_names: BTreeMap::new(),
+            drawn_candidates: Vec::new(),
+            approved_file,
+            list_revision: Value::Null,
+            stricter_values: BTreeMap::new(),
+            last_logged: (BTreeSet::new(), None, BTreeMap::new()),
+            next_verdicts_at: now,
+            timer_due_at: f64::INFINITY,
         })))
     }
 
-    fn send(&self, out: Vec<pulleystair_fleet_member::Datagram>) {
-        for it in out {
-            if let Some(at) = self.at.get(self.member.name(it.to)) {
-                // What can't be sent now is lost as any other is.
-                let _ = self.socket.send_to(&it.bytes, at);
+    /// Sends datagrams to other fronts.
+    fn send(&self, datagrams: Vec<pulleystair_fleet_member::Datagram>) {
+        for datagram in datagrams {
+            if let Some(address) = self.addresses.get(self.member.name(datagram.to)) {
+                // A datagram that can't be sent now counts as lost, like any other.
+                let _ = self.socket.send_to(&datagram.bytes, address);
             }
         }
     }
 }
 
 impl EdgeState {
-    fn number(&self, server: u32) -> u64 {
+    /// The id of a server that is the same at all fronts; 0 for an unknown server.
+    fn stable_server_id(&self, server: u32) -> u64 {
         self.servers.get(server as usize).map_or(0, |s| s.stable_id)
     }
 
-    /// The list as the fellow is told it.
+    /// Passes a new server list to the fleet member.
     pub(crate) fn fleet_update_list(&mut self, list: &List) {
-        let rundown = &self.config;
-        let zone = |name: &str| rundown.zones.iter().position(|z| z == name).unwrap_or(0);
-        let listed = |s: &&crate::server_list::Server| s.state == State::Ready;
+        let config = &self.config;
+        let zone = |name: &str| config.zones.iter().position(|z| z == name).unwrap_or(0);
+        let is_ready = |s: &&crate::server_list::Server| s.state == State::Ready;
         let servers: Vec<ListedServer> = list
             .servers
             .iter()
-            .filter(listed)
+            .filter(is_ready)
             .map(|s| ListedServer {
                 server: Server {
                     id: stable_id(&s.name),
                     zone: zone(&s.zone),
                     cell: s.cell,
-                    link: s.weight * rundown.fleet.link_unit_kb,
+                    link: s.weight * config.fleet.link_unit_kb,
                 },
                 born: s.started_ms as u64,
-                cold_until: s.started_ms + rundown.rules.cold_ms,
+                cold_until: s.started_ms + config.rules.cold_ms,
             })
             .collect();
-        let mut rows: Vec<(usize, usize)> = list.titles.iter().map(|t| (t.first_cell, t.holders)).collect();
-        rows.sort_unstable();
-        rows.dedup();
-        let cells = rundown.fleet.cells;
+        let mut cell_ranges: Vec<(usize, usize)> =
+            list.titles.iter().map(|t| (t.first_cell, t.holders)).collect();
+        cell_ranges.sort_unstable();
+        cell_ranges.dedup();
+        let cells = config.fleet.cells;
         let holders = |(first, count): (usize, usize)| -> Vec<u64> {
-            let has = |s: &&ListedServer| (s.server.cell + cells - first) % cells < count;
-            servers.iter().filter(has).map(|s| s.server.id).collect()
+            let is_holder = |s: &&ListedServer| (s.server.cell + cells - first) % cells < count;
+            servers.iter().filter(is_holder).map(|s| s.server.id).collect()
         };
-        let titles = rows.into_iter().map(holders).collect();
-        let Some(company) = self.fleet.as_mut() else { return };
-        company.names = list.servers.iter().map(|s| (stable_id(&s.name), s.name.clone())).collect();
-        company.list = active_config::revision(list);
-        company.member.update_list(&servers, titles);
+        let holders_of_titles = cell_ranges.into_iter().map(holders).collect();
+        let Some(fleet) = self.fleet.as_mut() else { return };
+        fleet.server_names = list.servers.iter().map(|s| (stable_id(&s.name), s.name.clone())).collect();
+        fleet.list_revision = active_config::list_revision(list);
+        fleet.member.update_list(&servers, holders_of_titles);
     }
 
-    pub(crate) fn fleet_record_candidates(&mut self, odds: &[(u32, f64, f64)]) {
-        if let Some(company) = self.fleet.as_mut() {
-            company.drawn = odds.to_vec();
+    /// Remembers the candidates that the next allocation was drawn from: server, chance, room.
+    pub(crate) fn fleet_record_candidates(&mut self, candidates: &[(u32, f64, f64)]) {
+        if let Some(fleet) = self.fleet.as_mut() {
+            fleet.drawn_candidates = candidates.to_vec();
         }
     }
 
-    /// An allocation goes out.
+    /// Records that allocation number `n` of a play is sent to a server.
     pub(crate) fn fleet_on_sent(&mut self, now: f64, play: u64, n: usize, server: u32) {
         if self.fleet.is_none() {
             return;
         }
-        let id = self.number(server);
+        let id = self.stable_server_id(server);
         let Some(session) = self.sessions.get(play) else { return };
         let (product, title) = (session.product as u16, stable_id(&session.title.name) as u32);
-        let drawn = self.fleet.as_mut().map(|it| std::mem::take(&mut it.drawn)).unwrap_or_default();
+        let drawn =
+            self.fleet.as_mut().map(|fleet| std::mem::take(&mut fleet.drawn_candidates)).unwrap_or_default();
         let zones = &self.config.zones;
-        let at = |number: u32| self.servers.get(number as usize);
+        let server_by_number = |number: u32| self.servers.get(number as usize);
         let candidates: Vec<Candidate> = drawn
             .iter()
             .filter_map(|(number, chance, room)| {
-                let server = at(*number)?;
+                let server = server_by_number(*number)?;
                 let zone = zones.iter().position(|z| *z == server.zone).unwrap_or(0);
-                let server = Candidate {
+                let candidate = Candidate {
                     server: server.stable_id,
                     born: server.started_at,
                     zone,
                     chance: *chance,
                     room: *room,
                 };
-                Some(server)
+                Some(candidate)
             })
             .collect();
         let chosen = candidates.iter().position(|c| c.server == id);
-        let Some(company) = self.fleet.as_mut() else { return };
-        company.member.on_sent(now, id, n > 1);
+        let Some(fleet) = self.fleet.as_mut() else { return };
+        fleet.member.on_sent(now, id, n > 1);
         if let Some(chosen) = chosen {
-            company.member.outcomes.record_choice(play, n as u32, product, title.max(1), chosen, candidates);
+            fleet.member.outcomes.record_choice(play, n as u32, product, title.max(1), chosen, candidates);
         }
     }
 
+    /// Records that a server was probed.
     pub(crate) fn fleet_on_probed(&mut self, server: u32) {
-        let (now, id) = (self.now(), self.number(server));
-        if let Some(company) = self.fleet.as_mut() {
-            company.member.on_probed(now, id);
+        let (now, id) = (self.now(), self.stable_server_id(server));
+        if let Some(fleet) = self.fleet.as_mut() {
+            fleet.member.on_probed(now, id);
         }
     }
 
-    /// An allocation that was out plays, or is out no more.
+    /// Records the result of an allocation: it plays, or it ended.
     pub(crate) fn fleet_on_result(&mut self, now: f64, play: u64, server: u32, outcome: Outcome) {
         if self.fleet.is_none() {
             return;
         }
         let Some(session) = self.sessions.get(play) else { return };
-        let (n, waited, id) = (session.allocation_count() as u32, now - session.sent_at, self.number(server));
-        let wall = self.wall_clock_now();
-        let Some(company) = self.fleet.as_mut() else { return };
-        company.member.on_allocation_result(now, wall, id, (play, n), outcome, waited);
+        let (n, set_up_time, id) =
+            (session.allocation_count() as u32, now - session.sent_at, self.stable_server_id(server));
+        let wall_clock = self.wall_clock_now();
+        let Some(fleet) = self.fleet.as_mut() else { return };
+        fleet.member.on_allocation_result(now, wall_clock, id, (play, n), outcome, set_up_time);
     }
 }
 
 impl Edge {
-    /// Datagrams of other fronts.
-    fn hear(&mut self) {
+    /// Receives datagrams of other fronts and sends the replies.
+    fn receive_datagrams(&mut self) {
         let now = self.state.now();
-        let Some(company) = self.state.fleet.as_mut() else { return };
-        let mut room = [0; MOST];
-        for _ in 0..TURN {
-            match company.socket.recv_from(&mut room) {
-                Ok((n, _)) => {
-                    let out = company.member.receive(now, &room[..n]);
-                    company.send(out);
+        let Some(fleet) = self.state.fleet.as_mut() else { return };
+        let mut buffer = [0; RECEIVE_BUFFER_BYTES];
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+            match fleet.socket.recv_from(&mut buffer) {
+                Ok((length, _)) => {
+                    let datagrams = fleet.member.receive(now, &buffer[..length]);
+                    fleet.send(datagrams);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                // On loopback a datagram to a front that is away comes back as an error of the next call.
+                // On loopback a datagram to a front that is not running causes an error at the next call.
                 Err(_) => {}
             }
         }
         self.sync_fleet();
     }
 
-    /// Looks at the fellow if it wants to be; before anything is decided, so that no loan is used after its end.
+    /// Ticks the fleet member if it is due, evaluates the verdicts if they are due, and schedules the next call. Runs before
+    /// any decision, so that no lease is used after its end.
     pub(crate) fn sync_fleet(&mut self) {
-        let floor = &mut self.state;
-        let (now, wall) = (floor.now(), floor.wall_clock_now());
-        let Some(company) = floor.fleet.as_mut() else { return };
-        if now >= company.member.next_deadline() {
+        let state = &mut self.state;
+        let (now, wall_clock) = (state.now(), state.wall_clock_now());
+        let Some(fleet) = state.fleet.as_mut() else { return };
+        if now >= fleet.member.next_deadline() {
             let numbers: BTreeMap<u64, u32> =
-                (0..).zip(&floor.servers).map(|(n, server)| (server.stable_id, n)).collect();
-            let id = |n: &u32| floor.servers.get(*n as usize).map(|s| s.stable_id);
-            company.member.on_waiting(now, self.dispatcher.awaited_servers().iter().filter_map(id));
+                (0..).zip(&state.servers).map(|(n, server)| (server.stable_id, n)).collect();
+            let id = |n: &u32| state.servers.get(*n as usize).map(|s| s.stable_id);
+            fleet.member.on_waiting(now, self.dispatcher.awaited_servers().iter().filter_map(id));
             let counts = self.dispatcher.play_counts();
             let counts = counts.iter().filter_map(|((n, product), c)| Some(((id(n)?, *product as u16), *c)));
-            company.member.set_play_counts(counts.collect());
-            let (given, out) = company.member.tick(now, wall);
-            company.send(out);
-            let given: Vec<(u32, ServerHint)> =
-                given.iter().filter_map(|it| Some((*numbers.get(&it.server)?, policy_hint(it)))).collect();
-            company.log_beliefs();
-            if !given.is_empty() {
-                debug!(target: "fleet", servers = given.len(), "told of servers");
-                self.dispatcher.apply_hints(now, &given);
+            fleet.member.set_play_counts(counts.collect());
+            let (hints, datagrams) = fleet.member.tick(now, wall_clock);
+            fleet.send(datagrams);
+            let hints: Vec<(u32, ServerHint)> = hints
+                .iter()
+                .filter_map(|hint| Some((*numbers.get(&hint.server)?, policy_hint(hint))))
+                .collect();
+            fleet.log_health();
+            if !hints.is_empty() {
+                debug!(target: "fleet", servers = hints.len(), "received hints on servers from other fronts");
+                self.dispatcher.apply_hints(now, &hints);
             }
         }
-        if self.state.fleet.as_ref().is_some_and(|it| now >= it.verdicts) {
-            self.verdicts(now, wall);
+        if self.state.fleet.as_ref().is_some_and(|fleet| now >= fleet.next_verdicts_at) {
+            self.update_verdicts(now, wall_clock);
         }
-        let Some(company) = self.state.fleet.as_mut() else { return };
-        let due = company.member.next_deadline().min(company.verdicts);
-        // A clock can't be taken back: one is set only where none rings by then.
-        if due < company.set || company.set <= now {
-            company.set = due;
-            self.state.schedule(due, Timer::FleetSync);
+        let Some(fleet) = self.state.fleet.as_mut() else { return };
+        let due_at = fleet.member.next_deadline().min(fleet.next_verdicts_at);
+        // A timer can't be cancelled: one is scheduled only if no earlier one is pending.
+        if due_at < fleet.timer_due_at || fleet.timer_due_at <= now {
+            fleet.timer_due_at = due_at;
+            self.state.schedule(due_at, Timer::FleetSync);
         }
     }
 
-    fn verdicts(&mut self, now: f64, wall: f64) {
-        let sections = self.goes_by();
-        let Some(company) = self.state.fleet.as_mut() else { return };
-        company.verdicts = now + VERDICTS;
-        company.member.set_active(sections);
-        let stricter = company.member.stricter(wall);
-        if let Some(fleet) = company.member.drift(now, wall) {
-            let mut wrong = BTreeMap::new();
-            for it in fleet.fronts.iter().filter(|it| it.alarm) {
-                wrong.insert(it.front.clone(), it.verdict.name().to_string());
-                if company.told.2.get(&it.front).map(String::as_str) != Some(it.verdict.name()) {
-                    warn!(target: "fleet", front = it.front, verdict = it.verdict.name(), rule = it.rule, differs = ?it.differences, "drift");
+    /// Reads back the active configuration, logs changes of the drift verdicts, and applies stricter values while adrift.
+    fn update_verdicts(&mut self, now: f64, wall_clock: f64) {
+        let sections = self.active_sections();
+        let Some(fleet) = self.state.fleet.as_mut() else { return };
+        fleet.next_verdicts_at = now + VERDICT_INTERVAL_MS;
+        fleet.member.set_active(sections);
+        let stricter = fleet.member.stricter(wall_clock);
+        if let Some(status) = fleet.member.drift(now, wall_clock) {
+            let mut under_alarm = BTreeMap::new();
+            for front in status.fronts.iter().filter(|front| front.alarm) {
+                under_alarm.insert(front.front.clone(), front.verdict.name().to_string());
+                if fleet.last_logged.2.get(&front.front).map(String::as_str) != Some(front.verdict.name()) {
+                    warn!(target: "fleet", front = front.front, verdict = front.verdict.name(), rule = front.rule, differs = ?front.differences, "drift alarm raised");
                 }
             }
-            for front in company.told.2.keys().filter(|front| !wrong.contains_key(*front)) {
-                info!(target: "fleet", front, "drift is over");
+            for front in fleet.last_logged.2.keys().filter(|front| !under_alarm.contains_key(*front)) {
+                info!(target: "fleet", front, "drift alarm cleared");
             }
-            company.told.2 = wrong;
+            fleet.last_logged.2 = under_alarm;
         }
-        self.hold_to(&stricter);
+        self.apply_stricter_values(&stricter);
     }
 
-    /// All that this front can tell of the fleet, for `pulleystair-edge drift`.
+    /// Status report on the fleet as this front knows it, for `pulleystair-edge drift`; none without a fleet.
     pub(crate) fn fleet_status(&mut self) -> Option<Value> {
-        let (now, wall) = (self.state.now(), self.state.wall_clock_now());
-        self.verdicts(now, wall);
-        let company = self.state.fleet.as_mut()?;
-        let names = company.names.clone();
-        Some(company.member.status_report(now, wall, &names))
+        let (now, wall_clock) = (self.state.now(), self.state.wall_clock_now());
+        self.update_verdicts(now, wall_clock);
+        let fleet = self.state.fleet.as_mut()?;
+        let server_names = fleet.server_names.clone();
+        Some(fleet.member.status_report(now, wall_clock, &server_names))
     }
 }
 
 impl Fleet {
-    fn log_beliefs(&mut self) {
-        let belief = self.member.health();
-        if belief.doubted == self.told.0 && belief.lost == self.told.1 {
+    /// Logs the doubted servers and the lost zone if they have changed.
+    fn log_health(&mut self) {
+        let health = self.member.health();
+        if health.doubted == self.last_logged.0 && health.lost == self.last_logged.1 {
             return;
         }
-        let name = |id: &u64| self.names.get(id).cloned().unwrap_or_default();
-        let doubted: Vec<String> = belief.doubted.iter().map(name).collect();
-        info!(target: "fleet", ?doubted, zone_lost = belief.lost, "doubted on hearsay");
-        (self.told.0, self.told.1) = (belief.doubted.clone(), belief.lost);
+        let name = |id: &u64| self.server_names.get(id).cloned().unwrap_or_default();
+        let doubted: Vec<String> = health.doubted.iter().map(name).collect();
+        info!(target: "fleet", ?doubted, zone_lost = health.lost, "doubted servers changed");
+        (self.last_logged.0, self.last_logged.1) = (health.doubted.clone(), health.lost);
     }
 }
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -130,8 +130,9 @@
         self.poll_list();
         self.poll_keys();
         self.poll_tls();
-        if let Some(approved) = self.state.fleet.as_mut().and_then(|fleet| fleet.approved.as_mut()) {
-            approved.force_reread();
+        if let Some(approved_file) = self.state.fleet.as_mut().and_then(|fleet| fleet.approved_file.as_mut())
+        {
+            approved_file.force_reread();
         }
         self.poll_approved_versions();
     }
