--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,10 +1,18 @@
-//! The running front. `main.rs` is the command line; [`edge`] is the loop, `players` and `servers` what comes from either,
-//! `watch` the files that are looked at meanwhile, `state` what the desk's hands work with (`actions`), with `answers` to players and
-//! `server_requests` to servers; `fleet` the exchange with other fronts, `active_config` and `approved_versions` what this front goes by and
-//! what was approved. [`config`] is what a front is
-//! given at start, [`server_list`] the list of servers and titles, [`sessions`] who asked for what and was answered how,
-//! [`http`] the codec, [`connections`] the connections, `tls` their certificates, `stats` its sums for the log, and [`segment_read`] a segment's read through
-//! all its tries.
+//! The front process: takes viewers' requests over HTTP, sets their plays up at media servers, and relays segments.
+//! `main.rs` is the command line.
+//!
+//! - [`edge`]: the event loop, and the start and stop of a front.
+//! - `players`, `servers`: events of connections to players and to media servers.
+//! - `state`: what the front holds beside the dispatcher; `actions` carries out the dispatcher's decisions on it, with
+//!   `answers` to players and `server_requests` to media servers.
+//! - [`sessions`]: the table of sessions, with who requested each and how it was answered.
+//! - [`segment_read`]: one segment read over all its tries.
+//! - [`connections`]: the roles of connections; [`http`]: the HTTP codec; `tls`: certificates.
+//! - [`config`]: the configuration file; [`server_list`]: the list of servers and titles; `watch`: polling of the files
+//!   that may be replaced while the front runs.
+//! - `fleet`: the exchange with other fronts; [`active_config`]: the configuration in effect; [`approved_versions`]: the
+//!   approved versions; [`status`]: queries a running front.
+//! - `stats`: counters for the log.
 
 mod actions;
 pub mod active_config;
--- a/crates/edge/src/main.rs
+++ b/crates/edge/src/main.rs
@@ -1,4 +1,4 @@
-//! `pulleystair-edge`: runs a front, or checks and shows the rundown it would run by.
+//! `pulleystair-edge`: the command line. Runs a front, checks or shows its configuration, or queries a running front.
 
 use anyhow::Context;
 use clap::{Parser, Subcommand, ValueEnum};
@@ -20,13 +20,13 @@
     about = "Answers players and sets their plays up at media servers"
 )]
 struct Command {
-    /// How the log is written, to standard error
+    /// Format of the log, which is written to standard error
     #[arg(long, value_enum, default_value = "text", global = true)]
     log: Log,
-    /// What is logged: a level, or targets with levels such as `play=info,server=debug`
+    /// What is logged: a level, or targets with levels, such as `play=info,server=debug`
     #[arg(long, default_value = "info", global = true)]
     level: String,
-    /// Lines that may wait for whoever reads the log; further ones are dropped and counted
+    /// Log lines that may wait for a slow reader; further lines are dropped and counted
     #[arg(long, default_value_t = 65_536, global = true)]
     log_lines: usize,
     #[command(subcommand)]
@@ -41,65 +41,66 @@
 
 #[derive(Subcommand)]
 enum Job {
-    /// Run a front by this rundown until SIGTERM
+    /// Run a front with this configuration file until SIGTERM
     Run { rundown: PathBuf },
-    /// Run a front on the platform's protocol, by the posting that PROXY_CONFIG names, until SIGTERM
+    /// Run a front on the platform's protocol, with the configuration file that PROXY_CONFIG names, until SIGTERM
     Node,
-    /// Check a rundown and its list of servers, and say what is wrong
+    /// Check a configuration file and its list of servers, and print the first error
     Check { rundown: PathBuf },
-    /// Show a rundown with its defaults filled in, as JSON
+    /// Print a configuration file with its defaults filled in, as JSON
     Show { rundown: PathBuf },
-    /// Ask the running front of this rundown whether the fleet goes by what was approved; ends with 0 if so, 1 if a front
-    /// does not, 2 if nobody can say
+    /// Query the running front of this configuration file for whether the fleet runs the approved version; the exit code is 0
+    /// if so, 1 if a front does not, 2 if that is unknown
     Drift {
         rundown: PathBuf,
-        /// All that the front tells, as JSON
+        /// Print the whole status report, as JSON
         #[arg(long)]
         json: bool,
     },
 }
 
-/// Logs by a thread of its own, which writes what is left when the guard is dropped. A reader that is slow must not stall
-/// viewers: what it does not take is dropped, and counted.
-fn logs(command: &Command) -> anyhow::Result<(WorkerGuard, ErrorCounter)> {
+/// Starts logging on a separate thread, which writes the remaining lines when the returned guard is dropped. A slow reader
+/// of the log must not stall viewers: lines that it does not take in time are dropped and counted.
+fn init_logging(command: &Command) -> anyhow::Result<(WorkerGuard, ErrorCounter)> {
     let filter = EnvFilter::try_new(&command.level)?;
-    let lines = NonBlockingBuilder::default().buffered_lines_limit(command.log_lines).lossy(true);
-    let (writer, guard) = lines.finish(std::io::stderr());
-    let dropped = writer.error_counter();
-    let to = tracing_subscriber::fmt().with_env_filter(filter).with_writer(writer);
+    let writer_builder = NonBlockingBuilder::default().buffered_lines_limit(command.log_lines).lossy(true);
+    let (writer, guard) = writer_builder.finish(std::io::stderr());
+    let dropped_lines = writer.error_counter();
+    let subscriber = tracing_subscriber::fmt().with_env_filter(filter).with_writer(writer);
     match command.log {
-        Log::Text => to.with_ansi(false).init(),
-        Log::Json => to.json().flatten_event(true).init(),
+        Log::Text => subscriber.with_ansi(false).init(),
+        Log::Json => subscriber.json().flatten_event(true).init(),
     }
-    Ok((guard, dropped))
+    Ok((guard, dropped_lines))
 }
 
 fn run(command: Command) -> anyhow::Result<ExitCode> {
     let stop = stop_signals()?;
-    let (_guard, dropped) = logs(&command)?;
+    let (_guard, dropped_lines) = init_logging(&command)?;
     match command.job {
         Job::Drift { rundown, json } => {
-            let told = status::query(&Config::read(&rundown)?)?;
-            let text = if json { serde_json::to_string_pretty(&told)? + "\n" } else { status::table(&told) };
+            let report = status::query(&Config::read(&rundown)?)?;
+            let text =
+                if json { serde_json::to_string_pretty(&report)? + "\n" } else { status::table(&report) };
             std::io::stdout().write_all(text.as_bytes())?;
-            return Ok(ExitCode::from(status::exit_code(&told)));
+            return Ok(ExitCode::from(status::exit_code(&report)));
         }
-        Job::Run { rundown } => edge::run(Config::read(&rundown)?, stop, dropped)?,
+        Job::Run { rundown } => edge::run(Config::read(&rundown)?, stop, dropped_lines)?,
         Job::Node => {
-            let path = std::env::var_os("PROXY_CONFIG").context("PROXY_CONFIG names no file")?;
+            let path = std::env::var_os("PROXY_CONFIG").context("PROXY_CONFIG is not set")?;
             pulleystair_node::run(NodeConfig::read(Path::new(&path))?, stop)?;
         }
         Job::Check { rundown } => {
-            let it = Config::read(&rundown)?;
-            let list = read_list(&it)?;
-            if let Some(file) = &it.sharing.approved {
-                approved_versions::read(file, &it)?;
+            let config = Config::read(&rundown)?;
+            let list = read_list(&config)?;
+            if let Some(file) = &config.sharing.approved {
+                approved_versions::read(file, &config)?;
             }
             println!(
                 "{}: good; {} products, {} rungs, {} servers, {} titles",
                 rundown.display(),
-                it.products.len(),
-                it.ladder.len(),
+                config.products.len(),
+                config.ladder.len(),
                 list.servers.len(),
                 list.titles.len()
             );
@@ -113,14 +114,14 @@
 
 fn main() -> ExitCode {
     let command = Command::parse();
-    let drift = matches!(command.job, Job::Drift { .. });
+    let is_drift = matches!(command.job, Job::Drift { .. });
     match run(command) {
         Ok(code) => code,
         Err(e) => {
-            // Whoever should read it may be gone, which is no reason to end in a panic.
+            // A failed write to standard error must not cause a panic: its reader may have exited.
             let _ = writeln!(std::io::stderr(), "pulleystair-edge: {e:#}");
-            // Whether a fleet is in step is not known where its front can't be asked.
-            if drift { ExitCode::from(2) } else { ExitCode::FAILURE }
+            // Whether the fleet is in step is unknown if its front can't be queried.
+            if is_drift { ExitCode::from(2) } else { ExitCode::FAILURE }
         }
     }
 }
