--- a/crates/admission/src/concurrency.rs
+++ b/crates/admission/src/concurrency.rs
@@ -181,7 +181,7 @@
     fn losses_lower_the_limit_within_its_bounds() {
         let mut limit = ConcurrencyLimit::new(CONFIG);
         (0..2000).for_each(|_| limit.on_lost(limit.clone().current()));
-        // The room for a small queue lets a few plays through, which find out when the fleet is back.
+        // The room for a small queue lets a few plays through, by which the fleet's recovery is noticed.
         assert!((4..=10).contains(&limit.current()), "{}", limit.current());
         run(&mut limit, 100_000, 100_000, 50_000);
         assert_eq!(limit.current(), 1000);
--- a/crates/admission/src/wall_clock.rs
+++ b/crates/admission/src/wall_clock.rs
@@ -54,7 +54,7 @@
             let passed = clock.time_at(now) - previous;
             assert!(
                 (899.0..=1101.0).contains(&passed),
-                "the time of day goes neither back nor jumps: {passed}"
+                "the time of day neither goes back nor jumps: {passed}"
             );
             previous = clock.time_at(now);
             if second == 50 {
--- a/crates/edge/src/config/mod.rs
+++ b/crates/edge/src/config/mod.rs
@@ -127,9 +127,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
+    /// A second set-up does no harm, like a second read.
     #[default]
     ReadLike,
+    /// A second set-up does no harm within the repeat window and the repeat group.
     IdempotencyKey,
+    /// A second set-up does harm.
     NonIdempotent,
 }
 
@@ -137,9 +140,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Group {
+    /// All servers.
     #[default]
     All,
+    /// Servers of the same zone.
     Zone,
+    /// Servers of the same cell.
     Cell,
 }
 
--- a/crates/edge/src/config/sharing.rs
+++ b/crates/edge/src/config/sharing.rs
@@ -10,7 +10,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peer {
+    /// Its name, unique among the fronts.
     pub name: String,
+    /// Its UDP address.
     pub at: SocketAddr,
 }
 
--- a/crates/edge/src/server_list.rs
+++ b/crates/edge/src/server_list.rs
@@ -17,7 +17,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct List {
+    /// The media servers; at least one.
     pub servers: Vec<Server>,
+    /// The titles that viewers may ask for.
     pub titles: Vec<Title>,
 }
 
@@ -25,14 +27,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
+    /// Its name, unique in the list.
     pub name: String,
+    /// Address at which the front connects to it.
     pub address: SocketAddr,
+    /// Its zone, one of the configuration's `zones`.
     pub zone: String,
+    /// Its kind, one of the configuration's `fleet.kinds`.
     pub kind: String,
     /// Its cell; it holds the titles of that cell.
     pub cell: usize,
     /// Its capacity relative to other servers.
     pub weight: f64,
+    /// Whether it takes new plays.
     #[serde(default)]
     pub state: State,
     /// When its process last started, ms since 1970; 0 if that was long ago.
@@ -40,7 +47,7 @@
     pub started_ms: f64,
 }
 
-/// Whether a server takes new plays.
+/// State of a server: takes new plays, or only continues those that it has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
@@ -53,7 +60,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Title {
+    /// Its name, unique within its product.
     pub name: String,
+    /// Its product, one of the configuration's `products`.
     pub product: String,
     /// The first of the consecutive cells that hold the title.
     pub first_cell: usize,
@@ -123,9 +132,13 @@
 
 /// What a list must agree with: the values of the configuration that its entries refer to.
 pub struct ListContext<'a> {
+    /// All zones.
     pub zones: &'a [String],
+    /// Names of the kinds of servers.
     pub kinds: Vec<&'a str>,
+    /// Names of the products.
     pub products: Vec<&'a str>,
+    /// Number of cells.
     pub cells: usize,
     /// Whether servers are verified by certificates, which must contain their names.
     pub uses_tls: bool,
--- a/crates/edge/src/tls.rs
+++ b/crates/edge/src/tls.rs
@@ -25,8 +25,11 @@
 /// How near its expiry a certificate is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expiry {
+    /// Not within the time of the warning, or there is no certificate.
     Far,
+    /// Within the time of the warning.
     Near,
+    /// Expired.
     Past,
 }
 
@@ -43,7 +46,9 @@
 
 /// The TLS configurations in effect; none for a side that does not use TLS.
 pub struct TlsConfigs {
+    /// Towards players.
     pub players: Option<Loaded<ServerConfig>>,
+    /// Towards media servers.
     pub servers: Option<Loaded<ClientConfig>>,
     sides: (Option<WatchedSide<ServerConfig>>, Option<WatchedSide<ClientConfig>>),
 }
--- a/crates/orca/src/lib.rs
+++ b/crates/orca/src/lib.rs
@@ -15,10 +15,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Report {
+    /// Utilisation of the CPU.
     pub cpu_utilization: Option<f64>,
+    /// Utilisation of the memory.
     pub mem_utilization: Option<f64>,
+    /// Utilisation as the application itself defines it.
     pub application_utilization: Option<f64>,
+    /// Requests per second.
     pub rps_fractional: Option<f64>,
+    /// Errors per second.
     pub eps: Option<f64>,
     /// Utilisation of named resources, 0 to 1.
     pub utilization: BTreeMap<String, f64>,
