--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -16,19 +16,19 @@
 
 use message::{Change, MAX_BYTES, Message, MessageError, Origin, RowVersion};
 use oorandom::Rand32;
-use row::{Row, Taken};
+use row::{ChangeResult, Row};
 use std::collections::{BTreeMap, VecDeque};
 pub use view::{Datagram, FrontView, GossipStats, Liveness};
 
 /// Clocks of two fronts run apart by no more than this part; spans that must not be too short are longer by it.
 pub const MAX_CLOCK_DRIFT: f64 = 0.01;
 /// Questions whose answers are still taken.
-const ASKED: usize = 64;
+const MAX_OPEN_QUESTIONS: usize = 64;
 /// Rows told of in one question: so many that changed last, and so many in turn.
-const LATEST: usize = 14;
-const IN_TURN: usize = 18;
+const LATEST_ROWS: usize = 14;
+const ROTATING_ROWS: usize = 18;
 /// Datagrams that answer one.
-const ANSWERS: usize = 4;
+const MAX_ANSWERS: usize = 4;
 /// A cell's value, bytes: it must fit into a datagram with its head.
 pub const MAX_CELL_BYTES: usize = 1_000;
 
@@ -50,9 +50,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeerListError {
     #[error("peers: {0:?} is listed twice, or is this front")]
-    Twice(String),
+    Duplicate(String),
     #[error("peers: {0:?} and {1:?} have one checksum; rename one of them")]
-    Alike(String, String),
+    SameChecksum(String, String),
 }
 
 pub fn origin_of(name: &str) -> Origin {
@@ -60,61 +60,61 @@
 }
 
 pub struct Gossip {
-    terms: GossipConfig,
+    config: GossipConfig,
     fleet: u32,
-    own: Origin,
-    rnd: Rand32,
+    own_origin: Origin,
+    rng: Rand32,
     names: BTreeMap<Origin, String>,
     rows: BTreeMap<Origin, Row>,
     /// Others in an order drawn anew each time it is through: each is asked equally often.
     order: Vec<Origin>,
     /// Where the rows told of in turn go on.
-    turn: usize,
+    rotation: usize,
     nonce: u32,
-    asked: VecDeque<(u32, Origin, f64)>,
-    next: f64,
-    purse: (f64, f64),
+    open_questions: VecDeque<(u32, Origin, f64)>,
+    next_round_at: f64,
+    token_bucket: (f64, f64),
     pub stats: GossipStats,
 }
 
 impl Gossip {
     /// `incarnation` must be above that of any earlier start of this front, as a wall clock's reading is; one that is
     /// not is raised once a peer tells.
-    pub fn new(terms: GossipConfig, now: f64, incarnation: u64, seed: u64) -> Result<Gossip, PeerListError> {
-        let own = origin_of(&terms.name);
-        let mut names = BTreeMap::from([(own, terms.name.clone())]);
-        for peer in &terms.peers {
+    pub fn new(config: GossipConfig, now: f64, incarnation: u64, seed: u64) -> Result<Gossip, PeerListError> {
+        let own_origin = origin_of(&config.name);
+        let mut names = BTreeMap::from([(own_origin, config.name.clone())]);
+        for peer in &config.peers {
             match names.insert(origin_of(peer), peer.clone()) {
-                Some(other) if other == *peer => return Err(PeerListError::Twice(other)),
-                Some(other) => return Err(PeerListError::Alike(other, peer.clone())),
+                Some(other) if other == *peer => return Err(PeerListError::Duplicate(other)),
+                Some(other) => return Err(PeerListError::SameChecksum(other, peer.clone())),
                 None => {}
             }
         }
         let mut rows: BTreeMap<Origin, Row> = names.keys().map(|o| (*o, Row::default())).collect();
-        rows.insert(own, Row { incarnation, as_of: f64::INFINITY, ..Row::default() });
+        rows.insert(own_origin, Row { incarnation, as_of: f64::INFINITY, ..Row::default() });
         Ok(Gossip {
-            fleet: crc32c::crc32c(terms.fleet.as_bytes()),
-            own,
-            rnd: Rand32::new(seed ^ u64::from(own)),
+            fleet: crc32c::crc32c(config.fleet.as_bytes()),
+            own_origin,
+            rng: Rand32::new(seed ^ u64::from(own_origin)),
             names,
             rows,
             order: Vec::new(),
-            turn: 0,
+            rotation: 0,
             nonce: 0,
-            asked: VecDeque::new(),
-            next: now,
-            purse: (terms.bytes_s, now),
+            open_questions: VecDeque::new(),
+            next_round_at: now,
+            token_bucket: (config.bytes_s, now),
             stats: GossipStats::default(),
-            terms,
+            config,
         })
     }
 
-    pub fn own(&self) -> Origin {
-        self.own
+    pub fn own_origin(&self) -> Origin {
+        self.own_origin
     }
 
     pub fn incarnation(&self) -> u64 {
-        self.rows[&self.own].incarnation
+        self.rows[&self.own_origin].incarnation
     }
 
     pub fn name(&self, origin: Origin) -> &str {
@@ -122,13 +122,13 @@
     }
 
     /// Writes a cell of this front's own row; a value that stands there already is no change. False where it is too long.
-    pub fn put(&mut self, key: u16, value: Vec<u8>) -> bool {
+    pub fn set_cell(&mut self, key: u16, value: Vec<u8>) -> bool {
         let fits = value.len() <= MAX_CELL_BYTES;
-        if let Some(row) = self.rows.get_mut(&self.own).filter(|_| fits)
-            && row.cells.get(&key).is_none_or(|(_, was)| *was != value)
+        if let Some(row) = self.rows.get_mut(&self.own_origin).filter(|_| fits)
+            && row.cells.get(&key).is_none_or(|(_, old_value)| *old_value != value)
         {
             row.version += 1;
-            row.set(key, row.version, value);
+            row.set_cell(key, row.version, value);
         }
         fits
     }
@@ -144,75 +144,79 @@
 
     fn view<'a>(&self, now: f64, origin: Origin, row: &'a Row) -> FrontView<'a> {
         let age = row.age(now);
-        let silence = match age {
-            _ if age > self.terms.unheard_after => Liveness::Unheard,
-            _ if age > self.terms.doubted_after => Liveness::Doubted,
+        let liveness = match age {
+            _ if age > self.config.unheard_after => Liveness::Unheard,
+            _ if age > self.config.doubted_after => Liveness::Doubted,
             _ => Liveness::Heard,
         };
-        let contradictory = now < row.contradicted + self.terms.unheard_after;
+        let contradictory = now < row.contradicted_at + self.config.unheard_after;
         let Row { incarnation, version, .. } = *row;
-        FrontView { origin, incarnation, version, age, silence, contradictory, row }
+        FrontView { origin, incarnation, version, age, liveness, contradictory, row }
     }
 
     /// When the next round is due.
     pub fn next_deadline(&self) -> f64 {
-        self.next
+        self.next_round_at
     }
 
     /// Asks a few others, if a round is due.
     pub fn run_round(&mut self, now: f64) -> Vec<Datagram> {
-        if now < self.next {
+        if now < self.next_round_at {
             return Vec::new();
         }
         // Uneven, so that fronts which started together do not ask together.
-        self.next = now + self.terms.interval * (0.75 + 0.5 * f64::from(self.rnd.rand_float()));
+        self.next_round_at = now + self.config.interval * (0.75 + 0.5 * f64::from(self.rng.rand_float()));
         let mut out = Vec::new();
-        for _ in 0..self.terms.fan_out.min(self.rows.len() - 1) {
-            let Some(to) = self.whom() else { break };
+        for _ in 0..self.config.fan_out.min(self.rows.len() - 1) {
+            let Some(to) = self.next_peer() else { break };
             self.nonce = self.nonce.wrapping_add(1);
-            self.asked.push_back((self.nonce, to, now));
-            if self.asked.len() > ASKED.max(4 * self.terms.fan_out) {
-                self.asked.pop_front();
+            self.open_questions.push_back((self.nonce, to, now));
+            if self.open_questions.len() > MAX_OPEN_QUESTIONS.max(4 * self.config.fan_out) {
+                self.open_questions.pop_front();
             }
-            let known = self.told_of().into_iter().map(|o| self.rows[&o].had(now, o)).collect();
-            let it = Message {
-                from: self.own,
+            let known = self
+                .rows_to_ask_about()
+                .into_iter()
+                .map(|o| self.rows[&o].received_version(now, o))
+                .collect();
+            let question = Message {
+                from: self.own_origin,
                 nonce: self.nonce,
                 echo: None,
-                asks: true,
+                wants_answer: true,
                 known,
                 changes: Vec::new(),
             };
-            self.send(now, to, &it, &mut out);
+            self.send(now, to, &question, &mut out);
         }
         out
     }
 
-    fn whom(&mut self) -> Option<Origin> {
+    fn next_peer(&mut self) -> Option<Origin> {
         if self.order.is_empty() {
-            self.order = self.rows.keys().copied().filter(|o| *o != self.own).collect();
+            self.order = self.rows.keys().copied().filter(|o| *o != self.own_origin).collect();
             for i in (1..self.order.len()).rev() {
-                self.order.swap(i, self.rnd.rand_range(0..i as u32 + 1) as usize);
+                self.order.swap(i, self.rng.rand_range(0..i as u32 + 1) as usize);
             }
         }
         self.order.pop()
     }
 
     /// Rows for a question: this front's own, those that changed last, and others in turn.
-    fn told_of(&mut self) -> Vec<Origin> {
-        let mut latest: Vec<(f64, Origin)> = self.rows.iter().map(|(o, row)| (row.changed, *o)).collect();
-        let mut out = vec![self.own];
-        if latest.len() <= LATEST + IN_TURN {
-            out.extend(latest.iter().map(|l| l.1).filter(|o| *o != self.own));
+    fn rows_to_ask_about(&mut self) -> Vec<Origin> {
+        let mut latest: Vec<(f64, Origin)> = self.rows.iter().map(|(o, row)| (row.changed_at, *o)).collect();
+        let mut out = vec![self.own_origin];
+        if latest.len() <= LATEST_ROWS + ROTATING_ROWS {
+            out.extend(latest.iter().map(|l| l.1).filter(|o| *o != self.own_origin));
             return out;
         }
         let all: Vec<Origin> = self.rows.keys().copied().collect();
         latest.sort_by(|a, b| b.0.total_cmp(&a.0));
-        out.extend(latest.iter().take(LATEST).map(|l| l.1).filter(|o| *o != self.own));
-        for _ in 0..IN_TURN {
-            self.turn = (self.turn + 1) % all.len();
-            if !out.contains(&all[self.turn]) {
-                out.push(all[self.turn]);
+        out.extend(latest.iter().take(LATEST_ROWS).map(|l| l.1).filter(|o| *o != self.own_origin));
+        for _ in 0..ROTATING_ROWS {
+            self.rotation = (self.rotation + 1) % all.len();
+            if !out.contains(&all[self.rotation]) {
+                out.push(all[self.rotation]);
             }
         }
         out
@@ -221,75 +225,76 @@
     /// A datagram came. What answers it goes to the peer that it is from.
     pub fn receive(&mut self, now: f64, bytes: &[u8]) -> Vec<Datagram> {
         let mut out = Vec::new();
-        let it = match Message::decode(bytes, self.fleet) {
-            Ok(it) => it,
-            Err(fault) => {
-                let count = match fault {
-                    MessageError::Long => &mut self.stats.long,
-                    MessageError::Version => &mut self.stats.version,
-                    MessageError::Foreign => &mut self.stats.foreign,
-                    MessageError::Spoilt => &mut self.stats.spoilt,
-                    MessageError::Age => &mut self.stats.ages,
+        let message = match Message::decode(bytes, self.fleet) {
+            Ok(message) => message,
+            Err(error) => {
+                let counter = match error {
+                    MessageError::TooLong => &mut self.stats.long,
+                    MessageError::OtherVersion => &mut self.stats.version,
+                    MessageError::OtherFleet => &mut self.stats.foreign,
+                    MessageError::Corrupt => &mut self.stats.spoilt,
+                    MessageError::ImpossibleAge => &mut self.stats.ages,
                 };
-                *count += 1;
+                *counter += 1;
                 return out;
             }
         };
-        if it.from == self.own || !self.rows.contains_key(&it.from) {
+        if message.from == self.own_origin || !self.rows.contains_key(&message.from) {
             self.stats.unknown += 1;
             return out;
         }
         // Only what answers a question of ours has an age that we can tell.
-        let asked =
-            it.echo.map(|echo| self.asked.iter().find(|a| (a.0, a.1) == (echo, it.from)).map(|a| a.2));
-        if asked == Some(None) {
+        let asked_at = message
+            .echo
+            .map(|echo| self.open_questions.iter().find(|a| (a.0, a.1) == (echo, message.from)).map(|a| a.2));
+        if asked_at == Some(None) {
             self.stats.late += 1;
             return out;
         }
         self.stats.taken += 1;
-        if let Some(asked) = asked.flatten() {
-            for change in &it.changes {
-                self.take(now, asked, change);
+        if let Some(asked_at) = asked_at.flatten() {
+            for change in &message.changes {
+                self.apply_change(now, asked_at, change);
             }
-            for known in &it.known {
-                self.vouched(now, asked, known);
+            for known in &message.known {
+                self.confirm(now, asked_at, known);
             }
         }
-        if it.asks {
-            self.answer(now, &it, asked.is_none(), &mut out);
+        if message.wants_answer {
+            self.answer(now, &message, asked_at.is_none(), &mut out);
         }
         out
     }
 
     /// Takes what changed in a row.
-    fn take(&mut self, now: f64, asked: f64, change: &Change) {
+    fn apply_change(&mut self, now: f64, asked_at: f64, change: &Change) {
         let known = &change.known;
-        if known.origin == self.own {
-            return self.claimed(known);
+        if known.origin == self.own_origin {
+            return self.overtake_claim(known);
         }
         let Some(row) = self.rows.get_mut(&known.origin) else {
             self.stats.unknown += 1;
             return;
         };
-        match row.take(now, change) {
-            Taken::Yes | Taken::Old => row.vouched(now, asked, known),
-            Taken::Gap => self.stats.gaps += 1,
-            Taken::Altered => self.stats.altered += 1,
+        match row.apply(now, change) {
+            ChangeResult::Accepted | ChangeResult::Outdated => row.confirm(now, asked_at, known),
+            ChangeResult::Gap => self.stats.gaps += 1,
+            ChangeResult::ChecksumMismatch => self.stats.altered += 1,
         }
     }
 
-    fn vouched(&mut self, now: f64, asked: f64, known: &RowVersion) {
-        if known.origin == self.own {
-            self.claimed(known);
+    fn confirm(&mut self, now: f64, asked_at: f64, known: &RowVersion) {
+        if known.origin == self.own_origin {
+            self.overtake_claim(known);
         } else if let Some(row) = self.rows.get_mut(&known.origin) {
-            row.vouched(now, asked, known);
+            row.confirm(now, asked_at, known);
         }
     }
 
     /// Somebody knows more of this front than it has said: it was said before a restart under a clock that ran ahead,
     /// or by another that goes by this name. A higher incarnation than both ends it.
-    fn claimed(&mut self, known: &RowVersion) {
-        let Some(row) = self.rows.get_mut(&self.own) else { return };
+    fn overtake_claim(&mut self, known: &RowVersion) {
+        let Some(row) = self.rows.get_mut(&self.own_origin) else { return };
         if (known.incarnation, known.version) > (row.incarnation, row.version) {
             row.incarnation = known.incarnation.saturating_add(1);
             self.stats.claimed += 1;
@@ -297,61 +302,62 @@
     }
 
     /// Answers a question, or the question that came with an answer.
-    fn answer(&mut self, now: f64, it: &Message, first: bool, out: &mut Vec<Datagram>) {
+    fn answer(&mut self, now: f64, message: &Message, may_ask_back: bool, out: &mut Vec<Datagram>) {
         let mut answers = vec![Message {
-            from: self.own,
+            from: self.own_origin,
             nonce: self.nonce,
-            echo: Some(it.nonce),
-            asks: false,
+            echo: Some(message.nonce),
+            wants_answer: false,
             known: Vec::new(),
             changes: Vec::new(),
         }];
-        for theirs in &it.known {
+        for theirs in &message.known {
             let Some(row) = self.rows.get(&theirs.origin) else {
                 self.stats.unknown += 1;
                 continue;
             };
-            let ours = row.known(now, theirs.origin);
+            let ours = row.row_version(now, theirs.origin);
             let newer = (ours.incarnation, ours.version) > (theirs.incarnation, theirs.version);
             let older = (ours.incarnation, ours.version) < (theirs.incarnation, theirs.version);
-            if older && theirs.origin == self.own {
-                self.claimed(theirs);
+            if older && theirs.origin == self.own_origin {
+                self.overtake_claim(theirs);
                 continue;
             }
-            if older && first {
-                answers[0].asks = true;
-                answers[0].known.push(row.had(now, theirs.origin));
+            if older && may_ask_back {
+                answers[0].wants_answer = true;
+                answers[0].known.push(row.received_version(now, theirs.origin));
             }
-            let younger = ours.age.is_some_and(|age| theirs.age.is_none_or(|t| t > age));
-            if !newer && !older && (younger || ours.sum != theirs.sum) {
+            let fresher = ours.age.is_some_and(|age| theirs.age.is_none_or(|t| t > age));
+            if !newer && !older && (fresher || ours.sum != theirs.sum) {
                 answers[0].known.push(ours);
             }
             if newer {
-                let after = if ours.incarnation == theirs.incarnation { theirs.version } else { 0 };
-                self.rows[&theirs.origin].changes(ours, after, &mut answers);
+                let after_version = if ours.incarnation == theirs.incarnation { theirs.version } else { 0 };
+                self.rows[&theirs.origin].append_changes(ours, after_version, &mut answers);
             }
         }
         // What is asked in turn is a question of this front's own.
-        if answers[0].asks {
+        if answers[0].wants_answer {
             self.nonce = self.nonce.wrapping_add(1);
             answers[0].nonce = self.nonce;
-            self.asked.push_back((self.nonce, it.from, now));
+            self.open_questions.push_back((self.nonce, message.from, now));
         }
         let empty = |m: &Message| m.known.is_empty() && m.changes.is_empty();
-        for answer in answers.iter().take(ANSWERS).filter(|m| !empty(m)) {
-            self.send(now, it.from, answer, out);
+        for answer in answers.iter().take(MAX_ANSWERS).filter(|m| !empty(m)) {
+            self.send(now, message.from, answer, out);
         }
     }
 
-    fn send(&mut self, now: f64, to: Origin, it: &Message, out: &mut Vec<Datagram>) {
-        let bytes = it.encode(self.fleet);
-        let rate = self.terms.bytes_s;
-        self.purse = ((self.purse.0 + (now - self.purse.1) * rate / 1000.0).min(rate), now);
-        if self.purse.0 < bytes.len() as f64 || bytes.len() > MAX_BYTES {
+    fn send(&mut self, now: f64, to: Origin, message: &Message, out: &mut Vec<Datagram>) {
+        let bytes = message.encode(self.fleet);
+        let rate = self.config.bytes_s;
+        self.token_bucket =
+            ((self.token_bucket.0 + (now - self.token_bucket.1) * rate / 1000.0).min(rate), now);
+        if self.token_bucket.0 < bytes.len() as f64 || bytes.len() > MAX_BYTES {
             self.stats.held_back += 1;
             return;
         }
-        self.purse.0 -= bytes.len() as f64;
+        self.token_bucket.0 -= bytes.len() as f64;
         self.stats.sent += 1;
         self.stats.sent_bytes += bytes.len() as u64;
         out.push(Datagram { to, bytes });
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -7,11 +7,11 @@
 /// A datagram's size at most, bytes: what a path of 1,280 carries with IPv6 and UDP heads.
 pub const MAX_BYTES: usize = 1_200;
 /// The form of what goes round; another is passed over.
-pub const VERSION: u8 = 1;
+pub const GOSSIP_VERSION: u8 = 1;
 /// Version, fleet and checksum before the message.
-const HEAD: usize = 9;
+const HEADER_BYTES: usize = 9;
 /// No row is older, ms: a week. What claims to be is impossible.
-const OLDEST: u32 = 7 * 86_400_000;
+const MAX_AGE_MS: u32 = 7 * 86_400_000;
 
 /// A front by the checksum of its name.
 pub type Origin = u32;
@@ -20,15 +20,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
     #[error("longer than 1,200 bytes")]
-    Long,
+    TooLong,
     #[error("of another version of the exchange")]
-    Version,
+    OtherVersion,
     #[error("of another fleet")]
-    Foreign,
+    OtherFleet,
     #[error("spoilt")]
-    Spoilt,
+    Corrupt,
     #[error("an age that can't be")]
-    Age,
+    ImpossibleAge,
 }
 
 /// How far a front knows a row.
@@ -57,7 +57,7 @@
     pub known: RowVersion,
     pub from: u64,
     /// The version of the row that it was taken from: a part lacks what changed up to there.
-    pub of: u64,
+    pub source_version: u64,
     pub cells: Vec<Cell>,
 }
 
@@ -68,7 +68,7 @@
     /// The nonce that this answers: what tells the reader how old it may be at most.
     pub echo: Option<u32>,
     /// An answer to this is wanted.
-    pub asks: bool,
+    pub wants_answer: bool,
     pub known: Vec<RowVersion>,
     pub changes: Vec<Change>,
 }
@@ -76,8 +76,8 @@
 impl Message {
     pub fn encode(&self, fleet: u32) -> Vec<u8> {
         let body = postcard::to_stdvec(self).unwrap_or_default();
-        let mut out = Vec::with_capacity(HEAD + body.len());
-        out.push(VERSION);
+        let mut out = Vec::with_capacity(HEADER_BYTES + body.len());
+        out.push(GOSSIP_VERSION);
         out.extend_from_slice(&fleet.to_be_bytes());
         out.extend_from_slice(&crc32c::crc32c(&body).to_be_bytes());
         out.extend_from_slice(&body);
@@ -86,42 +86,47 @@
 
     pub fn decode(bytes: &[u8], fleet: u32) -> Result<Message, MessageError> {
         if bytes.len() > MAX_BYTES {
-            return Err(MessageError::Long);
+            return Err(MessageError::TooLong);
         }
-        let word = |at: usize| bytes.get(at..at + 4).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes);
-        let (Some(version), Some(of), Some(sum)) = (bytes.first(), word(1), word(5)) else {
-            return Err(MessageError::Spoilt);
+        let read_u32 = |offset: usize| {
+            bytes.get(offset..offset + 4).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes)
         };
-        if *version != VERSION {
-            return Err(MessageError::Version);
+        let (Some(version), Some(sender_fleet), Some(sum)) = (bytes.first(), read_u32(1), read_u32(5)) else {
+            return Err(MessageError::Corrupt);
+        };
+        if *version != GOSSIP_VERSION {
+            return Err(MessageError::OtherVersion);
         }
-        if of != fleet {
-            return Err(MessageError::Foreign);
+        if sender_fleet != fleet {
+            return Err(MessageError::OtherFleet);
         }
-        let body = &bytes[HEAD..];
+        let body = &bytes[HEADER_BYTES..];
         if crc32c::crc32c(body) != sum {
-            return Err(MessageError::Spoilt);
+            return Err(MessageError::Corrupt);
         }
-        let (it, rest): (Message, _) = postcard::take_from_bytes(body).map_err(|_| MessageError::Spoilt)?;
-        let ages = it.known.iter().chain(it.changes.iter().map(|c| &c.known)).filter_map(|k| k.age);
-        if ages.max().is_some_and(|age| age > OLDEST) {
-            return Err(MessageError::Age);
+        let (message, rest): (Message, _) =
+            postcard::take_from_bytes(body).map_err(|_| MessageError::Corrupt)?;
+        let ages = message.known.iter().chain(message.changes.iter().map(|c| &c.known)).filter_map(|k| k.age);
+        if ages.max().is_some_and(|age| age > MAX_AGE_MS) {
+            return Err(MessageError::ImpossibleAge);
         }
-        if !rest.is_empty() || it.changes.iter().any(|c| !c.is_sound()) {
-            return Err(MessageError::Spoilt);
+        if !rest.is_empty() || message.changes.iter().any(|c| !c.is_consistent()) {
+            return Err(MessageError::Corrupt);
         }
-        Ok(it)
+        Ok(message)
     }
 
     pub fn size(&self) -> usize {
-        HEAD + postcard::experimental::serialized_size(self).unwrap_or(MAX_BYTES)
+        HEADER_BYTES + postcard::experimental::serialized_size(self).unwrap_or(MAX_BYTES)
     }
 }
 
 impl Change {
     /// Its cells' versions lie where it says.
-    fn is_sound(&self) -> bool {
+    fn is_consistent(&self) -> bool {
         let within = |c: &Cell| self.from < c.version && c.version <= self.known.version;
-        self.from <= self.known.version && self.known.version <= self.of && self.cells.iter().all(within)
+        self.from <= self.known.version
+            && self.known.version <= self.source_version
+            && self.cells.iter().all(within)
     }
 }
--- a/crates/gossip/src/row.rs
+++ b/crates/gossip/src/row.rs
@@ -6,37 +6,37 @@
 use std::collections::BTreeMap;
 
 /// Room that is kept in a datagram beside changes' cells, bytes.
-const HEADS: usize = 64;
+const CHANGE_HEADER_BYTES: usize = 64;
 
 pub(crate) struct Row {
     pub(crate) incarnation: u64,
     pub(crate) version: u64,
     pub(crate) cells: BTreeMap<u16, (u64, Vec<u8>)>,
     /// Checksum over all cells, in no order.
-    pub(crate) sum: u32,
+    pub(crate) checksum: u32,
     /// Parts of a change that is not whole yet, and up to which version they go.
     pub(crate) staged: BTreeMap<u16, (u64, Vec<u8>)>,
-    pub(crate) upto: u64,
+    pub(crate) staged_version: u64,
     /// The version of the row that they are parts of: one of an older state would not make them whole.
-    pub(crate) of: u64,
+    pub(crate) staged_source_version: u64,
     /// When another row of this incarnation and version was last met.
-    pub(crate) contradicted: f64,
+    pub(crate) contradicted_at: f64,
     /// On this front's clock: the row was its origin's own then, or later.
     pub(crate) as_of: f64,
     /// When it last changed here.
-    pub(crate) changed: f64,
+    pub(crate) changed_at: f64,
 }
 
 /// What became of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Taken {
-    Yes,
+pub(crate) enum ChangeResult {
+    Accepted,
     /// It is of an incarnation that is past.
-    Old,
+    Outdated,
     /// Something before it is missing.
     Gap,
     /// It does not come to what its checksum says.
-    Altered,
+    ChecksumMismatch,
 }
 
 impl Default for Row {
@@ -45,27 +45,27 @@
             incarnation: 0,
             version: 0,
             cells: BTreeMap::new(),
-            sum: 0,
+            checksum: 0,
             staged: BTreeMap::new(),
-            upto: 0,
-            of: 0,
-            contradicted: f64::NEG_INFINITY,
+            staged_version: 0,
+            staged_source_version: 0,
+            contradicted_at: f64::NEG_INFINITY,
             as_of: f64::NEG_INFINITY,
-            changed: f64::NEG_INFINITY,
+            changed_at: f64::NEG_INFINITY,
         }
     }
 }
 
-fn sum_of(key: u16, version: u64, value: &[u8]) -> u32 {
+fn cell_checksum(key: u16, version: u64, value: &[u8]) -> u32 {
     let head = [&key.to_be_bytes()[..], &version.to_be_bytes()].concat();
     crc32c::crc32c_append(crc32c::crc32c(&head), value)
 }
 
 impl Row {
-    pub(crate) fn set(&mut self, key: u16, version: u64, value: Vec<u8>) {
-        self.sum ^= sum_of(key, version, &value);
-        if let Some((version, was)) = self.cells.insert(key, (version, value)) {
-            self.sum ^= sum_of(key, version, &was);
+    pub(crate) fn set_cell(&mut self, key: u16, version: u64, value: Vec<u8>) {
+        self.checksum ^= cell_checksum(key, version, &value);
+        if let Some((version, old_value)) = self.cells.insert(key, (version, value)) {
+            self.checksum ^= cell_checksum(key, version, &old_value);
         }
     }
 
@@ -75,127 +75,138 @@
     }
 
     /// How far it is known here, for whoever wants to know it.
-    pub(crate) fn known(&self, now: f64, origin: Origin) -> RowVersion {
+    pub(crate) fn row_version(&self, now: f64, origin: Origin) -> RowVersion {
         let age = self.age(now);
         RowVersion {
             origin,
             incarnation: self.incarnation,
             version: self.version,
             age: age.is_finite().then_some(age.ceil() as u32),
-            sum: Some(self.sum),
+            sum: Some(self.checksum),
         }
     }
 
     /// The same for whoever is asked for the rest: parts that have come count.
-    pub(crate) fn had(&self, now: f64, origin: Origin) -> RowVersion {
-        let known = self.known(now, origin);
+    pub(crate) fn received_version(&self, now: f64, origin: Origin) -> RowVersion {
+        let row_version = self.row_version(now, origin);
         if self.staged.is_empty() {
-            known
+            row_version
         } else {
-            RowVersion { version: self.upto, age: None, sum: None, ..known }
+            RowVersion { version: self.staged_version, age: None, sum: None, ..row_version }
         }
     }
 
-    pub(crate) fn take(&mut self, now: f64, change: &Change) -> Taken {
+    pub(crate) fn apply(&mut self, now: f64, change: &Change) -> ChangeResult {
         let known = &change.known;
         if known.incarnation < self.incarnation {
-            return Taken::Old;
+            return ChangeResult::Outdated;
         }
         if known.incarnation > self.incarnation {
             if change.from > 0 {
-                return Taken::Gap;
+                return ChangeResult::Gap;
             }
             *self = Row { incarnation: known.incarnation, ..Row::default() };
         }
-        if change.from > self.version.max(self.upto) {
-            return Taken::Gap;
+        if change.from > self.version.max(self.staged_version) {
+            return ChangeResult::Gap;
         }
         for Cell { key, version, value } in &change.cells {
-            let had = self.staged.get(key).or(self.cells.get(key)).map_or(0, |(version, _)| *version);
-            if *version > had.max(self.version) {
+            let received = self.staged.get(key).or(self.cells.get(key)).map_or(0, |(version, _)| *version);
+            if *version > received.max(self.version) {
                 self.staged.insert(*key, (*version, value.clone()));
             }
         }
-        self.upto = self.upto.max(known.version);
-        self.of = self.of.max(change.of);
-        let Some(sum) = known.sum.filter(|_| known.version >= self.of) else { return Taken::Yes };
+        self.staged_version = self.staged_version.max(known.version);
+        self.staged_source_version = self.staged_source_version.max(change.source_version);
+        let Some(sum) = known.sum.filter(|_| known.version >= self.staged_source_version) else {
+            return ChangeResult::Accepted;
+        };
         if known.version <= self.version {
-            return Taken::Yes;
+            return ChangeResult::Accepted;
         }
-        let mut now_sum = self.sum;
+        let mut new_checksum = self.checksum;
         for (key, (version, value)) in &self.staged {
-            now_sum ^= sum_of(*key, *version, value);
-            now_sum ^= self.cells.get(key).map_or(0, |(version, was)| sum_of(*key, *version, was));
+            new_checksum ^= cell_checksum(*key, *version, value);
+            new_checksum ^= self
+                .cells
+                .get(key)
+                .map_or(0, |(version, old_value)| cell_checksum(*key, *version, old_value));
         }
-        if now_sum != sum {
-            self.distrust(now);
-            return Taken::Altered;
+        if new_checksum != sum {
+            self.discard(now);
+            return ChangeResult::ChecksumMismatch;
         }
         for (key, (version, value)) in std::mem::take(&mut self.staged) {
-            self.set(key, version, value);
+            self.set_cell(key, version, value);
         }
-        (self.version, self.changed) = (known.version, now);
-        Taken::Yes
+        (self.version, self.changed_at) = (known.version, now);
+        ChangeResult::Accepted
     }
 
     /// What came, or what is held, is not its origin's: nobody can say which, so all of it is asked for again.
-    fn distrust(&mut self, now: f64) {
-        *self = Row { incarnation: self.incarnation, contradicted: now, changed: now, ..Row::default() };
+    fn discard(&mut self, now: f64) {
+        *self =
+            Row { incarnation: self.incarnation, contradicted_at: now, changed_at: now, ..Row::default() };
     }
 
     /// Somebody who was asked then knows the row as far as we do, so old at most.
-    pub(crate) fn vouched(&mut self, now: f64, asked: f64, known: &RowVersion) {
+    pub(crate) fn confirm(&mut self, now: f64, asked_at: f64, known: &RowVersion) {
         if (known.incarnation, known.version) != (self.incarnation, self.version) || known.incarnation == 0 {
             return;
         }
         match known.sum {
-            Some(sum) if sum != self.sum => self.distrust(now),
+            Some(sum) if sum != self.checksum => self.discard(now),
             Some(_) => {
-                self.as_of = known.age.map_or(self.as_of, |age| self.as_of.max(asked - f64::from(age)))
+                self.as_of = known.age.map_or(self.as_of, |age| self.as_of.max(asked_at - f64::from(age)))
             }
             None => {}
         }
     }
 
     /// What changed after a version, split over answers. A change that is cut short says up to where it goes.
-    pub(crate) fn changes(&self, known: RowVersion, after: u64, answers: &mut Vec<Message>) {
+    pub(crate) fn append_changes(&self, known: RowVersion, after_version: u64, answers: &mut Vec<Message>) {
         let mut cells: Vec<Cell> = self
             .cells
             .iter()
-            .filter(|(_, (version, _))| *version > after)
+            .filter(|(_, (version, _))| *version > after_version)
             .map(|(key, (version, value))| Cell { key: *key, version: *version, value: value.clone() })
             .collect();
         cells.sort_by_key(|c| c.version);
-        let mut from = after;
+        let mut from = after_version;
         let mut cells = cells.into_iter().peekable();
         loop {
             let Some(last) = answers.last() else { return };
-            let mut left = MAX_BYTES.saturating_sub(last.size() + HEADS);
+            let mut bytes_left = MAX_BYTES.saturating_sub(last.size() + CHANGE_HEADER_BYTES);
             let mut part = Vec::new();
-            while let Some(cell) = cells.next_if(|c| c.value.len() + 16 <= left) {
-                left -= cell.value.len() + 16;
+            while let Some(cell) = cells.next_if(|c| c.value.len() + 16 <= bytes_left) {
+                bytes_left -= cell.value.len() + 16;
                 part.push(cell);
             }
-            let whole = cells.peek().is_none();
-            if whole && left < HEADS && part.is_empty() || !whole && part.is_empty() {
+            let is_last = cells.peek().is_none();
+            if is_last && bytes_left < CHANGE_HEADER_BYTES && part.is_empty() || !is_last && part.is_empty() {
                 // Nothing fits: a new datagram, unless this one is new already.
                 if last.changes.is_empty() && last.known.is_empty() {
                     return;
                 }
-                let next = Message { known: Vec::new(), changes: Vec::new(), asks: false, ..last.clone() };
+                let next =
+                    Message { known: Vec::new(), changes: Vec::new(), wants_answer: false, ..last.clone() };
                 answers.push(next);
                 continue;
             }
-            let to = if whole { known.version } else { part.last().map_or(from, |c| c.version) };
+            let to_version = if is_last { known.version } else { part.last().map_or(from, |c| c.version) };
             // A part is not current, so it vouches for nothing.
-            let known = if whole { known } else { RowVersion { version: to, age: None, sum: None, ..known } };
+            let known = if is_last {
+                known
+            } else {
+                RowVersion { version: to_version, age: None, sum: None, ..known }
+            };
             if let Some(last) = answers.last_mut() {
-                last.changes.push(Change { known, from, of: self.version, cells: part });
+                last.changes.push(Change { known, from, source_version: self.version, cells: part });
             }
-            if whole {
+            if is_last {
                 return;
             }
-            from = to;
+            from = to_version;
         }
     }
 }
--- a/crates/gossip/src/view.rs
+++ b/crates/gossip/src/view.rs
@@ -47,7 +47,7 @@
     pub version: u64,
     /// ms that have passed at most since the row was its origin's own; infinite where it was never heard.
     pub age: f64,
-    pub silence: Liveness,
+    pub liveness: Liveness,
     /// Two rows of one incarnation and version differed, of late.
     pub contradictory: bool,
     pub(crate) row: &'a Row,
