--- a/crates/fleet-member/src/lib.rs
+++ b/crates/fleet-member/src/lib.rs
@@ -109,7 +109,7 @@
         let mut fellow = FleetMember {
             incarnation,
             fronts,
-            budgets: Budgets::new(now, gossip.own_origin(), incarnation, fronts, terms.lease_ms),
+            budgets: Budgets::new(now, gossip.own(), incarnation, fronts, terms.lease_ms),
             counts: PlayCounts::default(),
             judgements: ServerHealth::new(now, terms.zone),
             outcomes: OutcomeLog::new(terms.zone, terms.bucket, terms.max_set_up),
@@ -257,7 +257,7 @@
 
     fn read(&mut self, now: f64) {
         let rows: Vec<FrontView> =
-            self.gossip.fronts(now).filter(|v| v.origin != self.gossip.own_origin()).collect();
+            self.gossip.fronts(now).filter(|v| v.origin != self.gossip.own()).collect();
         let heard: Vec<PeerState> = rows.iter().map(|row| row::heard(row, &self.terms.zones)).collect();
         self.budgets.merge(now, &heard);
         let servers: Vec<Server> = self.listed.values().map(|it| it.server).collect();
--- a/crates/fleet-member/src/row.rs
+++ b/crates/fleet-member/src/row.rs
@@ -26,17 +26,17 @@
     let before = written.insert(keys.start, cells.len().min(most)).unwrap_or(0);
     let count = cells.len();
     for (key, cell) in keys.clone().zip(cells) {
-        gossip.set_cell(key, cell);
+        gossip.put(key, cell);
     }
     for key in keys.skip(count).take(before.saturating_sub(count)) {
-        gossip.set_cell(key, Vec::new());
+        gossip.put(key, Vec::new());
     }
 }
 
 impl FleetMember {
     pub(crate) fn hello(&mut self) {
         let zone = self.terms.zones.get(self.terms.zone).cloned().unwrap_or_default();
-        self.gossip.set_cell(HELLO, postcard::to_stdvec(&Hello { zone }).unwrap_or_default());
+        self.gossip.put(HELLO, postcard::to_stdvec(&Hello { zone }).unwrap_or_default());
     }
 
     /// Writes this front's own row.
@@ -55,7 +55,7 @@
         }
         if self.looks % SELDOM == 1 {
             let active = self.own_active(wall).encode();
-            self.gossip.set_cell(ACTIVE, active);
+            self.gossip.put(ACTIVE, active);
         }
     }
 }
--- a/crates/fleet-member/src/said.rs
+++ b/crates/fleet-member/src/said.rs
@@ -26,7 +26,7 @@
 
 /// What every other front says that it goes by.
 pub(crate) fn words(gossip: &Gossip, now: f64) -> Vec<FrontReport> {
-    let others = gossip.fronts(now).filter(|row| row.origin != gossip.own_origin());
+    let others = gossip.fronts(now).filter(|row| row.origin != gossip.own());
     let word = |row: pulleystair_gossip::FrontView| FrontReport {
         front: gossip.name(row.origin).to_string(),
         age: row.age,
@@ -38,7 +38,7 @@
 }
 
 pub(crate) fn unheard(gossip: &Gossip, now: f64) -> BTreeSet<String> {
-    let silent = gossip.fronts(now).filter(|row| row.origin != gossip.own_origin());
+    let silent = gossip.fronts(now).filter(|row| row.origin != gossip.own());
     let silent = silent.filter(|row| row.liveness == Liveness::Unheard);
     silent.map(|row| gossip.name(row.origin).to_string()).collect()
 }
@@ -59,7 +59,7 @@
         let mut sums = Aggregates::default();
         let own = self.outcomes.cells();
         sums.add(own.iter().map(Vec::as_slice));
-        let others = self.gossip.fronts(now).filter(|row| row.origin != self.gossip.own_origin());
+        let others = self.gossip.fronts(now).filter(|row| row.origin != self.gossip.own());
         for row in others.filter(|row| row.liveness != Liveness::Unheard) {
             let cells = row.cells(SUMS).map(|(_, cell)| cell).filter(|cell| !cell.is_empty());
             sums.add(cells.collect::<Vec<&[u8]>>());
@@ -69,7 +69,7 @@
 
     /// Plays at a server over the whole fleet.
     pub fn plays_at(&self, now: f64, server: u64, product: Option<u16>, bounds: PlayBounds) -> Interval {
-        let others = self.gossip.fronts(now).filter(|row| row.origin != self.gossip.own_origin());
+        let others = self.gossip.fronts(now).filter(|row| row.origin != self.gossip.own());
         let others: Vec<_> = others.map(|row| heard(&row, &self.terms.zones)).collect();
         self.counts.estimate(server, product, &others, bounds)
     }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -109,7 +109,7 @@
         })
     }
 
-    pub fn own_origin(&self) -> Origin {
+    pub fn own(&self) -> Origin {
         self.own_origin
     }
 
@@ -122,7 +122,7 @@
     }
 
     /// Writes a cell of this front's own row; a value that stands there already is no change. False where it is too long.
-    pub fn set_cell(&mut self, key: u16, value: Vec<u8>) -> bool {
+    pub fn put(&mut self, key: u16, value: Vec<u8>) -> bool {
         let fits = value.len() <= MAX_CELL_BYTES;
         if let Some(row) = self.rows.get_mut(&self.own_origin).filter(|_| fits)
             && row.cells.get(&key).is_none_or(|(_, old_value)| *old_value != value)
--- a/crates/gossip/tests/exchange.rs
+++ b/crates/gossip/tests/exchange.rs
@@ -24,7 +24,7 @@
 fn a_change_reaches_all_fronts(count: usize, faults: Faults, max_ms: f64) {
     let mut net = Network::new(count, 1, faults);
     net.run(5_000.0, |_| {});
-    net.fronts[1].set_cell(1, b"fact".to_vec());
+    net.fronts[1].put(1, b"fact".to_vec());
     net.run(max_ms, |_| {});
     assert!(reached_all(&net, 1, b"fact"));
     let max_bytes = net.bytes.iter().max().copied().unwrap_or(0) as f64;
@@ -45,7 +45,7 @@
         let front = step % 6;
         written_at[front] = net.now;
         let now = net.now;
-        net.fronts[front].set_cell(1, (now as u64).to_be_bytes().to_vec());
+        net.fronts[front].put(1, (now as u64).to_be_bytes().to_vec());
         net.run(70.0, |net| {
             for reader in &net.fronts {
                 for row in reader.fronts(net.now).filter(|row| row.age.is_finite()) {
@@ -68,7 +68,7 @@
 #[test]
 fn an_isolated_front_is_doubted_then_unheard_and_its_row_is_kept() {
     let mut net = Network::new(5, 4, Faults::default());
-    net.fronts[4].set_cell(1, b"lent".to_vec());
+    net.fronts[4].put(1, b"lent".to_vec());
     net.run(3_000.0, |_| {});
     net.link_open = |from, to| from != 4 && to != 4;
     let mut states = Vec::new();
@@ -104,11 +104,11 @@
 #[test]
 fn a_restart_replaces_the_row_even_with_a_lower_incarnation() {
     let mut net = Network::new(4, 6, BAD_NETWORK);
-    net.fronts[1].set_cell(1, b"first".to_vec());
+    net.fronts[1].put(1, b"first".to_vec());
     net.run(6_000.0, |_| {});
     assert!(reached_all(&net, 1, b"first"));
     net.restart(1, 500);
-    net.fronts[1].set_cell(1, b"second".to_vec());
+    net.fronts[1].put(1, b"second".to_vec());
     net.run(12_000.0, |_| {});
     assert!(reached_all(&net, 1, b"second"));
     assert!(net.fronts[1].incarnation() > 1_000 && net.fronts[1].stats.claimed > 0);
@@ -120,7 +120,7 @@
     let mut net = Network::new(2, 12, BAD_NETWORK);
     let mut incomplete = 0;
     for part in 0..40 {
-        net.fronts[1].set_cell(part, vec![part as u8; 900]);
+        net.fronts[1].put(part, vec![part as u8; 900]);
     }
     net.run(6_000.0, |net| {
         let row = net.fronts[0].front(net.now, origin_of(&front_name(1))).expect("it is a peer");
@@ -140,10 +140,10 @@
 #[test]
 fn parts_of_two_versions_are_not_mixed() {
     let mut net = Network::new(3, 13, Faults::default());
-    assert!((0..8).all(|key| net.fronts[1].set_cell(key, vec![1; 900])));
+    assert!((0..8).all(|key| net.fronts[1].put(key, vec![1; 900])));
     net.link_open = |from, to| from != 2 && to != 2;
     net.run(5_000.0, |_| {});
-    net.fronts[1].set_cell(0, vec![2; 900]);
+    net.fronts[1].put(0, vec![2; 900]);
     let ask = |net: &mut Network, answering: usize| loop {
         net.now = net.now.max(net.fronts[2].next_deadline());
         let now = net.now;
@@ -179,9 +179,9 @@
 #[test]
 fn a_change_after_a_gap_is_rejected() {
     let mut net = Network::new(2, 13, Faults::default());
-    net.fronts[1].set_cell(1, b"one".to_vec());
+    net.fronts[1].put(1, b"one".to_vec());
     net.run(3_000.0, |_| {});
-    net.fronts[1].set_cell(2, b"two".to_vec());
+    net.fronts[1].put(2, b"two".to_vec());
     let now = net.fronts[0].next_deadline();
     let question = net.fronts[0].run_round(now).remove(0);
     let fleet =
@@ -203,9 +203,9 @@
 fn two_processes_with_one_name_and_incarnation_are_detected() {
     let mut net = Network::new(3, 7, Faults::default());
     let now = net.now;
-    net.fronts[1].set_cell(1, b"one".to_vec());
+    net.fronts[1].put(1, b"one".to_vec());
     let mut twin = Gossip::new(gossip_config(1, 3), now, 1_000, 99).expect("fit");
-    twin.set_cell(1, b"two".to_vec());
+    twin.put(1, b"two".to_vec());
     net.run(2_000.0, |_| {});
     // Front 0 asks the twin, which answers what it is asked.
     let question = (0..20).find_map(|_| {
@@ -266,7 +266,7 @@
     let (mut net, bytes) = network_and_question();
     let now = net.now;
     let answering = usize::from(net.fronts[2].stats.taken < net.fronts[1].stats.taken) + 1;
-    net.fronts[answering].set_cell(1, b"news".to_vec());
+    net.fronts[answering].put(1, b"news".to_vec());
     let answers = net.fronts[answering].receive(now, &bytes);
     let mut receiver = Gossip::new(gossip_config(0, 3), now, 1_000, 1).expect("fit");
     for answer in &answers {
@@ -293,7 +293,7 @@
 #[test]
 fn an_oversized_cell_is_rejected() {
     let mut gossip = Gossip::new(gossip_config(0, 3), 0.0, 1, 1).expect("fit");
-    assert!(gossip.set_cell(1, vec![0; MAX_CELL_BYTES]) && !gossip.set_cell(2, vec![0; MAX_CELL_BYTES + 1]));
+    assert!(gossip.put(1, vec![0; MAX_CELL_BYTES]) && !gossip.put(2, vec![0; MAX_CELL_BYTES + 1]));
 }
 
 #[test]
