--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,14 +1,17 @@
-//! The exchange between the fronts of a fleet, after scuttlebutt reconciliation (van Renesse et al., 2008): each front
-//! keeps rows, one an origin, versioned by that origin's incarnation (as in SWIM, Das et al., 2002) and its count of
-//! changes. In a round a front tells a few others how far it knows which rows; they answer with what it lacks, and it
-//! with what they lack. No I/O and no clock: time, bytes and a seed come in; bytes and whom to send them to go out.
+//! Gossip between the fronts of a fleet, after scuttlebutt reconciliation (van Renesse et al., 2008). Each front keeps one
+//! row per front ("origin"), versioned by the origin's incarnation (as in SWIM, Das et al., 2002) and its count of
+//! changes. In a round, a front asks a few peers and reports up to which version it knows which rows. Each peer answers
+//! with the changes that the front lacks, and asks in turn for those that the peer lacks. The module does no I/O and reads
+//! no clock: the caller (`pulleystair-fleet-member`) passes in the time (ms), received bytes and a seed, and sends the
+//! returned datagrams.
 //!
-//! Nothing is taken that does not answer a question of this front's own, of this moment. So each row comes with the
-//! most that its age can be, with no agreement of clocks: the time since the question, plus the age that the answerer
-//! gives, which it has in the same way. Delay, doubling and reorder make a row older than it is, never younger.
+//! A front applies only answers to a recent question of its own. It can therefore bound the age of each row without
+//! synchronised clocks: the age is at most the time since the question plus the age that the answering peer gives, which
+//! that peer has bounded in the same way. Delay, duplication and reordering can make a row appear older than it is, never
+//! younger.
 //!
-//! A front that is not heard is *doubted* after a while and *unheard* after a longer one; its last row stays, as bounds
-//! may rest on it. What is sent stays under a rate, whatever the size of the fleet.
+//! A front that has not been heard is *doubted* after a while and *unheard* after a longer while. Its last row is kept,
+//! because bounds may depend on it. The bytes sent per second stay under a limit, whatever the size of the fleet.
 
 pub mod message;
 mod row;
@@ -20,45 +23,52 @@
 use std::collections::{BTreeMap, VecDeque};
 pub use view::{Datagram, FrontView, GossipStats, Liveness};
 
-/// Clocks of two fronts run apart by no more than this part; spans that must not be too short are longer by it.
+/// Maximum relative drift between the clocks of two fronts. Durations that must not be too short are extended by it.
 pub const MAX_CLOCK_DRIFT: f64 = 0.01;
-/// Questions whose answers are still taken.
+/// Questions that are remembered; answers to older questions are discarded.
 const MAX_OPEN_QUESTIONS: usize = 64;
-/// Rows told of in one question: so many that changed last, and so many in turn.
+/// Rows listed in one question: the `LATEST_ROWS` that changed last, and `ROTATING_ROWS` others in rotation.
 const LATEST_ROWS: usize = 14;
 const ROTATING_ROWS: usize = 18;
-/// Datagrams that answer one.
+/// Maximum number of datagrams that answer one datagram.
 const MAX_ANSWERS: usize = 4;
-/// A cell's value, bytes: it must fit into a datagram with its head.
+/// Maximum size of a cell's value, bytes: it must fit into one datagram together with its header.
 pub const MAX_CELL_BYTES: usize = 1_000;
 
+/// What a [`Gossip`] is made with.
 #[derive(Clone, Debug)]
 pub struct GossipConfig {
+    /// Name of the fleet; datagrams of other fleets are ignored.
     pub fleet: String,
+    /// Name of this front.
     pub name: String,
+    /// Names of all other fronts.
     pub peers: Vec<String>,
-    /// How often a front asks, ms, and how many others each time.
+    /// Time between two rounds, ms, and the number of peers asked in each.
     pub interval: f64,
     pub fan_out: usize,
-    /// Bytes sent in a second, at most; questions and answers.
+    /// Maximum number of bytes sent per second, questions and answers together.
     pub bytes_s: f64,
-    /// Not heard for so long, ms.
+    /// A front is doubted, or unheard, once its row is older than this, ms.
     pub doubted_after: f64,
     pub unheard_after: f64,
 }
 
+/// Why a list of peers was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeerListError {
-    #[error("peers: {0:?} is listed twice, or is this front")]
+    #[error("peers: {0:?} is listed twice or is this front itself")]
     Duplicate(String),
-    #[error("peers: {0:?} and {1:?} have one checksum; rename one of them")]
+    #[error("peers: {0:?} and {1:?} have the same checksum; rename one of them")]
     SameChecksum(String, String),
 }
 
+/// The identifier of a front: the CRC-32C of its name.
 pub fn origin_of(name: &str) -> Origin {
     crc32c::crc32c(name.as_bytes())
 }
 
+/// One front's replica of all rows, and its part in the exchange.
 pub struct Gossip {
     config: GossipConfig,
     fleet: u32,
@@ -66,20 +76,22 @@
     rng: Rand32,
     names: BTreeMap<Origin, String>,
     rows: BTreeMap<Origin, Row>,
-    /// Others in an order drawn anew each time it is through: each is asked equally often.
+    /// Peers still to be asked, in random order. It is refilled once it is empty, so that all are asked equally often.
     order: Vec<Origin>,
-    /// Where the rows told of in turn go on.
+    /// Index of the row that was last listed in rotation.
     rotation: usize,
     nonce: u32,
+    /// Recent questions of this front: nonce, peer, and when it was asked.
     open_questions: VecDeque<(u32, Origin, f64)>,
     next_round_at: f64,
+    /// Bytes that may be sent now, and when that was last updated.
     token_bucket: (f64, f64),
     pub stats: GossipStats,
 }
 
 impl Gossip {
-    /// `incarnation` must be above that of any earlier start of this front, as a wall clock's reading is; one that is
-    /// not is raised once a peer tells.
+    /// `incarnation` must be above that of any earlier start of this front; a reading of the wall clock is. If it is not,
+    /// it is raised as soon as a peer reports a newer one.
     pub fn new(config: GossipConfig, now: f64, incarnation: u64, seed: u64) -> Result<Gossip, PeerListError> {
         let own_origin = origin_of(&config.name);
         let mut names = BTreeMap::from([(own_origin, config.name.clone())]);
@@ -109,19 +121,23 @@
         })
     }
 
+    /// The identifier of this front.
     pub fn own(&self) -> Origin {
         self.own_origin
     }
 
+    /// The current incarnation of this front's row.
     pub fn incarnation(&self) -> u64 {
         self.rows[&self.own_origin].incarnation
     }
 
+    /// The name of a front; "?" if it is unknown.
     pub fn name(&self, origin: Origin) -> &str {
         self.names.get(&origin).map_or("?", String::as_str)
     }
 
-    /// Writes a cell of this front's own row; a value that stands there already is no change. False where it is too long.
+    /// Writes a cell of this front's own row. A value equal to the present one is no change. Returns false if the value is
+    /// too long.
     pub fn put(&mut self, key: u16, value: Vec<u8>) -> bool {
         let fits = value.len() <= MAX_CELL_BYTES;
         if let Some(row) = self.rows.get_mut(&self.own_origin).filter(|_| fits)
@@ -133,11 +149,12 @@
         fits
     }
 
-    /// All fronts, this one among them, by name's checksum.
+    /// All fronts including this one, ordered by identifier.
     pub fn fronts(&self, now: f64) -> impl Iterator<Item = FrontView<'_>> {
         self.rows.iter().map(move |(origin, row)| self.view(now, *origin, row))
     }
 
+    /// One front; `None` if it is not in this fleet.
     pub fn front(&self, now: f64, origin: Origin) -> Option<FrontView<'_>> {
         self.rows.get(&origin).map(|row| self.view(now, origin, row))
     }
@@ -154,17 +171,17 @@
         FrontView { origin, incarnation, version, age, liveness, contradictory, row }
     }
 
-    /// When the next round is due.
+    /// When the next round starts.
     pub fn next_deadline(&self) -> f64 {
         self.next_round_at
     }
 
-    /// Asks a few others, if a round is due.
+    /// Asks a few peers if a round is due.
     pub fn run_round(&mut self, now: f64) -> Vec<Datagram> {
         if now < self.next_round_at {
             return Vec::new();
         }
-        // Uneven, so that fronts which started together do not ask together.
+        // The interval is randomised, so that fronts that start together do not all ask at the same time.
         self.next_round_at = now + self.config.interval * (0.75 + 0.5 * f64::from(self.rng.rand_float()));
         let mut out = Vec::new();
         for _ in 0..self.config.fan_out.min(self.rows.len() - 1) {
@@ -192,6 +209,7 @@
         out
     }
 
+    /// The peer to ask next.
     fn next_peer(&mut self) -> Option<Origin> {
         if self.order.is_empty() {
             self.order = self.rows.keys().copied().filter(|o| *o != self.own_origin).collect();
@@ -202,7 +220,7 @@
         self.order.pop()
     }
 
-    /// Rows for a question: this front's own, those that changed last, and others in turn.
+    /// Rows to list in a question: this front's own, those that changed last, and others in rotation.
     fn rows_to_ask_about(&mut self) -> Vec<Origin> {
         let mut latest: Vec<(f64, Origin)> = self.rows.iter().map(|(o, row)| (row.changed_at, *o)).collect();
         let mut out = vec![self.own_origin];
@@ -222,7 +240,7 @@
         out
     }
 
-    /// A datagram came. What answers it goes to the peer that it is from.
+    /// Handles a received datagram. The returned answers go to the peer that sent it.
     pub fn receive(&mut self, now: f64, bytes: &[u8]) -> Vec<Datagram> {
         let mut out = Vec::new();
         let message = match Message::decode(bytes, self.fleet) {
@@ -243,7 +261,7 @@
             self.stats.unknown += 1;
             return out;
         }
-        // Only what answers a question of ours has an age that we can tell.
+        // The age of a row can be bounded only if it answers a question of this front.
         let asked_at = message
             .echo
             .map(|echo| self.open_questions.iter().find(|a| (a.0, a.1) == (echo, message.from)).map(|a| a.2));
@@ -266,7 +284,7 @@
         out
     }
 
-    /// Takes what changed in a row.
+    /// Applies a change of a row; `asked_at` is when this front asked the question that it answers.
     fn apply_change(&mut self, now: f64, asked_at: f64, change: &Change) {
         let known = &change.known;
         if known.origin == self.own_origin {
@@ -283,6 +301,7 @@
         }
     }
 
+    /// Uses a peer's report that it knows a row at this version: it bounds the row's age, or reveals a contradiction.
     fn confirm(&mut self, now: f64, asked_at: f64, known: &RowVersion) {
         if known.origin == self.own_origin {
             self.overtake_claim(known);
@@ -291,8 +310,9 @@
         }
     }
 
-    /// Somebody knows more of this front than it has said: it was said before a restart under a clock that ran ahead,
-    /// or by another that goes by this name. A higher incarnation than both ends it.
+    /// Handles a peer that knows a newer version of this front's own row than this front does. Either that row was written
+    /// before a restart, under a clock that ran ahead, or by another process with the same name. A higher incarnation
+    /// replaces it in both cases.
     fn overtake_claim(&mut self, known: &RowVersion) {
         let Some(row) = self.rows.get_mut(&self.own_origin) else { return };
         if (known.incarnation, known.version) > (row.incarnation, row.version) {
@@ -301,7 +321,7 @@
         }
     }
 
-    /// Answers a question, or the question that came with an answer.
+    /// Answers a question, or the question that came with an answer. Asks back only if `may_ask_back`.
     fn answer(&mut self, now: f64, message: &Message, may_ask_back: bool, out: &mut Vec<Datagram>) {
         let mut answers = vec![Message {
             from: self.own_origin,
@@ -336,7 +356,7 @@
                 self.rows[&theirs.origin].append_changes(ours, after_version, &mut answers);
             }
         }
-        // What is asked in turn is a question of this front's own.
+        // The question that is sent with the answer gets a nonce of its own.
         if answers[0].wants_answer {
             self.nonce = self.nonce.wrapping_add(1);
             answers[0].nonce = self.nonce;
@@ -348,6 +368,7 @@
         }
     }
 
+    /// Queues a datagram, unless the rate limit is used up.
     fn send(&mut self, now: f64, to: Origin, message: &Message, out: &mut Vec<Datagram>) {
         let bytes = message.encode(self.fleet);
         let rate = self.config.bytes_s;
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -1,49 +1,50 @@
-//! What goes between two fronts: one datagram, checked whole before anything of it is taken.
+//! The message between two fronts: one datagram, which is validated as a whole before any of it is applied.
 //!
-//! `GOSSIP_VERSION`, the fleet's name as a checksum, a checksum of all that follows, then postcard.
+//! Layout: [`GOSSIP_VERSION`] (1 byte), CRC-32C of the fleet's name, CRC-32C of the body (4 bytes each, big endian), then
+//! the body in postcard.
 
 use serde::{Deserialize, Serialize};
 
-/// A datagram's size at most, bytes: what a path of 1,280 carries with IPv6 and UDP heads.
+/// Maximum size of a datagram, bytes: what a path with an MTU of 1,280 carries beside IPv6 and UDP headers.
 pub const MAX_BYTES: usize = 1_200;
-/// The form of what goes round; another is passed over.
+/// Version of this format; datagrams of other versions are ignored.
 pub const GOSSIP_VERSION: u8 = 1;
-/// Version, fleet and checksum before the message.
+/// Bytes before the body: version, fleet and checksum.
 const HEADER_BYTES: usize = 9;
-/// No row is older, ms: a week. What claims to be is impossible.
+/// Maximum age of a row, ms (a week). A row that claims to be older is invalid.
 const MAX_AGE_MS: u32 = 7 * 86_400_000;
 
-/// A front by the checksum of its name.
+/// Identifier of a front: the checksum of its name.
 pub type Origin = u32;
 
-/// Why a datagram was not taken.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    #[error("longer than 1,200 bytes")]
+    #[error("the datagram is longer than 1,200 bytes")]
     TooLong,
-    #[error("of another version of the exchange")]
+    #[error("the datagram has another version of the gossip format")]
     OtherVersion,
-    #[error("of another fleet")]
+    #[error("the datagram is from another fleet")]
     OtherFleet,
-    #[error("spoilt")]
+    #[error("the datagram is truncated, corrupt or inconsistent")]
     Corrupt,
-    #[error("an age that can't be")]
+    #[error("the datagram gives a row an impossible age")]
     ImpossibleAge,
 }
 
-/// How far a front knows a row.
+/// Up to which version a front knows a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowVersion {
     pub origin: Origin,
     pub incarnation: u64,
     pub version: u64,
-    /// The row was its origin's own no longer ago than this, ms; none where nobody can say.
+    /// Upper bound on the time since the row was current at its origin, ms; `None` if unknown.
     pub age: Option<u32>,
-    /// Checksum of all its cells, where they are known whole.
+    /// Checksum of all the row's cells; `None` if the front has received only a part of them.
     pub sum: Option<u32>,
 }
 
-/// A value of a row, and the row's version that brought it.
+/// One value of a row, and the version of the row that last changed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cell {
     pub key: u16,
@@ -51,29 +52,31 @@
     pub value: Vec<u8>,
 }
 
-/// All that changed in a row after `from`, up to `known.version`.
+/// All changes of a row after version `from`, up to `known.version`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     pub known: RowVersion,
     pub from: u64,
-    /// The version of the row that it was taken from: a part lacks what changed up to there.
+    /// Version of the sender's row when the change was cut from it. If it is above `known.version`, more parts follow.
     pub source_version: u64,
     pub cells: Vec<Cell>,
 }
 
+/// A question, an answer, or both.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     pub from: Origin,
     pub nonce: u32,
-    /// The nonce that this answers: what tells the reader how old it may be at most.
+    /// Nonce of the question that this answers. It gives the receiver an upper bound on the age of the rows.
     pub echo: Option<u32>,
-    /// An answer to this is wanted.
+    /// Whether the sender wants an answer.
     pub wants_answer: bool,
     pub known: Vec<RowVersion>,
     pub changes: Vec<Change>,
 }
 
 impl Message {
+    /// The datagram for a fleet, given as the checksum of its name.
     pub fn encode(&self, fleet: u32) -> Vec<u8> {
         let body = postcard::to_stdvec(self).unwrap_or_default();
         let mut out = Vec::with_capacity(HEADER_BYTES + body.len());
@@ -84,6 +87,7 @@
         out
     }
 
+    /// Parses and validates a datagram of this fleet.
     pub fn decode(bytes: &[u8], fleet: u32) -> Result<Message, MessageError> {
         if bytes.len() > MAX_BYTES {
             return Err(MessageError::TooLong);
@@ -116,13 +120,14 @@
         Ok(message)
     }
 
+    /// Size of the datagram, bytes.
     pub fn size(&self) -> usize {
         HEADER_BYTES + postcard::experimental::serialized_size(self).unwrap_or(MAX_BYTES)
     }
 }
 
 impl Change {
-    /// Its cells' versions lie where it says.
+    /// Whether the versions of the cells lie in the stated range.
     fn is_consistent(&self) -> bool {
         let within = |c: &Cell| self.from < c.version && c.version <= self.known.version;
         self.from <= self.known.version
--- a/crates/gossip/src/row.rs
+++ b/crates/gossip/src/row.rs
@@ -1,41 +1,44 @@
-//! A front's row as it is known here. What came is taken into it only once it is whole and its checksum holds, so that a
-//! reader never sees half of a change, or one that was altered on its way.
+//! A front's row as this front knows it. A received change is applied only once it is complete and its checksum matches, so
+//! that a reader never sees half of a change or one that was altered in transit.
 
 use crate::MAX_CLOCK_DRIFT;
 use crate::message::{Cell, Change, MAX_BYTES, Message, Origin, RowVersion};
 use std::collections::BTreeMap;
 
-/// Room that is kept in a datagram beside changes' cells, bytes.
+/// Bytes reserved in a datagram for the header of a change.
 const CHANGE_HEADER_BYTES: usize = 64;
 
+/// A row, and the parts of a change that have arrived so far.
 pub(crate) struct Row {
     pub(crate) incarnation: u64,
     pub(crate) version: u64,
+    /// By key: the version of the row that last changed the cell, and its value.
     pub(crate) cells: BTreeMap<u16, (u64, Vec<u8>)>,
-    /// Checksum over all cells, in no order.
+    /// XOR of the checksums of all cells, so that their order does not matter.
     pub(crate) checksum: u32,
-    /// Parts of a change that is not whole yet, and up to which version they go.
+    /// Cells of a change that is still incomplete, and up to which version they go.
     pub(crate) staged: BTreeMap<u16, (u64, Vec<u8>)>,
     pub(crate) staged_version: u64,
-    /// The version of the row that they are parts of: one of an older state would not make them whole.
+    /// Newest version of the row that any part was cut from. Parts of an older version would not complete it.
     pub(crate) staged_source_version: u64,
-    /// When another row of this incarnation and version was last met.
+    /// When a different row with this incarnation and version was last received.
     pub(crate) contradicted_at: f64,
-    /// On this front's clock: the row was its origin's own then, or later.
+    /// Moment on this front's clock at which, or after which, the row was current at its origin.
     pub(crate) as_of: f64,
-    /// When it last changed here.
+    /// When it last changed at this front.
     pub(crate) changed_at: f64,
 }
 
-/// What became of a change.
+/// The result of applying a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ChangeResult {
+    /// It was applied, or staged until the rest arrives.
     Accepted,
-    /// It is of an incarnation that is past.
+    /// It belongs to an earlier incarnation.
     Outdated,
-    /// Something before it is missing.
+    /// An earlier change is missing.
     Gap,
-    /// It does not come to what its checksum says.
+    /// The resulting row does not have the stated checksum.
     ChecksumMismatch,
 }
 
@@ -56,12 +59,14 @@
     }
 }
 
+/// Checksum of one cell: its key, version and value.
 fn cell_checksum(key: u16, version: u64, value: &[u8]) -> u32 {
     let head = [&key.to_be_bytes()[..], &version.to_be_bytes()].concat();
     crc32c::crc32c_append(crc32c::crc32c(&head), value)
 }
 
 impl Row {
+    /// Sets a cell and updates the row's checksum.
     pub(crate) fn set_cell(&mut self, key: u16, version: u64, value: Vec<u8>) {
         self.checksum ^= cell_checksum(key, version, &value);
         if let Some((version, old_value)) = self.cells.insert(key, (version, value)) {
@@ -69,12 +74,12 @@
         }
     }
 
-    /// ms, at most; a slow clock of this front's counts too few.
+    /// Upper bound on the row's age, ms. It is extended by the drift, because this front's clock may run slow.
     pub(crate) fn age(&self, now: f64) -> f64 {
         (now - self.as_of).max(0.0) * (1.0 + 2.0 * MAX_CLOCK_DRIFT)
     }
 
-    /// How far it is known here, for whoever wants to know it.
+    /// The complete version that is known here, as it is reported in an answer.
     pub(crate) fn row_version(&self, now: f64, origin: Origin) -> RowVersion {
         let age = self.age(now);
         RowVersion {
@@ -86,7 +91,7 @@
         }
     }
 
-    /// The same for whoever is asked for the rest: parts that have come count.
+    /// The version reported in a question for the rest. Staged parts count, so that they are not sent again.
     pub(crate) fn received_version(&self, now: f64, origin: Origin) -> RowVersion {
         let row_version = self.row_version(now, origin);
         if self.staged.is_empty() {
@@ -96,6 +101,7 @@
         }
     }
 
+    /// Stages the cells of a change, and applies all of them once they are complete and match the checksum.
     pub(crate) fn apply(&mut self, now: f64, change: &Change) -> ChangeResult {
         let known = &change.known;
         if known.incarnation < self.incarnation {
@@ -143,13 +149,15 @@
         ChangeResult::Accepted
     }
 
-    /// What came, or what is held, is not its origin's: nobody can say which, so all of it is asked for again.
+    /// Discards the row, as either the received or the known one is not its origin's. It can't be told which of them, so all
+    /// of the row is requested again.
     fn discard(&mut self, now: f64) {
         *self =
             Row { incarnation: self.incarnation, contradicted_at: now, changed_at: now, ..Row::default() };
     }
 
-    /// Somebody who was asked then knows the row as far as we do, so old at most.
+    /// Uses a peer's report that, when asked, it knew the row at this version and age. The same version with another
+    /// checksum is a contradiction.
     pub(crate) fn confirm(&mut self, now: f64, asked_at: f64, known: &RowVersion) {
         if (known.incarnation, known.version) != (self.incarnation, self.version) || known.incarnation == 0 {
             return;
@@ -163,7 +171,8 @@
         }
     }
 
-    /// What changed after a version, split over answers. A change that is cut short says up to where it goes.
+    /// Appends all changes after a version to the answers, split over several datagrams as needed. A part states up to which
+    /// version it goes.
     pub(crate) fn append_changes(&self, known: RowVersion, after_version: u64, answers: &mut Vec<Message>) {
         let mut cells: Vec<Cell> = self
             .cells
@@ -184,7 +193,7 @@
             }
             let is_last = cells.peek().is_none();
             if is_last && bytes_left < CHANGE_HEADER_BYTES && part.is_empty() || !is_last && part.is_empty() {
-                // Nothing fits: a new datagram, unless this one is new already.
+                // Nothing fits. Start a new datagram, unless this one is still empty.
                 if last.changes.is_empty() && last.known.is_empty() {
                     return;
                 }
@@ -194,7 +203,7 @@
                 continue;
             }
             let to_version = if is_last { known.version } else { part.last().map_or(from, |c| c.version) };
-            // A part is not current, so it vouches for nothing.
+            // A part is not the current row, so it gives neither an age nor a checksum.
             let known = if is_last {
                 known
             } else {
--- a/crates/gossip/src/view.rs
+++ b/crates/gossip/src/view.rs
@@ -1,8 +1,9 @@
-//! What is known of other fronts, what goes to them, and what was counted.
+//! What the caller of [`crate::Gossip`] sees: other fronts' rows, datagrams to send, and counters.
 
 use crate::message::Origin;
 use crate::row::Row;
 
+/// How recently a front was heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Liveness {
     Heard,
@@ -10,26 +11,30 @@
     Unheard,
 }
 
-/// What came and was not taken, and what was.
+/// Counters of datagrams and changes that were sent, accepted and rejected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GossipStats {
     pub sent: u64,
     pub sent_bytes: u64,
+    /// Datagrams accepted.
     pub taken: u64,
+    /// Datagrams rejected for each [`crate::message::MessageError`]: too long, another version, another fleet, corrupt,
+    /// impossible age.
     pub long: u64,
     pub version: u64,
     pub foreign: u64,
     pub spoilt: u64,
     pub ages: u64,
-    /// From a front, or about one, that is no peer; answers to nothing that was asked lately; rows with a gap.
+    /// `unknown`: datagrams from, or rows of, a front that is not a peer. `late`: answers to no recent question. `gaps`:
+    /// changes before which another is missing.
     pub unknown: u64,
     pub late: u64,
     pub gaps: u64,
-    /// Changes that did not come to what their checksum says.
+    /// Changes that did not result in the stated checksum.
     pub altered: u64,
-    /// Not sent, as the rate was spent.
+    /// Datagrams not sent because the rate limit was used up.
     pub held_back: u64,
-    /// Times that another claimed to be this front.
+    /// Times that another process claimed to be this front, or this front's earlier incarnation was ahead of it.
     pub claimed: u64,
 }
 
@@ -40,25 +45,26 @@
     pub bytes: Vec<u8>,
 }
 
-/// What is known of a front.
+/// One front as this front knows it.
 pub struct FrontView<'a> {
     pub origin: Origin,
     pub incarnation: u64,
     pub version: u64,
-    /// ms that have passed at most since the row was its origin's own; infinite where it was never heard.
+    /// Upper bound on the time since the row was current at its origin, ms; infinite if it was never heard.
     pub age: f64,
     pub liveness: Liveness,
-    /// Two rows of one incarnation and version differed, of late.
+    /// Whether two different rows of the same incarnation and version were received recently.
     pub contradictory: bool,
     pub(crate) row: &'a Row,
 }
 
 impl<'a> FrontView<'a> {
+    /// The value of a cell.
     pub fn cell(&self, key: u16) -> Option<&'a [u8]> {
         self.row.cells.get(&key).map(|(_, value)| value.as_slice())
     }
 
-    /// The cells of keys within a range, by key.
+    /// The cells whose keys are in a range, ordered by key.
     pub fn cells(&self, keys: std::ops::Range<u16>) -> impl Iterator<Item = (u16, &'a [u8])> + use<'a> {
         self.row.cells.range(keys).map(|(key, (_, value))| (*key, value.as_slice()))
     }
--- a/crates/gossip/tests/exchange.rs
+++ b/crates/gossip/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange under loss, doubling, delay, reorder, splits and restarts, in simulated time; a story a failure.
+//! Tests gossip under loss, duplication, delay, reordering, partitions and restarts, in simulated time.
 
 mod network;
 
@@ -31,8 +31,8 @@
     assert!(max_bytes <= 64_000.0 * (net.now / 1_000.0 + 1.0), "{max_bytes} bytes in {} ms", net.now);
 }
 
-/// Each front writes the time into its row now and then. Whoever reads it must not believe it younger than it is, though
-/// each clock is off by its own hours, and whatever the network does.
+/// Each front writes the time into its row now and then. A reader must never underestimate the age of a row, whatever
+/// the network does.
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
@@ -52,11 +52,15 @@
                     let Some(claimed_at) = row.cell(1).and_then(|v| v.try_into().ok()) else { continue };
                     let claimed_at = u64::from_be_bytes(claimed_at) as f64;
                     let origin = net.index(row.origin);
-                    // What it says was its origin's word until the next was written, which it does not know of.
+                    // The origin has written a newer value since then, so the reader's row is out of date since that moment.
                     if claimed_at < written_at[origin].floor() {
                         checked += 1;
                         let passed = net.now - written_at[origin];
-                        assert!(row.age + 0.001 >= passed, "{} old, {passed} passed", row.age);
+                        assert!(
+                            row.age + 0.001 >= passed,
+                            "estimated age {} ms is below the true {passed} ms",
+                            row.age
+                        );
                     }
                 }
             }
@@ -73,7 +77,7 @@
     net.link_open = |from, to| from != 4 && to != 4;
     let mut states = Vec::new();
     net.run(8_000.0, |net| {
-        let row = net.fronts[0].front(net.now, origin_of(&front_name(4))).expect("it is a peer");
+        let row = net.fronts[0].front(net.now, origin_of(&front_name(4))).expect("the front is a peer");
         if states.last() != Some(&row.liveness) {
             states.push(row.liveness);
         }
@@ -83,7 +87,7 @@
     net.link_open = |_, _| true;
     net.run(2_000.0, |_| {});
     assert_eq!(
-        net.fronts[0].front(net.now, origin_of(&front_name(4))).expect("it is").liveness,
+        net.fronts[0].front(net.now, origin_of(&front_name(4))).expect("the front is a peer").liveness,
         Liveness::Heard
     );
 }
@@ -95,7 +99,7 @@
     net.run(6_000.0, |_| {});
     for reader in &net.fronts {
         assert_eq!(
-            reader.front(net.now, origin_of(&front_name(4))).expect("it is").liveness,
+            reader.front(net.now, origin_of(&front_name(4))).expect("the front is a peer").liveness,
             Liveness::Heard
         );
     }
@@ -114,7 +118,7 @@
     assert!(net.fronts[1].incarnation() > 1_000 && net.fronts[1].stats.claimed > 0);
 }
 
-/// A row of many datagrams comes in parts; until it is whole it vouches for nothing.
+/// A row of many datagrams arrives in parts. Until it is complete, none of it may be visible or count as current.
 #[test]
 fn a_partly_received_row_is_not_visible() {
     let mut net = Network::new(2, 12, BAD_NETWORK);
@@ -123,11 +127,11 @@
         net.fronts[1].put(part, vec![part as u8; 900]);
     }
     net.run(6_000.0, |net| {
-        let row = net.fronts[0].front(net.now, origin_of(&front_name(1))).expect("it is a peer");
+        let row = net.fronts[0].front(net.now, origin_of(&front_name(1))).expect("the front is a peer");
         let received = row.cells(0..40).count();
         incomplete += usize::from(received == 0);
-        assert!(received == 0 || received == 40, "{received} cells");
-        assert!(row.age.is_infinite() || received == 40, "{received} cells, {} old", row.age);
+        assert!(received == 0 || received == 40, "{received} cells visible");
+        assert!(row.age.is_infinite() || received == 40, "{received} cells visible, {} ms old", row.age);
     });
     assert!(
         incomplete > 0
@@ -135,8 +139,8 @@
     );
 }
 
-/// Front 2 hears a part of the newest state of front 1's row, and the rest from front 0, which is one change behind. The
-/// two are of no state, and no word of it is to be believed; nor is it a contradiction.
+/// Front 2 receives one part of the newest version of front 1's row, and the rest from front 0, which is one change behind.
+/// Together they are no version that ever existed: they must be neither applied nor reported as a contradiction.
 #[test]
 fn parts_of_two_versions_are_not_mixed() {
     let mut net = Network::new(3, 13, Faults::default());
@@ -167,15 +171,15 @@
         }
     }
     let now = net.now;
-    let row = net.fronts[2].front(now, origin_of(&front_name(1))).expect("it is a peer");
+    let row = net.fronts[2].front(now, origin_of(&front_name(1))).expect("the front is a peer");
     assert!(row.cells(0..8).count() == 0 && !row.contradictory && row.age.is_infinite());
     net.link_open = |_, _| true;
     net.run(2_000.0, |_| {});
-    let row = net.fronts[2].front(net.now, origin_of(&front_name(1))).expect("it is a peer");
+    let row = net.fronts[2].front(net.now, origin_of(&front_name(1))).expect("the front is a peer");
     assert_eq!((row.cells(0..8).count(), row.cell(0).map(|c| c[0])), (8, Some(2)));
 }
 
-/// An answer that leaves a part out is not taken: what it brings would stand in for what it lacks.
+/// An answer that leaves out a change must be rejected, as its later changes would hide the missing one.
 #[test]
 fn a_change_after_a_gap_is_rejected() {
     let mut net = Network::new(2, 13, Faults::default());
@@ -187,39 +191,44 @@
     let fleet =
         u32::from_be_bytes([question.bytes[1], question.bytes[2], question.bytes[3], question.bytes[4]]);
     let answer = net.fronts[1].receive(now, &question.bytes).remove(0);
-    let mut message = Message::decode(&answer.bytes, fleet).expect("it reads");
+    let mut message = Message::decode(&answer.bytes, fleet).expect("the datagram is valid");
     let change = &mut message.changes[0];
     change.from += 5;
     change.known.version += 5;
     change.source_version += 5;
     change.cells[0].version += 5;
     net.fronts[0].receive(now, &message.encode(fleet));
-    let row = net.fronts[0].front(now, origin_of(&front_name(1))).expect("it is a peer");
+    let row = net.fronts[0].front(now, origin_of(&front_name(1))).expect("the front is a peer");
     assert_eq!((row.cell(2), net.fronts[0].stats.gaps), (None, 1));
 }
 
-/// Two processes go by one name, with one incarnation.
+/// Two processes run under the same name with the same incarnation. Readers must report the contradiction, until one has
+/// been away for a while.
 #[test]
 fn two_processes_with_one_name_and_incarnation_are_detected() {
     let mut net = Network::new(3, 7, Faults::default());
     let now = net.now;
     net.fronts[1].put(1, b"one".to_vec());
-    let mut twin = Gossip::new(gossip_config(1, 3), now, 1_000, 99).expect("fit");
+    let mut twin = Gossip::new(gossip_config(1, 3), now, 1_000, 99).expect("the peer list is valid");
     twin.put(1, b"two".to_vec());
     net.run(2_000.0, |_| {});
-    // Front 0 asks the twin, which answers what it is asked.
+    // Front 0's question for front 1 goes to the twin, which answers it.
     let question = (0..20).find_map(|_| {
         net.now = net.now.max(net.fronts[0].next_deadline());
         let now = net.now;
         net.fronts[0].run_round(now).into_iter().find(|datagram| datagram.to == origin_of(&front_name(1)))
     });
-    for answer in twin.receive(net.now, &question.expect("it asks").bytes) {
+    for answer in twin.receive(net.now, &question.expect("front 0 asks front 1").bytes) {
         net.fronts[0].receive(net.now, &answer.bytes);
     }
-    assert!(net.fronts[0].front(net.now, origin_of(&front_name(1))).expect("it is").contradictory);
-    // The twin is gone for good: what it said is over after a while.
+    assert!(
+        net.fronts[0].front(net.now, origin_of(&front_name(1))).expect("the front is a peer").contradictory
+    );
+    // The twin does not answer again, so the contradiction expires.
     net.run(6_000.0, |_| {});
-    assert!(!net.fronts[0].front(net.now, origin_of(&front_name(1))).expect("it is").contradictory);
+    assert!(
+        !net.fronts[0].front(net.now, origin_of(&front_name(1))).expect("the front is a peer").contradictory
+    );
     assert_eq!(cell_value(&net.fronts[0], net.now, 1), Some(b"one".to_vec()));
 }
 
@@ -233,9 +242,9 @@
 
 #[test_case(|b| b.extend([0; MAX_BYTES]), |g| g.stats.long; "too long")]
 #[test_case(|b| b[0] = GOSSIP_VERSION + 1, |g| g.stats.version; "another version")]
-#[test_case(|b| b[2] ^= 1, |g| g.stats.foreign; "a foreign fleet")]
-#[test_case(|b| b[20] ^= 4, |g| g.stats.spoilt; "a bit turned")]
-#[test_case(|b| b.truncate(30), |g| g.stats.spoilt; "cut")]
+#[test_case(|b| b[2] ^= 1, |g| g.stats.foreign; "another fleet")]
+#[test_case(|b| b[20] ^= 4, |g| g.stats.spoilt; "a flipped bit")]
+#[test_case(|b| b.truncate(30), |g| g.stats.spoilt; "truncated")]
 #[test_case(|b| b.clear(), |g| g.stats.spoilt; "empty")]
 fn invalid_datagrams_are_counted_and_not_answered(corrupt: fn(&mut Vec<u8>), count: fn(&Gossip) -> u64) {
     let (mut net, mut bytes) = network_and_question();
@@ -251,7 +260,7 @@
     let (mut net, bytes) = network_and_question();
     let fleet = u32::from_be_bytes([bytes[1], bytes[2], bytes[3], bytes[4]]);
     let now = net.now;
-    let mut message = Message::decode(&bytes, fleet).expect("it reads");
+    let mut message = Message::decode(&bytes, fleet).expect("the datagram is valid");
     message.from ^= 1;
     assert_eq!(net.fronts[1].receive(now, &message.encode(fleet)), Vec::new());
     assert_eq!(net.fronts[1].stats.unknown, 1);
@@ -268,7 +277,7 @@
     let answering = usize::from(net.fronts[2].stats.taken < net.fronts[1].stats.taken) + 1;
     net.fronts[answering].put(1, b"news".to_vec());
     let answers = net.fronts[answering].receive(now, &bytes);
-    let mut receiver = Gossip::new(gossip_config(0, 3), now, 1_000, 1).expect("fit");
+    let mut receiver = Gossip::new(gossip_config(0, 3), now, 1_000, 1).expect("the peer list is valid");
     for answer in &answers {
         receiver.receive(now, &answer.bytes);
     }
@@ -280,7 +289,7 @@
 fn the_rate_limit_holds_datagrams_back_and_counts_them() {
     let mut gossip_config = gossip_config(0, 40);
     gossip_config.bytes_s = 300.0;
-    let mut gossip = Gossip::new(gossip_config, 0.0, 1, 1).expect("fit");
+    let mut gossip = Gossip::new(gossip_config, 0.0, 1, 1).expect("the peer list is valid");
     let mut sent = 0;
     for _ in 0..100 {
         let now = gossip.next_deadline();
@@ -292,7 +301,7 @@
 
 #[test]
 fn an_oversized_cell_is_rejected() {
-    let mut gossip = Gossip::new(gossip_config(0, 3), 0.0, 1, 1).expect("fit");
+    let mut gossip = Gossip::new(gossip_config(0, 3), 0.0, 1, 1).expect("the peer list is valid");
     assert!(gossip.put(1, vec![0; MAX_CELL_BYTES]) && !gossip.put(2, vec![0; MAX_CELL_BYTES + 1]));
 }
 
@@ -309,12 +318,12 @@
     assert_eq!(Gossip::new(with_itself, 0.0, 1, 1).err(), Some(PeerListError::Duplicate("front-0".into())));
 }
 
-/// A reader whose clock is slow by all that is allowed must still not take a row for too young.
+/// A reader whose clock runs slow by the maximum drift must still not underestimate a row's age.
 #[test]
 fn a_slow_clock_does_not_underestimate_a_rows_age() {
     let mut net = Network::new(2, 9, Faults::default());
     net.run(1_000.0, |_| {});
-    let age = |at: f64| net.fronts[0].front(at, origin_of(&front_name(1))).expect("it is").age;
+    let age = |at: f64| net.fronts[0].front(at, origin_of(&front_name(1))).expect("the front is a peer").age;
     let passed = 10_000.0 / (1.0 - MAX_CLOCK_DRIFT);
     assert!(age(net.now + 10_000.0) - age(net.now) >= passed - 1e-6);
 }
--- a/crates/gossip/tests/measure.rs
+++ b/crates/gossip/tests/measure.rs
@@ -1,4 +1,5 @@
-//! What the exchange costs and how soon a fact is everywhere, by the size of the fleet; simulated time, one core.
+//! Measures what gossip costs and how many rounds a change needs to reach all fronts, by size of the fleet. It runs in
+//! simulated time on one core.
 //! `cargo test --release -p pulleystair-gossip --test measure -- --ignored --nocapture`
 
 mod network;
@@ -7,7 +8,7 @@
 use pulleystair_gossip::origin_of;
 use std::time::Instant;
 
-/// Each front changes four cells of 300 bytes every second, about what a busy front says of 36 servers.
+/// Each front changes four cells of 300 bytes every second, about what a busy front writes for 36 servers.
 fn run_busy_fleet(net: &mut Network, seconds: usize) {
     for second in 0..seconds {
         for front in 0..net.fronts.len() {
@@ -22,7 +23,7 @@
 #[ignore = "a measurement"]
 fn measure_cost_and_rounds_to_convergence() {
     println!(
-        "fronts  loss  kB/s a front (most)  CPU ms/s a front  rounds to everywhere, median of 5 (worst)"
+        "fronts  loss  kB/s per front (max)  CPU ms/s per front  rounds to all fronts, median of 5 (worst)"
     );
     for count in [3, 30, 300] {
         for lost in [0.0, 0.1, 0.3] {
@@ -50,7 +51,7 @@
                 };
                 while !reached_all(&net) {
                     net.run(50.0, |_| {});
-                    assert!(net.now - from < 120_000.0, "never everywhere");
+                    assert!(net.now - from < 120_000.0, "front {front}'s change did not reach all fronts");
                 }
                 rounds.push((net.now - from) / 200.0);
             }
--- a/crates/gossip/tests/network/mod.rs
+++ b/crates/gossip/tests/network/mod.rs
@@ -1,30 +1,33 @@
-//! Exchanges of many fronts over a network of one seed's making, in simulated time.
-#![allow(dead_code)] // Each file of tests uses a part of it.
+//! Simulates the gossip of many fronts over a network with faults, in simulated time and from one seed.
+#![allow(dead_code)] // Each test file uses only a part of this module.
 
 use oorandom::Rand64;
 use pulleystair_gossip::message::Origin;
 use pulleystair_gossip::{Datagram, Gossip, GossipConfig, origin_of};
 use std::collections::BTreeMap;
 
-/// What the network does to each datagram.
+/// Faults of the network: the probabilities that a datagram is lost and that it is duplicated.
 #[derive(Clone, Copy, Default)]
 pub struct Faults {
     pub lost: f64,
     pub duplicated: f64,
-    /// Each is late by up to so many ms, one in ten by up to ten times as many.
+    /// Each datagram is delayed by up to this, ms; one in ten by up to ten times as much.
     pub max_delay_ms: f64,
 }
 
+/// The fronts, and the datagrams in flight between them.
 pub struct Network {
     pub now: f64,
     pub fronts: Vec<Gossip>,
     pub up: Vec<bool>,
     pub faults: Faults,
-    /// Whether a datagram may pass from one to another.
+    /// Whether datagrams pass from one front to another.
     pub link_open: fn(usize, usize) -> bool,
     rng: Rand64,
+    /// By arrival time (µs) and a sequence number: sender, receiver and bytes.
     in_flight: BTreeMap<(u64, u64), (usize, usize, Vec<u8>)>,
     next_sequence: u64,
+    /// Bytes sent by each front.
     pub bytes: Vec<u64>,
 }
 
@@ -47,8 +50,10 @@
 
 impl Network {
     pub fn new(count: usize, seed: u64, faults: Faults) -> Network {
-        let front =
-            |i| Gossip::new(gossip_config(i, count), 0.0, 1_000, seed * 1_000 + i as u64).expect("fit");
+        let front = |i| {
+            Gossip::new(gossip_config(i, count), 0.0, 1_000, seed * 1_000 + i as u64)
+                .expect("the peer list is valid")
+        };
         Network {
             now: 0.0,
             fronts: (0..count).map(front).collect(),
@@ -62,11 +67,12 @@
         }
     }
 
+    /// Replaces a front by a new one of this incarnation.
     pub fn restart(&mut self, front: usize, incarnation: u64) {
         let count = self.fronts.len();
         let seed = incarnation + front as u64;
-        self.fronts[front] =
-            Gossip::new(gossip_config(front, count), self.now, incarnation, seed).expect("fit");
+        self.fronts[front] = Gossip::new(gossip_config(front, count), self.now, incarnation, seed)
+            .expect("the peer list is valid");
         self.up[front] = true;
     }
 
@@ -92,7 +98,7 @@
         }
     }
 
-    /// Runs for so many ms; `look` is called after every event.
+    /// Runs for this many ms and calls `on_event` after every event.
     pub fn run(&mut self, ms: f64, mut on_event: impl FnMut(&Network)) {
         let end = self.now + ms;
         loop {
