--- a/crates/fleet-member/src/row.rs
+++ b/crates/fleet-member/src/row.rs
@@ -72,6 +72,6 @@
         loan_requests: cells(WISHES),
         grants: cells(GRANTS),
         counts: cells(COUNTS),
-        judgements: cells(JUDGEMENTS),
+        server_results: cells(JUDGEMENTS),
     }
 }
--- a/crates/fleet-member/src/said.rs
+++ b/crates/fleet-member/src/said.rs
@@ -105,7 +105,8 @@
             .keys()
             .map(|id| {
                 let own = self.given.get(id);
-                let bounds = PlayBounds { places: f64::MAX, pace: None, ends: None };
+                let bounds =
+                    PlayBounds { max_plays: f64::MAX, max_added_per_ms: None, max_ended_per_ms: None };
                 let plays = self.plays_at(now, *id, None, bounds);
                 json!({
                     "server": name(id),
--- a/crates/shared-state/src/budgets.rs
+++ b/crates/shared-state/src/budgets.rs
@@ -17,7 +17,7 @@
 //!
 //! So lost words cost capacity for a span, and never make any.
 
-use crate::{PeerState, chunks, items};
+use crate::{PeerState, decode_cells, encode_cells};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -29,10 +29,10 @@
 /// A loan's end at its giver is later than at its borrower by this part of the span: 2 x MAX_CLOCK_DRIFT / (1 - MAX_CLOCK_DRIFT), twice over.
 pub const LEASE_MARGIN: f64 = 0.04;
 /// Wishes and grants that a row may hold. There are up to three for each cold server.
-const MOST: usize = 2_048;
+const MAX_LOANS: usize = 2_048;
 /// Numbers of a wish whose grants may still be under way.
-const ASKED: usize = 4;
-const CELL: usize = 900;
+const MAX_OPEN_REQUESTS: usize = 4;
+const MAX_CELL_BYTES: usize = 900;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum BudgetKind {
@@ -45,8 +45,8 @@
 pub type BudgetId = (u64, BudgetKind);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Wish {
-    of: BudgetId,
+struct LoanRequest {
+    budget: BudgetId,
     number: u32,
 }
 
@@ -55,7 +55,7 @@
     to: u32,
     /// The borrower's incarnation: another of it did not ask.
     incarnation: u64,
-    of: BudgetId,
+    budget: BudgetId,
     number: u32,
     parts: u32,
 }
@@ -65,183 +65,198 @@
     incarnation: u64,
     number: u32,
     parts: u32,
-    until: f64,
+    expires_at: f64,
 }
 
 /// What this front does with one budget.
 #[derive(Default)]
-struct Purse {
+struct BudgetState {
     /// When it last needed any of it, and when it last needed more than it holds.
-    used: Option<f64>,
-    wanted: Option<f64>,
+    used_at: Option<f64>,
+    wanted_more_at: Option<f64>,
     /// The latest numbers of the wish, with when they were asked.
-    asked: Vec<(u32, f64)>,
-    lent: Vec<Lease>,
+    requests: Vec<(u32, f64)>,
+    leases: Vec<Lease>,
     /// Of each giver: the number, the parts, and until when.
-    held: BTreeMap<u32, (u32, u32, f64)>,
+    borrowed: BTreeMap<u32, (u32, u32, f64)>,
 }
 
-impl Purse {
+impl BudgetState {
     /// For each borrower, the largest lease that it may still count.
-    fn lent(&self, now: f64) -> u32 {
-        let mut by: BTreeMap<(u32, u64), u32> = BTreeMap::new();
-        for lease in self.lent.iter().filter(|l| now < l.until) {
-            let most = by.entry((lease.to, lease.incarnation)).or_default();
-            *most = (*most).max(lease.parts);
+    fn parts_lent(&self, now: f64) -> u32 {
+        let mut max_by_borrower: BTreeMap<(u32, u64), u32> = BTreeMap::new();
+        for lease in self.leases.iter().filter(|l| now < l.expires_at) {
+            let max_parts = max_by_borrower.entry((lease.to, lease.incarnation)).or_default();
+            *max_parts = (*max_parts).max(lease.parts);
         }
-        by.values().sum()
+        max_by_borrower.values().sum()
     }
 
-    fn idle(&self) -> bool {
-        self.used.is_none() && self.lent.is_empty() && self.held.is_empty() && self.asked.is_empty()
+    fn is_idle(&self) -> bool {
+        self.used_at.is_none()
+            && self.leases.is_empty()
+            && self.borrowed.is_empty()
+            && self.requests.is_empty()
     }
 }
 
 pub struct Budgets {
     origin: u32,
     incarnation: u64,
-    span: f64,
+    lease_ms: f64,
     fronts: u32,
     /// Until then it may have lent what it does not know of.
-    unsure: f64,
-    number: u32,
-    purses: BTreeMap<BudgetId, Purse>,
+    loans_unknown_until: f64,
+    last_request_number: u32,
+    states: BTreeMap<BudgetId, BudgetState>,
 }
 
 impl Budgets {
     /// Of so many fronts, with loans of so many ms.
-    pub fn new(now: f64, origin: u32, incarnation: u64, fronts: usize, span: f64) -> Budgets {
-        let unsure = now + span * (1.0 + LEASE_MARGIN);
+    pub fn new(now: f64, origin: u32, incarnation: u64, fronts: usize, lease_ms: f64) -> Budgets {
+        let loans_unknown_until = now + lease_ms * (1.0 + LEASE_MARGIN);
         let fronts = fronts.clamp(1, 1_000_000) as u32;
-        Budgets { origin, incarnation, span, fronts, unsure, number: 0, purses: BTreeMap::new() }
+        Budgets {
+            origin,
+            incarnation,
+            lease_ms,
+            fronts,
+            loans_unknown_until,
+            last_request_number: 0,
+            states: BTreeMap::new(),
+        }
     }
 
     /// All that fronts together may hold of a budget.
-    pub fn whole(&self) -> u32 {
+    pub fn total_parts(&self) -> u32 {
         self.fronts * PARTS_PER_FRONT
     }
 
     /// This front's row has another incarnation from now on: wishes of the former are nobody's.
     pub fn restart(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
-        for purse in self.purses.values_mut() {
-            purse.asked.clear();
-            purse.held.clear();
+        for state in self.states.values_mut() {
+            state.requests.clear();
+            state.borrowed.clear();
         }
     }
 
     /// This front has use for it, and what it holds is too little where `more`.
-    pub fn request(&mut self, now: f64, of: BudgetId, more: bool) {
-        if self.purses.len() < MOST || self.purses.contains_key(&of) {
-            let purse = self.purses.entry(of).or_default();
-            purse.used = Some(now);
-            if more {
-                purse.wanted = Some(now);
+    pub fn request(&mut self, now: f64, budget: BudgetId, needs_more: bool) {
+        if self.states.len() < MAX_LOANS || self.states.contains_key(&budget) {
+            let state = self.states.entry(budget).or_default();
+            state.used_at = Some(now);
+            if needs_more {
+                state.wanted_more_at = Some(now);
             }
         }
     }
 
     /// Parts that it may spend now. To be asked whenever it spends: loans end by the clock alone.
-    pub fn parts(&self, now: f64, of: BudgetId) -> u32 {
-        let own = if now < self.unsure { RESERVED_PARTS } else { PARTS_PER_FRONT };
-        let Some(purse) = self.purses.get(&of) else { return own };
-        let lent = purse.lent(now);
-        let held: u32 = purse.held.values().filter(|h| now < h.2).map(|h| h.1).sum();
-        let parts = own.saturating_sub(lent) + held;
+    pub fn parts(&self, now: f64, budget: BudgetId) -> u32 {
+        let own = if now < self.loans_unknown_until { RESERVED_PARTS } else { PARTS_PER_FRONT };
+        let Some(state) = self.states.get(&budget) else { return own };
+        let lent = state.parts_lent(now);
+        let borrowed: u32 = state.borrowed.values().filter(|h| now < h.2).map(|h| h.1).sum();
+        let parts = own.saturating_sub(lent) + borrowed;
         assert!(
-            lent <= PARTS_PER_FRONT - RESERVED_PARTS && parts <= self.whole(),
+            lent <= PARTS_PER_FRONT - RESERVED_PARTS && parts <= self.total_parts(),
             "{lent} lent, {parts} held of {}",
-            self.whole()
+            self.total_parts()
         );
         parts
     }
 
     /// When a loan next ends, on either side, or this front next knows all that it lent.
     pub fn next_expiry(&self) -> f64 {
-        let ends = self
-            .purses
+        let expiries = self
+            .states
             .values()
-            .flat_map(|p| p.lent.iter().map(|l| l.until).chain(p.held.values().map(|h| h.2)));
-        ends.fold(f64::INFINITY, f64::min)
+            .flat_map(|p| p.leases.iter().map(|l| l.expires_at).chain(p.borrowed.values().map(|h| h.2)));
+        expiries.fold(f64::INFINITY, f64::min)
     }
 
     /// Forgets loans that have ended.
     pub fn expire(&mut self, now: f64) {
-        for purse in self.purses.values_mut() {
-            purse.lent.retain(|l| now < l.until);
-            purse.held.retain(|_, h| now < h.2);
+        for state in self.states.values_mut() {
+            state.leases.retain(|l| now < l.expires_at);
+            state.borrowed.retain(|_, h| now < h.2);
         }
     }
 
     /// Goes by what others say: counts grants, and lends what it does not need itself.
-    pub fn merge(&mut self, now: f64, heard: &[PeerState]) {
-        let (span, me) = (self.span, (self.origin, self.incarnation));
+    pub fn merge(&mut self, now: f64, peers: &[PeerState]) {
+        let (lease_ms, own_id) = (self.lease_ms, (self.origin, self.incarnation));
         self.expire(now);
-        for purse in self.purses.values_mut() {
-            purse.asked.retain(|a| now < a.1 + span);
-            let lately = |at: &f64| now < at + span;
-            purse.used = purse.used.filter(lately);
-            purse.wanted = purse.wanted.filter(lately);
+        for state in self.states.values_mut() {
+            state.requests.retain(|a| now < a.1 + lease_ms);
+            let is_recent = |at: &f64| now < at + lease_ms;
+            state.used_at = state.used_at.filter(is_recent);
+            state.wanted_more_at = state.wanted_more_at.filter(is_recent);
         }
-        for peer in heard {
-            for grant in items::<Grant>(&peer.grants) {
-                if (grant.to, grant.incarnation) == me && grant.parts <= PARTS_PER_FRONT - RESERVED_PARTS {
-                    self.granted(now, peer.origin, grant);
+        for peer in peers {
+            for grant in decode_cells::<Grant>(&peer.grants) {
+                if (grant.to, grant.incarnation) == own_id && grant.parts <= PARTS_PER_FRONT - RESERVED_PARTS
+                {
+                    self.apply_grant(now, peer.origin, grant);
                 }
             }
         }
-        self.lend(now, heard);
-        self.wish(now);
-        self.purses.retain(|_, purse| !purse.idle());
+        self.grant_loans(now, peers);
+        self.renew_requests(now);
+        self.states.retain(|_, state| !state.is_idle());
     }
 
-    fn granted(&mut self, now: f64, from: u32, grant: Grant) {
-        let Some(purse) = self.purses.get_mut(&grant.of) else { return };
-        let Some((_, asked)) = purse.asked.iter().find(|a| a.0 == grant.number) else { return };
-        let until = asked + self.span;
-        let newer = purse.held.get(&from).is_none_or(|h| h.0 < grant.number);
-        if newer && now < until {
-            purse.held.insert(from, (grant.number, grant.parts, until));
+    fn apply_grant(&mut self, now: f64, giver: u32, grant: Grant) {
+        let Some(state) = self.states.get_mut(&grant.budget) else { return };
+        let Some((_, asked_at)) = state.requests.iter().find(|a| a.0 == grant.number) else { return };
+        let expires_at = asked_at + self.lease_ms;
+        let newer = state.borrowed.get(&giver).is_none_or(|h| h.0 < grant.number);
+        if newer && now < expires_at {
+            state.borrowed.insert(giver, (grant.number, grant.parts, expires_at));
         }
     }
 
     /// Half of what is left goes to whoever asks first, so that one who asks a little later finds some.
-    fn lend(&mut self, now: f64, heard: &[PeerState]) {
-        if now < self.unsure {
+    fn grant_loans(&mut self, now: f64, peers: &[PeerState]) {
+        if now < self.loans_unknown_until {
             return;
         }
-        let until = now + self.span * (1.0 + LEASE_MARGIN);
-        for peer in heard.iter().filter(|p| p.age < self.span) {
-            for Wish { of, number } in items::<Wish>(&peer.loan_requests) {
-                if !self.purses.contains_key(&of) && self.purses.len() >= MOST {
+        let expires_at = now + self.lease_ms * (1.0 + LEASE_MARGIN);
+        for peer in peers.iter().filter(|p| p.age < self.lease_ms) {
+            for LoanRequest { budget, number } in decode_cells::<LoanRequest>(&peer.loan_requests) {
+                if !self.states.contains_key(&budget) && self.states.len() >= MAX_LOANS {
                     continue;
                 }
-                let purse = self.purses.entry(of).or_default();
-                let known = |l: &Lease| (l.to, l.incarnation) == (peer.origin, peer.incarnation);
-                let answered = purse.lent.iter().filter(|l| known(l)).any(|l| l.number >= number);
-                if purse.used.is_some() || answered {
+                let state = self.states.entry(budget).or_default();
+                let is_theirs = |l: &Lease| (l.to, l.incarnation) == (peer.origin, peer.incarnation);
+                let answered = state.leases.iter().filter(|l| is_theirs(l)).any(|l| l.number >= number);
+                if state.used_at.is_some() || answered {
                     continue;
                 }
-                let before = purse.lent.iter().filter(|l| known(l)).map(|l| l.parts).max().unwrap_or(0);
-                let left = (PARTS_PER_FRONT - RESERVED_PARTS).saturating_sub(purse.lent(now));
-                let parts = before + left.div_ceil(2);
+                let already_lent =
+                    state.leases.iter().filter(|l| is_theirs(l)).map(|l| l.parts).max().unwrap_or(0);
+                let available = (PARTS_PER_FRONT - RESERVED_PARTS).saturating_sub(state.parts_lent(now));
+                let parts = already_lent + available.div_ceil(2);
                 if parts > 0 {
                     let (to, incarnation) = (peer.origin, peer.incarnation);
-                    purse.lent.push(Lease { to, incarnation, number, parts, until });
+                    state.leases.push(Lease { to, incarnation, number, parts, expires_at });
                 }
             }
         }
     }
 
     /// Asks anew half a span after it last asked, while it lacks.
-    fn wish(&mut self, now: f64) {
-        for purse in self.purses.values_mut() {
-            let last = purse.asked.last().map(|a| a.1);
-            if purse.wanted.is_some() && last.is_none_or(|last| now >= last + self.span / 2.0) {
-                self.number += 1;
-                purse.asked.push((self.number, now));
-                if purse.asked.len() > ASKED {
-                    purse.asked.remove(0);
+    fn renew_requests(&mut self, now: f64) {
+        for state in self.states.values_mut() {
+            let last_asked_at = state.requests.last().map(|a| a.1);
+            if state.wanted_more_at.is_some()
+                && last_asked_at.is_none_or(|last_asked_at| now >= last_asked_at + self.lease_ms / 2.0)
+            {
+                self.last_request_number += 1;
+                state.requests.push((self.last_request_number, now));
+                if state.requests.len() > MAX_OPEN_REQUESTS {
+                    state.requests.remove(0);
                 }
             }
         }
@@ -249,22 +264,22 @@
 
     /// The cells of its wishes, and those of its grants.
     pub fn cells(&self) -> (Vec<Vec<u8>>, Vec<Vec<u8>>) {
-        let (mut wishes, mut grants) = (Vec::new(), Vec::new());
-        for (of, purse) in &self.purses {
-            if let Some((number, _)) = purse.asked.last().filter(|_| purse.wanted.is_some()) {
-                wishes.push(Wish { of: *of, number: *number });
+        let (mut loan_requests, mut grants) = (Vec::new(), Vec::new());
+        for (budget, state) in &self.states {
+            if let Some((number, _)) = state.requests.last().filter(|_| state.wanted_more_at.is_some()) {
+                loan_requests.push(LoanRequest { budget: *budget, number: *number });
             }
             let mut newest: BTreeMap<(u32, u64), &Lease> = BTreeMap::new();
-            for lease in &purse.lent {
+            for lease in &state.leases {
                 newest.insert((lease.to, lease.incarnation), lease);
             }
             for lease in newest.into_values() {
                 let Lease { to, incarnation, number, parts, .. } = *lease;
-                grants.push(Grant { to, incarnation, of: *of, number, parts });
+                grants.push(Grant { to, incarnation, budget: *budget, number, parts });
             }
         }
-        wishes.truncate(MOST);
-        grants.truncate(MOST);
-        (chunks(wishes, CELL), chunks(grants, CELL))
+        loan_requests.truncate(MAX_LOANS);
+        grants.truncate(MAX_LOANS);
+        (encode_cells(loan_requests, MAX_CELL_BYTES), encode_cells(grants, MAX_CELL_BYTES))
     }
 }
--- a/crates/shared-state/src/counts.rs
+++ b/crates/shared-state/src/counts.rs
@@ -9,17 +9,17 @@
 //!
 //! Rules go by the upper end, quality by the middle, which is what was heard, within the two.
 
-use crate::{PeerState, chunks, items};
+use crate::{PeerState, decode_cells, encode_cells};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-const CELL: usize = 900;
+const MAX_CELL_BYTES: usize = 900;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Row {
     server: u64,
     product: u16,
-    out: u32,
+    setting_up: u32,
     playing: u32,
 }
 
@@ -34,11 +34,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PlayBounds {
     /// Plays that it holds at most.
-    pub places: f64,
+    pub max_plays: f64,
     /// What all fronts together may add, plays an ms, while it is paced; none where it is not.
-    pub pace: Option<f64>,
+    pub max_added_per_ms: Option<f64>,
     /// Plays of one front that end there at most, an ms; none where all may at once.
-    pub ends: Option<f64>,
+    pub max_ended_per_ms: Option<f64>,
 }
 
 #[derive(Default)]
@@ -48,11 +48,11 @@
 
 impl PlayCounts {
     /// This front's own: set-ups out, and plays that run.
-    pub fn set(&mut self, server: u64, product: u16, out: u32, playing: u32) {
-        if out + playing == 0 {
+    pub fn set(&mut self, server: u64, product: u16, setting_up: u32, playing: u32) {
+        if setting_up + playing == 0 {
             self.own.remove(&(server, product));
         } else {
-            self.own.insert((server, product), (out, playing));
+            self.own.insert((server, product), (setting_up, playing));
         }
     }
 
@@ -62,9 +62,13 @@
     }
 
     pub fn cells(&self) -> Vec<Vec<u8>> {
-        let row =
-            |(of, n): (&(u64, u16), &(u32, u32))| Row { server: of.0, product: of.1, out: n.0, playing: n.1 };
-        chunks(self.own.iter().map(row), CELL)
+        let row = |(key, counts): (&(u64, u16), &(u32, u32))| Row {
+            server: key.0,
+            product: key.1,
+            setting_up: counts.0,
+            playing: counts.1,
+        };
+        encode_cells(self.own.iter().map(row), MAX_CELL_BYTES)
     }
 
     /// Plays at a server, of one product or of all; `heard` must hold every other front, those never heard with an
@@ -73,24 +77,28 @@
         &self,
         server: u64,
         product: Option<u16>,
-        heard: &[PeerState],
+        peers: &[PeerState],
         bounds: PlayBounds,
     ) -> Interval {
-        let of = |s: u64, p: u16| s == server && product.is_none_or(|product| product == p);
-        let own = self.own.iter().filter(|(k, _)| of(k.0, k.1));
+        let matches = |s: u64, p: u16| s == server && product.is_none_or(|product| product == p);
+        let own = self.own.iter().filter(|(k, _)| matches(k.0, k.1));
         let own: f64 = own.map(|(_, n)| f64::from(n.0 + n.1)).sum();
         let (mut low, mut middle, mut oldest) = (own, own, 0.0f64);
-        for peer in heard {
-            let rows = items::<Row>(&peer.counts);
-            let said = rows.iter().filter(|r| of(r.server, r.product));
-            let said: f64 = said.map(|r| f64::from(r.out) + f64::from(r.playing)).sum();
-            let said = if peer.age.is_finite() { said } else { 0.0 };
-            low += bounds.ends.map_or(0.0, |ends| (said - (ends * peer.age).ceil()).max(0.0));
-            middle += said;
+        for peer in peers {
+            let rows = decode_cells::<Row>(&peer.counts);
+            let reported = rows.iter().filter(|r| matches(r.server, r.product));
+            let reported: f64 = reported.map(|r| f64::from(r.setting_up) + f64::from(r.playing)).sum();
+            let reported = if peer.age.is_finite() { reported } else { 0.0 };
+            low += bounds
+                .max_ended_per_ms
+                .map_or(0.0, |max_ended_per_ms| (reported - (max_ended_per_ms * peer.age).ceil()).max(0.0));
+            middle += reported;
             oldest = oldest.max(peer.age);
         }
-        let added = bounds.pace.map_or(f64::INFINITY, |pace| (pace * oldest).ceil() + heard.len() as f64);
-        let high = (middle + added).min(bounds.places).max(own);
+        let added = bounds.max_added_per_ms.map_or(f64::INFINITY, |max_added_per_ms| {
+            (max_added_per_ms * oldest).ceil() + peers.len() as f64
+        });
+        let high = (middle + added).min(bounds.max_plays).max(own);
         let low = low.min(high);
         Interval { low, middle: middle.clamp(low, high), high }
     }
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -23,7 +23,7 @@
     pub loan_requests: Vec<&'a [u8]>,
     pub grants: Vec<&'a [u8]>,
     pub counts: Vec<&'a [u8]>,
-    pub judgements: Vec<&'a [u8]>,
+    pub server_results: Vec<&'a [u8]>,
 }
 
 /// A media server as the list has it.
@@ -50,12 +50,12 @@
 }
 
 /// Splits a list over as few cells as hold it.
-fn chunks<T: Serialize>(items: impl IntoIterator<Item = T>, most: usize) -> Vec<Vec<u8>> {
+fn encode_cells<T: Serialize>(items: impl IntoIterator<Item = T>, max_bytes: usize) -> Vec<Vec<u8>> {
     let mut out = Vec::new();
     let (mut part, mut size) = (Vec::new(), 4);
     for item in items {
-        let bytes = postcard::experimental::serialized_size(&item).unwrap_or(most);
-        if size + bytes > most && !part.is_empty() {
+        let bytes = postcard::experimental::serialized_size(&item).unwrap_or(max_bytes);
+        if size + bytes > max_bytes && !part.is_empty() {
             out.push(postcard::to_stdvec(&part).unwrap_or_default());
             (part, size) = (Vec::new(), 4);
         }
@@ -69,7 +69,7 @@
 }
 
 /// The items of all cells that read; what does not read is no word at all.
-fn items<T: for<'de> serde::Deserialize<'de>>(cells: &[&[u8]]) -> Vec<T> {
-    let read = |cell: &&[u8]| postcard::from_bytes::<Vec<T>>(cell).ok();
-    cells.iter().filter_map(read).flatten().collect()
+fn decode_cells<T: for<'de> serde::Deserialize<'de>>(cells: &[&[u8]]) -> Vec<T> {
+    let decode = |cell: &&[u8]| postcard::from_bytes::<Vec<T>>(cell).ok();
+    cells.iter().filter_map(decode).flatten().collect()
 }
--- a/crates/shared-state/src/server_health.rs
+++ b/crates/shared-state/src/server_health.rs
@@ -16,7 +16,7 @@
 //!
 //! A doubted server is tried at its pace, so what is doubted wrongly is found out.
 
-use crate::{PeerState, Server, chunks, items};
+use crate::{PeerState, Server, decode_cells, encode_cells};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,8 +31,8 @@
 /// Of all links in sum, for a zone that counts as lost.
 pub const MAX_LOST_ZONE_LINKS: f64 = 0.6;
 /// What was met within so long counts, ms, by halves; a word that is older by half of it counts no more.
-pub const WINDOW: f64 = 5_000.0;
-const CELL: usize = 900;
+pub const WINDOW_MS: f64 = 5_000.0;
+const MAX_CELL_BYTES: usize = 900;
 
 /// How an allocation went, as far as it tells of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,16 +66,16 @@
     }
 
     /// Twice at least, and more often than it served by far.
-    fn bad(&self) -> bool {
+    fn is_failing(&self) -> bool {
         self.failures() >= 2 && self.failures() > self.successes.saturating_mul(2)
     }
 
-    fn good(&self) -> bool {
-        self.successes > 0 && !self.bad()
+    fn is_serving(&self) -> bool {
+        self.successes > 0 && !self.is_failing()
     }
 
     /// A row that can't be: more outcomes than tries.
-    fn sound(&self) -> bool {
+    fn is_plausible(&self) -> bool {
         u64::from(self.successes) + u64::from(self.failures()) <= u64::from(self.tries)
     }
 }
@@ -83,26 +83,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Row {
     server: u64,
-    tries: ResultCounts,
+    counts: ResultCounts,
     /// How long ago it last served, and was last silent or refused, in tenths of a second.
-    served: Option<u8>,
-    failed: Option<u8>,
+    served_ago: Option<u8>,
+    failed_ago: Option<u8>,
 }
 
 /// What a front met at a server, with the latest moments that it served and the earliest that it last failed, on this
 /// front's clock.
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct ServerReport {
     zone: Option<usize>,
-    tries: ResultCounts,
-    served: Option<f64>,
-    failed: Option<f64>,
+    counts: ResultCounts,
+    served_at: Option<f64>,
+    failed_at: Option<f64>,
 }
 
-const TENTH: f64 = 100.0;
+const TENTH_MS: f64 = 100.0;
 
-fn ago(now: f64, at: Option<&f64>) -> Option<u8> {
-    at.map(|at| ((now - at) / TENTH).clamp(0.0, 255.0) as u8)
+fn tenths_ago(now: f64, at: Option<&f64>) -> Option<u8> {
+    at.map(|at| ((now - at) / TENTH_MS).clamp(0.0, 255.0) as u8)
 }
 
 /// What is believed of the servers.
@@ -117,10 +117,10 @@
     zone: usize,
     /// The present half of the window and the one before, and when the present one began.
     halves: [BTreeMap<u64, ResultCounts>; 2],
-    began: f64,
+    half_began_at: f64,
     /// The servers that served this front last, and when; and that were silent or refused.
-    served: BTreeMap<u64, f64>,
-    failed: BTreeMap<u64, f64>,
+    served_at: BTreeMap<u64, f64>,
+    failed_at: BTreeMap<u64, f64>,
 }
 
 impl ServerHealth {
@@ -128,106 +128,106 @@
         ServerHealth {
             zone,
             halves: Default::default(),
-            began: now,
-            served: BTreeMap::new(),
-            failed: BTreeMap::new(),
+            half_began_at: now,
+            served_at: BTreeMap::new(),
+            failed_at: BTreeMap::new(),
         }
     }
 
-    pub fn record(&mut self, now: f64, server: u64, met: AllocationResult) {
-        self.turn(now);
-        let tries = self.halves[0].entry(server).or_default();
-        tries.tries += 1;
-        match met {
-            AllocationResult::Success => tries.successes += 1,
-            AllocationResult::Error => tries.errors += 1,
-            AllocationResult::TimedOut => tries.timed_out += 1,
-            AllocationResult::Refused => tries.refused += 1,
+    pub fn record(&mut self, now: f64, server: u64, result: AllocationResult) {
+        self.advance_window(now);
+        let counts = self.halves[0].entry(server).or_default();
+        counts.tries += 1;
+        match result {
+            AllocationResult::Success => counts.successes += 1,
+            AllocationResult::Error => counts.errors += 1,
+            AllocationResult::TimedOut => counts.timed_out += 1,
+            AllocationResult::Refused => counts.refused += 1,
         }
-        match met {
-            AllocationResult::Success => self.served.insert(server, now),
-            AllocationResult::TimedOut | AllocationResult::Refused => self.failed.insert(server, now),
+        match result {
+            AllocationResult::Success => self.served_at.insert(server, now),
+            AllocationResult::TimedOut | AllocationResult::Refused => self.failed_at.insert(server, now),
             AllocationResult::Error => None,
         };
     }
 
-    fn turn(&mut self, now: f64) {
-        while now >= self.began + WINDOW / 2.0 {
-            self.began += WINDOW / 2.0;
-            if now >= self.began + WINDOW {
-                self.began = now;
+    fn advance_window(&mut self, now: f64) {
+        while now >= self.half_began_at + WINDOW_MS / 2.0 {
+            self.half_began_at += WINDOW_MS / 2.0;
+            if now >= self.half_began_at + WINDOW_MS {
+                self.half_began_at = now;
                 self.halves = Default::default();
             }
             self.halves.swap(0, 1);
             self.halves[0].clear();
         }
-        self.served.retain(|_, at| now < *at + WINDOW);
-        self.failed.retain(|_, at| now < *at + WINDOW);
+        self.served_at.retain(|_, at| now < *at + WINDOW_MS);
+        self.failed_at.retain(|_, at| now < *at + WINDOW_MS);
     }
 
-    fn own(&self) -> BTreeMap<u64, ResultCounts> {
-        let mut own = self.halves[1].clone();
-        for (server, tries) in &self.halves[0] {
-            own.entry(*server).or_default().add(tries);
+    fn own_results(&self) -> BTreeMap<u64, ResultCounts> {
+        let mut own_results = self.halves[1].clone();
+        for (server, counts) in &self.halves[0] {
+            own_results.entry(*server).or_default().add(counts);
         }
-        own
+        own_results
     }
 
     pub fn cells(&mut self, now: f64) -> Vec<Vec<u8>> {
-        self.turn(now);
-        let row = |(server, tries): (u64, ResultCounts)| Row {
+        self.advance_window(now);
+        let row = |(server, counts): (u64, ResultCounts)| Row {
             server,
-            tries,
-            served: ago(now, self.served.get(&server)),
-            failed: ago(now, self.failed.get(&server)),
+            counts,
+            served_ago: tenths_ago(now, self.served_at.get(&server)),
+            failed_ago: tenths_ago(now, self.failed_at.get(&server)),
         };
-        chunks(self.own().into_iter().map(row), CELL)
+        encode_cells(self.own_results().into_iter().map(row), MAX_CELL_BYTES)
     }
 
     /// What to believe. `titles`: the holders of each title, by id.
     pub fn evaluate(
         &mut self,
         now: f64,
-        heard: &[PeerState],
+        peers: &[PeerState],
         servers: &[Server],
         titles: &[Vec<u64>],
     ) -> HealthView {
-        self.turn(now);
-        let own = self.own();
+        self.advance_window(now);
+        let own_results = self.own_results();
         // What each fresh front met, by server.
-        let mut words: BTreeMap<u64, Vec<Word>> = BTreeMap::new();
-        for peer in heard.iter().filter(|p| p.age < WINDOW / 2.0) {
-            let mut said = BTreeMap::new();
-            for row in items::<Row>(&peer.judgements) {
-                said.insert(row.server, row);
+        let mut reports: BTreeMap<u64, Vec<ServerReport>> = BTreeMap::new();
+        for peer in peers.iter().filter(|p| p.age < WINDOW_MS / 2.0) {
+            let mut by_server = BTreeMap::new();
+            for row in decode_cells::<Row>(&peer.server_results) {
+                by_server.insert(row.server, row);
             }
-            for row in said.into_values().filter(|row| row.tries.sound()) {
-                let at = |ago: Option<u8>, more: f64| ago.map(|n| now - f64::from(n) * TENTH - more);
-                words.entry(row.server).or_default().push(Word {
+            for row in by_server.into_values().filter(|row| row.counts.is_plausible()) {
+                let at = |ago: Option<u8>, margin: f64| ago.map(|n| now - f64::from(n) * TENTH_MS - margin);
+                reports.entry(row.server).or_default().push(ServerReport {
                     zone: peer.zone,
-                    tries: row.tries,
-                    served: at(row.served, 0.0),
-                    failed: at(row.failed, peer.age + TENTH),
+                    counts: row.counts,
+                    served_at: at(row.served_ago, 0.0),
+                    failed_at: at(row.failed_ago, peer.age + TENTH_MS),
                 });
             }
         }
-        let lost = self.lost(&words, servers);
+        let lost = self.lost_zone(&reports, servers);
         let mut doubted = BTreeSet::new();
         let mut suspects: Vec<(usize, &Server)> = servers
             .iter()
-            .filter(|s| !self.served.contains_key(&s.id))
-            .filter_map(|s| Some((self.against(own.get(&s.id), words.get(&s.id)?)?, s)))
+            .filter(|s| !self.served_at.contains_key(&s.id))
+            .filter_map(|s| Some((self.count_agreeing(own_results.get(&s.id), reports.get(&s.id)?)?, s)))
             .collect();
         suspects.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.id.cmp(&b.1.id)));
-        let all: f64 = servers.iter().map(|s| s.link).sum();
+        let total_link: f64 = servers.iter().map(|s| s.link).sum();
         let mut links = 0.0;
         for (_, server) in suspects {
-            let within = |title: &&Vec<u64>| title.contains(&server.id);
-            let room = titles.iter().filter(within).all(|title| {
-                let there = title.iter().filter(|s| doubted.contains(*s)).count();
-                there < (title.len() as f64 * MAX_DOUBTED_HOLDERS) as usize
+            let has_server = |title: &&Vec<u64>| title.contains(&server.id);
+            let has_room = titles.iter().filter(has_server).all(|title| {
+                let doubted_holders = title.iter().filter(|s| doubted.contains(*s)).count();
+                doubted_holders < (title.len() as f64 * MAX_DOUBTED_HOLDERS) as usize
             });
-            if room && links + server.link <= all * MAX_DOUBTED_LINKS {
+            if has_room && links + server.link <= total_link * MAX_DOUBTED_LINKS {
                 links += server.link;
                 doubted.insert(server.id);
             }
@@ -237,54 +237,60 @@
     }
 
     /// How many fronts speak against a server, where that is enough.
-    fn against(&self, own: Option<&ResultCounts>, words: &[Word]) -> Option<usize> {
-        let mine = own.map(|tries| (Some(self.zone), *tries));
+    fn count_agreeing(&self, own: Option<&ResultCounts>, reports: &[ServerReport]) -> Option<usize> {
+        let own_report = own.map(|counts| (Some(self.zone), *counts));
         let all: Vec<(Option<usize>, ResultCounts)> =
-            words.iter().map(|w| (w.zone, w.tries)).chain(mine).collect();
-        let near: Vec<(Option<usize>, ResultCounts)> =
+            reports.iter().map(|w| (w.zone, w.counts)).chain(own_report).collect();
+        let own_zone: Vec<(Option<usize>, ResultCounts)> =
             all.iter().filter(|w| w.0 == Some(self.zone)).copied().collect();
-        let count = |from: &[(Option<usize>, ResultCounts)]| {
-            let bad = from.iter().filter(|w| w.1.bad()).count();
-            (bad, from.iter().filter(|w| w.1.good()).count())
+        let count = |group: &[(Option<usize>, ResultCounts)]| {
+            let failing = group.iter().filter(|w| w.1.is_failing()).count();
+            (failing, group.iter().filter(|w| w.1.is_serving()).count())
         };
-        let (bad, good) = count(&near);
-        if bad + good >= MIN_AGREEING {
-            return (bad >= MIN_AGREEING && bad > good).then_some(bad);
+        let (failing, serving) = count(&own_zone);
+        if failing + serving >= MIN_AGREEING {
+            return (failing >= MIN_AGREEING && failing > serving).then_some(failing);
         }
-        let zones: BTreeSet<Option<usize>> = all.iter().filter(|w| w.1.bad()).map(|w| w.0).collect();
-        let near_good = good > 0;
-        let (bad, good) = count(&all);
-        (bad >= MIN_AGREEING && bad > good && zones.len() >= 2 && !near_good).then_some(bad)
+        let zones: BTreeSet<Option<usize>> = all.iter().filter(|w| w.1.is_failing()).map(|w| w.0).collect();
+        let own_zone_serves = serving > 0;
+        let (failing, serving) = count(&all);
+        (failing >= MIN_AGREEING && failing > serving && zones.len() >= 2 && !own_zone_serves)
+            .then_some(failing)
     }
 
     /// The zone whose servers were silent to this front and those near it since the last of them served any.
-    fn lost(&self, words: &BTreeMap<u64, Vec<Word>>, servers: &[Server]) -> Option<usize> {
-        let near = |id: u64| words.get(&id).into_iter().flatten().filter(|w| w.zone == Some(self.zone));
+    fn lost_zone(&self, reports: &BTreeMap<u64, Vec<ServerReport>>, servers: &[Server]) -> Option<usize> {
+        let own_zone_reports =
+            |id: u64| reports.get(&id).into_iter().flatten().filter(|w| w.zone == Some(self.zone));
         let mut zones: BTreeMap<usize, Vec<&Server>> = BTreeMap::new();
         servers.iter().for_each(|server| zones.entry(server.zone).or_default().push(server));
-        let served = |there: &[&Server]| {
-            let last = there.iter().flat_map(|s| {
-                let mine = self.served.get(&s.id).copied();
-                near(s.id).filter_map(|w| w.served).chain(mine)
+        let last_served = |zone_servers: &[&Server]| {
+            let last_served_at = zone_servers.iter().flat_map(|s| {
+                let own = self.served_at.get(&s.id).copied();
+                own_zone_reports(s.id).filter_map(|w| w.served_at).chain(own)
             });
-            last.fold(f64::NEG_INFINITY, f64::max)
+            last_served_at.fold(f64::NEG_INFINITY, f64::max)
         };
-        let all: f64 = servers.iter().map(|s| s.link).sum();
-        let dark = |there: &[&Server]| {
-            let last = served(there);
-            let since = |at: f64| at > last;
-            let mine = |s: &Server| self.failed.get(&s.id).is_some_and(|at| since(*at));
-            let theirs = |s: &Server| near(s.id).filter(|w| w.failed.is_some_and(since)).count();
-            let failed = there.iter().filter(|s| mine(s) || theirs(s) > 0).count();
+        let total_link: f64 = servers.iter().map(|s| s.link).sum();
+        let looks_lost = |zone_servers: &[&Server]| {
+            let last_served_at = last_served(zone_servers);
+            let is_newer = |at: f64| at > last_served_at;
+            let own_failure = |s: &Server| self.failed_at.get(&s.id).is_some_and(|at| is_newer(*at));
+            let peer_failures =
+                |s: &Server| own_zone_reports(s.id).filter(|w| w.failed_at.is_some_and(is_newer)).count();
+            let failed_count = zone_servers.iter().filter(|s| own_failure(s) || peer_failures(s) > 0).count();
             // One front of the zone that makes it up must not be enough.
-            let met = there.iter().any(|s| mine(s) || theirs(s) >= MIN_AGREEING);
-            let least = ((there.len() as f64 * LOST_ZONE_SHARE).ceil() as usize).max(LOST_ZONE_MIN);
-            let links: f64 = there.iter().map(|s| s.link).sum();
-            met && failed >= least && links <= all * MAX_LOST_ZONE_LINKS
+            let is_confirmed =
+                zone_servers.iter().any(|s| own_failure(s) || peer_failures(s) >= MIN_AGREEING);
+            let min_failed =
+                ((zone_servers.len() as f64 * LOST_ZONE_SHARE).ceil() as usize).max(LOST_ZONE_MIN);
+            let links: f64 = zone_servers.iter().map(|s| s.link).sum();
+            is_confirmed && failed_count >= min_failed && links <= total_link * MAX_LOST_ZONE_LINKS
         };
-        let mut lost = zones.iter().filter(|(_, there)| dark(there)).map(|(zone, _)| *zone);
-        let first = lost.next().filter(|_| lost.next().is_none())?;
-        let others = zones.iter().filter(|(zone, _)| **zone != first);
-        others.map(|(_, there)| served(there)).any(f64::is_finite).then_some(first)
+        let mut lost_zones =
+            zones.iter().filter(|(_, zone_servers)| looks_lost(zone_servers)).map(|(zone, _)| *zone);
+        let lost_zone = lost_zones.next().filter(|_| lost_zones.next().is_none())?;
+        let others = zones.iter().filter(|(zone, _)| **zone != lost_zone);
+        others.map(|(_, zone_servers)| last_served(zone_servers)).any(f64::is_finite).then_some(lost_zone)
     }
 }
--- a/crates/shared-state/tests/beliefs.rs
+++ b/crates/shared-state/tests/beliefs.rs
@@ -2,7 +2,7 @@
 //! are old.
 
 use pulleystair_shared_state::counts::{PlayBounds, PlayCounts};
-use pulleystair_shared_state::server_health::{AllocationResult, HealthView, ServerHealth, WINDOW};
+use pulleystair_shared_state::server_health::{AllocationResult, HealthView, ServerHealth, WINDOW_MS};
 use pulleystair_shared_state::{PeerState, Server};
 use std::collections::BTreeMap;
 use test_case::test_case;
@@ -20,18 +20,18 @@
 type Front = (usize, Vec<(u64, AllocationResult, usize)>);
 
 fn cells(front: &Front) -> Vec<Vec<u8>> {
-    let mut own = ServerHealth::new(0.0, front.0);
-    for (server, met, times) in &front.1 {
-        (0..*times).for_each(|_| own.record(100.0, *server, *met));
+    let mut health = ServerHealth::new(0.0, front.0);
+    for (server, result, times) in &front.1 {
+        (0..*times).for_each(|_| health.record(100.0, *server, *result));
     }
-    own.cells(100.0)
+    health.cells(100.0)
 }
 
-fn believes(own: &Front, others: &[Front], age: f64) -> HealthView {
-    let said: Vec<Vec<Vec<u8>>> = others.iter().map(cells).collect();
-    let mut heard = Vec::new();
+fn evaluate(own: &Front, others: &[Front], age: f64) -> HealthView {
+    let report_cells: Vec<Vec<Vec<u8>>> = others.iter().map(cells).collect();
+    let mut peers = Vec::new();
     for (i, front) in others.iter().enumerate() {
-        heard.push(PeerState {
+        peers.push(PeerState {
             origin: i as u32,
             incarnation: 1,
             zone: Some(front.0),
@@ -39,96 +39,96 @@
             loan_requests: Vec::new(),
             grants: Vec::new(),
             counts: Vec::new(),
-            judgements: said[i].iter().map(Vec::as_slice).collect(),
+            server_results: report_cells[i].iter().map(Vec::as_slice).collect(),
         });
     }
-    let mut judge = ServerHealth::new(0.0, own.0);
-    for (server, met, times) in &own.1 {
-        (0..*times).for_each(|_| judge.record(100.0, *server, *met));
+    let mut health = ServerHealth::new(0.0, own.0);
+    for (server, result, times) in &own.1 {
+        (0..*times).for_each(|_| health.record(100.0, *server, *result));
     }
-    judge.evaluate(100.0, &heard, &servers(), &titles())
+    health.evaluate(100.0, &peers, &servers(), &titles())
 }
 
-fn fails(zone: usize, at: &[u64]) -> Front {
-    (zone, at.iter().map(|s| (*s, AllocationResult::TimedOut, 3)).collect())
+fn timing_out_at(zone: usize, servers: &[u64]) -> Front {
+    (zone, servers.iter().map(|s| (*s, AllocationResult::TimedOut, 3)).collect())
 }
 
-fn serves(zone: usize, at: &[u64]) -> Front {
-    (zone, at.iter().map(|s| (*s, AllocationResult::Success, 3)).collect())
+fn served_at(zone: usize, servers: &[u64]) -> Front {
+    (zone, servers.iter().map(|s| (*s, AllocationResult::Success, 3)).collect())
 }
 
-const ALL: [u64; 8] = [0, 1, 2, 3, 4, 5, 6, 7];
+const ALL_SERVERS: [u64; 8] = [0, 1, 2, 3, 4, 5, 6, 7];
 
 #[test_case(2, &[]; "two are not several")]
 #[test_case(3, &[2]; "three are")]
-fn several_of_the_own_zone_must_agree(count: usize, doubted: &[u64]) {
-    let others: Vec<Front> = (0..count).map(|_| fails(0, &[2])).collect();
-    let belief = believes(&(0, vec![]), &others, 10.0);
-    assert_eq!(belief.doubted.into_iter().collect::<Vec<u64>>(), doubted);
+fn three_fronts_of_the_own_zone_must_agree(count: usize, doubted: &[u64]) {
+    let others: Vec<Front> = (0..count).map(|_| timing_out_at(0, &[2])).collect();
+    let view = evaluate(&(0, vec![]), &others, 10.0);
+    assert_eq!(view.doubted.into_iter().collect::<Vec<u64>>(), doubted);
 }
 
 #[test]
-fn own_success_outranks_any_number() {
-    let others: Vec<Front> = (0..7).map(|_| fails(0, &[2])).collect();
-    assert!(believes(&serves(0, &[2]), &others, 10.0).doubted.is_empty());
+fn own_success_outranks_any_number_of_reports() {
+    let others: Vec<Front> = (0..7).map(|_| timing_out_at(0, &[2])).collect();
+    assert!(evaluate(&served_at(0, &[2]), &others, 10.0).doubted.is_empty());
 }
 
 #[test]
-fn words_that_are_old_count_no_more() {
-    let others: Vec<Front> = (0..7).map(|_| fails(0, &[2])).collect();
-    assert!(believes(&(0, vec![]), &others, WINDOW).doubted.is_empty());
+fn old_reports_do_not_count() {
+    let others: Vec<Front> = (0..7).map(|_| timing_out_at(0, &[2])).collect();
+    assert!(evaluate(&(0, vec![]), &others, WINDOW_MS).doubted.is_empty());
 }
 
 #[test]
-fn three_that_lie_are_outvoted_by_those_that_were_served() {
-    let mut others: Vec<Front> = (0..3).map(|_| fails(0, &ALL)).collect();
-    others.extend((0..4).map(|_| serves(0, &ALL)));
-    assert_eq!(believes(&(0, vec![]), &others, 10.0), HealthView::default());
+fn three_false_reports_are_outvoted_by_fronts_that_were_served() {
+    let mut others: Vec<Front> = (0..3).map(|_| timing_out_at(0, &ALL_SERVERS)).collect();
+    others.extend((0..4).map(|_| served_at(0, &ALL_SERVERS)));
+    assert_eq!(evaluate(&(0, vec![]), &others, 10.0), HealthView::default());
 }
 
 /// Where nobody can say otherwise, what they cost is bounded: a quarter of the links, half of a title's holders.
 #[test]
-fn however_many_lie_only_a_part_is_doubted() {
-    let others: Vec<Front> = (0..7).map(|_| fails(0, &ALL)).collect();
-    let belief = believes(&(0, vec![]), &others, 10.0);
-    assert_eq!((belief.doubted.len(), belief.lost), (2, None));
+fn any_number_of_false_reports_doubts_only_a_part() {
+    let others: Vec<Front> = (0..7).map(|_| timing_out_at(0, &ALL_SERVERS)).collect();
+    let view = evaluate(&(0, vec![]), &others, 10.0);
+    assert_eq!((view.doubted.len(), view.lost), (2, None));
     for title in titles() {
-        assert!(title.iter().filter(|s| belief.doubted.contains(s)).count() <= 2);
+        assert!(title.iter().filter(|s| view.doubted.contains(s)).count() <= 2);
     }
 }
 
 /// Zone 1 can't reach zone 0's servers. Who is in zone 0 is served there, and doubts none; who is in zone 1 and has few
 /// beside it that tried does not take the servers for down on its own word.
 #[test]
-fn a_zone_that_is_cut_off_is_not_a_server_that_is_down() {
-    let mut others: Vec<Front> = (0..4).map(|_| fails(1, &[0, 2, 4, 6])).collect();
-    others.extend((0..3).map(|_| serves(0, &[0, 2, 4, 6])));
-    assert_eq!(believes(&serves(0, &[0]), &others, 10.0), HealthView::default());
-    assert_eq!(believes(&(0, vec![]), &others, 10.0), HealthView::default());
+fn an_isolated_zones_reports_do_not_doubt_servers() {
+    let mut others: Vec<Front> = (0..4).map(|_| timing_out_at(1, &[0, 2, 4, 6])).collect();
+    others.extend((0..3).map(|_| served_at(0, &[0, 2, 4, 6])));
+    assert_eq!(evaluate(&served_at(0, &[0]), &others, 10.0), HealthView::default());
+    assert_eq!(evaluate(&(0, vec![]), &others, 10.0), HealthView::default());
 }
 
 #[test]
-fn a_zone_of_which_many_fail_at_once_is_lost_and_comes_back_with_the_first_success() {
+fn a_failing_zone_is_lost_until_its_first_success() {
     let own: Front = (0, vec![(1, AllocationResult::TimedOut, 1), (0, AllocationResult::Success, 3)]);
-    let others = [fails(0, &[3]), fails(0, &[5]), serves(0, &[2, 4])];
-    let belief = believes(&own, &others, 10.0);
-    assert_eq!((belief.lost, belief.doubted.into_iter().collect::<Vec<u64>>()), (Some(1), vec![1, 3, 5, 7]));
-    let back = [fails(0, &[3]), fails(0, &[5]), serves(0, &[2, 4, 7])];
-    assert_eq!(believes(&own, &back, 10.0), HealthView::default());
+    let others = [timing_out_at(0, &[3]), timing_out_at(0, &[5]), served_at(0, &[2, 4])];
+    let view = evaluate(&own, &others, 10.0);
+    assert_eq!((view.lost, view.doubted.into_iter().collect::<Vec<u64>>()), (Some(1), vec![1, 3, 5, 7]));
+    let after_success = [timing_out_at(0, &[3]), timing_out_at(0, &[5]), served_at(0, &[2, 4, 7])];
+    assert_eq!(evaluate(&own, &after_success, 10.0), HealthView::default());
 }
 
 #[test]
-fn one_front_that_makes_a_lost_zone_up_is_not_enough() {
-    let liar = fails(0, &[1, 3, 5, 7]);
-    let belief = believes(&serves(0, &[0]), &[liar, serves(0, &[2])], 10.0);
-    assert_eq!(belief, HealthView::default());
+fn one_false_report_does_not_make_a_zone_lost() {
+    let false_report = timing_out_at(0, &[1, 3, 5, 7]);
+    let view = evaluate(&served_at(0, &[0]), &[false_report, served_at(0, &[2])], 10.0);
+    assert_eq!(view, HealthView::default());
 }
 
 #[test]
-fn a_row_with_more_outcomes_than_tries_is_no_word() {
+fn a_report_with_more_results_than_tries_is_ignored() {
     // As a row of one server with 0 tries and 9 time-outs.
     let row: &[u8] = &[1, 2, 0, 0, 0, 9, 0, 0, 0];
-    let heard = |i| PeerState {
+    let peer = |i| PeerState {
         origin: i,
         incarnation: 1,
         zone: Some(0),
@@ -136,52 +136,55 @@
         loan_requests: vec![],
         grants: vec![],
         counts: vec![],
-        judgements: vec![row],
+        server_results: vec![row],
     };
-    let heard: Vec<PeerState> = (0..5).map(heard).collect();
-    let belief = ServerHealth::new(0.0, 0).evaluate(10.0, &heard, &servers(), &titles());
-    assert_eq!(belief, HealthView::default());
+    let peers: Vec<PeerState> = (0..5).map(peer).collect();
+    let view = ServerHealth::new(0.0, 0).evaluate(10.0, &peers, &servers(), &titles());
+    assert_eq!(view, HealthView::default());
 }
 
 /// Plays come to a paced server and end at random; what a reader of old rows reckons holds the truth.
 #[test]
-fn an_interval_holds_the_truth() {
-    let mut rnd = oorandom::Rand64::new(5);
+fn the_interval_contains_the_true_count() {
+    let mut rng = oorandom::Rand64::new(5);
     // All fronts together add no more than one play in 20 ms.
-    let bounds = PlayBounds { places: 1e6, pace: Some(1.0 / 20.0), ends: None };
-    let (mut truth, mut rows) = ([0u32; 4], vec![(0.0, Vec::new()); 4]);
+    let bounds = PlayBounds { max_plays: 1e6, max_added_per_ms: Some(1.0 / 20.0), max_ended_per_ms: None };
+    let (mut true_counts, mut last_rows) = ([0u32; 4], vec![(0.0, Vec::new()); 4]);
     for step in 0..4_000 {
         let now = step as f64 * 20.0;
-        let front = rnd.rand_range(0..4) as usize;
-        truth[front] += 1;
-        let leaver = rnd.rand_range(0..4) as usize;
+        let front = rng.rand_range(0..4) as usize;
+        true_counts[front] += 1;
+        let leaver = rng.rand_range(0..4) as usize;
         // For seconds on end none ends.
-        if now % 10_000.0 < 5_000.0 && rnd.rand_float() < 0.9 {
-            truth[leaver] = truth[leaver].saturating_sub(3);
+        if now % 10_000.0 < 5_000.0 && rng.rand_float() < 0.9 {
+            true_counts[leaver] = true_counts[leaver].saturating_sub(3);
         }
-        if rnd.rand_float() < 0.02 {
-            let mut said = PlayCounts::default();
-            said.set(1, 0, 0, truth[front]);
-            rows[front] = (now, said.cells());
+        if rng.rand_float() < 0.02 {
+            let mut reported = PlayCounts::default();
+            reported.set(1, 0, 0, true_counts[front]);
+            last_rows[front] = (now, reported.cells());
         }
         let mut own = PlayCounts::default();
-        own.replace(BTreeMap::from([((1, 0), (0, truth[0]))]));
-        let heard = |i: usize| PeerState {
+        own.replace(BTreeMap::from([((1, 0), (0, true_counts[0]))]));
+        let peer = |i: usize| PeerState {
             origin: i as u32,
             incarnation: 1,
             zone: None,
-            age: now - rows[i].0,
+            age: now - last_rows[i].0,
             loan_requests: vec![],
             grants: vec![],
-            counts: rows[i].1.iter().map(|c: &Vec<u8>| c.as_slice()).collect(),
-            judgements: vec![],
+            counts: last_rows[i].1.iter().map(|c: &Vec<u8>| c.as_slice()).collect(),
+            server_results: vec![],
         };
-        let heard: Vec<PeerState> = (1..4).map(heard).collect();
-        let it = own.estimate(1, None, &heard, bounds);
-        let all = f64::from(truth.iter().sum::<u32>());
+        let peers: Vec<PeerState> = (1..4).map(peer).collect();
+        let interval = own.estimate(1, None, &peers, bounds);
+        let total = f64::from(true_counts.iter().sum::<u32>());
         assert!(
-            it.low <= all && all <= it.high && it.low <= it.middle && it.middle <= it.high,
-            "{it:?} {all}"
+            interval.low <= total
+                && total <= interval.high
+                && interval.low <= interval.middle
+                && interval.middle <= interval.high,
+            "{interval:?} {total}"
         );
     }
 }
