--- a/crates/shared-state/src/budgets.rs
+++ b/crates/shared-state/src/budgets.rs
@@ -1,39 +1,45 @@
-//! Budgets by parts: a server's cold pace, the fleet's further allocations to one server, its probes. After escrow and
-//! bounded counters (O'Neil 1986; Balegas et al. 2015), with leases (Gray and Cheriton 1989).
+//! Budgets in parts: the pace of allocations to a cold server, the fleet's further allocations to one server, and its
+//! probes. The scheme follows escrow and bounded counters (O'Neil 1986; Balegas et al. 2015), with leases (Gray and
+//! Cheriton 1989). `pulleystair-fleet-member` calls it; times are in ms.
 //!
-//! Of each budget each of N fronts has [`PARTS_PER_FRONT`] parts; the whole is N x PARTS_PER_FRONT. **At no time do all fronts together hold more
-//! than the whole:**
+//! Each of N fronts has [`PARTS_PER_FRONT`] parts of each budget, so the whole budget is N x PARTS_PER_FRONT. **At no time
+//! do all fronts together hold more than the whole:**
 //!
-//! - A front holds `PARTS_PER_FRONT - lent + borrowed`, and keeps [`RESERVED_PARTS`] whatever it lends. What it hears, or that it hears
-//!   nothing, never adds but by a grant.
-//! - A grant answers a wish by its number, and counts once: of each giver's grants the borrower counts the newest alone,
-//!   while the giver takes off the largest that may still be counted. So doubling and reorder add nothing.
-//! - The giver takes off before it says so. The borrower counts a grant until `span` after it *asked*, on its clock; the
-//!   giver takes it back `span x (1 + LEASE_MARGIN)` after it *gave*, on its own. Asking came before giving, so with clocks
-//!   that run apart by at most [`MAX_CLOCK_DRIFT`], (1 + LEASE_MARGIN)/(1 + MAX_CLOCK_DRIFT) >= 1/(1 - MAX_CLOCK_DRIFT) keeps the end of use before the end
-//!   of the loan, however late, doubled or lost the words are. A grant that comes after its span is nothing.
-//! - A front that restarts cannot know what it lent: it holds RESERVED_PARTS and lends nothing until `span x (1 + LEASE_MARGIN)` after
-//!   its start. What it had borrowed is gone with its incarnation, which grants name.
+//! - A front holds `PARTS_PER_FRONT - lent + borrowed`, and keeps [`RESERVED_PARTS`] whatever it lends. Only a grant adds to
+//!   what it holds; nothing else that it receives does, and neither does receiving nothing.
+//! - A grant names the number of the loan request that it answers, and counts once: the borrower counts only the newest
+//!   grant of each giver, while the giver deducts the largest grant that the borrower may still count. Duplicated and
+//!   reordered messages therefore add nothing.
+//! - The giver deducts a grant before it announces it. The borrower counts the grant until `lease_ms` after it *asked*, on
+//!   its own clock. The giver takes it back `lease_ms x (1 + LEASE_MARGIN)` after it *gave*, on its own clock. The asking
+//!   precedes the giving, and the clocks drift apart by at most [`MAX_CLOCK_DRIFT`]. With
+//!   (1 + LEASE_MARGIN)/(1 + MAX_CLOCK_DRIFT) >= 1/(1 - MAX_CLOCK_DRIFT), the borrower's use ends before the giver's loan
+//!   ends, however late, duplicated or lost the messages are. A grant that arrives after its lease has ended counts nothing.
+//! - A front that restarts cannot know what it lent before. It holds RESERVED_PARTS and lends nothing until
+//!   `lease_ms x (1 + LEASE_MARGIN)` after its start. What it had borrowed ends with its incarnation, which grants name.
 //!
-//! So lost words cost capacity for a span, and never make any.
+//! Lost messages therefore cost capacity for the time of a lease, and never create any.
 
 use crate::{PeerState, decode_cells, encode_cells};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Parts that a front has of each budget, and those that it never lends.
+/// Parts that each front has of each budget, and how many of them it never lends.
 pub const PARTS_PER_FRONT: u32 = 1_000;
 pub const RESERVED_PARTS: u32 = 250;
-/// Clocks run apart by no more than this part.
+/// Maximum relative drift between the clocks of two fronts.
 pub const MAX_CLOCK_DRIFT: f64 = 0.01;
-/// A loan's end at its giver is later than at its borrower by this part of the span: 2 x MAX_CLOCK_DRIFT / (1 - MAX_CLOCK_DRIFT), twice over.
+/// The giver's end of a loan is later than the borrower's by this fraction of the lease. It is twice the required
+/// 2 x MAX_CLOCK_DRIFT / (1 - MAX_CLOCK_DRIFT).
 pub const LEASE_MARGIN: f64 = 0.04;
-/// Wishes and grants that a row may hold. There are up to three for each cold server.
+/// Maximum number of loan requests, and of grants, in a row. Up to three are needed for each cold server.
 const MAX_LOANS: usize = 2_048;
-/// Numbers of a wish whose grants may still be under way.
+/// Loan requests whose grants may still arrive.
 const MAX_OPEN_REQUESTS: usize = 4;
+/// Maximum size of a cell, bytes.
 const MAX_CELL_BYTES: usize = 900;
 
+/// What a budget limits: the pace of allocations to a cold server, further allocations of a play, or probes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum BudgetKind {
     Pace,
@@ -41,25 +47,28 @@
     Probes,
 }
 
-/// A budget: of what, at which server.
+/// A budget: the server, and what is limited there.
 pub type BudgetId = (u64, BudgetKind);
 
+/// A front's request for parts of a budget. Its number grows with each request of that front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct LoanRequest {
     budget: BudgetId,
     number: u32,
 }
 
+/// Parts lent to another front, as announced in the giver's row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Grant {
     to: u32,
-    /// The borrower's incarnation: another of it did not ask.
+    /// The borrower's incarnation. Another incarnation of that front did not ask and must not count the grant.
     incarnation: u64,
     budget: BudgetId,
     number: u32,
     parts: u32,
 }
 
+/// Parts that this front has lent, until `expires_at` on its own clock.
 struct Lease {
     to: u32,
     incarnation: u64,
@@ -68,21 +77,21 @@
     expires_at: f64,
 }
 
-/// What this front does with one budget.
+/// This front's state of one budget.
 #[derive(Default)]
 struct BudgetState {
-    /// When it last needed any of it, and when it last needed more than it holds.
+    /// When it last needed any of the budget, and when it last needed more than it holds.
     used_at: Option<f64>,
     wanted_more_at: Option<f64>,
-    /// The latest numbers of the wish, with when they were asked.
+    /// The latest loan requests: their numbers, and when they were made.
     requests: Vec<(u32, f64)>,
     leases: Vec<Lease>,
-    /// Of each giver: the number, the parts, and until when.
+    /// By giver: the number of the request, the parts, and when they expire.
     borrowed: BTreeMap<u32, (u32, u32, f64)>,
 }
 
 impl BudgetState {
-    /// For each borrower, the largest lease that it may still count.
+    /// Parts lent now: for each borrower, the largest lease that it may still count.
     fn parts_lent(&self, now: f64) -> u32 {
         let mut max_by_borrower: BTreeMap<(u32, u64), u32> = BTreeMap::new();
         for lease in self.leases.iter().filter(|l| now < l.expires_at) {
@@ -100,19 +109,20 @@
     }
 }
 
+/// This front's parts of all budgets.
 pub struct Budgets {
     origin: u32,
     incarnation: u64,
     lease_ms: f64,
     fronts: u32,
-    /// Until then it may have lent what it does not know of.
+    /// Until then there may be loans of an earlier start that this front does not know of.
     loans_unknown_until: f64,
     last_request_number: u32,
     states: BTreeMap<BudgetId, BudgetState>,
 }
 
 impl Budgets {
-    /// Of so many fronts, with loans of so many ms.
+    /// For a fleet of `fronts` fronts, with loans of `lease_ms`.
     pub fn new(now: f64, origin: u32, incarnation: u64, fronts: usize, lease_ms: f64) -> Budgets {
         let loans_unknown_until = now + lease_ms * (1.0 + LEASE_MARGIN);
         let fronts = fronts.clamp(1, 1_000_000) as u32;
@@ -127,12 +137,12 @@
         }
     }
 
-    /// All that fronts together may hold of a budget.
+    /// Parts of a budget that all fronts together may hold.
     pub fn total_parts(&self) -> u32 {
         self.fronts * PARTS_PER_FRONT
     }
 
-    /// This front's row has another incarnation from now on: wishes of the former are nobody's.
+    /// This front's row has a new incarnation: requests of the former one, and what they were granted, no longer count.
     pub fn restart(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
         for state in self.states.values_mut() {
@@ -141,7 +151,7 @@
         }
     }
 
-    /// This front has use for it, and what it holds is too little where `more`.
+    /// Notes that this front uses a budget, and with `needs_more` that what it holds is too little.
     pub fn request(&mut self, now: f64, budget: BudgetId, needs_more: bool) {
         if self.states.len() < MAX_LOANS || self.states.contains_key(&budget) {
             let state = self.states.entry(budget).or_default();
@@ -152,7 +162,7 @@
         }
     }
 
-    /// Parts that it may spend now. To be asked whenever it spends: loans end by the clock alone.
+    /// Parts that this front may spend now. Ask before each use, because loans end by the clock alone.
     pub fn parts(&self, now: f64, budget: BudgetId) -> u32 {
         let own = if now < self.loans_unknown_until { RESERVED_PARTS } else { PARTS_PER_FRONT };
         let Some(state) = self.states.get(&budget) else { return own };
@@ -161,13 +171,13 @@
         let parts = own.saturating_sub(lent) + borrowed;
         assert!(
             lent <= PARTS_PER_FRONT - RESERVED_PARTS && parts <= self.total_parts(),
-            "{lent} lent, {parts} held of {}",
+            "budget exceeded: {lent} parts lent, {parts} held, {} in total",
             self.total_parts()
         );
         parts
     }
 
-    /// When a loan next ends, on either side, or this front next knows all that it lent.
+    /// When the next loan ends, given or taken; infinite if there is none.
     pub fn next_expiry(&self) -> f64 {
         let expiries = self
             .states
@@ -176,7 +186,7 @@
         expiries.fold(f64::INFINITY, f64::min)
     }
 
-    /// Forgets loans that have ended.
+    /// Removes loans that have ended.
     pub fn expire(&mut self, now: f64) {
         for state in self.states.values_mut() {
             state.leases.retain(|l| now < l.expires_at);
@@ -184,7 +194,7 @@
         }
     }
 
-    /// Goes by what others say: counts grants, and lends what it does not need itself.
+    /// Processes the peers' rows: counts grants to this front, and lends what this front does not need itself.
     pub fn merge(&mut self, now: f64, peers: &[PeerState]) {
         let (lease_ms, own_id) = (self.lease_ms, (self.origin, self.incarnation));
         self.expire(now);
@@ -207,6 +217,7 @@
         self.states.retain(|_, state| !state.is_idle());
     }
 
+    /// Counts a grant if it answers a recent request and is newer than the giver's previous one.
     fn apply_grant(&mut self, now: f64, giver: u32, grant: Grant) {
         let Some(state) = self.states.get_mut(&grant.budget) else { return };
         let Some((_, asked_at)) = state.requests.iter().find(|a| a.0 == grant.number) else { return };
@@ -217,7 +228,7 @@
         }
     }
 
-    /// Half of what is left goes to whoever asks first, so that one who asks a little later finds some.
+    /// Lends half of what is left to each peer that asks, so that one that asks a little later still gets some.
     fn grant_loans(&mut self, now: f64, peers: &[PeerState]) {
         if now < self.loans_unknown_until {
             return;
@@ -246,7 +257,7 @@
         }
     }
 
-    /// Asks anew half a span after it last asked, while it lacks.
+    /// Requests a loan again half a lease after the last request, as long as more is needed.
     fn renew_requests(&mut self, now: f64) {
         for state in self.states.values_mut() {
             let last_asked_at = state.requests.last().map(|a| a.1);
@@ -262,7 +273,7 @@
         }
     }
 
-    /// The cells of its wishes, and those of its grants.
+    /// The cells of this front's loan requests, and those of its grants.
     pub fn cells(&self) -> (Vec<Vec<u8>>, Vec<Vec<u8>>) {
         let (mut loan_requests, mut grants) = (Vec::new(), Vec::new());
         for (budget, state) in &self.states {
--- a/crates/shared-state/src/counts.rs
+++ b/crates/shared-state/src/counts.rs
@@ -1,20 +1,23 @@
-//! How many plays are out to a server or run there, over all fronts, as an interval that **holds the truth**:
+//! How many plays are being set up or run at a server, over all fronts, as an interval that **always contains the true
+//! number**:
 //!
-//! - At least: this front's own, and of each other what was heard less what may have ended since, by the stated most that
-//!   end in a second; where none is stated, all may have.
-//! - At most: what was heard, plus what its budget lets each add since. A server that is cold is paced: all fronts
-//!   together add no more than its whole pace over the age of the oldest row, and one set-up each for the turn that had
-//!   come. A server that is not paced holds no more than its places.
-//! - A front that was never heard, or that is heard of from before its restart, is counted by its budget alone.
+//! - Lower bound: this front's own plays, plus for each other front what it reported less what may have ended since, by
+//!   the stated maximum rate. If no rate is stated, all of them may have ended.
+//! - Upper bound: what was reported, plus what each front's budget allows it to have added since. A cold server is paced:
+//!   all fronts together add no more than the whole pace over the age of the oldest row, plus one set-up each whose turn
+//!   had already come. A server that is not paced holds no more plays than it has places.
+//! - A front that was never heard, or was last heard before its restart, is counted by its budget alone.
 //!
-//! Rules go by the upper end, quality by the middle, which is what was heard, within the two.
+//! Rules use the upper bound. Quality decisions use the middle, which is the reported number, limited to the interval.
 
 use crate::{PeerState, decode_cells, encode_cells};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+/// Maximum size of a cell, bytes.
 const MAX_CELL_BYTES: usize = 900;
 
+/// One front's plays of a product at a server: being set up, and playing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Row {
     server: u64,
@@ -23,6 +26,7 @@
     playing: u32,
 }
 
+/// Bounds on a number of plays, and the best estimate.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Interval {
     pub low: f64,
@@ -30,24 +34,25 @@
     pub high: f64,
 }
 
-/// What bounds how a server's plays come and go.
+/// Limits on how the number of plays at a server changes.
 #[derive(Clone, Copy, Debug)]
 pub struct PlayBounds {
-    /// Plays that it holds at most.
+    /// Maximum number of plays that the server holds.
     pub max_plays: f64,
-    /// What all fronts together may add, plays an ms, while it is paced; none where it is not.
+    /// Plays that all fronts together may add per ms while the server is paced; `None` if it is not.
     pub max_added_per_ms: Option<f64>,
-    /// Plays of one front that end there at most, an ms; none where all may at once.
+    /// Plays of one front that may end there per ms; `None` if all may end at once.
     pub max_ended_per_ms: Option<f64>,
 }
 
+/// This front's plays, by server and product: being set up, and playing.
 #[derive(Default)]
 pub struct PlayCounts {
     own: BTreeMap<(u64, u16), (u32, u32)>,
 }
 
 impl PlayCounts {
-    /// This front's own: set-ups out, and plays that run.
+    /// Sets this front's numbers for one server and product.
     pub fn set(&mut self, server: u64, product: u16, setting_up: u32, playing: u32) {
         if setting_up + playing == 0 {
             self.own.remove(&(server, product));
@@ -56,11 +61,12 @@
         }
     }
 
-    /// All of this front's own anew.
+    /// Replaces all of this front's numbers.
     pub fn replace(&mut self, own: BTreeMap<(u64, u16), (u32, u32)>) {
         self.own = own;
     }
 
+    /// The cells for this front's row.
     pub fn cells(&self) -> Vec<Vec<u8>> {
         let row = |(key, counts): (&(u64, u16), &(u32, u32))| Row {
             server: key.0,
@@ -71,8 +77,8 @@
         encode_cells(self.own.iter().map(row), MAX_CELL_BYTES)
     }
 
-    /// Plays at a server, of one product or of all; `heard` must hold every other front, those never heard with an
-    /// infinite age.
+    /// Plays at a server, of one product or of all. `peers` must hold every other front; the age of those never heard is
+    /// infinite.
     pub fn estimate(
         &self,
         server: u64,
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -1,9 +1,10 @@
-//! What the fronts of a fleet share, as one of them sees it: [`budgets`] by parts that are lent for a span, [`counts`] of
-//! plays as intervals, and [`server_health`] on media servers. No I/O: what is heard of other fronts comes in as [`PeerState`],
-//! what this front says of itself goes out as bytes for its own row, and what the decisions are told is a plain [`ServerHint`].
+//! The state that the fronts of a fleet share, as one front sees it: [`budgets`], of which parts are lent for a limited
+//! time, [`counts`] of plays as intervals, and [`server_health`] of media servers. The module does no I/O. What was received
+//! from other fronts comes in as [`PeerState`], what this front reports goes out as bytes for its own gossip row, and what
+//! the placement policy needs is a plain [`ServerHint`]. Times are in ms.
 //!
-//! Nothing here is agreed on: each front reads all rows and works out for itself what to believe. Without a word from
-//! others a front does what it does unaided, less what it lent.
+//! Fronts do not negotiate an agreed state: each reads all rows and draws its own conclusions. A front that hears nothing
+//! from others does what it would do alone, less what it has lent.
 
 pub mod budgets;
 pub mod counts;
@@ -11,14 +12,14 @@
 
 use serde::Serialize;
 
-/// What one other front says, as it was heard.
+/// What one other front reports, as last received. The lists hold the cells of its row.
 #[derive(Clone, Debug)]
 pub struct PeerState<'a> {
     pub origin: u32,
     pub incarnation: u64,
-    /// The zone that it is in, where it said so.
+    /// The front's zone, if it reported one.
     pub zone: Option<usize>,
-    /// ms that have passed at most since it said so.
+    /// Upper bound on the time since the front reported this, ms.
     pub age: f64,
     pub loan_requests: Vec<&'a [u8]>,
     pub grants: Vec<&'a [u8]>,
@@ -26,30 +27,31 @@
     pub server_results: Vec<&'a [u8]>,
 }
 
-/// A media server as the list has it.
+/// A media server as the server list gives it.
 #[derive(Clone, Copy, Debug)]
 pub struct Server {
     pub id: u64,
+    /// Index of its zone.
     pub zone: usize,
     pub cell: usize,
-    /// Its link, in any unit that all have.
+    /// Capacity of its link, in any unit that is the same for all servers.
     pub link: f64,
 }
 
-/// What the decisions are told of a server.
+/// What the placement policy is to know about a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerHint {
     pub server: u64,
-    /// Doubted on hearsay.
+    /// Whether it is doubted because of reports of other fronts.
     pub doubted: bool,
-    /// This front's part of the server's pace over its unaided part.
+    /// This front's part of the server's pace, relative to the part that it has without loans.
     pub pace: f64,
-    /// Further allocations and probes go there no closer than this, ms; 0 for no bound.
+    /// Minimum gap between two further allocations, and between two probes, of this front to the server, ms; 0 for none.
     pub further_gap: f64,
     pub probe_gap: f64,
 }
 
-/// Splits a list over as few cells as hold it.
+/// Encodes a list into as few cells of at most `max_bytes` as possible.
 fn encode_cells<T: Serialize>(items: impl IntoIterator<Item = T>, max_bytes: usize) -> Vec<Vec<u8>> {
     let mut out = Vec::new();
     let (mut part, mut size) = (Vec::new(), 4);
@@ -68,7 +70,7 @@
     out
 }
 
-/// The items of all cells that read; what does not read is no word at all.
+/// Decodes all cells. A cell that cannot be decoded is ignored.
 fn decode_cells<T: for<'de> serde::Deserialize<'de>>(cells: &[&[u8]]) -> Vec<T> {
     let decode = |cell: &&[u8]| postcard::from_bytes::<Vec<T>>(cell).ok();
     cells.iter().filter_map(decode).flatten().collect()
--- a/crates/shared-state/src/server_health.rs
+++ b/crates/shared-state/src/server_health.rs
@@ -1,40 +1,43 @@
-//! Judgements on media servers: what each front met there of late, and what a front believes of what others met.
+//! Health of media servers: what each front experienced there recently, and what a front concludes from the others'
+//! reports. `pulleystair-fleet-member` calls it; times are in ms.
 //!
-//! - Own evidence outranks hearsay: a server that served this front within the window is not doubted on hearsay, and
-//!   what is doubted on hearsay no longer is with the first own success.
-//! - A front's word counts while it is fresh, once a front, and only from the zone that this front is in: a server that
-//!   another zone can't reach is not a server that is down. Where too few of the own zone have met the server, words of
-//!   at least two zones do.
-//! - It takes [`MIN_AGREEING`] fronts that met failures, and more of them than of those that it served.
-//! - However many agree, **no more than [`MAX_DOUBTED_LINKS`] of all links in sum and no more than [`MAX_DOUBTED_HOLDERS`] of any title's holders
-//!   are doubted on hearsay**, so that any few that lie, or a fleet that is deaf, cost no more than that.
-//! - A zone counts as lost where at least [`LOST_ZONE_SHARE`] of its servers were silent or refused since any of them last served,
-//!   as this front and those of its zone met them, while servers elsewhere serve. This front must have met such a failure
-//!   there itself, or [`MIN_AGREEING`] of its zone. Where words are old, failures count as that much older and successes do
-//!   not. At most one zone does, with no more than [`MAX_LOST_ZONE_LINKS`] of all links; its servers are doubted beside those above,
-//!   and all are taken back with the first of them that serves.
+//! - Own results outrank reports of others. A server that served this front within the window is not doubted because of
+//!   reports, and the first own success ends such a doubt.
+//! - A front's report counts while it is fresh, once per front, and only if that front is in this front's zone: a server
+//!   that another zone cannot reach is not necessarily down. If too few fronts of the own zone have used the server, reports
+//!   from at least two zones count instead.
+//! - At least [`MIN_AGREEING`] fronts must report failures, and they must outnumber the fronts that the server served.
+//! - However many agree, **no more than [`MAX_DOUBTED_LINKS`] of the total link capacity and no more than
+//!   [`MAX_DOUBTED_HOLDERS`] of any title's holders are doubted because of reports**. This bounds what a few fronts with
+//!   false reports, or a fleet that hears nothing, can cost.
+//! - A zone counts as lost if at least [`LOST_ZONE_SHARE`] of its servers timed out or refused since any of them last
+//!   served, as seen by this front and those of its zone, while servers elsewhere serve. This front must have seen such a
+//!   failure there itself, or [`MIN_AGREEING`] fronts of its zone must have. For old reports, failures count as that much
+//!   older and successes do not. At most one zone counts as lost, with no more than [`MAX_LOST_ZONE_LINKS`] of the total link
+//!   capacity. Its servers are doubted in addition to those above, and none of them is any longer once the first one serves.
 //!
-//! A doubted server is tried at its pace, so what is doubted wrongly is found out.
+//! A doubted server is still tried at its pace, so that a wrong doubt is discovered.
 
 use crate::{PeerState, Server, decode_cells, encode_cells};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Fronts that must agree.
+/// Minimum number of fronts that must agree.
 pub const MIN_AGREEING: usize = 3;
-/// Of all links in sum, and of each title's holders.
+/// Maximum share of the total link capacity, and of each title's holders, that is doubted because of reports.
 pub const MAX_DOUBTED_LINKS: f64 = 0.25;
 pub const MAX_DOUBTED_HOLDERS: f64 = 0.5;
-/// Of a zone's servers, and no fewer than so many.
+/// A lost zone: minimum share of its servers that fail, and their minimum number.
 pub const LOST_ZONE_SHARE: f64 = 0.5;
 pub const LOST_ZONE_MIN: usize = 3;
-/// Of all links in sum, for a zone that counts as lost.
+/// Maximum share of the total link capacity in a zone that counts as lost.
 pub const MAX_LOST_ZONE_LINKS: f64 = 0.6;
-/// What was met within so long counts, ms, by halves; a word that is older by half of it counts no more.
+/// Results within this time count, ms, in two halves. A report older than half of it no longer counts.
 pub const WINDOW_MS: f64 = 5_000.0;
+/// Maximum size of a cell, bytes.
 const MAX_CELL_BYTES: usize = 900;
 
-/// How an allocation went, as far as it tells of its server.
+/// The result of an allocation, as far as it concerns the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AllocationResult {
     Success,
@@ -43,6 +46,7 @@
     Refused,
 }
 
+/// Numbers of allocations and of their results.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultCounts {
     pub tries: u32,
@@ -65,32 +69,34 @@
         self.errors.saturating_add(self.timed_out).saturating_add(self.refused)
     }
 
-    /// Twice at least, and more often than it served by far.
+    /// At least two failures, and more than twice as many as successes.
     fn is_failing(&self) -> bool {
         self.failures() >= 2 && self.failures() > self.successes.saturating_mul(2)
     }
 
+    /// At least one success, and not failing.
     fn is_serving(&self) -> bool {
         self.successes > 0 && !self.is_failing()
     }
 
-    /// A row that can't be: more outcomes than tries.
+    /// Whether the numbers are possible: no more results than tries.
     fn is_plausible(&self) -> bool {
         u64::from(self.successes) + u64::from(self.failures()) <= u64::from(self.tries)
     }
 }
 
+/// A front's results at one server, as sent in a cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Row {
     server: u64,
     counts: ResultCounts,
-    /// How long ago it last served, and was last silent or refused, in tenths of a second.
+    /// How long ago it last served, and last timed out or refused, in tenths of a second.
     served_ago: Option<u8>,
     failed_ago: Option<u8>,
 }
 
-/// What a front met at a server, with the latest moments that it served and the earliest that it last failed, on this
-/// front's clock.
+/// A front's results at a server. `served_at` is the latest moment that it may have last served, and `failed_at` the
+/// earliest that it may have last failed, on this front's clock.
 #[derive(Clone, Copy, Debug)]
 struct ServerReport {
     zone: Option<usize>,
@@ -99,13 +105,15 @@
     failed_at: Option<f64>,
 }
 
+/// ms in the unit of [`Row`]'s times.
 const TENTH_MS: f64 = 100.0;
 
+/// Time since a moment, in tenths of a second, at most 255.
 fn tenths_ago(now: f64, at: Option<&f64>) -> Option<u8> {
     at.map(|at| ((now - at) / TENTH_MS).clamp(0.0, 255.0) as u8)
 }
 
-/// What is believed of the servers.
+/// This front's conclusions on the servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HealthView {
     pub doubted: BTreeSet<u64>,
@@ -113,12 +121,13 @@
     pub lost: Option<usize>,
 }
 
+/// This front's own results of the last [`WINDOW_MS`].
 pub struct ServerHealth {
     zone: usize,
-    /// The present half of the window and the one before, and when the present one began.
+    /// The current half of the window and the one before it, and when the current one began.
     halves: [BTreeMap<u64, ResultCounts>; 2],
     half_began_at: f64,
-    /// The servers that served this front last, and when; and that were silent or refused.
+    /// By server: when it last served this front, and when it last timed out or refused.
     served_at: BTreeMap<u64, f64>,
     failed_at: BTreeMap<u64, f64>,
 }
@@ -134,6 +143,7 @@
         }
     }
 
+    /// Records the result of an allocation of this front.
     pub fn record(&mut self, now: f64, server: u64, result: AllocationResult) {
         self.advance_window(now);
         let counts = self.halves[0].entry(server).or_default();
@@ -151,6 +161,7 @@
         };
     }
 
+    /// Moves the window on to the current time and drops older results.
     fn advance_window(&mut self, now: f64) {
         while now >= self.half_began_at + WINDOW_MS / 2.0 {
             self.half_began_at += WINDOW_MS / 2.0;
@@ -165,6 +176,7 @@
         self.failed_at.retain(|_, at| now < *at + WINDOW_MS);
     }
 
+    /// This front's results in the window, by server.
     fn own_results(&self) -> BTreeMap<u64, ResultCounts> {
         let mut own_results = self.halves[1].clone();
         for (server, counts) in &self.halves[0] {
@@ -173,6 +185,7 @@
         own_results
     }
 
+    /// The cells for this front's row.
     pub fn cells(&mut self, now: f64) -> Vec<Vec<u8>> {
         self.advance_window(now);
         let row = |(server, counts): (u64, ResultCounts)| Row {
@@ -184,7 +197,7 @@
         encode_cells(self.own_results().into_iter().map(row), MAX_CELL_BYTES)
     }
 
-    /// What to believe. `titles`: the holders of each title, by id.
+    /// Draws conclusions from own results and the peers' reports. `titles` holds the ids of each title's holders.
     pub fn evaluate(
         &mut self,
         now: f64,
@@ -194,7 +207,7 @@
     ) -> HealthView {
         self.advance_window(now);
         let own_results = self.own_results();
-        // What each fresh front met, by server.
+        // By server: the reports of each peer that is fresh.
         let mut reports: BTreeMap<u64, Vec<ServerReport>> = BTreeMap::new();
         for peer in peers.iter().filter(|p| p.age < WINDOW_MS / 2.0) {
             let mut by_server = BTreeMap::new();
@@ -236,7 +249,7 @@
         HealthView { doubted, lost }
     }
 
-    /// How many fronts speak against a server, where that is enough.
+    /// Number of fronts that report failures of a server, if they are enough to doubt it.
     fn count_agreeing(&self, own: Option<&ResultCounts>, reports: &[ServerReport]) -> Option<usize> {
         let own_report = own.map(|counts| (Some(self.zone), *counts));
         let all: Vec<(Option<usize>, ResultCounts)> =
@@ -258,7 +271,7 @@
             .then_some(failing)
     }
 
-    /// The zone whose servers were silent to this front and those near it since the last of them served any.
+    /// The zone whose servers all failed this front and others of its zone since any of them last served.
     fn lost_zone(&self, reports: &BTreeMap<u64, Vec<ServerReport>>, servers: &[Server]) -> Option<usize> {
         let own_zone_reports =
             |id: u64| reports.get(&id).into_iter().flatten().filter(|w| w.zone == Some(self.zone));
@@ -279,7 +292,7 @@
             let peer_failures =
                 |s: &Server| own_zone_reports(s.id).filter(|w| w.failed_at.is_some_and(is_newer)).count();
             let failed_count = zone_servers.iter().filter(|s| own_failure(s) || peer_failures(s) > 0).count();
-            // One front of the zone that makes it up must not be enough.
+            // A single peer with false reports must not be enough.
             let is_confirmed =
                 zone_servers.iter().any(|s| own_failure(s) || peer_failures(s) >= MIN_AGREEING);
             let min_failed =
--- a/crates/shared-state/tests/beliefs.rs
+++ b/crates/shared-state/tests/beliefs.rs
@@ -1,5 +1,5 @@
-//! What a front believes of servers and counts, from the words of others: few that lie, zones that are cut off, rows that
-//! are old.
+//! Tests of what a front concludes on servers and play counts from other fronts' reports: false reports, isolated zones, old
+//! rows.
 
 use pulleystair_shared_state::counts::{PlayBounds, PlayCounts};
 use pulleystair_shared_state::server_health::{AllocationResult, HealthView, ServerHealth, WINDOW_MS};
@@ -7,18 +7,20 @@
 use std::collections::BTreeMap;
 use test_case::test_case;
 
-/// Eight servers, the even ones in zone 0; titles of four holders each.
+/// Eight servers, of which the even ones are in zone 0.
 fn servers() -> Vec<Server> {
     (0..8).map(|s| Server { id: s, zone: s as usize % 2, cell: s as usize, link: 1.0 }).collect()
 }
 
+/// Eight titles with four holders each.
 fn titles() -> Vec<Vec<u64>> {
     (0..8).map(|first| (0..4).map(|i| (first + i) % 8).collect()).collect()
 }
 
-/// What a front in a zone met: server, how, how often.
+/// A front's zone and its results: server, result, how often.
 type Front = (usize, Vec<(u64, AllocationResult, usize)>);
 
+/// The cells in which a front reports its results.
 fn cells(front: &Front) -> Vec<Vec<u8>> {
     let mut health = ServerHealth::new(0.0, front.0);
     for (server, result, times) in &front.1 {
@@ -27,6 +29,7 @@
     health.cells(100.0)
 }
 
+/// What a front concludes from its own results and the others' reports of this age.
 fn evaluate(own: &Front, others: &[Front], age: f64) -> HealthView {
     let report_cells: Vec<Vec<Vec<u8>>> = others.iter().map(cells).collect();
     let mut peers = Vec::new();
@@ -59,8 +62,8 @@
 
 const ALL_SERVERS: [u64; 8] = [0, 1, 2, 3, 4, 5, 6, 7];
 
-#[test_case(2, &[]; "two are not several")]
-#[test_case(3, &[2]; "three are")]
+#[test_case(2, &[]; "two are too few")]
+#[test_case(3, &[2]; "three are enough")]
 fn three_fronts_of_the_own_zone_must_agree(count: usize, doubted: &[u64]) {
     let others: Vec<Front> = (0..count).map(|_| timing_out_at(0, &[2])).collect();
     let view = evaluate(&(0, vec![]), &others, 10.0);
@@ -86,7 +89,7 @@
     assert_eq!(evaluate(&(0, vec![]), &others, 10.0), HealthView::default());
 }
 
-/// Where nobody can say otherwise, what they cost is bounded: a quarter of the links, half of a title's holders.
+/// Without contrary reports, false reports must cost no more than a quarter of the links and half of a title's holders.
 #[test]
 fn any_number_of_false_reports_doubts_only_a_part() {
     let others: Vec<Front> = (0..7).map(|_| timing_out_at(0, &ALL_SERVERS)).collect();
@@ -97,8 +100,8 @@
     }
 }
 
-/// Zone 1 can't reach zone 0's servers. Who is in zone 0 is served there, and doubts none; who is in zone 1 and has few
-/// beside it that tried does not take the servers for down on its own word.
+/// Zone 1 cannot reach the servers of zone 0. A front in zone 0 must not doubt them because of zone 1's reports, whether it
+/// has been served itself or not.
 #[test]
 fn an_isolated_zones_reports_do_not_doubt_servers() {
     let mut others: Vec<Front> = (0..4).map(|_| timing_out_at(1, &[0, 2, 4, 6])).collect();
@@ -126,7 +129,7 @@
 
 #[test]
 fn a_report_with_more_results_than_tries_is_ignored() {
-    // As a row of one server with 0 tries and 9 time-outs.
+    // A row of one server with 0 tries and 9 time-outs.
     let row: &[u8] = &[1, 2, 0, 0, 0, 9, 0, 0, 0];
     let peer = |i| PeerState {
         origin: i,
@@ -143,7 +146,7 @@
     assert_eq!(view, HealthView::default());
 }
 
-/// Plays come to a paced server and end at random; what a reader of old rows reckons holds the truth.
+/// Plays come to a paced server and end at random. What is estimated from old rows must contain the true number.
 #[test]
 fn the_interval_contains_the_true_count() {
     let mut rng = oorandom::Rand64::new(5);
@@ -155,7 +158,7 @@
         let front = rng.rand_range(0..4) as usize;
         true_counts[front] += 1;
         let leaver = rng.rand_range(0..4) as usize;
-        // For seconds on end none ends.
+        // In every second period of 5 s none ends.
         if now % 10_000.0 < 5_000.0 && rng.rand_float() < 0.9 {
             true_counts[leaver] = true_counts[leaver].saturating_sub(3);
         }
--- a/crates/shared-state/tests/budgets.rs
+++ b/crates/shared-state/tests/budgets.rs
@@ -1,5 +1,5 @@
-//! Loans between fronts whose words come late, twice, out of order or never, whose clocks run apart, and which restart:
-//! at no moment do all together hold more than the whole.
+//! Tests of loans between fronts whose messages are late, duplicated, reordered or lost, whose clocks drift, and which
+//! restart: at no moment may all fronts together hold more than the whole.
 
 use oorandom::Rand64;
 use pulleystair_shared_state::PeerState;
@@ -11,13 +11,14 @@
 const LEASE_MS: f64 = 1_000.0;
 const BUDGET: (u64, BudgetKind) = (7, BudgetKind::Pace);
 
-/// What a front has ever said, with its incarnation then.
+/// All that a front ever reported: its incarnation, the time, its loan requests and its grants.
 type History = Vec<(u64, f64, Vec<Vec<u8>>, Vec<Vec<u8>>)>;
 
+/// Fronts in simulated time.
 struct Fleet {
     now: f64,
     rng: Rand64,
-    /// How fast each clock runs.
+    /// Rate of each front's clock.
     clock_rates: Vec<f64>,
     fronts: Vec<Budgets>,
     histories: Vec<History>,
@@ -40,15 +41,17 @@
         }
     }
 
+    /// The time on a front's own clock.
     fn local_time(&self, front: usize) -> f64 {
         self.now * self.clock_rates[front]
     }
 
+    /// Parts that all fronts together hold now.
     fn total_held(&self) -> u32 {
         (0..self.fronts.len()).map(|i| self.fronts[i].parts(self.local_time(i), BUDGET)).sum()
     }
 
-    /// A front hears others, each in the words of any moment up to now, or not at all.
+    /// A front receives from each other front its newest row, an older one, or nothing; then it reports itself.
     fn exchange(&mut self, front: usize, loss_rate: f64, stale_rate: f64) {
         let mut received = Vec::new();
         for other in (0..self.fronts.len()).filter(|o| *o != front) {
@@ -81,7 +84,7 @@
         let (loan_requests, grants) = self.fronts[front].cells();
         self.histories[front].push((self.incarnations[front], self.now, loan_requests, grants));
         let total = self.fronts.len() as u32 * PARTS_PER_FRONT;
-        assert!(self.total_held() <= total, "{} of {total} at {}", self.total_held(), self.now);
+        assert!(self.total_held() <= total, "{} parts held of {total} at {} ms", self.total_held(), self.now);
     }
 
     fn restart(&mut self, front: usize) {
@@ -93,8 +96,8 @@
 }
 
 #[test_case(0.0, 0.0; "a good network")]
-#[test_case(0.3, 0.5; "a bad one")]
-#[test_case(0.8, 0.9; "a very bad one")]
+#[test_case(0.3, 0.5; "a bad network")]
+#[test_case(0.8, 0.9; "a very bad network")]
 fn fronts_together_never_hold_more_than_the_whole(loss_rate: f64, stale_rate: f64) {
     let mut max_held = 0;
     for seed in 0..60 {
@@ -106,7 +109,7 @@
             match fleet.rng.rand_range(0..100) {
                 0 => fleet.restart(front),
                 1..=5 => fleet.fronts[front].request(now, BUDGET, false),
-                // Two of them have a crowd.
+                // Two of them need more than they have.
                 _ if front < 2 => fleet.fronts[front].request(now, BUDGET, true),
                 _ => {}
             }
@@ -133,7 +136,7 @@
         "{}",
         fleet.fronts[0].parts(now, BUDGET)
     );
-    // The crowd is over, and nobody hears anybody.
+    // The need has ended, and no front receives anything.
     fleet.now += LEASE_MS * (1.0 + LEASE_MARGIN) * (1.0 + 2.0 * MAX_CLOCK_DRIFT);
     let parts: Vec<u32> = (0..4).map(|i| fleet.fronts[i].parts(fleet.local_time(i), BUDGET)).collect();
     assert_eq!(parts, [PARTS_PER_FRONT; 4]);
