--- a/crates/drift/src/approved.rs
+++ b/crates/drift/src/approved.rs
@@ -8,8 +8,8 @@
 use serde_json::Value;
 
 /// Documents that a file may hold, and fronts that a stage may name.
-const MOST: usize = 10_000;
-const FRONTS: usize = 100_000;
+const MAX_VERSIONS: usize = 10_000;
+const MAX_STAGE_FRONTS: usize = 100_000;
 
 /// Some fronts, from when they may have a version, and by when they must; Unix ms.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -55,19 +55,19 @@
 
     /// Its line in the file.
     pub fn line(&self) -> String {
-        let mut it = serde_json::to_value(self).unwrap_or(Value::Null);
-        it["digest"] = Value::String(self.digest());
-        format!("{it}\n")
+        let mut value = serde_json::to_value(self).unwrap_or(Value::Null);
+        value["digest"] = Value::String(self.digest());
+        format!("{value}\n")
     }
 
     /// From when a front may have it, and by when it must.
-    pub fn stage(&self, front: &str) -> Option<(f64, f64)> {
+    pub fn stage_times(&self, front: &str) -> Option<(f64, f64)> {
         let named = self.stages.iter().find(|s| s.fronts.iter().any(|f| f == front));
         let stage = named.or_else(|| self.stages.iter().find(|s| s.fronts.is_empty()))?;
         Some((stage.from_ms, stage.by_ms))
     }
 
-    fn check(&self, parent: Option<(&ApprovedVersion, &str)>) -> Result<(), String> {
+    fn validate(&self, parent: Option<(&ApprovedVersion, &str)>) -> Result<(), String> {
         match (parent, &self.parent) {
             (None, None) => {}
             (None, Some(parent)) => return Err(format!("parent: {parent} is not in the file")),
@@ -79,9 +79,9 @@
             }
             (Some(_), Some(_)) => {}
         }
-        let next = parent.map_or(1, |(p, _)| p.number.saturating_add(1));
-        if self.number != next {
-            return Err(format!("number: {}; {next} comes next", self.number));
+        let next_number = parent.map_or(1, |(p, _)| p.number.saturating_add(1));
+        if self.number != next_number {
+            return Err(format!("number: {}; {next_number} comes next", self.number));
         }
         if !self.at_ms.is_finite() || parent.is_some_and(|(p, _)| self.at_ms < p.at_ms) {
             return Err(format!("at_ms: {} lies before the version before it", self.at_ms));
@@ -89,21 +89,26 @@
         if self.by.trim().is_empty() {
             return Err("by: nobody approved it".into());
         }
-        if self.stages.is_empty() || self.stages.iter().map(|s| s.fronts.len()).sum::<usize>() > FRONTS {
-            return Err(format!("stages: {}; 1 at least, of {FRONTS} fronts at most", self.stages.len()));
+        if self.stages.is_empty()
+            || self.stages.iter().map(|s| s.fronts.len()).sum::<usize>() > MAX_STAGE_FRONTS
+        {
+            return Err(format!(
+                "stages: {}; 1 at least, of {MAX_STAGE_FRONTS} fronts at most",
+                self.stages.len()
+            ));
         }
         for (i, stage) in self.stages.iter().enumerate() {
-            let sound = stage.from_ms.is_finite() && stage.by_ms.is_finite();
-            if !sound || stage.from_ms < self.at_ms {
-                let from = stage.from_ms;
-                return Err(format!("stages[{i}].from_ms: {from} lies in the past of its approval"));
+            let is_finite = stage.from_ms.is_finite() && stage.by_ms.is_finite();
+            if !is_finite || stage.from_ms < self.at_ms {
+                let from_ms = stage.from_ms;
+                return Err(format!("stages[{i}].from_ms: {from_ms} lies in the past of its approval"));
             }
             if stage.by_ms < stage.from_ms {
                 return Err(format!("stages[{i}].by_ms: {} lies before from_ms", stage.by_ms));
             }
         }
-        let unknown = self.sections.keys().find(|name| !crate::SECTIONS.contains(&name.as_str()));
-        unknown.map_or(Ok(()), |name| Err(format!("sections.{name}: there is no such section")))
+        let unknown_section = self.sections.keys().find(|name| !crate::SECTIONS.contains(&name.as_str()));
+        unknown_section.map_or(Ok(()), |name| Err(format!("sections.{name}: there is no such section")))
     }
 }
 
@@ -112,18 +117,19 @@
     pub fn parse(text: &str) -> Result<VersionChain, ChainError> {
         let mut chain = VersionChain::default();
         for (i, line) in text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()) {
-            let fault = |cause: String| ChainError { line: i + 1, cause };
-            if chain.documents.len() >= MOST {
-                return Err(fault(format!("more than {MOST} versions")));
+            let line_error = |cause: String| ChainError { line: i + 1, cause };
+            if chain.documents.len() >= MAX_VERSIONS {
+                return Err(line_error(format!("more than {MAX_VERSIONS} versions")));
             }
-            let mut it: Value = serde_json::from_str(line).map_err(|e| fault(e.to_string()))?;
-            let told = it.as_object_mut().and_then(|it| it.remove("digest"));
-            let document: ApprovedVersion = serde_json::from_value(it).map_err(|e| fault(e.to_string()))?;
-            let own = document.digest();
-            if told.as_ref().and_then(Value::as_str) != Some(&own) {
-                return Err(fault(format!("digest: the line's content has {own}")));
+            let mut value: Value = serde_json::from_str(line).map_err(|e| line_error(e.to_string()))?;
+            let stated = value.as_object_mut().and_then(|object| object.remove("digest"));
+            let document: ApprovedVersion =
+                serde_json::from_value(value).map_err(|e| line_error(e.to_string()))?;
+            let computed = document.digest();
+            if stated.as_ref().and_then(Value::as_str) != Some(&computed) {
+                return Err(line_error(format!("digest: the line's content has {computed}")));
             }
-            chain.append(document).map_err(fault)?;
+            chain.append(document).map_err(line_error)?;
         }
         if chain.documents.is_empty() {
             return Err(ChainError { line: 1, cause: "no version is approved".into() });
@@ -133,7 +139,7 @@
 
     pub fn append(&mut self, document: ApprovedVersion) -> Result<(), String> {
         let parent = self.documents.last().zip(self.digests.last().map(String::as_str));
-        document.check(parent)?;
+        document.validate(parent)?;
         self.digests.push(document.digest());
         self.documents.push(document);
         Ok(())
@@ -155,28 +161,30 @@
     }
 
     /// A version by its mark: true where this chain has it.
-    pub fn has(&self, mark: (u64, u64)) -> bool {
-        let at = usize::try_from(mark.0).ok().and_then(|n| self.digests.get(n.checked_sub(1)?));
-        at.and_then(|d| u64::from_str_radix(d.get(..16)?, 16).ok()) == Some(mark.1)
+    pub fn contains(&self, id: (u64, u64)) -> bool {
+        let digest = usize::try_from(id.0).ok().and_then(|n| self.digests.get(n.checked_sub(1)?));
+        digest.and_then(|digest| u64::from_str_radix(digest.get(..16)?, 16).ok()) == Some(id.1)
     }
 
     /// The latest version that a front may have by then, and the latest that it must have.
-    pub fn window(&self, front: &str, wall: f64) -> (Option<usize>, Option<usize>) {
-        let latest = |due: fn((f64, f64)) -> f64| {
-            self.documents.iter().rposition(|d| d.stage(front).is_some_and(|stage| due(stage) <= wall))
+    pub fn version_window(&self, front: &str, wall_clock: f64) -> (Option<usize>, Option<usize>) {
+        let latest = |time: fn((f64, f64)) -> f64| {
+            self.documents
+                .iter()
+                .rposition(|d| d.stage_times(front).is_some_and(|times| time(times) <= wall_clock))
         };
-        (latest(|stage| stage.0), latest(|stage| stage.1))
+        (latest(|times| times.0), latest(|times| times.1))
     }
 
     /// The digest of a section in a version, as it goes round; a section that it leaves out is as in the one before.
-    pub fn section(&self, at: usize, name: &str) -> Option<u64> {
-        self.documents[..=at].iter().rev().find_map(|d| d.sections.get(name)).map(short_digest)
+    pub fn section(&self, index: usize, name: &str) -> Option<u64> {
+        self.documents[..=index].iter().rev().find_map(|d| d.sections.get(name)).map(short_digest)
     }
 
     /// All sections of a version.
-    pub fn sections(&self, at: usize) -> Sections {
+    pub fn sections(&self, index: usize) -> Sections {
         let mut out = Sections::new();
-        for document in &self.documents[..=at.min(self.documents.len() - 1)] {
+        for document in &self.documents[..=index.min(self.documents.len() - 1)] {
             out.extend(document.sections.clone());
         }
         out
--- a/crates/drift/src/detector.rs
+++ b/crates/drift/src/detector.rs
@@ -38,7 +38,7 @@
 impl FleetStatus {
     /// 0: all in step, or on their way. 1: one is not. 2: of some nobody can say.
     pub fn status(&self) -> u8 {
-        if self.fronts.iter().any(|s| s.alarm && s.verdict.wrong()) {
+        if self.fronts.iter().any(|s| s.alarm && s.verdict.is_wrong()) {
             1
         } else {
             2 * u8::from(self.unknown > 0)
@@ -47,64 +47,68 @@
 }
 
 pub struct Detector {
-    hold: f64,
+    alarm_delay: f64,
     /// By front: the verdict, since when, and since when it has been other than well.
-    stood: BTreeMap<String, (Verdict, f64, Option<f64>)>,
+    verdicts: BTreeMap<String, (Verdict, f64, Option<f64>)>,
 }
 
-fn same(a: &Verdict, b: &Verdict) -> bool {
+fn is_same_kind(a: &Verdict, b: &Verdict) -> bool {
     a.name() == b.name()
 }
 
 impl Detector {
     /// A verdict is an alarm once it has stood for so many ms.
-    pub fn new(hold: f64) -> Detector {
-        Detector { hold, stood: BTreeMap::new() }
+    pub fn new(alarm_delay: f64) -> Detector {
+        Detector { alarm_delay, verdicts: BTreeMap::new() }
     }
 
     pub fn observe(
         &mut self,
         by: &str,
-        wall: f64,
+        wall_clock: f64,
         chain: &VersionChain,
-        words: &[FrontReport],
+        reports: &[FrontReport],
     ) -> FleetStatus {
         let head = chain.head_id();
         let mut fleet =
             FleetStatus { by: by.to_string(), approved: head.map(|head| head.0), ..FleetStatus::default() };
-        for word in words {
-            let (verdict, sections) = judge(chain, wall, word);
-            let theirs = word.active.as_ref().and_then(|active| active.head);
-            fleet.forked |= theirs.zip(head).is_some_and(|(t, h)| t.0 <= h.0 && !chain.has(t));
-            let bad = verdict.wrong() || verdict.unknown();
-            let stood = self.stood.entry(word.front.clone()).or_insert((verdict.clone(), wall, None));
-            if !same(&stood.0, &verdict) {
-                stood.1 = wall;
+        for report in reports {
+            let (verdict, sections) = judge(chain, wall_clock, report);
+            let their_head = report.active.as_ref().and_then(|active| active.head);
+            fleet.forked |= their_head
+                .zip(head)
+                .is_some_and(|(theirs, ours)| theirs.0 <= ours.0 && !chain.contains(theirs));
+            let is_bad = verdict.is_wrong() || verdict.is_unknown();
+            let entry =
+                self.verdicts.entry(report.front.clone()).or_insert((verdict.clone(), wall_clock, None));
+            if !is_same_kind(&entry.0, &verdict) {
+                entry.1 = wall_clock;
             }
-            stood.0 = verdict.clone();
-            stood.2 = bad.then(|| stood.2.unwrap_or(wall));
-            let alarm = stood.2.is_some_and(|since| wall - since >= self.hold);
+            entry.0 = verdict.clone();
+            entry.2 = is_bad.then(|| entry.2.unwrap_or(wall_clock));
+            let alarm = entry.2.is_some_and(|since| wall_clock - since >= self.alarm_delay);
             let differs = |name: &str| {
-                let own = |d: &Difference| d.name == name || d.name.starts_with(&format!("{name}."));
-                sections.iter().any(|(n, v)| *n == name && v.wrong())
-                    || word.active.iter().flat_map(|a| &a.differences).any(own)
+                let is_in_section =
+                    |d: &Difference| d.name == name || d.name.starts_with(&format!("{name}."));
+                sections.iter().any(|(n, v)| *n == name && v.is_wrong())
+                    || report.active.iter().flat_map(|a| &a.differences).any(is_in_section)
             };
             *fleet.counts.entry(verdict.name()).or_default() += 1;
-            fleet.unknown += usize::from(verdict.unknown());
-            let told = word.active.as_ref().filter(|_| verdict.wrong());
+            fleet.unknown += usize::from(verdict.is_unknown());
+            let wrong_report = report.active.as_ref().filter(|_| verdict.is_wrong());
             fleet.fronts.push(FrontStatus {
-                front: word.front.clone(),
-                since: stood.1,
+                front: report.front.clone(),
+                since: entry.1,
                 alarm,
-                rule: verdict.wrong() && RULE_SECTIONS.iter().any(|name| differs(name)),
+                rule: verdict.is_wrong() && RULE_SECTIONS.iter().any(|name| differs(name)),
                 sections: sections.iter().map(|(name, v)| (name.to_string(), v.clone())).collect(),
-                differences: told.map(|a| a.differences.clone()).unwrap_or_default(),
-                age: word.age.is_finite().then_some(word.age),
+                differences: wrong_report.map(|a| a.differences.clone()).unwrap_or_default(),
+                age: report.age.is_finite().then_some(report.age),
                 verdict,
             });
         }
-        let named: Vec<&str> = words.iter().map(|w| w.front.as_str()).collect();
-        self.stood.retain(|front, _| named.contains(&front.as_str()));
+        let names: Vec<&str> = reports.iter().map(|w| w.front.as_str()).collect();
+        self.verdicts.retain(|front, _| names.contains(&front.as_str()));
         fleet
     }
 }
--- a/crates/drift/src/lib.rs
+++ b/crates/drift/src/lib.rs
@@ -22,19 +22,19 @@
 pub const RULE_SECTIONS: [&str; 5] = ["products", "floors", "seats", "rules", "policy"];
 
 /// Differences that a front tells of, and how long each value may be, bytes.
-const DIFFERENCES: usize = 6;
-const VALUE: usize = 40;
+const MAX_DIFFERENCES: usize = 6;
+const MAX_VALUE_BYTES: usize = 40;
 
 pub type Sections = BTreeMap<String, Value>;
 
 /// The checksum of a value: SHA-256 over its canonical form (RFC 8785).
-pub fn digest(of: &Value) -> [u8; 32] {
-    Sha256::digest(serde_json_canonicalizer::to_vec(of).unwrap_or_default()).into()
+pub fn digest(value: &Value) -> [u8; 32] {
+    Sha256::digest(serde_json_canonicalizer::to_vec(value).unwrap_or_default()).into()
 }
 
 /// The same, as it goes round between fronts: its first eight bytes.
-pub fn short_digest(of: &Value) -> u64 {
-    let bytes = digest(of);
+pub fn short_digest(value: &Value) -> u64 {
+    let bytes = digest(value);
     u64::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3], bytes[4], bytes[5], bytes[6], bytes[7]])
 }
 
@@ -63,18 +63,23 @@
 
 impl ActiveVersion {
     pub fn new(sections: &Sections, head: Option<(u64, u64)>, differences: Vec<Difference>) -> ActiveVersion {
-        let part = |name: &&str| short_digest(sections.get(*name).unwrap_or(&Value::Null));
+        let section_digest = |name: &&str| short_digest(sections.get(*name).unwrap_or(&Value::Null));
         let mut differences = differences;
-        differences.truncate(DIFFERENCES);
-        for it in &mut differences {
-            for text in [&mut it.name, &mut it.approved, &mut it.active] {
-                let end = text.char_indices().map(|c| c.0).take_while(|at| *at <= VALUE).last().unwrap_or(0);
-                if text.len() > VALUE {
+        differences.truncate(MAX_DIFFERENCES);
+        for difference in &mut differences {
+            for text in [&mut difference.name, &mut difference.approved, &mut difference.active] {
+                let end = text
+                    .char_indices()
+                    .map(|c| c.0)
+                    .take_while(|end| *end <= MAX_VALUE_BYTES)
+                    .last()
+                    .unwrap_or(0);
+                if text.len() > MAX_VALUE_BYTES {
                     text.truncate(end);
                 }
             }
         }
-        ActiveVersion { head, sections: SECTIONS.iter().map(part).collect(), differences }
+        ActiveVersion { head, sections: SECTIONS.iter().map(section_digest).collect(), differences }
     }
 
     pub fn encode(&self) -> Vec<u8> {
@@ -83,8 +88,8 @@
 
     /// None for what does not read, or has not a digest for each section.
     pub fn decode(bytes: &[u8]) -> Option<ActiveVersion> {
-        let it: ActiveVersion = postcard::from_bytes(bytes).ok()?;
-        (it.sections.len() == SECTIONS.len()).then_some(it)
+        let active_version: ActiveVersion = postcard::from_bytes(bytes).ok()?;
+        (active_version.sections.len() == SECTIONS.len()).then_some(active_version)
     }
 }
 
@@ -92,22 +97,23 @@
 pub fn differences(approved: &Sections, active: &Sections) -> Vec<Difference> {
     let mut out = Vec::new();
     for (name, value) in approved {
-        compare(name, value, active.get(name).unwrap_or(&Value::Null), &mut out);
+        collect_differences(name, value, active.get(name).unwrap_or(&Value::Null), &mut out);
     }
     out
 }
 
-fn compare(path: &str, approved: &Value, active: &Value, out: &mut Vec<Difference>) {
+fn collect_differences(path: &str, approved: &Value, active: &Value, out: &mut Vec<Difference>) {
     match (approved, active) {
         (Value::Object(a), Value::Object(b)) => {
             for name in a.keys().chain(b.keys().filter(|name| !a.contains_key(*name))) {
-                let of = |it: &serde_json::Map<String, Value>| it.get(name).cloned().unwrap_or(Value::Null);
-                compare(&format!("{path}.{name}"), &of(a), &of(b), out);
+                let member =
+                    |map: &serde_json::Map<String, Value>| map.get(name).cloned().unwrap_or(Value::Null);
+                collect_differences(&format!("{path}.{name}"), &member(a), &member(b), out);
             }
         }
         (Value::Array(a), Value::Array(b)) if a.len() == b.len() => {
             for (i, (a, b)) in a.iter().zip(b).enumerate() {
-                compare(&format!("{path}.{i}"), a, b, out);
+                collect_differences(&format!("{path}.{i}"), a, b, out);
             }
         }
         // As the canonical form has it, 1 and 1.0 are one number.
--- a/crates/drift/src/stricter.rs
+++ b/crates/drift/src/stricter.rs
@@ -3,7 +3,7 @@
 use crate::Difference;
 
 /// Figures of the rules, by path, and whether the smaller one is the stricter.
-const FIGURES: [(&str, bool); 8] = [
+const RULE_VALUES: [(&str, bool); 8] = [
     ("rules.drain_grace_ms", true),
     ("rules.budget.share", true),
     ("rules.budget.free", true),
@@ -16,12 +16,14 @@
 
 /// The figures to go by, by path: of each that differs, the stricter; those that differ in no such way are left out.
 pub fn stricter(differences: &[Difference]) -> Vec<(String, f64)> {
-    let of = |d: &Difference| {
-        let named = |f: &&(&str, bool)| f.0 == d.name || f.0.ends_with('.') && d.name.starts_with(f.0);
-        let (_, smaller) = FIGURES.iter().find(named)?;
+    let stricter_value = |d: &Difference| {
+        let is_listed = |entry: &&(&str, bool)| {
+            entry.0 == d.name || entry.0.ends_with('.') && d.name.starts_with(entry.0)
+        };
+        let (_, smaller) = RULE_VALUES.iter().find(is_listed)?;
         let (approved, active): (f64, f64) = (d.approved.parse().ok()?, d.active.parse().ok()?);
-        let it = if *smaller { approved.min(active) } else { approved.max(active) };
-        Some((d.name.clone(), it))
+        let value = if *smaller { approved.min(active) } else { approved.max(active) };
+        Some((d.name.clone(), value))
     };
-    differences.iter().filter_map(of).collect()
+    differences.iter().filter_map(stricter_value).collect()
 }
--- a/crates/drift/src/verdict.rs
+++ b/crates/drift/src/verdict.rs
@@ -52,12 +52,12 @@
     }
 
     /// Nobody can say whether it is in step.
-    pub fn unknown(&self) -> bool {
+    pub fn is_unknown(&self) -> bool {
         matches!(self, Verdict::Unheard { .. } | Verdict::Contradictory | Verdict::Unknown { .. })
     }
 
     /// A person is to look, if it stays.
-    pub fn wrong(&self) -> bool {
+    pub fn is_wrong(&self) -> bool {
         matches!(self, Verdict::Behind { .. } | Verdict::Ahead { .. } | Verdict::Adrift | Verdict::Torn)
     }
 }
@@ -74,57 +74,65 @@
 }
 
 /// The verdict on each section that was approved, and on the front as a whole.
-pub fn judge(chain: &VersionChain, wall: f64, word: &FrontReport) -> (Verdict, Vec<(&'static str, Verdict)>) {
-    let age = word.age.is_finite().then_some(word.age);
-    let Some(active) = word.active.as_ref().filter(|_| !word.unheard) else {
+pub fn judge(
+    chain: &VersionChain,
+    wall_clock: f64,
+    report: &FrontReport,
+) -> (Verdict, Vec<(&'static str, Verdict)>) {
+    let age = report.age.is_finite().then_some(report.age);
+    let Some(active) = report.active.as_ref().filter(|_| !report.unheard) else {
         return (Verdict::Unheard { age }, Vec::new());
     };
-    if word.contradictory {
+    if report.contradictory {
         return (Verdict::Contradictory, Vec::new());
     }
     let newest = chain.head().map_or(0, |d| d.number);
     match active.head {
-        Some(mark) if mark.0 > newest => return (Verdict::Unknown { number: mark.0 }, Vec::new()),
-        Some(mark) if !chain.has(mark) => return (Verdict::Contradictory, Vec::new()),
+        Some(head_id) if head_id.0 > newest => return (Verdict::Unknown { number: head_id.0 }, Vec::new()),
+        Some(head_id) if !chain.contains(head_id) => return (Verdict::Contradictory, Vec::new()),
         _ => {}
     }
-    let (may, must) = chain.window(&word.front, wall);
-    let all = 0..chain.documents.len();
-    let judged: Vec<(usize, &'static str)> = SECTIONS
+    let (allowed, required) = chain.version_window(&report.front, wall_clock);
+    let indices = 0..chain.documents.len();
+    let approved_sections: Vec<(usize, &'static str)> = SECTIONS
         .iter()
         .enumerate()
-        .filter(|(_, name)| all.clone().any(|at| chain.section(at, name).is_some()))
+        .filter(|(_, name)| indices.clone().any(|index| chain.section(index, name).is_some()))
         .map(|(i, name)| (i, *name))
         .collect();
-    let has = |at: usize, i: usize, name: &str| {
-        chain.section(at, name).is_none_or(|digest| digest == active.sections[i])
+    let section_matches = |index: usize, i: usize, name: &str| {
+        chain.section(index, name).is_none_or(|digest| digest == active.sections[i])
     };
-    let section = |i: usize, name: &str| {
+    let judge_section = |i: usize, name: &str| {
         // The latest version before the first that it must have is in force from the start.
-        let floor = must.or(may).unwrap_or(0);
-        if may.is_some_and(|may| has(may, i, name)) {
+        let first_in_force = required.or(allowed).unwrap_or(0);
+        if allowed.is_some_and(|allowed| section_matches(allowed, i, name)) {
             return Verdict::InStep;
         }
-        let within = all.clone().filter(|at| *at >= floor && may.is_some_and(|may| *at < may));
-        if let Some(at) = within.clone().rev().find(|at| has(*at, i, name)) {
-            let next = chain.documents.get(at + 1).and_then(|d| d.stage(&word.front));
-            return Verdict::OnItsWay { until: next.map_or(f64::INFINITY, |stage| stage.1) };
+        let still_allowed = indices
+            .clone()
+            .filter(|index| *index >= first_in_force && allowed.is_some_and(|allowed| *index < allowed));
+        if let Some(index) = still_allowed.clone().rev().find(|index| section_matches(*index, i, name)) {
+            let next = chain.documents.get(index + 1).and_then(|d| d.stage_times(&report.front));
+            return Verdict::OnItsWay { until: next.map_or(f64::INFINITY, |times| times.1) };
         }
-        let known = all.clone().rev().find(|at| has(*at, i, name));
-        match known {
-            Some(at) if may.is_none_or(|may| at > may) => {
-                Verdict::Ahead { number: chain.documents[at].number }
+        let matching = indices.clone().rev().find(|index| section_matches(*index, i, name));
+        match matching {
+            Some(index) if allowed.is_none_or(|allowed| index > allowed) => {
+                Verdict::Ahead { number: chain.documents[index].number }
             }
-            Some(at) => Verdict::Behind { number: chain.documents[at].number },
+            Some(index) => Verdict::Behind { number: chain.documents[index].number },
             None => Verdict::Adrift,
         }
     };
-    let by: Vec<(&'static str, Verdict)> =
-        judged.iter().map(|(i, name)| (*name, section(*i, name))).collect();
-    let one = all.clone().any(|at| judged.iter().all(|(i, name)| has(at, *i, name)));
-    let whole = if by.iter().any(|(_, v)| *v == Verdict::Adrift) {
+    let verdicts: Vec<(&'static str, Verdict)> =
+        approved_sections.iter().map(|(i, name)| (*name, judge_section(*i, name))).collect();
+    let is_single_version = indices
+        .clone()
+        .any(|index| approved_sections.iter().all(|(i, name)| section_matches(index, *i, name)));
+    let overall = if verdicts.iter().any(|(_, v)| *v == Verdict::Adrift) {
         Verdict::Adrift
-    } else if !one {
+    } else if !is_single_version {
         Verdict::Torn
     } else {
         // All are of one version: the worst of them is that version's.
@@ -134,7 +142,7 @@
             Verdict::Ahead { .. } => 2,
             _ => 3,
         };
-        by.iter().map(|(_, v)| v.clone()).max_by_key(rank).unwrap_or(Verdict::InStep)
+        verdicts.iter().map(|(_, v)| v.clone()).max_by_key(rank).unwrap_or(Verdict::InStep)
     };
-    (whole, by)
+    (overall, verdicts)
 }
--- a/crates/drift/tests/verdicts.rs
+++ b/crates/drift/tests/verdicts.rs
@@ -21,14 +21,14 @@
         by_ms,
     };
     let mut chain = VersionChain::default();
-    let one = document(&chain, sections(400.0, 100.0), 0.0, vec![stage(&[], 0.0, 0.0)]);
-    chain.append(one).expect("it is the first");
+    let first = next_version(&chain, sections(400.0, 100.0), 0.0, vec![stage(&[], 0.0, 0.0)]);
+    chain.append(first).expect("it is the first");
     let stages = vec![stage(&["b"], 3_000.0, 4_000.0), stage(&[], 1_000.0, 2_000.0)];
-    chain.append(document(&chain, sections(300.0, 150.0), 500.0, stages)).expect("it goes on");
+    chain.append(next_version(&chain, sections(300.0, 150.0), 500.0, stages)).expect("it goes on");
     chain
 }
 
-fn document(
+fn next_version(
     after: &VersionChain,
     sections: Sections,
     at_ms: f64,
@@ -45,7 +45,7 @@
     }
 }
 
-fn word(front: &str, active: &Sections, chain: &VersionChain) -> FrontReport {
+fn report(front: &str, active: &Sections, chain: &VersionChain) -> FrontReport {
     let active = ActiveVersion::new(active, chain.head_id(), differences(&chain.sections(1), active));
     FrontReport {
         front: front.into(),
@@ -66,102 +66,117 @@
 #[test_case("a", 2_500.0, 300.0, 100.0, "torn"; "part new and part old")]
 #[test_case("a", 1_500.0, 400.0, 150.0, "torn"; "part old and part new")]
 #[test_case("a", 2_500.0, 250.0, 150.0, "adrift"; "a value that was never approved")]
-fn a_front_is_judged_by_its_stage(front: &str, wall: f64, grace: f64, ladder: f64, is: &str) {
+fn a_verdict_depends_on_the_fronts_rollout_stage(
+    front: &str,
+    wall_clock: f64,
+    grace: f64,
+    ladder: f64,
+    expected: &str,
+) {
     let chain = chain();
-    assert_eq!(judge(&chain, wall, &word(front, &sections(grace, ladder), &chain)).0.name(), is);
+    assert_eq!(
+        judge(&chain, wall_clock, &report(front, &sections(grace, ladder), &chain)).0.name(),
+        expected
+    );
 }
 
 #[test]
-fn a_version_rolled_back_by_another_of_the_same_content_is_in_step_with_both() {
+fn a_rollback_version_with_old_content_is_judged_by_its_content() {
     let mut chain = chain();
     let all = vec![RolloutStage { fronts: vec![], from_ms: 2_600.0, by_ms: 2_900.0 }];
-    chain.append(document(&chain, sections(400.0, 100.0), 2_600.0, all)).expect("it goes on");
-    let is = |wall, grace, ladder| judge(&chain, wall, &word("a", &sections(grace, ladder), &chain)).0.name();
-    assert_eq!([is(2_700.0, 400.0, 100.0), is(2_700.0, 300.0, 150.0)], ["in step", "on its way"]);
-    assert_eq!([is(3_000.0, 400.0, 100.0), is(3_000.0, 300.0, 150.0)], ["in step", "behind"]);
+    chain.append(next_version(&chain, sections(400.0, 100.0), 2_600.0, all)).expect("it goes on");
+    let verdict = |wall_clock, grace, ladder| {
+        judge(&chain, wall_clock, &report("a", &sections(grace, ladder), &chain)).0.name()
+    };
+    assert_eq!([verdict(2_700.0, 400.0, 100.0), verdict(2_700.0, 300.0, 150.0)], ["in step", "on its way"]);
+    assert_eq!([verdict(3_000.0, 400.0, 100.0), verdict(3_000.0, 300.0, 150.0)], ["in step", "behind"]);
 }
 
 #[test]
-fn a_version_replaced_in_mid_rollout_need_not_be_had() {
+fn a_version_replaced_during_rollout_is_not_required() {
     let mut chain = chain();
     let all = vec![RolloutStage { fronts: vec![], from_ms: 1_500.0, by_ms: 5_000.0 }];
-    chain.append(document(&chain, sections(350.0, 175.0), 1_500.0, all)).expect("it goes on");
-    let is = |wall, grace, ladder| judge(&chain, wall, &word("a", &sections(grace, ladder), &chain)).0.name();
-    assert_eq!([is(1_800.0, 400.0, 100.0), is(1_800.0, 300.0, 150.0)], ["on its way"; 2]);
-    assert_eq!([is(2_500.0, 400.0, 100.0), is(2_500.0, 350.0, 175.0)], ["behind", "in step"]);
+    chain.append(next_version(&chain, sections(350.0, 175.0), 1_500.0, all)).expect("it goes on");
+    let verdict = |wall_clock, grace, ladder| {
+        judge(&chain, wall_clock, &report("a", &sections(grace, ladder), &chain)).0.name()
+    };
+    assert_eq!([verdict(1_800.0, 400.0, 100.0), verdict(1_800.0, 300.0, 150.0)], ["on its way"; 2]);
+    assert_eq!([verdict(2_500.0, 400.0, 100.0), verdict(2_500.0, 350.0, 175.0)], ["behind", "in step"]);
 }
 
 #[test]
-fn who_is_not_heard_is_never_in_step_and_who_says_two_things_is_neither() {
+fn unheard_and_contradictory_fronts_are_never_in_step() {
     let chain = chain();
-    let well = word("a", &sections(300.0, 150.0), &chain);
-    let silent = FrontReport { unheard: true, age: f64::INFINITY, ..well.clone() };
+    let in_step = report("a", &sections(300.0, 150.0), &chain);
+    let silent = FrontReport { unheard: true, age: f64::INFINITY, ..in_step.clone() };
     assert_eq!(judge(&chain, 2_500.0, &silent).0, Verdict::Unheard { age: None });
-    let twice = FrontReport { contradictory: true, ..well };
-    assert_eq!(judge(&chain, 2_500.0, &twice).0, Verdict::Contradictory);
+    let contradictory = FrontReport { contradictory: true, ..in_step };
+    assert_eq!(judge(&chain, 2_500.0, &contradictory).0, Verdict::Contradictory);
 }
 
 /// A fleet that was split approved another version 2 on each side; then one of them is on both.
 #[test]
-fn a_fork_is_told_on_both_sides_and_heals() {
+fn a_fork_is_reported_on_both_sides_and_heals() {
     let (left, mut right) = (chain(), VersionChain::default());
     right.append(left.documents[0].clone()).expect("the same first");
     let all = vec![RolloutStage { fronts: vec![], from_ms: 1_000.0, by_ms: 2_000.0 }];
-    right.append(document(&right, sections(200.0, 100.0), 600.0, all)).expect("it goes on");
+    right.append(next_version(&right, sections(200.0, 100.0), 600.0, all)).expect("it goes on");
     for (ours, theirs, active) in
         [(&left, &right, sections(200.0, 100.0)), (&right, &left, sections(300.0, 150.0))]
     {
-        let fleet = Detector::new(0.0).observe("a", 2_500.0, ours, &[word("b", &active, theirs)]);
+        let fleet = Detector::new(0.0).observe("a", 2_500.0, ours, &[report("b", &active, theirs)]);
         assert!(fleet.forked && fleet.status() == 2, "{fleet:?}");
         assert_eq!(fleet.counts.get("contradictory"), Some(&1));
     }
-    let fleet = Detector::new(0.0).observe("a", 2_500.0, &left, &[word("a", &sections(300.0, 150.0), &left)]);
+    let fleet =
+        Detector::new(0.0).observe("a", 2_500.0, &left, &[report("a", &sections(300.0, 150.0), &left)]);
     assert!(!fleet.forked && fleet.status() == 0);
     assert!(!left.is_prefix_of(&right) && left.is_prefix_of(&left));
 }
 
 #[test]
-fn a_version_that_the_reader_does_not_have_is_unknown() {
+fn a_version_unknown_to_the_reader_is_reported_as_unknown() {
     let long = chain();
     let mut short = VersionChain::default();
     short.append(long.documents[0].clone()).expect("the first");
     assert_eq!(
-        judge(&short, 2_500.0, &word("a", &sections(300.0, 150.0), &long)).0,
+        judge(&short, 2_500.0, &report("a", &sections(300.0, 150.0), &long)).0,
         Verdict::Unknown { number: 2 }
     );
 }
 
 #[test]
-fn what_passes_within_the_hold_time_is_no_alarm() {
+fn a_verdict_shorter_than_the_alarm_delay_raises_no_alarm() {
     let (chain, mut detector) = (chain(), Detector::new(1_000.0));
-    let mut look = |wall, grace, ladder| {
-        let fleet = detector.observe("r", wall, &chain, &[word("a", &sections(grace, ladder), &chain)]);
+    let mut observe = |wall_clock, grace, ladder| {
+        let fleet =
+            detector.observe("r", wall_clock, &chain, &[report("a", &sections(grace, ladder), &chain)]);
         (fleet.fronts[0].alarm, fleet.fronts[0].since, fleet.status())
     };
-    assert_eq!(look(2_500.0, 300.0, 100.0), (false, 2_500.0, 0));
-    assert_eq!(look(3_000.0, 300.0, 150.0), (false, 3_000.0, 0));
-    assert_eq!(look(3_100.0, 400.0, 100.0), (false, 3_100.0, 0));
-    assert_eq!(look(4_000.0, 400.0, 100.0), (false, 3_100.0, 0));
-    assert_eq!(look(4_200.0, 400.0, 100.0), (true, 3_100.0, 1));
+    assert_eq!(observe(2_500.0, 300.0, 100.0), (false, 2_500.0, 0));
+    assert_eq!(observe(3_000.0, 300.0, 150.0), (false, 3_000.0, 0));
+    assert_eq!(observe(3_100.0, 400.0, 100.0), (false, 3_100.0, 0));
+    assert_eq!(observe(4_000.0, 400.0, 100.0), (false, 3_100.0, 0));
+    assert_eq!(observe(4_200.0, 400.0, 100.0), (true, 3_100.0, 1));
 }
 
 #[test]
-fn adrift_says_what_differs_and_whether_a_rule_does() {
+fn adrift_reports_the_differences_and_whether_a_rule_is_affected() {
     let chain = chain();
-    let look = |grace, ladder| {
-        let it = word("a", &sections(grace, ladder), &chain);
-        Detector::new(0.0).observe("r", 2_500.0, &chain, &[it]).fronts.remove(0)
+    let observe = |grace, ladder| {
+        let report = report("a", &sections(grace, ladder), &chain);
+        Detector::new(0.0).observe("r", 2_500.0, &chain, &[report]).fronts.remove(0)
     };
-    let rule = look(900.0, 150.0);
+    let rule = observe(900.0, 150.0);
     assert!(rule.rule && rule.alarm);
-    let told = &rule.differences[0];
+    let difference = &rule.differences[0];
     assert_eq!(
-        (told.name.as_str(), told.approved.as_str(), told.active.as_str()),
+        (difference.name.as_str(), difference.approved.as_str(), difference.active.as_str()),
         ("rules.drain_grace_ms", "300.0", "900.0")
     );
     assert_eq!(stricter(&rule.differences), [("rules.drain_grace_ms".to_string(), 300.0)]);
-    let other = look(300.0, 160.0);
-    assert!(!other.rule && stricter(&other.differences).is_empty());
+    let no_rule = observe(300.0, 160.0);
+    assert!(!no_rule.rule && stricter(&no_rule.differences).is_empty());
 }
 
 fn text(chain: &VersionChain) -> String {
@@ -169,19 +184,19 @@
 }
 
 #[test]
-fn a_chain_reads_as_it_was_written() {
+fn a_written_chain_parses_to_itself() {
     assert_eq!(VersionChain::parse(&text(&chain())).expect("it reads"), chain());
 }
 
-fn spoilt(change: impl Fn(&mut Value)) -> String {
-    let mut document = chain().documents[1].clone();
-    let mut it = serde_json::to_value(&document).expect("it is plain");
-    change(&mut it);
+fn chain_with_change(change: impl Fn(&mut Value)) -> String {
+    let mut version = chain().documents[1].clone();
+    let mut value = serde_json::to_value(&version).expect("it is plain");
+    change(&mut value);
     let first = chain().documents[0].line();
-    match serde_json::from_value(it) {
+    match serde_json::from_value(value) {
         Ok(changed) => {
-            document = changed;
-            first + &document.line()
+            version = changed;
+            first + &version.line()
         }
         Err(_) => first,
     }
@@ -191,15 +206,15 @@
 #[test_case("{", "line 1: EOF"; "no json")]
 #[test_case(&chain().documents[1].line(), "line 1: parent: "; "no first")]
 #[test_case(&text(&chain()).replace("200", "201"), "line 1: digest: "; "content changed")]
-#[test_case(&spoilt(|d| d["parent"] = json!(null)), "line 2: parent: missing"; "no parent")]
-#[test_case(&spoilt(|d| d["parent"] = json!("ab")), "line 2: parent: ab, but"; "another parent")]
-#[test_case(&spoilt(|d| d["number"] = json!(1)), "line 2: number: 1; 2 comes next"; "a number twice")]
-#[test_case(&spoilt(|d| d["at_ms"] = json!(-5.0)), "line 2: at_ms: -5"; "approved before the one before")]
-#[test_case(&spoilt(|d| d["stages"][0]["from_ms"] = json!(10.0)), "line 2: stages[0].from_ms: 10 "; "a date in the past")]
-#[test_case(&spoilt(|d| d["stages"][0]["by_ms"] = json!(2_999.0)), "line 2: stages[0].by_ms"; "due before it may be had")]
-#[test_case(&spoilt(|d| d["by"] = json!(" ")), "line 2: by: nobody"; "nobody approved it")]
-#[test_case(&spoilt(|d| d["sections"]["colour"] = json!(1)), "line 2: sections.colour"; "an unknown section")]
-fn a_chain_that_is_not_one_is_refused_with_line_and_cause(text: &str, cause: &str) {
-    let fault = VersionChain::parse(text).expect_err("it is no chain").to_string();
-    assert!(fault.starts_with(cause), "{fault}");
+#[test_case(&chain_with_change(|d| d["parent"] = json!(null)), "line 2: parent: missing"; "no parent")]
+#[test_case(&chain_with_change(|d| d["parent"] = json!("ab")), "line 2: parent: ab, but"; "another parent")]
+#[test_case(&chain_with_change(|d| d["number"] = json!(1)), "line 2: number: 1; 2 comes next"; "a number twice")]
+#[test_case(&chain_with_change(|d| d["at_ms"] = json!(-5.0)), "line 2: at_ms: -5"; "approved before the one before")]
+#[test_case(&chain_with_change(|d| d["stages"][0]["from_ms"] = json!(10.0)), "line 2: stages[0].from_ms: 10 "; "a date in the past")]
+#[test_case(&chain_with_change(|d| d["stages"][0]["by_ms"] = json!(2_999.0)), "line 2: stages[0].by_ms"; "due before it may be had")]
+#[test_case(&chain_with_change(|d| d["by"] = json!(" ")), "line 2: by: nobody"; "nobody approved it")]
+#[test_case(&chain_with_change(|d| d["sections"]["colour"] = json!(1)), "line 2: sections.colour"; "an unknown section")]
+fn an_invalid_chain_is_rejected_with_line_and_cause(text: &str, cause: &str) {
+    let error = VersionChain::parse(text).expect_err("it is no chain").to_string();
+    assert!(error.starts_with(cause), "{error}");
 }
--- a/crates/fleet-member/src/lib.rs
+++ b/crates/fleet-member/src/lib.rs
@@ -308,7 +308,7 @@
 
     fn own_differences(&self, wall: f64) -> Vec<pulleystair_drift::Difference> {
         let Some(chain) = &self.chain else { return Vec::new() };
-        let at = chain.window(&self.terms.gossip.name, wall).0;
+        let at = chain.version_window(&self.terms.gossip.name, wall).0;
         at.map(|at| differences(&chain.sections(at), &self.sections)).unwrap_or_default()
     }
 
@@ -317,7 +317,7 @@
         let Some(chain) = self.chain.as_ref().filter(|_| self.terms.stricter) else { return Vec::new() };
         let word = said::own(&self.terms.gossip.name, self.own_active(wall));
         match judge(chain, wall, &word).0 {
-            it if it.wrong() => stricter(&self.own_differences(wall)),
+            it if it.is_wrong() => stricter(&self.own_differences(wall)),
             _ => Vec::new(),
         }
     }
