--- a/crates/drift/src/approved.rs
+++ b/crates/drift/src/approved.rs
@@ -1,39 +1,42 @@
-//! Approved versions, as an append-only file: a line a document, each naming its parent by digest.
+//! Approved versions in an append-only file: one version per line, each naming its parent by digest.
 //!
-//! A line is `{"number", "parent", "sections", "stages", "by", "at_ms", "digest"}`; the digest is SHA-256 over the canonical
-//! form (RFC 8785) of all the rest, so that a line that was changed, or put in between, is found.
+//! A line is `{"number", "parent", "sections", "stages", "by", "at_ms", "digest"}`. The digest is SHA-256 over the canonical
+//! form (RFC 8785) of the rest of the line, so that a changed or inserted line is detected.
 
 use crate::{Sections, digest, hex, short_digest};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Documents that a file may hold, and fronts that a stage may name.
+/// Maximum number of versions in a file, and of fronts named in the stages of a version.
 const MAX_VERSIONS: usize = 10_000;
 const MAX_STAGE_FRONTS: usize = 100_000;
 
-/// Some fronts, from when they may have a version, and by when they must; Unix ms.
+/// A set of fronts, from when they may run a version, and by when they must; Unix ms.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutStage {
-    /// By name; all that no earlier stage names where empty.
+    /// Names of the fronts. If empty, the stage is for all fronts that no stage names.
     #[serde(default)]
     pub fronts: Vec<String>,
     pub from_ms: f64,
     pub by_ms: f64,
 }
 
+/// One approved version: the sections that it sets, and when which fronts are to run it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ApprovedVersion {
     pub number: u64,
-    /// The digest of the version before; none of the first.
+    /// Digest of the previous version; `None` for the first.
     pub parent: Option<String>,
     pub sections: Sections,
     pub stages: Vec<RolloutStage>,
+    /// Who approved it, and when (Unix ms).
     pub by: String,
     pub at_ms: f64,
 }
 
+/// Why a file was rejected, and at which line.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {cause}")]
 pub struct ChainError {
@@ -41,7 +44,7 @@
     pub cause: String,
 }
 
-/// All versions, from the first on.
+/// All versions, beginning with the first.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VersionChain {
     pub documents: Vec<ApprovedVersion>,
@@ -49,24 +52,26 @@
 }
 
 impl ApprovedVersion {
+    /// Digest of the version in hexadecimal.
     pub fn digest(&self) -> String {
         hex(&digest(&serde_json::to_value(self).unwrap_or(Value::Null)))
     }
 
-    /// Its line in the file.
+    /// The version's line in the file.
     pub fn line(&self) -> String {
         let mut value = serde_json::to_value(self).unwrap_or(Value::Null);
         value["digest"] = Value::String(self.digest());
         format!("{value}\n")
     }
 
-    /// From when a front may have it, and by when it must.
+    /// From when a front may run this version, and by when it must. `None` if no stage includes the front.
     pub fn stage_times(&self, front: &str) -> Option<(f64, f64)> {
         let named = self.stages.iter().find(|s| s.fronts.iter().any(|f| f == front));
         let stage = named.or_else(|| self.stages.iter().find(|s| s.fronts.is_empty()))?;
         Some((stage.from_ms, stage.by_ms))
     }
 
+    /// Checks the version against its parent, given with its digest.
     fn validate(&self, parent: Option<(&ApprovedVersion, &str)>) -> Result<(), String> {
         match (parent, &self.parent) {
             (None, None) => {}
@@ -74,7 +79,7 @@
             (Some(_), None) => return Err("parent: missing, and this is not the first version".into()),
             (Some((_, digest)), Some(parent)) if digest != parent => {
                 return Err(format!(
-                    "parent: {parent}, but the line before has {digest}: the chain is broken"
+                    "parent: {parent}, but the digest of the previous line is {digest}; the chain is broken"
                 ));
             }
             (Some(_), Some(_)) => {}
@@ -84,7 +89,7 @@
             return Err(format!("number: {}; {next_number} comes next", self.number));
         }
         if !self.at_ms.is_finite() || parent.is_some_and(|(p, _)| self.at_ms < p.at_ms) {
-            return Err(format!("at_ms: {} lies before the version before it", self.at_ms));
+            return Err(format!("at_ms: {} is before the approval of the previous version", self.at_ms));
         }
         if self.by.trim().is_empty() {
             return Err("by: nobody approved it".into());
@@ -93,7 +98,7 @@
             || self.stages.iter().map(|s| s.fronts.len()).sum::<usize>() > MAX_STAGE_FRONTS
         {
             return Err(format!(
-                "stages: {}; 1 at least, of {MAX_STAGE_FRONTS} fronts at most",
+                "stages: found {}; at least 1 is required, with at most {MAX_STAGE_FRONTS} fronts in all",
                 self.stages.len()
             ));
         }
@@ -104,7 +109,7 @@
                 return Err(format!("stages[{i}].from_ms: {from_ms} lies in the past of its approval"));
             }
             if stage.by_ms < stage.from_ms {
-                return Err(format!("stages[{i}].by_ms: {} lies before from_ms", stage.by_ms));
+                return Err(format!("stages[{i}].by_ms: {} is before from_ms", stage.by_ms));
             }
         }
         let unknown_section = self.sections.keys().find(|name| !crate::SECTIONS.contains(&name.as_str()));
@@ -113,13 +118,13 @@
 }
 
 impl VersionChain {
-    /// Reads the whole file, checks the chain from its first line on.
+    /// Parses the whole file and checks the chain from its first line on.
     pub fn parse(text: &str) -> Result<VersionChain, ChainError> {
         let mut chain = VersionChain::default();
         for (i, line) in text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()) {
             let line_error = |cause: String| ChainError { line: i + 1, cause };
             if chain.documents.len() >= MAX_VERSIONS {
-                return Err(line_error(format!("more than {MAX_VERSIONS} versions")));
+                return Err(line_error(format!("the file has more than {MAX_VERSIONS} versions")));
             }
             let mut value: Value = serde_json::from_str(line).map_err(|e| line_error(e.to_string()))?;
             let stated = value.as_object_mut().and_then(|object| object.remove("digest"));
@@ -127,16 +132,17 @@
                 serde_json::from_value(value).map_err(|e| line_error(e.to_string()))?;
             let computed = document.digest();
             if stated.as_ref().and_then(Value::as_str) != Some(&computed) {
-                return Err(line_error(format!("digest: the line's content has {computed}")));
+                return Err(line_error(format!("digest: the line's content has the digest {computed}")));
             }
             chain.append(document).map_err(line_error)?;
         }
         if chain.documents.is_empty() {
-            return Err(ChainError { line: 1, cause: "no version is approved".into() });
+            return Err(ChainError { line: 1, cause: "the file has no approved version".into() });
         }
         Ok(chain)
     }
 
+    /// Appends a version if it is valid after the present ones.
     pub fn append(&mut self, document: ApprovedVersion) -> Result<(), String> {
         let parent = self.documents.last().zip(self.digests.last().map(String::as_str));
         document.validate(parent)?;
@@ -145,28 +151,29 @@
         Ok(())
     }
 
-    /// Whether `other` says the same as far as this goes, so that this may be replaced by it.
+    /// Whether `other` begins with all versions of this chain, so that it may replace it.
     pub fn is_prefix_of(&self, other: &VersionChain) -> bool {
         other.digests.starts_with(&self.digests)
     }
 
+    /// The newest version.
     pub fn head(&self) -> Option<&ApprovedVersion> {
         self.documents.last()
     }
 
-    /// The latest version's number, and the start of its digest.
+    /// The newest version's number, and the first eight bytes of its digest.
     pub fn head_id(&self) -> Option<(u64, u64)> {
         let digest = self.digests.last()?;
         Some((self.head()?.number, u64::from_str_radix(digest.get(..16)?, 16).ok()?))
     }
 
-    /// A version by its mark: true where this chain has it.
+    /// Whether this chain has the version with this number and start of the digest.
     pub fn contains(&self, id: (u64, u64)) -> bool {
         let digest = usize::try_from(id.0).ok().and_then(|n| self.digests.get(n.checked_sub(1)?));
         digest.and_then(|digest| u64::from_str_radix(digest.get(..16)?, 16).ok()) == Some(id.1)
     }
 
-    /// The latest version that a front may have by then, and the latest that it must have.
+    /// Indices of the newest version that a front may run at a time, and of the newest that it must run by then.
     pub fn version_window(&self, front: &str, wall_clock: f64) -> (Option<usize>, Option<usize>) {
         let latest = |time: fn((f64, f64)) -> f64| {
             self.documents
@@ -176,12 +183,12 @@
         (latest(|times| times.0), latest(|times| times.1))
     }
 
-    /// The digest of a section in a version, as it goes round; a section that it leaves out is as in the one before.
+    /// Short digest of a section in a version. A section that the version omits is as in the previous one.
     pub fn section(&self, index: usize, name: &str) -> Option<u64> {
         self.documents[..=index].iter().rev().find_map(|d| d.sections.get(name)).map(short_digest)
     }
 
-    /// All sections of a version.
+    /// All sections of a version, including those that it takes from earlier ones.
     pub fn sections(&self, index: usize) -> Sections {
         let mut out = Sections::new();
         for document in &self.documents[..=index.min(self.documents.len() - 1)] {
--- a/crates/drift/src/detector.rs
+++ b/crates/drift/src/detector.rs
@@ -1,5 +1,5 @@
-//! How long each verdict has stood, and the verdict on the fleet. One that changes within the hold time is no alarm, so a
-//! front that is between two versions for the moment of taking one wakes nobody.
+//! Tracks how long each verdict has lasted, and summarises the fleet. A verdict that changes within the alarm delay raises
+//! no alarm, so that a front that is briefly between two versions while it applies one does not alert anyone.
 
 use crate::approved::VersionChain;
 use crate::verdict::{FrontReport, Verdict, judge};
@@ -7,36 +7,39 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
+/// The verdict on one front, as printed in status reports.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FrontStatus {
     pub front: String,
     pub verdict: Verdict,
-    /// Since when it is said of it, Unix ms on the reader's clock, and whether a person is to look.
+    /// Since when the verdict has applied, Unix ms on the reader's clock, and whether a person must look into it.
     pub since: f64,
     pub alarm: bool,
-    /// What differs lies in what one of the six rules stands on.
+    /// Whether any difference is in a section on which one of the six rules depends.
     pub rule: bool,
     pub sections: Vec<(String, Verdict)>,
     pub differences: Vec<Difference>,
-    /// ms since it last said so, at most; none where it never did.
+    /// Upper bound on the time since the front last reported, ms; `None` if it never did.
     pub age: Option<f64>,
 }
 
-/// The fleet, from one front.
+/// The state of the fleet as one front sees it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct FleetStatus {
-    /// The front that says so, and the approved version that it holds.
+    /// The front that reports this, and the number of the newest approved version that it holds.
     pub by: String,
     pub approved: Option<u64>,
-    /// Some front holds another version of this number.
+    /// Whether some front holds a different version with the same number.
     pub forked: bool,
+    /// Number of fronts by verdict.
     pub counts: BTreeMap<&'static str, usize>,
+    /// Number of fronts on which no verdict is possible.
     pub unknown: usize,
     pub fronts: Vec<FrontStatus>,
 }
 
 impl FleetStatus {
-    /// 0: all in step, or on their way. 1: one is not. 2: of some nobody can say.
+    /// Exit status: 0 if all fronts are in step or on their way, 1 if one has an alarm, 2 if some are unknown.
     pub fn status(&self) -> u8 {
         if self.fronts.iter().any(|s| s.alarm && s.verdict.is_wrong()) {
             1
@@ -46,22 +49,25 @@
     }
 }
 
+/// Tracks the verdicts on all fronts over time.
 pub struct Detector {
     alarm_delay: f64,
-    /// By front: the verdict, since when, and since when it has been other than well.
+    /// By front: the verdict, since when it has applied, and since when verdicts have been wrong or unknown.
     verdicts: BTreeMap<String, (Verdict, f64, Option<f64>)>,
 }
 
+/// Whether two verdicts are of the same kind, whatever their numbers.
 fn is_same_kind(a: &Verdict, b: &Verdict) -> bool {
     a.name() == b.name()
 }
 
 impl Detector {
-    /// A verdict is an alarm once it has stood for so many ms.
+    /// A verdict becomes an alarm once it has been wrong or unknown for `alarm_delay` ms.
     pub fn new(alarm_delay: f64) -> Detector {
         Detector { alarm_delay, verdicts: BTreeMap::new() }
     }
 
+    /// Judges all reports at a time, and updates how long each verdict has lasted. `by` is this front's name.
     pub fn observe(
         &mut self,
         by: &str,
--- a/crates/drift/src/lib.rs
+++ b/crates/drift/src/lib.rs
@@ -1,8 +1,9 @@
-//! Drift: what each front goes by, against the version that was approved for it. No I/O; the wall clock's time is
-//! handed in where stages go by it.
+//! Drift detection: compares what each front runs with the version that was approved for it. The package does no I/O; the
+//! caller (`pulleystair-fleet-member`) passes in the wall clock's time (Unix ms) where rollout stages depend on it.
 //!
-//! [`approved`] is the chain of approved documents; [`ActiveVersion`] what one front goes by, read back from what runs;
-//! [`verdict`] what a reader says of one front; [`detector`] how long it has said so, and of the whole fleet.
+//! [`approved`] holds the chain of approved versions. [`ActiveVersion`] is what one front runs, read back from the running
+//! configuration. [`verdict`] gives a reader's verdict on one front. [`detector`] tracks how long a verdict has lasted, and
+//! summarises the fleet.
 
 pub mod approved;
 pub mod detector;
@@ -14,54 +15,58 @@
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-/// What a front goes by, in parts that are approved together; a document may leave some out.
+/// Sections of a front's configuration, each of which is approved as a unit. An approved version may omit some.
 pub const SECTIONS: [&str; 10] =
     ["ladder", "products", "floors", "seats", "rules", "prices", "limits", "list", "parts", "policy"];
 
-/// Sections that the six rules stand on.
+/// Sections on which the six rules depend.
 pub const RULE_SECTIONS: [&str; 5] = ["products", "floors", "seats", "rules", "policy"];
 
-/// Differences that a front tells of, and how long each value may be, bytes.
+/// Maximum number of differences that a front reports, and maximum length of each text in them, bytes.
 const MAX_DIFFERENCES: usize = 6;
 const MAX_VALUE_BYTES: usize = 40;
 
+/// Sections of a configuration by name.
 pub type Sections = BTreeMap<String, Value>;
 
-/// The checksum of a value: SHA-256 over its canonical form (RFC 8785).
+/// Digest of a value: SHA-256 over its canonical form (RFC 8785).
 pub fn digest(value: &Value) -> [u8; 32] {
     Sha256::digest(serde_json_canonicalizer::to_vec(value).unwrap_or_default()).into()
 }
 
-/// The same, as it goes round between fronts: its first eight bytes.
+/// The first eight bytes of [`digest`], as sent between fronts.
 pub fn short_digest(value: &Value) -> u64 {
     let bytes = digest(value);
     u64::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3], bytes[4], bytes[5], bytes[6], bytes[7]])
 }
 
+/// Bytes as lower-case hexadecimal.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// A value that is not as approved.
+/// A value that differs from the approved one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Difference {
+    /// Path of the value.
     pub name: String,
     pub approved: String,
     pub active: String,
 }
 
-/// What a front says of itself, in its own row.
+/// What a front reports in its own row about its configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ActiveVersion {
-    /// The approved version that it holds: its number, and the start of its digest; none where it has none.
+    /// The newest approved version that the front holds: its number and the start of its digest. `None` if it has none.
     pub head: Option<(u64, u64)>,
     /// A digest for each of [`SECTIONS`].
     pub sections: Vec<u64>,
-    /// What it finds different itself, against its own approved version.
+    /// Differences that the front itself found from its approved version.
     pub differences: Vec<Difference>,
 }
 
 impl ActiveVersion {
+    /// Summarises the active sections. Differences beyond the maximum, and the ends of long texts, are cut off.
     pub fn new(sections: &Sections, head: Option<(u64, u64)>, differences: Vec<Difference>) -> ActiveVersion {
         let section_digest = |name: &&str| short_digest(sections.get(*name).unwrap_or(&Value::Null));
         let mut differences = differences;
@@ -82,18 +87,19 @@
         ActiveVersion { head, sections: SECTIONS.iter().map(section_digest).collect(), differences }
     }
 
+    /// The cell for the front's row.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// None for what does not read, or has not a digest for each section.
+    /// Decodes a cell. `None` if it cannot be decoded, or does not have one digest per section.
     pub fn decode(bytes: &[u8]) -> Option<ActiveVersion> {
         let active_version: ActiveVersion = postcard::from_bytes(bytes).ok()?;
         (active_version.sections.len() == SECTIONS.len()).then_some(active_version)
     }
 }
 
-/// All values of `active` that are not as in `approved`, in sections that it has, by path.
+/// All values of `active` that differ from `approved`, by path, in the sections that `approved` has.
 pub fn differences(approved: &Sections, active: &Sections) -> Vec<Difference> {
     let mut out = Vec::new();
     for (name, value) in approved {
@@ -102,6 +108,7 @@
     out
 }
 
+/// Appends the differences between two values at `path`.
 fn collect_differences(path: &str, approved: &Value, active: &Value, out: &mut Vec<Difference>) {
     match (approved, active) {
         (Value::Object(a), Value::Object(b)) => {
@@ -116,7 +123,7 @@
                 collect_differences(&format!("{path}.{i}"), a, b, out);
             }
         }
-        // As the canonical form has it, 1 and 1.0 are one number.
+        // The comparison is by canonical form, in which 1 and 1.0 are the same number.
         _ if digest(approved) == digest(active) => {}
         _ => {
             let (approved, active) = (approved.to_string(), active.to_string());
--- a/crates/drift/src/stricter.rs
+++ b/crates/drift/src/stricter.rs
@@ -1,8 +1,8 @@
-//! A front that is adrift in a rule can go by the stricter of both figures, where there is one.
+//! Lets a front that is adrift in a rule apply the stricter of its own and the approved value, where one of them is.
 
 use crate::Difference;
 
-/// Figures of the rules, by path, and whether the smaller one is the stricter.
+/// Values of the rules, by path or by prefix of the path, and whether the smaller one is the stricter.
 const RULE_VALUES: [(&str, bool); 8] = [
     ("rules.drain_grace_ms", true),
     ("rules.budget.share", true),
@@ -14,7 +14,7 @@
     ("floors.", false),
 ];
 
-/// The figures to go by, by path: of each that differs, the stricter; those that differ in no such way are left out.
+/// The values to apply, by path: the stricter one of each pair. Differences in other values are left out.
 pub fn stricter(differences: &[Difference]) -> Vec<(String, f64)> {
     let stricter_value = |d: &Difference| {
         let is_listed = |entry: &&(&str, bool)| {
--- a/crates/drift/src/verdict.rs
+++ b/crates/drift/src/verdict.rs
@@ -1,42 +1,35 @@
-//! What a reader says of one front, from that front's own word and the reader's chain of approved versions.
+//! A reader's verdict on one front, from that front's own report and the reader's chain of approved versions.
 
 use crate::approved::VersionChain;
 use crate::{ActiveVersion, SECTIONS};
 use serde::Serialize;
 
+/// How a front's configuration compares with the approved versions.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "is", rename_all = "snake_case")]
 pub enum Verdict {
+    /// It runs the newest version that it may run.
     InStep,
-    /// It goes by a version that it may still have until then, Unix ms.
-    OnItsWay {
-        until: f64,
-    },
-    /// It goes by a version that it must no longer have.
-    Behind {
-        number: u64,
-    },
-    /// It goes by one that it may not have yet.
-    Ahead {
-        number: u64,
-    },
-    /// It goes by none that was approved.
+    /// It runs a version that it may still run until then, Unix ms.
+    OnItsWay { until: f64 },
+    /// It runs a version that it must no longer run.
+    Behind { number: u64 },
+    /// It runs a version that it may not run yet.
+    Ahead { number: u64 },
+    /// It runs something that was never approved.
     Adrift,
-    /// Each part is of some version, but all are of no single one.
+    /// Each section belongs to some version, but not all of them to a single one.
     Torn,
-    /// Not heard for so long, ms; none where it never was. Never taken for in step.
-    Unheard {
-        age: Option<f64>,
-    },
-    /// It said two things at once, or holds another approved version of the same number.
+    /// Not heard for this time, ms; `None` if it was never heard. It never counts as in step.
+    Unheard { age: Option<f64> },
+    /// It reported two things for the same row version, or holds a different approved version with the same number.
     Contradictory,
-    /// It holds an approved version that this reader does not have.
-    Unknown {
-        number: u64,
-    },
+    /// It holds an approved version that the reader does not have.
+    Unknown { number: u64 },
 }
 
 impl Verdict {
+    /// The name as printed for operators.
     pub fn name(&self) -> &'static str {
         match self {
             Verdict::InStep => "in step",
@@ -51,29 +44,29 @@
         }
     }
 
-    /// Nobody can say whether it is in step.
+    /// Whether it cannot be told if the front is in step.
     pub fn is_unknown(&self) -> bool {
         matches!(self, Verdict::Unheard { .. } | Verdict::Contradictory | Verdict::Unknown { .. })
     }
 
-    /// A person is to look, if it stays.
+    /// Whether a person must look into it if it lasts.
     pub fn is_wrong(&self) -> bool {
         matches!(self, Verdict::Behind { .. } | Verdict::Ahead { .. } | Verdict::Adrift | Verdict::Torn)
     }
 }
 
-/// What is known of a front.
+/// What a reader knows about a front.
 #[derive(Clone, Debug)]
 pub struct FrontReport {
     pub front: String,
-    /// ms since it said so, at most; infinite where it never did.
+    /// Upper bound on the time since the front reported this, ms; infinite if it never did.
     pub age: f64,
     pub unheard: bool,
     pub contradictory: bool,
     pub active: Option<ActiveVersion>,
 }
 
-/// The verdict on each section that was approved, and on the front as a whole.
+/// The verdict on each section that was ever approved, and on the front as a whole, at a time (Unix ms).
 pub fn judge(
     chain: &VersionChain,
     wall_clock: f64,
@@ -104,7 +97,7 @@
         chain.section(index, name).is_none_or(|digest| digest == active.sections[i])
     };
     let judge_section = |i: usize, name: &str| {
-        // The latest version before the first that it must have is in force from the start.
+        // The version before the first required one is in force from the start.
         let first_in_force = required.or(allowed).unwrap_or(0);
         if allowed.is_some_and(|allowed| section_matches(allowed, i, name)) {
             return Verdict::InStep;
@@ -135,7 +128,7 @@
     } else if !is_single_version {
         Verdict::Torn
     } else {
-        // All are of one version: the worst of them is that version's.
+        // All sections are of one version, so the worst verdict on them is the verdict on that version.
         let rank = |v: &Verdict| match v {
             Verdict::InStep => 0,
             Verdict::OnItsWay { .. } => 1,
--- a/crates/drift/tests/verdicts.rs
+++ b/crates/drift/tests/verdicts.rs
@@ -1,4 +1,4 @@
-//! Verdicts and chains, a story a case that is easily told wrongly.
+//! Tests of verdicts and of the chain of approved versions, for cases that are easily judged wrongly.
 
 use pulleystair_drift::approved::{ApprovedVersion, RolloutStage, VersionChain};
 use pulleystair_drift::detector::Detector;
@@ -8,12 +8,13 @@
 use serde_json::{Value, json};
 use test_case::test_case;
 
+/// Sections with two values that the tests vary: one of a rule, and one of the ladder.
 fn sections(grace: f64, ladder: f64) -> Sections {
     let rules = json!({ "drain_grace_ms": grace, "cold_ms": 3000 });
     Sections::from([("rules".into(), rules), ("ladder".into(), json!([ladder, 200]))])
 }
 
-/// Version 1 from 0 on, version 2 from 1,000 and by 2,000, for `b` from 3,000 and by 4,000.
+/// Version 1 is allowed and required from 0 on; version 2 from 1,000 and by 2,000, for front `b` from 3,000 and by 4,000.
 fn chain() -> VersionChain {
     let stage = |fronts: &[&str], from_ms, by_ms| RolloutStage {
         fronts: fronts.iter().map(|f| (*f).to_string()).collect(),
@@ -22,12 +23,15 @@
     };
     let mut chain = VersionChain::default();
     let first = next_version(&chain, sections(400.0, 100.0), 0.0, vec![stage(&[], 0.0, 0.0)]);
-    chain.append(first).expect("it is the first");
+    chain.append(first).expect("it is valid as the first version");
     let stages = vec![stage(&["b"], 3_000.0, 4_000.0), stage(&[], 1_000.0, 2_000.0)];
-    chain.append(next_version(&chain, sections(300.0, 150.0), 500.0, stages)).expect("it goes on");
+    chain
+        .append(next_version(&chain, sections(300.0, 150.0), 500.0, stages))
+        .expect("it follows the previous version");
     chain
 }
 
+/// A version that follows the last one of a chain.
 fn next_version(
     after: &VersionChain,
     sections: Sections,
@@ -45,6 +49,7 @@
     }
 }
 
+/// The report of a front with these active sections.
 fn report(front: &str, active: &Sections, chain: &VersionChain) -> FrontReport {
     let active = ActiveVersion::new(active, chain.head_id(), differences(&chain.sections(1), active));
     FrontReport {
@@ -57,14 +62,14 @@
 }
 
 #[test_case("a", 500.0, 400.0, 100.0, "in step"; "the first version is in force")]
-#[test_case("a", 500.0, 300.0, 150.0, "ahead"; "the second may not be had yet")]
-#[test_case("a", 1_500.0, 400.0, 100.0, "on its way"; "the first may still be had")]
-#[test_case("a", 1_500.0, 300.0, 150.0, "in step"; "the second may be had")]
-#[test_case("a", 2_500.0, 400.0, 100.0, "behind"; "the first must no longer be had")]
-#[test_case("b", 2_500.0, 400.0, 100.0, "in step"; "a later stage still goes by the first")]
-#[test_case("b", 2_500.0, 300.0, 150.0, "ahead"; "a later stage that has the second too soon")]
-#[test_case("a", 2_500.0, 300.0, 100.0, "torn"; "part new and part old")]
-#[test_case("a", 1_500.0, 400.0, 150.0, "torn"; "part old and part new")]
+#[test_case("a", 500.0, 300.0, 150.0, "ahead"; "the second is not allowed yet")]
+#[test_case("a", 1_500.0, 400.0, 100.0, "on its way"; "the first is still allowed")]
+#[test_case("a", 1_500.0, 300.0, 150.0, "in step"; "the second is allowed")]
+#[test_case("a", 2_500.0, 400.0, 100.0, "behind"; "the first is no longer allowed")]
+#[test_case("b", 2_500.0, 400.0, 100.0, "in step"; "a later stage still runs the first")]
+#[test_case("b", 2_500.0, 300.0, 150.0, "ahead"; "a later stage runs the second too early")]
+#[test_case("a", 2_500.0, 300.0, 100.0, "torn"; "rule new and ladder old")]
+#[test_case("a", 1_500.0, 400.0, 150.0, "torn"; "rule old and ladder new")]
 #[test_case("a", 2_500.0, 250.0, 150.0, "adrift"; "a value that was never approved")]
 fn a_verdict_depends_on_the_fronts_rollout_stage(
     front: &str,
@@ -84,7 +89,9 @@
 fn a_rollback_version_with_old_content_is_judged_by_its_content() {
     let mut chain = chain();
     let all = vec![RolloutStage { fronts: vec![], from_ms: 2_600.0, by_ms: 2_900.0 }];
-    chain.append(next_version(&chain, sections(400.0, 100.0), 2_600.0, all)).expect("it goes on");
+    chain
+        .append(next_version(&chain, sections(400.0, 100.0), 2_600.0, all))
+        .expect("it follows the previous version");
     let verdict = |wall_clock, grace, ladder| {
         judge(&chain, wall_clock, &report("a", &sections(grace, ladder), &chain)).0.name()
     };
@@ -96,7 +103,9 @@
 fn a_version_replaced_during_rollout_is_not_required() {
     let mut chain = chain();
     let all = vec![RolloutStage { fronts: vec![], from_ms: 1_500.0, by_ms: 5_000.0 }];
-    chain.append(next_version(&chain, sections(350.0, 175.0), 1_500.0, all)).expect("it goes on");
+    chain
+        .append(next_version(&chain, sections(350.0, 175.0), 1_500.0, all))
+        .expect("it follows the previous version");
     let verdict = |wall_clock, grace, ladder| {
         judge(&chain, wall_clock, &report("a", &sections(grace, ladder), &chain)).0.name()
     };
@@ -114,13 +123,16 @@
     assert_eq!(judge(&chain, 2_500.0, &contradictory).0, Verdict::Contradictory);
 }
 
-/// A fleet that was split approved another version 2 on each side; then one of them is on both.
+/// A partitioned fleet approved a different version 2 on each side. Both sides must report the fork, until one of the two
+/// versions is on both sides.
 #[test]
 fn a_fork_is_reported_on_both_sides_and_heals() {
     let (left, mut right) = (chain(), VersionChain::default());
-    right.append(left.documents[0].clone()).expect("the same first");
+    right.append(left.documents[0].clone()).expect("it is valid as the first version");
     let all = vec![RolloutStage { fronts: vec![], from_ms: 1_000.0, by_ms: 2_000.0 }];
-    right.append(next_version(&right, sections(200.0, 100.0), 600.0, all)).expect("it goes on");
+    right
+        .append(next_version(&right, sections(200.0, 100.0), 600.0, all))
+        .expect("it follows the previous version");
     for (ours, theirs, active) in
         [(&left, &right, sections(200.0, 100.0)), (&right, &left, sections(300.0, 150.0))]
     {
@@ -138,7 +150,7 @@
 fn a_version_unknown_to_the_reader_is_reported_as_unknown() {
     let long = chain();
     let mut short = VersionChain::default();
-    short.append(long.documents[0].clone()).expect("the first");
+    short.append(long.documents[0].clone()).expect("it is valid as the first version");
     assert_eq!(
         judge(&short, 2_500.0, &report("a", &sections(300.0, 150.0), &long)).0,
         Verdict::Unknown { number: 2 }
@@ -179,18 +191,20 @@
     assert!(!no_rule.rule && stricter(&no_rule.differences).is_empty());
 }
 
+/// The file of a chain.
 fn text(chain: &VersionChain) -> String {
     chain.documents.iter().map(ApprovedVersion::line).collect()
 }
 
 #[test]
 fn a_written_chain_parses_to_itself() {
-    assert_eq!(VersionChain::parse(&text(&chain())).expect("it reads"), chain());
+    assert_eq!(VersionChain::parse(&text(&chain())).expect("the chain is valid"), chain());
 }
 
+/// The file of the two versions, with a change to the second one's JSON.
 fn chain_with_change(change: impl Fn(&mut Value)) -> String {
     let mut version = chain().documents[1].clone();
-    let mut value = serde_json::to_value(&version).expect("it is plain");
+    let mut value = serde_json::to_value(&version).expect("a version is plain JSON");
     change(&mut value);
     let first = chain().documents[0].line();
     match serde_json::from_value(value) {
@@ -202,19 +216,19 @@
     }
 }
 
-#[test_case("", "line 1: no version is approved"; "nothing")]
+#[test_case("", "line 1: the file has no approved version"; "nothing")]
 #[test_case("{", "line 1: EOF"; "no json")]
 #[test_case(&chain().documents[1].line(), "line 1: parent: "; "no first")]
 #[test_case(&text(&chain()).replace("200", "201"), "line 1: digest: "; "content changed")]
 #[test_case(&chain_with_change(|d| d["parent"] = json!(null)), "line 2: parent: missing"; "no parent")]
 #[test_case(&chain_with_change(|d| d["parent"] = json!("ab")), "line 2: parent: ab, but"; "another parent")]
 #[test_case(&chain_with_change(|d| d["number"] = json!(1)), "line 2: number: 1; 2 comes next"; "a number twice")]
-#[test_case(&chain_with_change(|d| d["at_ms"] = json!(-5.0)), "line 2: at_ms: -5"; "approved before the one before")]
+#[test_case(&chain_with_change(|d| d["at_ms"] = json!(-5.0)), "line 2: at_ms: -5"; "approved before its parent")]
 #[test_case(&chain_with_change(|d| d["stages"][0]["from_ms"] = json!(10.0)), "line 2: stages[0].from_ms: 10 "; "a date in the past")]
-#[test_case(&chain_with_change(|d| d["stages"][0]["by_ms"] = json!(2_999.0)), "line 2: stages[0].by_ms"; "due before it may be had")]
+#[test_case(&chain_with_change(|d| d["stages"][0]["by_ms"] = json!(2_999.0)), "line 2: stages[0].by_ms"; "required before it is allowed")]
 #[test_case(&chain_with_change(|d| d["by"] = json!(" ")), "line 2: by: nobody"; "nobody approved it")]
 #[test_case(&chain_with_change(|d| d["sections"]["colour"] = json!(1)), "line 2: sections.colour"; "an unknown section")]
 fn an_invalid_chain_is_rejected_with_line_and_cause(text: &str, cause: &str) {
-    let error = VersionChain::parse(text).expect_err("it is no chain").to_string();
+    let error = VersionChain::parse(text).expect_err("the chain is invalid").to_string();
     assert!(error.starts_with(cause), "{error}");
 }
