--- a/crates/fleet-member/src/said.rs
+++ b/crates/fleet-member/src/said.rs
@@ -81,7 +81,9 @@
         let sums = self.sums(now);
         let whole = report(self.over(now), &sums, |_| true);
         let mut titles: BTreeMap<(u16, u32), u32> = BTreeMap::new();
-        sums.strata.iter().for_each(|(key, it)| *titles.entry((key.product, key.title)).or_default() += it.n);
+        sums.strata
+            .iter()
+            .for_each(|(key, it)| *titles.entry((key.product, key.title)).or_default() += it.set_ups);
         let mut titles: Vec<_> = titles.into_iter().collect();
         titles.sort_by_key(|t| std::cmp::Reverse(t.1));
         let regret = |((product, title), plays): &((u16, u32), u32)| {
--- a/crates/whatif/src/aggregates.rs
+++ b/crates/whatif/src/aggregates.rs
@@ -38,7 +38,7 @@
 }
 
 impl WeightedSum {
-    fn saw(&mut self, y: f64, w: f64) {
+    fn record(&mut self, y: f64, w: f64) {
         self.w += w;
         self.w2 += w * w;
         self.wy += w * y;
@@ -46,12 +46,12 @@
         self.w2yy += w * w * y * y;
     }
 
-    fn add(&mut self, o: &WeightedSum) {
-        self.w += o.w;
-        self.w2 += o.w2;
-        self.wy += o.wy;
-        self.w2y += o.w2y;
-        self.w2yy += o.w2yy;
+    fn add(&mut self, other: &WeightedSum) {
+        self.w += other.w;
+        self.w2 += other.w2;
+        self.wy += other.wy;
+        self.w2y += other.w2y;
+        self.w2yy += other.w2yy;
     }
 
     /// The mean, weights normalised by their sum, and its standard error.
@@ -60,16 +60,16 @@
             return None;
         }
         let mean = self.wy / self.w;
-        let spread = self.w2yy - 2.0 * mean * self.w2y + mean * mean * self.w2;
-        Some((mean, spread.max(0.0).sqrt() / self.w))
+        let residuals = self.w2yy - 2.0 * mean * self.w2y + mean * mean * self.w2;
+        Some((mean, residuals.max(0.0).sqrt() / self.w))
     }
 
     /// As many evenly weighted ones would say as much.
-    pub fn effective(&self) -> f64 {
+    pub fn effective_count(&self) -> f64 {
         if self.w2 > 0.0 { self.w * self.w / self.w2 } else { 0.0 }
     }
 
-    fn sound(&self) -> bool {
+    fn is_plausible(&self) -> bool {
         let all = [self.w, self.w2, self.wy, self.w2y, self.w2yy];
         all.iter().all(|x| x.is_finite() && *x >= 0.0)
     }
@@ -83,14 +83,14 @@
 }
 
 impl PlainSum {
-    fn saw(&mut self, y: f64) {
+    fn record(&mut self, y: f64) {
         self.sum += y;
         self.squares += y * y;
     }
 
-    fn add(&mut self, o: &PlainSum) {
-        self.sum += o.sum;
-        self.squares += o.squares;
+    fn add(&mut self, other: &PlainSum) {
+        self.sum += other.sum;
+        self.squares += other.squares;
     }
 
     pub fn mean(&self, n: f64) -> Option<(f64, f64)> {
@@ -98,11 +98,11 @@
             return None;
         }
         let mean = self.sum / n;
-        let spread = ((self.squares - n * mean * mean) / (n - 1.0)).max(0.0);
-        Some((mean, (spread / n).sqrt()))
+        let variance = ((self.squares - n * mean * mean) / (n - 1.0)).max(0.0);
+        Some((mean, (variance / n).sqrt()))
     }
 
-    fn sound(&self) -> bool {
+    fn is_plausible(&self) -> bool {
         self.sum.is_finite() && self.squares.is_finite() && self.squares >= 0.0
     }
 }
@@ -117,72 +117,78 @@
 }
 
 impl PolicySums {
-    pub(crate) fn saw(&mut self, took: f64, weight: f64, direct: f64, robust: f64) {
-        self.inverse.saw(took, weight);
-        self.direct.saw(direct);
-        self.robust.saw(robust);
-        self.gain.saw(robust - took);
+    pub(crate) fn record(&mut self, set_up_ms: f64, weight: f64, direct: f64, robust: f64) {
+        self.inverse.record(set_up_ms, weight);
+        self.direct.record(direct);
+        self.robust.record(robust);
+        self.gain.record(robust - set_up_ms);
     }
 
-    fn add(&mut self, o: &PolicySums) {
-        self.inverse.add(&o.inverse);
-        self.direct.add(&o.direct);
-        self.robust.add(&o.robust);
-        self.gain.add(&o.gain);
+    fn add(&mut self, other: &PolicySums) {
+        self.inverse.add(&other.inverse);
+        self.direct.add(&other.direct);
+        self.robust.add(&other.robust);
+        self.gain.add(&other.gain);
     }
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Stratum {
-    pub n: u32,
+    pub set_ups: u32,
     pub given_up: u32,
-    pub took: PlainSum,
+    pub set_up_times: PlainSum,
     pub policies: [PolicySums; 5],
 }
 
 impl Stratum {
-    pub(crate) fn saw(&mut self, took: f64, given_up: bool) {
-        self.n += 1;
+    pub(crate) fn record(&mut self, set_up_ms: f64, given_up: bool) {
+        self.set_ups += 1;
         self.given_up += u32::from(given_up);
-        self.took.saw(took);
+        self.set_up_times.record(set_up_ms);
     }
 
-    pub(crate) fn add(&mut self, o: &Stratum) {
-        self.n = self.n.saturating_add(o.n);
-        self.given_up = self.given_up.saturating_add(o.given_up);
-        self.took.add(&o.took);
-        for (mine, theirs) in self.policies.iter_mut().zip(&o.policies) {
+    pub(crate) fn add(&mut self, other: &Stratum) {
+        self.set_ups = self.set_ups.saturating_add(other.set_ups);
+        self.given_up = self.given_up.saturating_add(other.given_up);
+        self.set_up_times.add(&other.set_up_times);
+        for (mine, theirs) in self.policies.iter_mut().zip(&other.policies) {
             mine.add(theirs);
         }
     }
 
     /// Sums that can't be are none.
-    fn sound(&self) -> bool {
-        let part =
-            |p: &PolicySums| p.inverse.sound() && p.direct.sound() && p.robust.sound() && p.gain.sound();
-        self.given_up <= self.n && self.took.sound() && self.policies.iter().all(part)
+    fn is_plausible(&self) -> bool {
+        let policy_is_plausible = |p: &PolicySums| {
+            p.inverse.is_plausible()
+                && p.direct.is_plausible()
+                && p.robust.is_plausible()
+                && p.gain.is_plausible()
+        };
+        self.given_up <= self.set_ups
+            && self.set_up_times.is_plausible()
+            && self.policies.iter().all(policy_is_plausible)
     }
 }
 
 /// One server's set-ups, weighed by inverse chances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServerSums {
-    pub n: u32,
+    pub set_ups: u32,
     pub given_up: u32,
     pub times: WeightedSum,
 }
 
 impl ServerSums {
-    pub(crate) fn saw(&mut self, took: f64, weight: f64, given_up: bool) {
-        self.n += 1;
+    pub(crate) fn record(&mut self, set_up_ms: f64, weight: f64, given_up: bool) {
+        self.set_ups += 1;
         self.given_up += u32::from(given_up);
-        self.times.saw(took, weight);
+        self.times.record(set_up_ms, weight);
     }
 
-    pub(crate) fn add(&mut self, o: &ServerSums) {
-        self.n = self.n.saturating_add(o.n);
-        self.given_up = self.given_up.saturating_add(o.given_up);
-        self.times.add(&o.times);
+    pub(crate) fn add(&mut self, other: &ServerSums) {
+        self.set_ups = self.set_ups.saturating_add(other.set_ups);
+        self.given_up = self.given_up.saturating_add(other.given_up);
+        self.times.add(&other.times);
     }
 }
 
@@ -194,15 +200,15 @@
 }
 
 /// Servers in a cell: a row of one is up to 65 bytes.
-const EACH: usize = 14;
+const SERVERS_PER_CELL: usize = 14;
 
-pub(crate) fn cells(
+pub(crate) fn encode_cells(
     strata: &BTreeMap<StratumKey, Stratum>,
     servers: &BTreeMap<(u64, u64), ServerSums>,
 ) -> Vec<Vec<u8>> {
     let servers: Vec<(u64, u64, ServerSums)> = servers.iter().map(|(id, s)| (id.0, id.1, *s)).collect();
-    let strata = strata.iter().map(|(key, it)| Cell::Stratum(*key, Box::new(*it)));
-    let servers = servers.chunks(EACH).map(|part| Cell::Servers(part.to_vec()));
+    let strata = strata.iter().map(|(key, stratum)| Cell::Stratum(*key, Box::new(*stratum)));
+    let servers = servers.chunks(SERVERS_PER_CELL).map(|part| Cell::Servers(part.to_vec()));
     strata.chain(servers).filter_map(|cell| postcard::to_stdvec(&cell).ok()).collect()
 }
 
@@ -216,23 +222,25 @@
 impl Aggregates {
     /// Adds one front's cells; those that don't read, or can't be, are left out, with their count.
     pub fn add<'a>(&mut self, cells: impl IntoIterator<Item = &'a [u8]>) -> usize {
-        let mut bad = 0;
+        let mut rejected = 0;
         for cell in cells {
             match postcard::from_bytes(cell) {
-                Ok(Cell::Stratum(key, it)) if it.sound() => self.strata.entry(key).or_default().add(&it),
-                Ok(Cell::Servers(servers)) if servers.iter().all(|s| s.2.times.sound()) => {
+                Ok(Cell::Stratum(key, stratum)) if stratum.is_plausible() => {
+                    self.strata.entry(key).or_default().add(&stratum)
+                }
+                Ok(Cell::Servers(servers)) if servers.iter().all(|s| s.2.times.is_plausible()) => {
                     servers.iter().for_each(|s| self.servers.entry((s.0, s.1)).or_default().add(&s.2));
                 }
-                _ => bad += 1,
+                _ => rejected += 1,
             }
         }
-        bad
+        rejected
     }
 
     /// All strata of a class, or of all, in one.
-    pub fn whole(&self, of: impl Fn(&StratumKey) -> bool) -> Stratum {
-        let mut out = Stratum::default();
-        self.strata.iter().filter(|(key, _)| of(key)).for_each(|(_, it)| out.add(it));
-        out
+    pub fn total(&self, include: impl Fn(&StratumKey) -> bool) -> Stratum {
+        let mut total = Stratum::default();
+        self.strata.iter().filter(|(key, _)| include(key)).for_each(|(_, stratum)| total.add(stratum));
+        total
     }
 }
--- a/crates/whatif/src/censored.rs
+++ b/crates/whatif/src/censored.rs
@@ -4,50 +4,50 @@
 use hdrhistogram::Histogram;
 
 /// Whole ms in the histograms, to one digit in a hundred.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 
 pub struct CensoredTimes {
-    longest: f64,
-    seen: Option<(Histogram<u64>, Histogram<u64>)>,
+    max_ms: f64,
+    histograms: Option<(Histogram<u64>, Histogram<u64>)>,
 }
 
 impl CensoredTimes {
-    pub fn new(longest: f64) -> CensoredTimes {
-        let longest = longest.clamp(2.0, 3_600_000.0);
-        let make = || Histogram::new_with_bounds(1, longest as u64 + 1, DIGITS).ok();
-        CensoredTimes { longest, seen: make().zip(make()) }
+    pub fn new(max_ms: f64) -> CensoredTimes {
+        let max_ms = max_ms.clamp(2.0, 3_600_000.0);
+        let new_histogram = || Histogram::new_with_bounds(1, max_ms as u64 + 1, SIGNIFICANT_DIGITS).ok();
+        CensoredTimes { max_ms, histograms: new_histogram().zip(new_histogram()) }
     }
 
-    pub fn longest(&self) -> f64 {
-        self.longest
+    pub fn max_ms(&self) -> f64 {
+        self.max_ms
     }
 
     pub fn record(&mut self, ms: f64, given_up: bool) {
-        if let Some((came, gone)) = &mut self.seen {
-            let ms = (ms.round() as u64).clamp(1, self.longest as u64);
-            if given_up { gone.saturating_record(ms) } else { came.saturating_record(ms) }
+        if let Some((completed, censored)) = &mut self.histograms {
+            let ms = (ms.round() as u64).clamp(1, self.max_ms as u64);
+            if given_up { censored.saturating_record(ms) } else { completed.saturating_record(ms) }
         }
     }
 
     /// What a set-up that was waited for so long in vain would have taken: the mean of the longer ones, as far as any
     /// were waited for longer; that long where none was.
-    pub fn expected_after(&self, waited: f64) -> f64 {
-        let waited = waited.min(self.longest);
-        let Some((came, gone)) = &self.seen else { return waited };
+    pub fn expected_after(&self, waited_ms: f64) -> f64 {
+        let waited_ms = waited_ms.min(self.max_ms);
+        let Some((completed, censored)) = &self.histograms else { return waited_ms };
         let mut steps: Vec<(u64, u64, u64)> =
-            came.iter_recorded().map(|v| (v.value_iterated_to(), v.count_at_value(), 0)).collect();
-        steps.extend(gone.iter_recorded().map(|v| (v.value_iterated_to(), 0, v.count_at_value())));
+            completed.iter_recorded().map(|v| (v.value_iterated_to(), v.count_at_value(), 0)).collect();
+        steps.extend(censored.iter_recorded().map(|v| (v.value_iterated_to(), 0, v.count_at_value())));
         steps.sort_unstable();
-        let later = steps.iter().filter(|s| s.0 as f64 > waited);
+        let later = steps.iter().filter(|s| s.0 as f64 > waited_ms);
         let mut at_risk: u64 = later.clone().map(|s| s.1 + s.2).sum();
-        let (mut alive, mut at, mut mean) = (1.0, waited, waited);
-        for (value, died, left) in later {
-            mean += alive * (*value as f64 - at);
-            at = *value as f64;
-            if *died > 0 && at_risk > 0 {
-                alive *= 1.0 - *died as f64 / at_risk as f64;
+        let (mut surviving, mut reached_ms, mut mean) = (1.0, waited_ms, waited_ms);
+        for (time_ms, completed_count, censored_count) in later {
+            mean += surviving * (*time_ms as f64 - reached_ms);
+            reached_ms = *time_ms as f64;
+            if *completed_count > 0 && at_risk > 0 {
+                surviving *= 1.0 - *completed_count as f64 / at_risk as f64;
             }
-            at_risk -= died + left;
+            at_risk -= completed_count + censored_count;
         }
         mean
     }
--- a/crates/whatif/src/lib.rs
+++ b/crates/whatif/src/lib.rs
@@ -21,13 +21,13 @@
 
 /// Choices that are out at a time, strata of a bucket and servers, at most; what is beyond is not counted, or goes to
 /// the class as a whole.
-const OUT: usize = 10_000;
-const STRATA: usize = 64;
-const SERVERS: usize = 4_096;
+const MAX_OPEN_CHOICES: usize = 10_000;
+const MAX_STRATA: usize = 64;
+const MAX_SERVERS: usize = 4_096;
 /// Inverse chances are cut off here.
-pub const CLIP: f64 = 10.0;
+pub const MAX_WEIGHT: f64 = 10.0;
 /// A server's own mean counts beside the mean of all as so many set-ups do.
-const PRIOR: f64 = 8.0;
+const PRIOR_SET_UPS: f64 = 8.0;
 
 /// A holder that could have been drawn.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -58,63 +58,73 @@
 pub struct OutcomeLog {
     zone: usize,
     /// How long a bucket of time is, ms.
-    bucket: f64,
-    out: BTreeMap<(u64, u32), Choice>,
-    order: VecDeque<(u64, u32)>,
+    bucket_ms: f64,
+    open_choices: BTreeMap<(u64, u32), Choice>,
+    choice_order: VecDeque<(u64, u32)>,
     times: CensoredTimes,
     pub(crate) strata: BTreeMap<StratumKey, Stratum>,
     pub(crate) servers: BTreeMap<(u64, u64), ServerSums>,
     /// Set-ups' mean by server, and of all: the model that the direct estimate goes by.
-    means: BTreeMap<(u64, u64), (f64, f64)>,
-    mean: (f64, f64),
+    server_totals: BTreeMap<(u64, u64), (f64, f64)>,
+    overall_total: (f64, f64),
 }
 
 /// The chance that a policy gives to each candidate that the draw gives any.
-fn chances(policy: Policy, zone: usize, from: &[Candidate]) -> Vec<f64> {
-    let open = |c: &Candidate| c.chance > 0.0;
-    let even = |take: &dyn Fn(&Candidate) -> bool| {
-        let count = from.iter().filter(|c| open(c) && take(c)).count();
-        let one = |c: &Candidate| if open(c) && take(c) { 1.0 / count as f64 } else { 0.0 };
-        from.iter().map(one).collect::<Vec<f64>>()
+fn chances(policy: Policy, zone: usize, candidates: &[Candidate]) -> Vec<f64> {
+    let is_possible = |c: &Candidate| c.chance > 0.0;
+    let uniform_among = |include: &dyn Fn(&Candidate) -> bool| {
+        let count = candidates.iter().filter(|c| is_possible(c) && include(c)).count();
+        let share = |c: &Candidate| if is_possible(c) && include(c) { 1.0 / count as f64 } else { 0.0 };
+        candidates.iter().map(share).collect::<Vec<f64>>()
     };
-    let by_room = |take: &dyn Fn(&Candidate) -> bool| {
-        let total: f64 = from.iter().filter(|c| open(c) && take(c)).map(|c| c.room.max(0.0)).sum();
+    let by_room_among = |include: &dyn Fn(&Candidate) -> bool| {
+        let total: f64 =
+            candidates.iter().filter(|c| is_possible(c) && include(c)).map(|c| c.room.max(0.0)).sum();
         if total <= 0.0 {
-            return even(take);
+            return uniform_among(include);
         }
-        from.iter().map(|c| if open(c) && take(c) { c.room.max(0.0) / total } else { 0.0 }).collect()
+        candidates
+            .iter()
+            .map(|c| if is_possible(c) && include(c) { c.room.max(0.0) / total } else { 0.0 })
+            .collect()
     };
-    let drawn = |take: &dyn Fn(&Candidate) -> bool| {
-        let total: f64 = from.iter().filter(|c| take(c)).map(|c| c.chance).sum();
-        from.iter().map(|c| if take(c) { c.chance / total } else { 0.0 }).collect::<Vec<f64>>()
+    let as_drawn_among = |include: &dyn Fn(&Candidate) -> bool| {
+        let total: f64 = candidates.iter().filter(|c| include(c)).map(|c| c.chance).sum();
+        candidates.iter().map(|c| if include(c) { c.chance / total } else { 0.0 }).collect::<Vec<f64>>()
     };
     match policy {
-        Policy::AsDrawn => from.iter().map(|c| c.chance).collect(),
-        Policy::Uniform => even(&|_| true),
-        Policy::Weighted => by_room(&|_| true),
+        Policy::AsDrawn => candidates.iter().map(|c| c.chance).collect(),
+        Policy::Uniform => uniform_among(&|_| true),
+        Policy::Weighted => by_room_among(&|_| true),
         Policy::Roomiest => {
-            let most = from.iter().filter(|c| open(c)).map(|c| c.room).fold(f64::NEG_INFINITY, f64::max);
-            even(&|c| c.room >= most)
+            let max_room = candidates
+                .iter()
+                .filter(|c| is_possible(c))
+                .map(|c| c.room)
+                .fold(f64::NEG_INFINITY, f64::max);
+            uniform_among(&|c| c.room >= max_room)
         }
         // Where no candidate is of the own zone it is as drawn.
-        Policy::OwnZone if from.iter().any(|c| open(c) && c.zone == zone) => drawn(&|c| c.zone == zone),
-        Policy::OwnZone => from.iter().map(|c| c.chance).collect(),
+        Policy::OwnZone if candidates.iter().any(|c| is_possible(c) && c.zone == zone) => {
+            as_drawn_among(&|c| c.zone == zone)
+        }
+        Policy::OwnZone => candidates.iter().map(|c| c.chance).collect(),
     }
 }
 
 impl OutcomeLog {
     /// Of a front in this zone; set-ups that take longer than `longest` count as that.
-    pub fn new(zone: usize, bucket: f64, longest: f64) -> OutcomeLog {
+    pub fn new(zone: usize, bucket_ms: f64, max_set_up_ms: f64) -> OutcomeLog {
         OutcomeLog {
             zone,
-            bucket: bucket.max(1.0),
-            out: BTreeMap::new(),
-            order: VecDeque::new(),
-            times: CensoredTimes::new(longest),
+            bucket_ms: bucket_ms.max(1.0),
+            open_choices: BTreeMap::new(),
+            choice_order: VecDeque::new(),
+            times: CensoredTimes::new(max_set_up_ms),
             strata: BTreeMap::new(),
             servers: BTreeMap::new(),
-            means: BTreeMap::new(),
-            mean: (0.0, 0.0),
+            server_totals: BTreeMap::new(),
+            overall_total: (0.0, 0.0),
         }
     }
 
@@ -122,83 +132,96 @@
     pub fn record_choice(
         &mut self,
         play: u64,
-        n: u32,
+        allocation: u32,
         product: u16,
         title: u32,
         chosen: usize,
         candidates: Vec<Candidate>,
     ) {
         let total: f64 = candidates.iter().map(|c| c.chance).sum();
-        let sound = candidates.get(chosen).is_some_and(|c| c.chance > 0.0) && (total - 1.0).abs() < 1e-6;
-        if !sound {
+        let is_valid = candidates.get(chosen).is_some_and(|c| c.chance > 0.0) && (total - 1.0).abs() < 1e-6;
+        if !is_valid {
             return;
         }
-        while self.out.len() >= OUT {
-            let Some(oldest) = self.order.pop_front() else { break };
-            self.out.remove(&oldest);
+        while self.open_choices.len() >= MAX_OPEN_CHOICES {
+            let Some(oldest) = self.choice_order.pop_front() else { break };
+            self.open_choices.remove(&oldest);
         }
-        if self.out.insert((play, n), Choice { product, title, chosen, candidates }).is_none() {
-            self.order.push_back((play, n));
+        if self
+            .open_choices
+            .insert((play, allocation), Choice { product, title, chosen, candidates })
+            .is_none()
+        {
+            self.choice_order.push_back((play, allocation));
         }
-        if self.order.len() > 2 * OUT {
-            self.order.retain(|key| self.out.contains_key(key));
+        if self.choice_order.len() > 2 * MAX_OPEN_CHOICES {
+            self.choice_order.retain(|key| self.open_choices.contains_key(key));
         }
     }
 
-    fn model(&self, c: &Candidate) -> f64 {
-        let all = if self.mean.0 > 0.0 { self.mean.1 / self.mean.0 } else { 0.0 };
-        let (n, sum) = self.means.get(&(c.server, c.born)).copied().unwrap_or_default();
-        (sum + PRIOR * all) / (n + PRIOR)
+    fn expected_ms(&self, c: &Candidate) -> f64 {
+        let overall_mean =
+            if self.overall_total.0 > 0.0 { self.overall_total.1 / self.overall_total.0 } else { 0.0 };
+        let (count, sum) = self.server_totals.get(&(c.server, c.born)).copied().unwrap_or_default();
+        (sum + PRIOR_SET_UPS * overall_mean) / (count + PRIOR_SET_UPS)
     }
 
     /// That allocation ended. One that is not known, or has ended before, counts no more.
-    pub fn record_result(&mut self, wall: f64, play: u64, n: u32, how: SetUpResult) {
-        let Some(it) = self.out.remove(&(play, n)) else { return };
-        let (SetUpResult::Playing(ms) | SetUpResult::GivenUp(ms)) = how;
-        if !ms.is_finite() || ms < 0.0 {
+    pub fn record_result(&mut self, wall_clock: f64, play: u64, allocation: u32, result: SetUpResult) {
+        let Some(choice) = self.open_choices.remove(&(play, allocation)) else { return };
+        let (SetUpResult::Playing(elapsed_ms) | SetUpResult::GivenUp(elapsed_ms)) = result;
+        if !elapsed_ms.is_finite() || elapsed_ms < 0.0 {
             return;
         }
-        let given_up = matches!(how, SetUpResult::GivenUp(_));
+        let given_up = matches!(result, SetUpResult::GivenUp(_));
         // Reckoned before this outcome is known to the model, so that it does not vouch for itself.
-        let took = if given_up { self.times.expected_after(ms) } else { self.times.longest().min(ms) };
-        self.times.record(ms, given_up);
-        let chosen = it.candidates[it.chosen];
-        let models: Vec<f64> = it.candidates.iter().map(|c| self.model(c)).collect();
-        let key = self.key(wall, it.product, it.title);
+        let set_up_ms = if given_up {
+            self.times.expected_after(elapsed_ms)
+        } else {
+            self.times.max_ms().min(elapsed_ms)
+        };
+        self.times.record(elapsed_ms, given_up);
+        let candidate = choice.candidates[choice.chosen];
+        let expected: Vec<f64> = choice.candidates.iter().map(|c| self.expected_ms(c)).collect();
+        let key = self.stratum_key(wall_clock, choice.product, choice.title);
         let stratum = self.strata.entry(key).or_default();
-        stratum.saw(took, given_up);
+        stratum.record(set_up_ms, given_up);
         for (policy, sums) in POLICIES.iter().zip(&mut stratum.policies) {
-            let by = chances(*policy, self.zone, &it.candidates);
-            let weight = (by[it.chosen] / chosen.chance).min(CLIP);
-            let direct: f64 = by.iter().zip(&models).map(|(p, q)| p * q).sum();
-            sums.saw(took, weight, direct, direct + weight * (took - models[it.chosen]));
+            let policy_chances = chances(*policy, self.zone, &choice.candidates);
+            let weight = (policy_chances[choice.chosen] / candidate.chance).min(MAX_WEIGHT);
+            let direct: f64 = policy_chances.iter().zip(&expected).map(|(p, q)| p * q).sum();
+            sums.record(set_up_ms, weight, direct, direct + weight * (set_up_ms - expected[choice.chosen]));
         }
-        let id = (chosen.server, chosen.born);
-        if self.servers.len() < SERVERS || self.servers.contains_key(&id) {
-            self.servers.entry(id).or_default().saw(took, (1.0 / chosen.chance).min(CLIP), given_up);
-            let mean = self.means.entry(id).or_default();
-            *mean = (mean.0 + 1.0, mean.1 + took);
+        let id = (candidate.server, candidate.born);
+        if self.servers.len() < MAX_SERVERS || self.servers.contains_key(&id) {
+            self.servers.entry(id).or_default().record(
+                set_up_ms,
+                (1.0 / candidate.chance).min(MAX_WEIGHT),
+                given_up,
+            );
+            let total = self.server_totals.entry(id).or_default();
+            *total = (total.0 + 1.0, total.1 + set_up_ms);
         }
-        self.mean = (self.mean.0 + 1.0, self.mean.1 + took);
+        self.overall_total = (self.overall_total.0 + 1.0, self.overall_total.1 + set_up_ms);
     }
 
     /// The bucket and the stratum, after room was made: two buckets are kept, and so many strata of each.
-    fn key(&mut self, wall: f64, product: u16, title: u32) -> StratumKey {
-        let bucket = (wall / self.bucket).max(0.0) as u64;
+    fn stratum_key(&mut self, wall_clock: f64, product: u16, title: u32) -> StratumKey {
+        let bucket = (wall_clock / self.bucket_ms).max(0.0) as u64;
         self.strata.retain(|key, _| key.bucket + 1 >= bucket && key.bucket <= bucket);
         let key = StratumKey { bucket, product, title };
-        let full = self.strata.keys().filter(|k| k.bucket == bucket).count() >= STRATA;
-        if full && !self.strata.contains_key(&key) { StratumKey { title: 0, ..key } } else { key }
+        let is_full = self.strata.keys().filter(|k| k.bucket == bucket).count() >= MAX_STRATA;
+        if is_full && !self.strata.contains_key(&key) { StratumKey { title: 0, ..key } } else { key }
     }
 
     /// A server is not listed any more, or started anew: what is known of it goes.
-    pub fn keep_servers(&mut self, listed: impl Fn(u64, u64) -> bool) {
-        self.servers.retain(|id, _| listed(id.0, id.1));
-        self.means.retain(|id, _| listed(id.0, id.1));
+    pub fn keep_servers(&mut self, is_listed: impl Fn(u64, u64) -> bool) {
+        self.servers.retain(|id, _| is_listed(id.0, id.1));
+        self.server_totals.retain(|id, _| is_listed(id.0, id.1));
     }
 
     /// This front's sums as cells.
     pub fn cells(&self) -> Vec<Vec<u8>> {
-        aggregates::cells(&self.strata, &self.servers)
+        aggregates::encode_cells(&self.strata, &self.servers)
     }
 }
--- a/crates/whatif/src/report.rs
+++ b/crates/whatif/src/report.rs
@@ -4,13 +4,13 @@
 use serde::Serialize;
 
 /// Standard errors to either side of a 90% interval.
-const NINETY: f64 = 1.645;
+const INTERVAL_ERRORS: f64 = 1.645;
 /// Standard errors by which a server must be slower than the others to be named, and an alternative better: chance names one of 36 in one reading
 /// of twenty.
-const NAMED: f64 = 3.0;
+const SIGNIFICANT_ERRORS: f64 = 3.0;
 /// Fewer say nothing; nor do sums of which more than this part was given up.
-const LEAST: f64 = 20.0;
-const GIVEN_UP: f64 = 0.5;
+const MIN_PLAYS: f64 = 20.0;
+const MAX_GIVEN_UP_SHARE: f64 = 0.5;
 
 /// How many fronts there are, and whose sums these are.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
@@ -68,97 +68,104 @@
 }
 
 /// An interval is wider by what part of the fleet it does not know.
-fn widened(over: &Scope, (mean, error): (f64, f64), times: f64) -> Estimate {
-    let half = times * error * over.fronts as f64 / over.heard.max(1) as f64;
-    Estimate { mean, low: mean - half, high: mean + half }
+fn interval(scope: &Scope, (mean, error): (f64, f64), errors: f64) -> Estimate {
+    let half_width = errors * error * scope.fronts as f64 / scope.heard.max(1) as f64;
+    Estimate { mean, low: mean - half_width, high: mean + half_width }
 }
 
 /// Why nothing may be said of these, if so.
-fn silent(over: &Scope, n: f64, given_up: f64) -> Vec<String> {
-    let mut because = Vec::new();
-    if over.heard * 2 <= over.fronts {
-        because.push(format!("{} of {} fronts are heard", over.heard, over.fronts));
+fn reasons_undecided(scope: &Scope, plays: f64, given_up: f64) -> Vec<String> {
+    let mut reasons = Vec::new();
+    if scope.heard * 2 <= scope.fronts {
+        reasons.push(format!("{} of {} fronts are heard", scope.heard, scope.fronts));
     }
-    if n < LEAST {
-        because.push(format!("{n} plays"));
+    if plays < MIN_PLAYS {
+        reasons.push(format!("{plays} plays"));
     }
-    if given_up > GIVEN_UP * n {
-        because.push(format!("{given_up} of {n} plays were given up"));
+    if given_up > MAX_GIVEN_UP_SHARE * plays {
+        reasons.push(format!("{given_up} of {plays} plays were given up"));
     }
-    because
+    reasons
 }
 
-pub fn policies(over: &Scope, it: &Stratum) -> Vec<PolicyEstimate> {
-    let n = f64::from(it.n);
-    let quiet = !silent(over, n, f64::from(it.given_up)).is_empty();
-    let of = |(policy, sums): (&Policy, &crate::aggregates::PolicySums)| {
-        let effective = sums.inverse.effective();
-        let say = |it: Option<(f64, f64)>| {
-            it.filter(|_| !quiet && effective >= LEAST).map(|it| widened(over, it, NINETY))
+pub fn policy_estimates(scope: &Scope, stratum: &Stratum) -> Vec<PolicyEstimate> {
+    let plays = f64::from(stratum.set_ups);
+    let is_undecided = !reasons_undecided(scope, plays, f64::from(stratum.given_up)).is_empty();
+    let estimate = |(policy, sums): (&Policy, &crate::aggregates::PolicySums)| {
+        let effective = sums.inverse.effective_count();
+        let estimate_mean = |mean: Option<(f64, f64)>| {
+            mean.filter(|_| !is_undecided && effective >= MIN_PLAYS)
+                .map(|mean| interval(scope, mean, INTERVAL_ERRORS))
         };
-        let plain = |it: &PlainSum| say(it.mean(n));
+        let estimate_plain = |sum: &PlainSum| estimate_mean(sum.mean(plays));
         PolicyEstimate {
             policy: *policy,
-            robust: plain(&sums.robust),
-            inverse: say(sums.inverse.mean()),
-            direct: plain(&sums.direct).map(|it| it.mean),
-            gain: plain(&sums.gain).filter(|_| *policy != Policy::AsDrawn),
+            robust: estimate_plain(&sums.robust),
+            inverse: estimate_mean(sums.inverse.mean()),
+            direct: estimate_plain(&sums.direct).map(|estimate| estimate.mean),
+            gain: estimate_plain(&sums.gain).filter(|_| *policy != Policy::AsDrawn),
             effective,
         }
     };
-    POLICIES.iter().zip(&it.policies).map(of).collect()
+    POLICIES.iter().zip(&stratum.policies).map(estimate).collect()
 }
 
 /// A server, its sums, its mean and the error of that.
-type Known<'a> = (&'a (u64, u64), &'a ServerSums, (f64, f64));
+type KnownServer<'a> = (&'a (u64, u64), &'a ServerSums, (f64, f64));
 
-fn servers(over: &Scope, sums: &Aggregates) -> Vec<ServerEstimate> {
-    let known: Vec<Known> = sums
+fn server_estimates(scope: &Scope, sums: &Aggregates) -> Vec<ServerEstimate> {
+    let known: Vec<KnownServer> = sums
         .servers
         .iter()
-        .filter(|(_, s)| silent(over, s.times.effective(), 0.0).is_empty())
-        .filter(|(_, s)| f64::from(s.given_up) <= GIVEN_UP * f64::from(s.n))
+        .filter(|(_, s)| reasons_undecided(scope, s.times.effective_count(), 0.0).is_empty())
+        .filter(|(_, s)| f64::from(s.given_up) <= MAX_GIVEN_UP_SHARE * f64::from(s.set_ups))
         .filter_map(|(id, s)| Some((id, s, s.times.mean()?)))
         .collect();
-    let count = known.len() as f64;
-    let (sum, errors) = known.iter().fold((0.0, 0.0), |a, k| (a.0 + k.2.0, a.1 + k.2.1 * k.2.1));
-    let of = |(id, it): (&(u64, u64), &ServerSums)| {
-        let own = known.iter().find(|k| k.0 == id).map(|k| k.2);
-        let more = own.filter(|_| count >= 2.0).map(|(mean, error)| {
-            let others = count - 1.0;
-            let rest = (errors - error * error).max(0.0) / (others * others);
-            (mean - (sum - mean) / others, (error * error + rest).sqrt())
+    let known_count = known.len() as f64;
+    let (sum, squared_errors) = known.iter().fold((0.0, 0.0), |a, k| (a.0 + k.2.0, a.1 + k.2.1 * k.2.1));
+    let estimate_server = |(id, server_sums): (&(u64, u64), &ServerSums)| {
+        let own_mean = known.iter().find(|k| k.0 == id).map(|k| k.2);
+        let excess = own_mean.filter(|_| known_count >= 2.0).map(|(mean, error)| {
+            let others = known_count - 1.0;
+            let others_squared_error = (squared_errors - error * error).max(0.0) / (others * others);
+            (mean - (sum - mean) / others, (error * error + others_squared_error).sqrt())
         });
         ServerEstimate {
             server: id.0,
             born: id.1,
-            plays: it.n,
-            mean: own.map(|own| widened(over, own, NINETY)),
-            more: more.map(|more| widened(over, more, NINETY)),
-            slow: more.is_some_and(|more| widened(over, more, NAMED).low > 0.0),
+            plays: server_sums.set_ups,
+            mean: own_mean.map(|own_mean| interval(scope, own_mean, INTERVAL_ERRORS)),
+            more: excess.map(|excess| interval(scope, excess, INTERVAL_ERRORS)),
+            slow: excess.is_some_and(|excess| interval(scope, excess, SIGNIFICANT_ERRORS).low > 0.0),
         }
     };
-    sums.servers.iter().map(of).collect()
+    sums.servers.iter().map(estimate_server).collect()
 }
 
 /// What all of it says, or what is said of one class or title.
-pub fn report(over: Scope, sums: &Aggregates, of: impl Fn(&crate::aggregates::StratumKey) -> bool) -> Report {
-    let whole = sums.whole(of);
-    let because = silent(&over, f64::from(whole.n), f64::from(whole.given_up));
-    let policies = policies(&over, &whole);
-    let sure = |p: &&PolicyEstimate| {
-        p.gain.is_some_and(|gain| gain.mean + (gain.high - gain.mean) * NAMED / NINETY < 0.0)
+pub fn report(
+    scope: Scope,
+    sums: &Aggregates,
+    include: impl Fn(&crate::aggregates::StratumKey) -> bool,
+) -> Report {
+    let total = sums.total(include);
+    let reasons = reasons_undecided(&scope, f64::from(total.set_ups), f64::from(total.given_up));
+    let policies = policy_estimates(&scope, &total);
+    let is_significant = |p: &&PolicyEstimate| {
+        p.gain.is_some_and(|gain| {
+            gain.mean + (gain.high - gain.mean) * SIGNIFICANT_ERRORS / INTERVAL_ERRORS < 0.0
+        })
     };
     let gain = |p: &&PolicyEstimate| p.gain.map_or(0.0, |gain| gain.mean);
-    let better = policies.iter().filter(sure).min_by(|a, b| gain(a).total_cmp(&gain(b)));
+    let better = policies.iter().filter(is_significant).min_by(|a, b| gain(a).total_cmp(&gain(b)));
     Report {
-        plays: whole.n,
-        given_up: whole.given_up,
-        undecided: !because.is_empty(),
-        because,
+        plays: total.set_ups,
+        given_up: total.given_up,
+        undecided: !reasons.is_empty(),
+        because: reasons,
         better: better.map(|p| p.policy),
-        servers: servers(&over, sums),
+        servers: server_estimates(&scope, sums),
         policies,
-        over,
+        over: scope,
     }
 }
--- a/crates/whatif/tests/estimates.rs
+++ b/crates/whatif/tests/estimates.rs
@@ -10,13 +10,13 @@
 
 /// A day of one front's plays: each goes by the weighted draw among four of six servers, two zones; the last server is
 /// slower by so much. Set-ups longer than `patience` are given up. The true mean under each policy comes with it.
-fn day(seed: u64, plays: usize, slower: f64, patience: f64) -> (OutcomeLog, [f64; 2]) {
-    let mut rnd = Rand64::new(seed.into());
-    let mut ledger = OutcomeLog::new(0, 60_000.0, 10_000.0);
-    let mut truth = [0.0; 2];
+fn simulate_plays(seed: u64, plays: usize, slower: f64, patience: f64) -> (OutcomeLog, [f64; 2]) {
+    let mut rng = Rand64::new(seed.into());
+    let mut log = OutcomeLog::new(0, 60_000.0, 10_000.0);
+    let mut true_means = [0.0; 2];
     for play in 0..plays {
-        let first = rnd.rand_range(0..SERVERS as u64) as usize;
-        let rooms: Vec<f64> = (0..4).map(|_| 1.0 + 9.0 * rnd.rand_float()).collect();
+        let first = rng.rand_range(0..SERVERS as u64) as usize;
+        let rooms: Vec<f64> = (0..4).map(|_| 1.0 + 9.0 * rng.rand_float()).collect();
         let total: f64 = rooms.iter().sum();
         let best = (0..4).max_by(|a, b| rooms[*a].total_cmp(&rooms[*b])).unwrap_or(0);
         let candidate = |i: usize| Candidate {
@@ -26,71 +26,72 @@
             chance: 0.5 * f64::from(i == best) + 0.5 * rooms[i] / total,
             room: rooms[i],
         };
-        let from: Vec<Candidate> = (0..4).map(candidate).collect();
-        let mut draw = rnd.rand_float();
-        let chosen = from.iter().position(|c| {
+        let candidates: Vec<Candidate> = (0..4).map(candidate).collect();
+        let mut draw = rng.rand_float();
+        let chosen = candidates.iter().position(|c| {
             draw -= c.chance;
             draw < 0.0
         });
         let chosen = chosen.unwrap_or(3);
-        let noise = 30.0 - 40.0 * (1.0 - rnd.rand_float()).ln();
-        let takes = |c: &Candidate| noise + if c.server == SERVERS as u64 - 1 { slower } else { 0.0 };
-        truth[0] += from.iter().map(takes).sum::<f64>() / 4.0 / plays as f64;
-        truth[1] += takes(&from[best]) / plays as f64;
-        ledger.record_choice(play as u64, 1, 0, 0, chosen, from.clone());
-        let took = takes(&from[chosen]);
-        let how = if took > patience && play % 2 == 0 {
+        let noise = 30.0 - 40.0 * (1.0 - rng.rand_float()).ln();
+        let set_up_time = |c: &Candidate| noise + if c.server == SERVERS as u64 - 1 { slower } else { 0.0 };
+        true_means[0] += candidates.iter().map(set_up_time).sum::<f64>() / 4.0 / plays as f64;
+        true_means[1] += set_up_time(&candidates[best]) / plays as f64;
+        log.record_choice(play as u64, 1, 0, 0, chosen, candidates.clone());
+        let set_up_ms = set_up_time(&candidates[chosen]);
+        let result = if set_up_ms > patience && play % 2 == 0 {
             SetUpResult::GivenUp(patience)
         } else {
-            SetUpResult::Playing(took)
+            SetUpResult::Playing(set_up_ms)
         };
-        ledger.record_result(1_000.0, play as u64, 1, how);
+        log.record_result(1_000.0, play as u64, 1, result);
     }
-    (ledger, truth)
+    (log, true_means)
 }
 
-fn over(heard: usize) -> Scope {
+fn scope(heard: usize) -> Scope {
     Scope { fronts: 8, heard, unheard: Vec::new() }
 }
 
-fn said(ledgers: &[&OutcomeLog], heard: usize) -> Report {
+fn combined_report(logs: &[&OutcomeLog], heard: usize) -> Report {
     let mut sums = Aggregates::default();
-    for ledger in ledgers {
-        assert_eq!(sums.add(ledger.cells().iter().map(Vec::as_slice)), 0);
+    for log in logs {
+        assert_eq!(sums.add(log.cells().iter().map(Vec::as_slice)), 0);
     }
-    report(over(heard), &sums, |_| true)
+    report(scope(heard), &sums, |_| true)
 }
 
 #[test]
-fn nine_in_ten_intervals_hold_the_truth() {
-    let (mut held, mut all) = (0, 0);
+fn nine_in_ten_intervals_contain_the_true_mean() {
+    let (mut containing, mut intervals) = (0, 0);
     for seed in 0..200 {
-        let (ledger, truth) = day(seed, 300, 60.0, 1e9);
-        let it = said(&[&ledger], 8);
-        for (policy, truth) in [(Policy::Uniform, truth[0]), (Policy::Roomiest, truth[1])] {
-            let of = it.policies.iter().find(|p| p.policy == policy).and_then(|p| p.robust);
-            let of = of.expect("300 plays say something");
-            all += 1;
-            held += usize::from(of.low <= truth && truth <= of.high);
+        let (log, true_means) = simulate_plays(seed, 300, 60.0, 1e9);
+        let estimates = combined_report(&[&log], 8);
+        for (policy, true_mean) in [(Policy::Uniform, true_means[0]), (Policy::Roomiest, true_means[1])] {
+            let estimate = estimates.policies.iter().find(|p| p.policy == policy).and_then(|p| p.robust);
+            let estimate = estimate.expect("300 plays say something");
+            intervals += 1;
+            containing += usize::from(estimate.low <= true_mean && true_mean <= estimate.high);
         }
     }
-    println!("{held} of {all} intervals hold the truth");
-    assert!(held * 100 >= all * 85, "{held} of {all}");
+    println!("{containing} of {intervals} intervals hold the truth");
+    assert!(containing * 100 >= intervals * 85, "{containing} of {intervals}");
 }
 
 #[test_case(60.0, true; "one is slower")]
 #[test_case(0.0, false; "none is")]
-fn a_slower_server_is_named_and_no_other(slower: f64, named: bool) {
+fn only_a_slower_server_is_named(slower: f64, expect_named: bool) {
     let mut wrong = 0;
     for seed in 0..20 {
-        let (ledger, _) = day(seed, 600, slower, 1e9);
-        let it = said(&[&ledger], 8);
-        let slow: Vec<u64> = it.servers.iter().filter(|s| s.slow).map(|s| s.server).collect();
-        let right = if named { slow == [SERVERS as u64 - 1] } else { slow.is_empty() };
-        wrong += usize::from(!right);
-        if named {
-            let of = it.servers.iter().find(|s| s.server == SERVERS as u64 - 1).and_then(|s| s.more);
-            assert!(of.is_some_and(|m| m.low < 80.0 && m.high > 40.0), "{of:?}");
+        let (log, _) = simulate_plays(seed, 600, slower, 1e9);
+        let estimates = combined_report(&[&log], 8);
+        let slow: Vec<u64> = estimates.servers.iter().filter(|s| s.slow).map(|s| s.server).collect();
+        let is_right = if expect_named { slow == [SERVERS as u64 - 1] } else { slow.is_empty() };
+        wrong += usize::from(!is_right);
+        if expect_named {
+            let estimate =
+                estimates.servers.iter().find(|s| s.server == SERVERS as u64 - 1).and_then(|s| s.more);
+            assert!(estimate.is_some_and(|m| m.low < 80.0 && m.high > 40.0), "{estimate:?}");
         }
     }
     assert!(wrong <= 1, "{wrong} of 20");
@@ -99,69 +100,70 @@
 /// Half of the viewers wait 60 ms and no longer. Taken at their time-out, those given up would make the mean 9 ms too low;
 /// dropped, lower still.
 #[test]
-fn what_was_given_up_counts_as_longer_than_it_was_waited_for() {
-    let (ledger, truth) = day(3, 6_000, 0.0, 60.0);
-    let it = said(&[&ledger], 8);
-    let robust = it.policies[2].robust.expect("it says something").mean;
-    assert!(it.given_up > 1_000, "{}", it.given_up);
-    assert!((robust - truth[0]).abs() < 4.0, "{robust} {}", truth[0]);
+fn a_given_up_set_up_counts_as_longer_than_the_time_waited() {
+    let (log, true_means) = simulate_plays(3, 6_000, 0.0, 60.0);
+    let estimates = combined_report(&[&log], 8);
+    let robust = estimates.policies[2].robust.expect("it says something").mean;
+    assert!(estimates.given_up > 1_000, "{}", estimates.given_up);
+    assert!((robust - true_means[0]).abs() < 4.0, "{robust} {}", true_means[0]);
 }
 
 #[test]
-fn intervals_widen_as_fronts_are_lost_and_half_of_them_say_nothing() {
-    let days: Vec<OutcomeLog> = (0..8).map(|seed| day(seed, 100, 60.0, 1e9).0).collect();
+fn intervals_widen_as_fronts_are_lost_until_half_are_undecided() {
+    let logs: Vec<OutcomeLog> = (0..8).map(|seed| simulate_plays(seed, 100, 60.0, 1e9).0).collect();
     let width = |count: usize| {
-        let it = said(&days.iter().take(count).collect::<Vec<_>>(), count);
-        it.policies[2].robust.map(|e| e.high - e.low)
+        let estimates = combined_report(&logs.iter().take(count).collect::<Vec<_>>(), count);
+        estimates.policies[2].robust.map(|e| e.high - e.low)
     };
     let widths: Vec<f64> = (5..=8).rev().filter_map(width).collect();
     assert!(widths.len() == 4 && widths.windows(2).all(|w| w[0] < w[1]), "{widths:?}");
     assert_eq!(width(4), None);
-    let same = |heard| said(&[&days[0], &days[1]], heard).policies[2].robust.map(|e| e.high - e.low);
-    assert!(same(6) > same(8), "the same sums say less where fronts are missing");
-    assert!(said(&days.iter().take(4).collect::<Vec<_>>(), 4).undecided);
+    let width_of_same_sums =
+        |heard| combined_report(&[&logs[0], &logs[1]], heard).policies[2].robust.map(|e| e.high - e.low);
+    assert!(width_of_same_sums(6) > width_of_same_sums(8), "the same sums say less where fronts are missing");
+    assert!(combined_report(&logs.iter().take(4).collect::<Vec<_>>(), 4).undecided);
 }
 
 #[test]
-fn a_play_counts_once_however_often_its_end_is_told() {
-    let (mut ledger, _) = day(1, 50, 0.0, 1e9);
-    let before = ledger.cells();
-    (0..50).for_each(|play| ledger.record_result(1_000.0, play, 1, SetUpResult::Playing(9.0)));
-    assert_eq!(ledger.cells(), before);
+fn a_repeated_result_counts_once() {
+    let (mut log, _) = simulate_plays(1, 50, 0.0, 1e9);
+    let before = log.cells();
+    (0..50).for_each(|play| log.record_result(1_000.0, play, 1, SetUpResult::Playing(9.0)));
+    assert_eq!(log.cells(), before);
 }
 
 #[test]
-fn few_plays_and_sums_that_cannot_be_say_nothing() {
-    let (few, _) = day(1, 10, 60.0, 1e9);
-    assert!(said(&[&few], 8).undecided);
+fn few_plays_are_undecided_and_invalid_cells_are_rejected() {
+    let (few_plays, _) = simulate_plays(1, 10, 60.0, 1e9);
+    assert!(combined_report(&[&few_plays], 8).undecided);
     let mut sums = Aggregates::default();
-    let mut cells = few.cells();
+    let mut cells = few_plays.cells();
     cells.push(vec![0xff; 40]);
     cells.push(vec![]);
     assert_eq!(sums.add(cells.iter().map(Vec::as_slice)), 2);
 }
 
 #[test]
-fn what_cannot_have_been_drawn_is_not_counted() {
-    let mut ledger = OutcomeLog::new(0, 60_000.0, 1_000.0);
+fn an_impossible_choice_is_not_counted() {
+    let mut log = OutcomeLog::new(0, 60_000.0, 1_000.0);
     let candidate = |chance| Candidate { server: 1, born: 1, zone: 0, chance, room: 1.0 };
-    ledger.record_choice(1, 1, 0, 0, 0, vec![candidate(0.4)]);
-    ledger.record_choice(2, 1, 0, 0, 1, vec![candidate(1.0), candidate(0.0)]);
-    ledger.record_choice(3, 1, 0, 0, 7, vec![candidate(1.0)]);
-    (1..4).for_each(|play| ledger.record_result(0.0, play, 1, SetUpResult::Playing(5.0)));
-    assert!(ledger.cells().is_empty());
+    log.record_choice(1, 1, 0, 0, 0, vec![candidate(0.4)]);
+    log.record_choice(2, 1, 0, 0, 1, vec![candidate(1.0), candidate(0.0)]);
+    log.record_choice(3, 1, 0, 0, 7, vec![candidate(1.0)]);
+    (1..4).for_each(|play| log.record_result(0.0, play, 1, SetUpResult::Playing(5.0)));
+    assert!(log.cells().is_empty());
 }
 
 #[test]
-fn a_server_that_restarted_is_another() {
-    let mut ledger = OutcomeLog::new(0, 60_000.0, 1_000.0);
+fn a_restarted_server_counts_as_another() {
+    let mut log = OutcomeLog::new(0, 60_000.0, 1_000.0);
     for born in [1, 2] {
-        let from = vec![Candidate { server: 1, born, zone: 0, chance: 1.0, room: 1.0 }];
-        ledger.record_choice(born, 1, 0, 0, 0, from);
-        ledger.record_result(0.0, born, 1, SetUpResult::Playing(5.0));
+        let candidates = vec![Candidate { server: 1, born, zone: 0, chance: 1.0, room: 1.0 }];
+        log.record_choice(born, 1, 0, 0, 0, candidates);
+        log.record_result(0.0, born, 1, SetUpResult::Playing(5.0));
     }
-    let it = said(&[&ledger], 8);
-    assert_eq!(it.servers.iter().map(|s| (s.born, s.plays)).collect::<Vec<_>>(), [(1, 1), (2, 1)]);
-    ledger.keep_servers(|_, born| born == 2);
-    assert_eq!(said(&[&ledger], 8).servers.len(), 1);
+    let estimates = combined_report(&[&log], 8);
+    assert_eq!(estimates.servers.iter().map(|s| (s.born, s.plays)).collect::<Vec<_>>(), [(1, 1), (2, 1)]);
+    log.keep_servers(|_, born| born == 2);
+    assert_eq!(combined_report(&[&log], 8).servers.len(), 1);
 }
