--- a/crates/whatif/src/aggregates.rs
+++ b/crates/whatif/src/aggregates.rs
@@ -1,25 +1,29 @@
-//! Sums that say all that the estimates need, add up over fronts, and go round in cells.
+//! Sums from which the estimates are computed. They can be added up over fronts, and are sent between fronts in cells.
+//! Times are in ms.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+/// A way to choose among the holders that could have been drawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Policy {
+    /// By the chances of the actual draw.
     AsDrawn,
-    /// Always the roomiest.
+    /// Always the holder with the most room.
     Roomiest,
-    /// Each alike.
+    /// All holders with the same chance.
     Uniform,
-    /// As drawn, among those of the front's own zone.
+    /// As drawn, among the holders in the front's own zone.
     OwnZone,
-    /// By room, without the half that the roomiest gets outright.
+    /// In proportion to room, without the half of the chance that the draw gives to the holder with the most.
     Weighted,
 }
 
+/// All policies, in the order of [`Stratum::policies`].
 pub const POLICIES: [Policy; 5] =
     [Policy::AsDrawn, Policy::Roomiest, Policy::Uniform, Policy::OwnZone, Policy::Weighted];
 
-/// A bucket of time, a class of titles and, where there is room for it, the title by its checksum (0 for the rest).
+/// A bucket of time, a product and, while there is room for it, the checksum of the title (0 for all other titles).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StratumKey {
     pub bucket: u64,
@@ -27,7 +31,8 @@
     pub title: u32,
 }
 
-/// Weighted sums of times, from which a mean and its error come.
+/// Weighted sums of values y with weights w, from which a mean and its error are computed: the sums of w, w², wy, w²y and
+/// w²y².
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WeightedSum {
     pub w: f64,
@@ -54,7 +59,7 @@
         self.w2yy += other.w2yy;
     }
 
-    /// The mean, weights normalised by their sum, and its standard error.
+    /// The mean, with weights normalised by their sum, and its standard error.
     pub fn mean(&self) -> Option<(f64, f64)> {
         if self.w <= 0.0 {
             return None;
@@ -64,18 +69,19 @@
         Some((mean, residuals.max(0.0).sqrt() / self.w))
     }
 
-    /// As many evenly weighted ones would say as much.
+    /// Effective sample size: the number of evenly weighted values with the same variance of the mean.
     pub fn effective_count(&self) -> f64 {
         if self.w2 > 0.0 { self.w * self.w / self.w2 } else { 0.0 }
     }
 
+    /// Whether all sums are finite and not negative.
     fn is_plausible(&self) -> bool {
         let all = [self.w, self.w2, self.wy, self.w2y, self.w2yy];
         all.iter().all(|x| x.is_finite() && *x >= 0.0)
     }
 }
 
-/// Plain sums of one figure a play.
+/// Unweighted sums of one value per play.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlainSum {
     pub sum: f64,
@@ -93,6 +99,7 @@
         self.squares += other.squares;
     }
 
+    /// The mean of `n` values and its standard error; `None` for fewer than two.
     pub fn mean(&self, n: f64) -> Option<(f64, f64)> {
         if n < 2.0 {
             return None;
@@ -102,12 +109,14 @@
         Some((mean, (variance / n).sqrt()))
     }
 
+    /// Whether the sums are possible.
     fn is_plausible(&self) -> bool {
         self.sum.is_finite() && self.squares.is_finite() && self.squares >= 0.0
     }
 }
 
-/// One policy's sums: by inverse chances, direct, doubly robust, and the last less what was.
+/// Sums for one policy: the estimates by inverse chances, by the model alone ("direct"), doubly robust, and the doubly
+/// robust one less the actual time ("gain").
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PolicySums {
     pub inverse: WeightedSum,
@@ -132,6 +141,7 @@
     }
 }
 
+/// Sums over the set-ups of one stratum.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Stratum {
     pub set_ups: u32,
@@ -156,7 +166,7 @@
         }
     }
 
-    /// Sums that can't be are none.
+    /// Whether the sums are possible; others are ignored.
     fn is_plausible(&self) -> bool {
         let policy_is_plausible = |p: &PolicySums| {
             p.inverse.is_plausible()
@@ -170,7 +180,7 @@
     }
 }
 
-/// One server's set-ups, weighed by inverse chances.
+/// Sums over one server's set-ups, weighted by inverse chances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServerSums {
     pub set_ups: u32,
@@ -199,9 +209,10 @@
     Servers(Vec<(u64, u64, ServerSums)>),
 }
 
-/// Servers in a cell: a row of one is up to 65 bytes.
+/// Servers in a cell; the entry of one takes up to 65 bytes.
 const SERVERS_PER_CELL: usize = 14;
 
+/// Encodes one front's sums as cells.
 pub(crate) fn encode_cells(
     strata: &BTreeMap<StratumKey, Stratum>,
     servers: &BTreeMap<(u64, u64), ServerSums>,
@@ -212,15 +223,16 @@
     strata.chain(servers).filter_map(|cell| postcard::to_stdvec(&cell).ok()).collect()
 }
 
-/// The sums of one front or of several, each front's added once.
+/// The sums of one front or of several. Each front's may be added only once.
 #[derive(Clone, Debug, Default)]
 pub struct Aggregates {
+    /// By server and the start of its process.
     pub strata: BTreeMap<StratumKey, Stratum>,
     pub servers: BTreeMap<(u64, u64), ServerSums>,
 }
 
 impl Aggregates {
-    /// Adds one front's cells; those that don't read, or can't be, are left out, with their count.
+    /// Adds one front's cells. Cells that cannot be decoded, or hold impossible sums, are skipped; their number is returned.
     pub fn add<'a>(&mut self, cells: impl IntoIterator<Item = &'a [u8]>) -> usize {
         let mut rejected = 0;
         for cell in cells {
@@ -237,7 +249,7 @@
         rejected
     }
 
-    /// All strata of a class, or of all, in one.
+    /// The sum of all strata that `include` accepts.
     pub fn total(&self, include: impl Fn(&StratumKey) -> bool) -> Stratum {
         let mut total = Stratum::default();
         self.strata.iter().filter(|(key, _)| include(key)).for_each(|(_, stratum)| total.add(stratum));
--- a/crates/whatif/src/censored.rs
+++ b/crates/whatif/src/censored.rs
@@ -1,27 +1,31 @@
-//! Set-up times of which some are known only to be longer than they were waited for: Kaplan and Meier's estimate, on
-//! histograms of both.
+//! Estimates set-up times when some are censored, i.e. known only to be longer than the time waited. It uses the
+//! Kaplan-Meier estimate on histograms of completed and of censored set-ups. Times are in ms.
 
 use hdrhistogram::Histogram;
 
-/// Whole ms in the histograms, to one digit in a hundred.
+/// Precision of the histograms; they count whole ms.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
+/// Histograms of completed and of censored set-up times.
 pub struct CensoredTimes {
     max_ms: f64,
     histograms: Option<(Histogram<u64>, Histogram<u64>)>,
 }
 
 impl CensoredTimes {
+    /// Longer times than `max_ms` count as `max_ms`.
     pub fn new(max_ms: f64) -> CensoredTimes {
         let max_ms = max_ms.clamp(2.0, 3_600_000.0);
         let new_histogram = || Histogram::new_with_bounds(1, max_ms as u64 + 1, SIGNIFICANT_DIGITS).ok();
         CensoredTimes { max_ms, histograms: new_histogram().zip(new_histogram()) }
     }
 
+    /// The longest time that is told apart.
     pub fn max_ms(&self) -> f64 {
         self.max_ms
     }
 
+    /// Records a completed set-up, or one that was given up after this time.
     pub fn record(&mut self, ms: f64, given_up: bool) {
         if let Some((completed, censored)) = &mut self.histograms {
             let ms = (ms.round() as u64).clamp(1, self.max_ms as u64);
@@ -29,8 +33,8 @@
         }
     }
 
-    /// What a set-up that was waited for so long in vain would have taken: the mean of the longer ones, as far as any
-    /// were waited for longer; that long where none was.
+    /// Expected time of a set-up that was given up after `waited_ms`: the mean of the longer ones, as far as any were waited for
+    /// longer. If none was, it is `waited_ms`.
     pub fn expected_after(&self, waited_ms: f64) -> f64 {
         let waited_ms = waited_ms.min(self.max_ms);
         let Some((completed, censored)) = &self.histograms else { return waited_ms };
--- a/crates/whatif/src/lib.rs
+++ b/crates/whatif/src/lib.rs
@@ -1,15 +1,17 @@
-//! What would set-ups have taken, had plays gone to other holders than those drawn? The mechanism draws at random, so the
-//! chance of each choice is known exactly, and outcomes can be weighed by it; no request is ever sent for this.
+//! Estimates how long set-ups would have taken had plays gone to other holders than those drawn. Holders are drawn at
+//! random, so the chance of each choice is known exactly and results can be weighted by it. No request is ever sent for the
+//! purpose of these estimates.
 //!
-//! [`OutcomeLog`] is one front's own: the choices that are out, and bounded [`aggregates`] of those that ended. [`report`] is what
-//! the sums of all fronts that are heard say: set-up times under a few policies, by class of title and by title, the
-//! servers that are slower than the others, and what the routing lost. No I/O.
+//! [`OutcomeLog`] belongs to one front: the choices whose results are open, and bounded [`aggregates`] of the finished ones.
+//! [`report`] computes estimates from the sums of all fronts that are heard: set-up times under several policies, overall
+//! and by title, the servers that are slower than the others, and what the actual routing lost. The package does no I/O;
+//! times are in ms.
 //!
-//! - A set-up that was given up or withdrawn is censored: it would have taken longer than it was waited for, by what those
-//!   that were waited for longer took on (Buckley and James, on the Kaplan-Meier estimate of all set-ups).
-//! - A play's allocation counts once at its front, and a front's sums are its own cell, replaced as a whole; so however
-//!   often a row comes, and whichever way two parts of a fleet meet again, nothing counts twice.
-//! - A server that restarted is another server.
+//! - A set-up that was given up or withdrawn is censored. It counts as the time waited plus the additional time that those
+//!   that were waited for longer took on average (Buckley and James, on the Kaplan-Meier estimate of all set-ups).
+//! - An allocation of a play counts once, at its front. A front's sums are in its own cells, which are replaced as a whole.
+//!   Nothing counts twice, however often a row arrives and however two parts of a partitioned fleet are joined again.
+//! - A server that restarted counts as a different server.
 
 pub mod aggregates;
 pub mod censored;
@@ -19,34 +21,36 @@
 use censored::CensoredTimes;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Choices that are out at a time, strata of a bucket and servers, at most; what is beyond is not counted, or goes to
-/// the class as a whole.
+/// Maximum numbers of open choices, of strata per bucket, and of servers. Beyond them, choices and servers are not counted,
+/// and titles are counted for their product as a whole.
 const MAX_OPEN_CHOICES: usize = 10_000;
 const MAX_STRATA: usize = 64;
 const MAX_SERVERS: usize = 4_096;
-/// Inverse chances are cut off here.
+/// Inverse chances are cut off at this weight.
 pub const MAX_WEIGHT: f64 = 10.0;
-/// A server's own mean counts beside the mean of all as so many set-ups do.
+/// Weight of the overall mean against a server's own mean, in set-ups.
 const PRIOR_SET_UPS: f64 = 8.0;
 
 /// A holder that could have been drawn.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
     pub server: u64,
-    /// When its process started: another start is another server.
+    /// When its process started. After a restart it counts as a different server.
     pub born: u64,
     pub zone: usize,
+    /// The chance with which it was drawn.
     pub chance: f64,
     pub room: f64,
 }
 
-/// How an allocation ended: its set-up time, or how long it was waited for in vain; ms.
+/// The result of an allocation, in ms: the set-up time, or the time waited until it was given up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SetUpResult {
     Playing(f64),
     GivenUp(f64),
 }
 
+/// A choice whose result is open.
 struct Choice {
     product: u16,
     title: u32,
@@ -54,22 +58,23 @@
     candidates: Vec<Candidate>,
 }
 
-/// One front's own choices and sums.
+/// One front's open choices, and the sums of the finished ones.
 pub struct OutcomeLog {
     zone: usize,
-    /// How long a bucket of time is, ms.
+    /// Length of a bucket of time, ms.
     bucket_ms: f64,
+    /// By play and number of its allocation; `choice_order` has them in the order in which they were made.
     open_choices: BTreeMap<(u64, u32), Choice>,
     choice_order: VecDeque<(u64, u32)>,
     times: CensoredTimes,
     pub(crate) strata: BTreeMap<StratumKey, Stratum>,
     pub(crate) servers: BTreeMap<(u64, u64), ServerSums>,
-    /// Set-ups' mean by server, and of all: the model that the direct estimate goes by.
+    /// Number and sum of set-up times, by server and of all: the model behind the direct estimate.
     server_totals: BTreeMap<(u64, u64), (f64, f64)>,
     overall_total: (f64, f64),
 }
 
-/// The chance that a policy gives to each candidate that the draw gives any.
+/// The chance that a policy gives to each candidate. Candidates that could not be drawn get none.
 fn chances(policy: Policy, zone: usize, candidates: &[Candidate]) -> Vec<f64> {
     let is_possible = |c: &Candidate| c.chance > 0.0;
     let uniform_among = |include: &dyn Fn(&Candidate) -> bool| {
@@ -104,7 +109,7 @@
                 .fold(f64::NEG_INFINITY, f64::max);
             uniform_among(&|c| c.room >= max_room)
         }
-        // Where no candidate is of the own zone it is as drawn.
+        // Without a candidate in the own zone, the draw is unchanged.
         Policy::OwnZone if candidates.iter().any(|c| is_possible(c) && c.zone == zone) => {
             as_drawn_among(&|c| c.zone == zone)
         }
@@ -113,7 +118,7 @@
 }
 
 impl OutcomeLog {
-    /// Of a front in this zone; set-ups that take longer than `longest` count as that.
+    /// For a front in this zone. Set-ups that take longer than `max_set_up_ms` count as `max_set_up_ms`.
     pub fn new(zone: usize, bucket_ms: f64, max_set_up_ms: f64) -> OutcomeLog {
         OutcomeLog {
             zone,
@@ -128,7 +133,7 @@
         }
     }
 
-    /// A play's so-many-th allocation goes to this candidate. What can't have been drawn is not counted.
+    /// Records to which candidate an allocation of a play goes. Choices that cannot have been drawn are ignored.
     pub fn record_choice(
         &mut self,
         play: u64,
@@ -159,6 +164,7 @@
         }
     }
 
+    /// The model's set-up time for a candidate: a mean of its server's set-ups and of all.
     fn expected_ms(&self, c: &Candidate) -> f64 {
         let overall_mean =
             if self.overall_total.0 > 0.0 { self.overall_total.1 / self.overall_total.0 } else { 0.0 };
@@ -166,7 +172,7 @@
         (sum + PRIOR_SET_UPS * overall_mean) / (count + PRIOR_SET_UPS)
     }
 
-    /// That allocation ended. One that is not known, or has ended before, counts no more.
+    /// Records the result of an allocation. It is ignored if the choice is unknown or has a result already.
     pub fn record_result(&mut self, wall_clock: f64, play: u64, allocation: u32, result: SetUpResult) {
         let Some(choice) = self.open_choices.remove(&(play, allocation)) else { return };
         let (SetUpResult::Playing(elapsed_ms) | SetUpResult::GivenUp(elapsed_ms)) = result;
@@ -174,7 +180,7 @@
             return;
         }
         let given_up = matches!(result, SetUpResult::GivenUp(_));
-        // Reckoned before this outcome is known to the model, so that it does not vouch for itself.
+        // Computed before this result enters the model, so that it does not support itself.
         let set_up_ms = if given_up {
             self.times.expected_after(elapsed_ms)
         } else {
@@ -205,7 +211,7 @@
         self.overall_total = (self.overall_total.0 + 1.0, self.overall_total.1 + set_up_ms);
     }
 
-    /// The bucket and the stratum, after room was made: two buckets are kept, and so many strata of each.
+    /// The stratum of a set-up, after old buckets were dropped. Two buckets are kept, with at most [`MAX_STRATA`] each.
     fn stratum_key(&mut self, wall_clock: f64, product: u16, title: u32) -> StratumKey {
         let bucket = (wall_clock / self.bucket_ms).max(0.0) as u64;
         self.strata.retain(|key, _| key.bucket + 1 >= bucket && key.bucket <= bucket);
@@ -214,13 +220,13 @@
         if is_full && !self.strata.contains_key(&key) { StratumKey { title: 0, ..key } } else { key }
     }
 
-    /// A server is not listed any more, or started anew: what is known of it goes.
+    /// Drops what is known of servers that are no longer listed with this start of their process.
     pub fn keep_servers(&mut self, is_listed: impl Fn(u64, u64) -> bool) {
         self.servers.retain(|id, _| is_listed(id.0, id.1));
         self.server_totals.retain(|id, _| is_listed(id.0, id.1));
     }
 
-    /// This front's sums as cells.
+    /// The cells for this front's row.
     pub fn cells(&self) -> Vec<Vec<u8>> {
         aggregates::encode_cells(&self.strata, &self.servers)
     }
--- a/crates/whatif/src/report.rs
+++ b/crates/whatif/src/report.rs
@@ -1,18 +1,18 @@
-//! What the sums say, with how surely, and where they may not say.
+//! Computes estimates from the sums, with their uncertainty, and states where the data does not allow any. Times are in ms.
 
 use crate::aggregates::{Aggregates, POLICIES, PlainSum, Policy, ServerSums, Stratum};
 use serde::Serialize;
 
 /// Standard errors to either side of a 90% interval.
 const INTERVAL_ERRORS: f64 = 1.645;
-/// Standard errors by which a server must be slower than the others to be named, and an alternative better: chance names one of 36 in one reading
-/// of twenty.
+/// Standard errors by which a server must be slower than the others, or an alternative better, to be named. At this value,
+/// chance names one of 36 servers in one report of twenty.
 const SIGNIFICANT_ERRORS: f64 = 3.0;
-/// Fewer say nothing; nor do sums of which more than this part was given up.
+/// No estimate is given for fewer plays, or if more than this share of them was given up.
 const MIN_PLAYS: f64 = 20.0;
 const MAX_GIVEN_UP_SHARE: f64 = 0.5;
 
-/// How many fronts there are, and whose sums these are.
+/// How many fronts there are, and whose sums are included.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Scope {
     pub fronts: usize,
@@ -20,60 +20,64 @@
     pub unheard: Vec<String>,
 }
 
+/// A mean in ms with its 90% interval.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Estimate {
-    /// ms; the interval holds the truth in nine of ten.
+    /// The interval contains the true mean in nine of ten cases.
     pub mean: f64,
     pub low: f64,
     pub high: f64,
 }
 
+/// What set-ups would have taken under a policy.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PolicyEstimate {
     pub policy: Policy,
-    /// None where it may not be said.
+    /// The doubly robust estimate; `None` if the data does not allow one.
     pub robust: Option<Estimate>,
     pub inverse: Option<Estimate>,
     pub direct: Option<f64>,
-    /// What it would have changed, ms a set-up: below 0 the routing lost by not doing so.
+    /// Change of the set-up time under this policy, ms. Below 0, the actual routing was worse.
     pub gain: Option<Estimate>,
-    /// As many evenly weighted plays say as much.
+    /// Effective number of plays behind the estimate by inverse chances.
     pub effective: f64,
 }
 
+/// The set-up times of one server.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ServerEstimate {
     pub server: u64,
     pub born: u64,
     pub plays: u32,
     pub mean: Option<Estimate>,
-    /// Over the mean of the other servers, ms.
+    /// Excess over the mean of the other servers, ms.
     pub more: Option<Estimate>,
-    /// So much slower that chance is no explanation.
+    /// Whether it is slower by more than chance explains.
     pub slow: bool,
 }
 
+/// All estimates for a set of strata.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Report {
     pub over: Scope,
     pub plays: u32,
     pub given_up: u32,
     pub undecided: bool,
-    /// Why.
+    /// The reasons if `undecided`.
     pub because: Vec<String>,
     pub policies: Vec<PolicyEstimate>,
     pub servers: Vec<ServerEstimate>,
-    /// The alternative that would have been better for sure, if any is.
+    /// The alternative that is significantly better, if there is one; the best of several.
     pub better: Option<Policy>,
 }
 
-/// An interval is wider by what part of the fleet it does not know.
+/// The interval of a mean. It is widened by the share of fronts whose sums are missing.
 fn interval(scope: &Scope, (mean, error): (f64, f64), errors: f64) -> Estimate {
     let half_width = errors * error * scope.fronts as f64 / scope.heard.max(1) as f64;
     Estimate { mean, low: mean - half_width, high: mean + half_width }
 }
 
-/// Why nothing may be said of these, if so.
+/// The reasons why no estimate may be given; empty if there are none.
 fn reasons_undecided(scope: &Scope, plays: f64, given_up: f64) -> Vec<String> {
     let mut reasons = Vec::new();
     if scope.heard * 2 <= scope.fronts {
@@ -88,6 +92,7 @@
     reasons
 }
 
+/// The estimates for each policy.
 pub fn policy_estimates(scope: &Scope, stratum: &Stratum) -> Vec<PolicyEstimate> {
     let plays = f64::from(stratum.set_ups);
     let is_undecided = !reasons_undecided(scope, plays, f64::from(stratum.given_up)).is_empty();
@@ -110,9 +115,10 @@
     POLICIES.iter().zip(&stratum.policies).map(estimate).collect()
 }
 
-/// A server, its sums, its mean and the error of that.
+/// A server, its sums, and its mean with the standard error.
 type KnownServer<'a> = (&'a (u64, u64), &'a ServerSums, (f64, f64));
 
+/// The estimates for each server, compared with the mean of the others.
 fn server_estimates(scope: &Scope, sums: &Aggregates) -> Vec<ServerEstimate> {
     let known: Vec<KnownServer> = sums
         .servers
@@ -142,7 +148,7 @@
     sums.servers.iter().map(estimate_server).collect()
 }
 
-/// What all of it says, or what is said of one class or title.
+/// The report on all strata that `include` accepts. The estimates for servers are over all strata.
 pub fn report(
     scope: Scope,
     sums: &Aggregates,
--- a/crates/whatif/tests/estimates.rs
+++ b/crates/whatif/tests/estimates.rs
@@ -1,4 +1,4 @@
-//! Estimates against days whose truth is known.
+//! Compares estimates with simulated plays whose true set-up times are known.
 
 use oorandom::Rand64;
 use pulleystair_whatif::aggregates::{Aggregates, Policy};
@@ -8,8 +8,9 @@
 
 const SERVERS: usize = 6;
 
-/// A day of one front's plays: each goes by the weighted draw among four of six servers, two zones; the last server is
-/// slower by so much. Set-ups longer than `patience` are given up. The true mean under each policy comes with it.
+/// Simulates one front's plays, each with the weighted draw among four of six servers in two zones. The last server is
+/// slower by `slower` ms. Every second set-up longer than `patience` ms is given up. Also returns the true means under the
+/// uniform policy and the one that takes the roomiest.
 fn simulate_plays(seed: u64, plays: usize, slower: f64, patience: f64) -> (OutcomeLog, [f64; 2]) {
     let mut rng = Rand64::new(seed.into());
     let mut log = OutcomeLog::new(0, 60_000.0, 10_000.0);
@@ -49,10 +50,12 @@
     (log, true_means)
 }
 
+/// Of 8 fronts, this many are heard.
 fn scope(heard: usize) -> Scope {
     Scope { fronts: 8, heard, unheard: Vec::new() }
 }
 
+/// The report on the sums of several fronts.
 fn combined_report(logs: &[&OutcomeLog], heard: usize) -> Report {
     let mut sums = Aggregates::default();
     for log in logs {
@@ -69,17 +72,17 @@
         let estimates = combined_report(&[&log], 8);
         for (policy, true_mean) in [(Policy::Uniform, true_means[0]), (Policy::Roomiest, true_means[1])] {
             let estimate = estimates.policies.iter().find(|p| p.policy == policy).and_then(|p| p.robust);
-            let estimate = estimate.expect("300 plays say something");
+            let estimate = estimate.expect("300 plays are enough for an estimate");
             intervals += 1;
             containing += usize::from(estimate.low <= true_mean && true_mean <= estimate.high);
         }
     }
-    println!("{containing} of {intervals} intervals hold the truth");
+    println!("{containing} of {intervals} intervals contain the true mean");
     assert!(containing * 100 >= intervals * 85, "{containing} of {intervals}");
 }
 
-#[test_case(60.0, true; "one is slower")]
-#[test_case(0.0, false; "none is")]
+#[test_case(60.0, true; "one server is slower")]
+#[test_case(0.0, false; "no server is slower")]
 fn only_a_slower_server_is_named(slower: f64, expect_named: bool) {
     let mut wrong = 0;
     for seed in 0..20 {
@@ -97,13 +100,13 @@
     assert!(wrong <= 1, "{wrong} of 20");
 }
 
-/// Half of the viewers wait 60 ms and no longer. Taken at their time-out, those given up would make the mean 9 ms too low;
-/// dropped, lower still.
+/// Half of the viewers give up after 60 ms. Counted with the time waited, their set-ups would make the mean 9 ms too low;
+/// left out, lower still.
 #[test]
 fn a_given_up_set_up_counts_as_longer_than_the_time_waited() {
     let (log, true_means) = simulate_plays(3, 6_000, 0.0, 60.0);
     let estimates = combined_report(&[&log], 8);
-    let robust = estimates.policies[2].robust.expect("it says something").mean;
+    let robust = estimates.policies[2].robust.expect("the data is enough for an estimate").mean;
     assert!(estimates.given_up > 1_000, "{}", estimates.given_up);
     assert!((robust - true_means[0]).abs() < 4.0, "{robust} {}", true_means[0]);
 }
@@ -120,7 +123,10 @@
     assert_eq!(width(4), None);
     let width_of_same_sums =
         |heard| combined_report(&[&logs[0], &logs[1]], heard).policies[2].robust.map(|e| e.high - e.low);
-    assert!(width_of_same_sums(6) > width_of_same_sums(8), "the same sums say less where fronts are missing");
+    assert!(
+        width_of_same_sums(6) > width_of_same_sums(8),
+        "the same sums must give wider intervals if fronts are missing"
+    );
     assert!(combined_report(&logs.iter().take(4).collect::<Vec<_>>(), 4).undecided);
 }
 
