--- a/crates/fleet-member/src/row.rs
+++ b/crates/fleet-member/src/row.rs
@@ -1,77 +1,82 @@
 //! Where in a front's row what stands: the one place that gives keys to cells.
 
-use crate::{FleetMember, SELDOM};
+use crate::{FleetMember, SLOW_TICKS};
 use pulleystair_gossip::{FrontView, Gossip};
 use pulleystair_shared_state::PeerState;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-const HELLO: u16 = 0;
-pub(crate) const ACTIVE: u16 = 1;
-const WISHES: Range<u16> = 0x100..0x200;
+const ZONE: u16 = 0;
+pub(crate) const ACTIVE_VERSION: u16 = 1;
+const LOAN_REQUESTS: Range<u16> = 0x100..0x200;
 const GRANTS: Range<u16> = 0x200..0x400;
 const COUNTS: Range<u16> = 0x400..0x600;
-const JUDGEMENTS: Range<u16> = 0x600..0x800;
-pub(crate) const SUMS: Range<u16> = 0x800..0xC00;
+const SERVER_RESULTS: Range<u16> = 0x600..0x800;
+pub(crate) const AGGREGATES: Range<u16> = 0x800..0xC00;
 
 #[derive(Serialize, Deserialize)]
-struct Hello {
+struct ZoneCell {
     zone: String,
 }
 
 /// Writes a list of cells under its keys; those that the list no longer has are emptied.
-fn put(gossip: &mut Gossip, written: &mut BTreeMap<u16, usize>, keys: Range<u16>, cells: Vec<Vec<u8>>) {
-    let most = keys.len();
-    let before = written.insert(keys.start, cells.len().min(most)).unwrap_or(0);
-    let count = cells.len();
+fn write_cells(
+    gossip: &mut Gossip,
+    cells_written: &mut BTreeMap<u16, usize>,
+    keys: Range<u16>,
+    cells: Vec<Vec<u8>>,
+) {
+    let max_cells = keys.len();
+    let old_count = cells_written.insert(keys.start, cells.len().min(max_cells)).unwrap_or(0);
+    let new_count = cells.len();
     for (key, cell) in keys.clone().zip(cells) {
         gossip.put(key, cell);
     }
-    for key in keys.skip(count).take(before.saturating_sub(count)) {
+    for key in keys.skip(new_count).take(old_count.saturating_sub(new_count)) {
         gossip.put(key, Vec::new());
     }
 }
 
 impl FleetMember {
-    pub(crate) fn hello(&mut self) {
-        let zone = self.terms.zones.get(self.terms.zone).cloned().unwrap_or_default();
-        self.gossip.put(HELLO, postcard::to_stdvec(&Hello { zone }).unwrap_or_default());
+    pub(crate) fn write_zone(&mut self) {
+        let zone = self.config.zones.get(self.config.zone).cloned().unwrap_or_default();
+        self.gossip.put(ZONE, postcard::to_stdvec(&ZoneCell { zone }).unwrap_or_default());
     }
 
     /// Writes this front's own row.
-    pub(crate) fn write(&mut self, now: f64, wall: f64) {
-        let (wishes, grants) = self.budgets.cells();
-        let (counts, judgements) = (self.counts.cells(), self.judgements.cells(now));
-        let (gossip, written) = (&mut self.gossip, &mut self.written);
-        put(gossip, written, WISHES, wishes);
-        put(gossip, written, GRANTS, grants);
-        put(gossip, written, COUNTS, counts);
-        put(gossip, written, JUDGEMENTS, judgements);
+    pub(crate) fn write_row(&mut self, now: f64, wall_clock: f64) {
+        let (loan_requests, grants) = self.budgets.cells();
+        let (counts, server_results) = (self.counts.cells(), self.server_health.cells(now));
+        let (gossip, cells_written) = (&mut self.gossip, &mut self.cells_written);
+        write_cells(gossip, cells_written, LOAN_REQUESTS, loan_requests);
+        write_cells(gossip, cells_written, GRANTS, grants);
+        write_cells(gossip, cells_written, COUNTS, counts);
+        write_cells(gossip, cells_written, SERVER_RESULTS, server_results);
         // Estimates are the largest part of a row, and the least urgent: in a large fleet they go round more seldom.
-        let sums = SELDOM * (self.fronts as u64).div_ceil(10);
-        if self.looks % sums == 1 {
-            put(gossip, written, SUMS, self.outcomes.cells());
+        let aggregate_ticks = SLOW_TICKS * (self.fronts as u64).div_ceil(10);
+        if self.ticks % aggregate_ticks == 1 {
+            write_cells(gossip, cells_written, AGGREGATES, self.outcomes.cells());
         }
-        if self.looks % SELDOM == 1 {
-            let active = self.own_active(wall).encode();
-            self.gossip.put(ACTIVE, active);
+        if self.ticks % SLOW_TICKS == 1 {
+            let active = self.own_active(wall_clock).encode();
+            self.gossip.put(ACTIVE_VERSION, active);
         }
     }
 }
 
 /// What a row says to budgets, counts and judgements.
-pub(crate) fn heard<'a>(row: &FrontView<'a>, zones: &[String]) -> PeerState<'a> {
-    let hello: Option<Hello> = row.cell(HELLO).and_then(|cell| postcard::from_bytes(cell).ok());
+pub(crate) fn peer_state<'a>(row: &FrontView<'a>, zones: &[String]) -> PeerState<'a> {
+    let zone_cell: Option<ZoneCell> = row.cell(ZONE).and_then(|cell| postcard::from_bytes(cell).ok());
     let cells = |keys: Range<u16>| row.cells(keys).map(|(_, cell)| cell).collect::<Vec<&[u8]>>();
     PeerState {
         origin: row.origin,
         incarnation: row.incarnation,
-        zone: hello.and_then(|it| zones.iter().position(|z| *z == it.zone)),
+        zone: zone_cell.and_then(|cell| zones.iter().position(|z| *z == cell.zone)),
         age: row.age,
-        loan_requests: cells(WISHES),
+        loan_requests: cells(LOAN_REQUESTS),
         grants: cells(GRANTS),
         counts: cells(COUNTS),
-        server_results: cells(JUDGEMENTS),
+        server_results: cells(SERVER_RESULTS),
     }
 }
