--- a/crates/fleet-member/src/lib.rs
+++ b/crates/fleet-member/src/lib.rs
@@ -1,9 +1,10 @@
-//! A fellow: one front's part in a fleet that shares. It keeps the front's own row in the exchange, reads the others', and
-//! hands back plain values: datagrams to send, what the decisions are to be told of servers, verdicts and estimates. It
-//! decides nothing on plays, does no I/O, and is handed the time; the real front and the tests' fleets run the same one.
+//! One front's membership in a fleet of fronts that share state. [`FleetMember`] writes the front's own gossip row, reads the
+//! rows of the others, and returns plain values: datagrams to send, hints on servers for the placement policy, verdicts and
+//! estimates. It decides nothing about plays, does no I/O, and gets the time from its caller; times are in ms. The real
+//! front (`pulleystair-edge`) and the tests' fleets use the same code.
 //!
-//! [`FleetMember::next_deadline`] says when it wants to be looked at; a loan that ends is told at that moment, so a host looks at it
-//! before it does anything else.
+//! [`FleetMember::next_deadline`] gives the next moment at which [`FleetMember::tick`] must be called. The end of a loan is
+//! handed out at that moment, so the caller must tick before it does anything else.
 
 mod row;
 mod status;
@@ -28,44 +29,46 @@
 pub use pulleystair_shared_state::server_health::AllocationResult;
 pub use pulleystair_whatif::{Candidate, SetUpResult};
 
-/// So often its row is written anew, and others' are read, ms; what changes seldom or costs more, every so many times.
+/// Time between two ticks that write this front's row and read the others', ms. What changes seldom or is expensive is
+/// written every `SLOW_TICKS` ticks.
 const TICK_MS: f64 = 100.0;
 const SLOW_TICKS: u64 = 10;
 
-/// A server's or title's number for all fronts alike: SipHash 1-3 of its name.
+/// Identifier of a server or title that is the same at all fronts: SipHash 1-3 of its name.
 pub fn stable_id(name: &str) -> u64 {
     let mut hasher = siphasher::sip::SipHasher13::new();
     hasher.write(name.as_bytes());
     hasher.finish()
 }
 
-/// What the decisions are told of a server; which one, its host says beside it.
+/// The hint as the placement policy takes it. The caller sets its server, which has another number there.
 pub fn policy_hint(hint: &ServerHint) -> pulleystair::ServerHint {
     let ServerHint { doubted, pace, further_gap, probe_gap, .. } = *hint;
     pulleystair::ServerHint { server: 0, doubted, pace, further_gap, probe_gap }
 }
 
+/// What a [`FleetMember`] is made with.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
     pub gossip: GossipConfig,
-    /// This front's zone among all.
+    /// Index of this front's zone in `zones`.
     pub zone: usize,
     pub zones: Vec<String>,
     /// How long parts of budgets are lent, ms.
     pub lease_ms: f64,
-    /// Further allocations and probes of all fronts to one server, a second; 0 for no bound.
+    /// Maximum number of further allocations, and of probes, of all fronts to one server per second; 0 for no limit.
     pub further_s: f64,
     pub probes_s: f64,
-    /// A verdict is an alarm once it has stood so long, ms.
+    /// A verdict becomes an alarm once it has lasted for this time, ms.
     pub alarm_delay: f64,
-    /// Go by the stricter figure while adrift in a rule.
+    /// Whether the front uses the stricter value while it is adrift in a rule.
     pub stricter: bool,
-    /// Buckets of estimates, and the longest set-up that counts, ms.
+    /// Length of the time buckets of the estimates, and longest set-up that is told apart, ms.
     pub bucket: f64,
     pub max_set_up: f64,
 }
 
-/// A server as this front's list has it, with when its process started.
+/// A server in this front's list, when its process started, and until when it is cold (ms).
 #[derive(Clone, Copy, Debug)]
 pub struct ListedServer {
     pub server: Server,
@@ -73,6 +76,7 @@
     pub cold_until: f64,
 }
 
+/// One front's part in the fleet.
 pub struct FleetMember {
     config: FleetConfig,
     gossip: Gossip,
@@ -88,16 +92,18 @@
     listed_servers: BTreeMap<u64, ListedServer>,
     titles: Vec<Vec<u64>>,
     health: HealthView,
+    /// The hints that were last handed out, by server.
     last_hints: BTreeMap<u64, ServerHint>,
-    /// When each budget was last used, so that use that is too dense shows.
+    /// When each budget was last used, to detect that it is used more often than the gap allows.
     last_used_at: BTreeMap<(u64, BudgetKind), f64>,
-    /// Chunks that each kind of cell had when last written.
+    /// Number of cells of each kind that were last written, by their first key.
     cells_written: BTreeMap<u16, usize>,
     next_tick_at: f64,
     ticks: u64,
 }
 
 impl FleetMember {
+    /// `incarnation` must be above that of any earlier start of this front.
     pub fn new(
         config: FleetConfig,
         now: f64,
@@ -133,7 +139,7 @@
 
     // ---- what this front does and knows ----
 
-    /// The list of servers, and the holders of each title.
+    /// Sets the list of servers and the holders of each title.
     pub fn update_list(&mut self, servers: &[ListedServer], titles: Vec<Vec<u64>>) {
         self.listed_servers = servers.iter().map(|server| (server.server.id, *server)).collect();
         self.titles = titles;
@@ -143,7 +149,7 @@
         self.last_hints.retain(|id, _| listed_servers.contains_key(id));
     }
 
-    /// An allocation goes to a server; a further one of its play's, perhaps.
+    /// Notes that an allocation was sent to a server; `further` if it is not the first of its play.
     pub fn on_sent(&mut self, now: f64, server: u64, further: bool) {
         self.budgets.request(now, (server, BudgetKind::Pace), false);
         if further {
@@ -151,11 +157,12 @@
         }
     }
 
+    /// Notes that a probe was sent to a server.
     pub fn on_probed(&mut self, now: f64, server: u64) {
         self.note_budget_use(now, server, BudgetKind::Probes);
     }
 
-    /// What comes again within two of its gaps wants more.
+    /// Notes a use of a budget. Two uses within twice its gap mean that the front needs more of it.
     fn note_budget_use(&mut self, now: f64, server: u64, kind: BudgetKind) {
         let gap = self.last_hints.get(&server).map_or(0.0, |hint| match kind {
             BudgetKind::Further => hint.further_gap,
@@ -169,7 +176,7 @@
         );
     }
 
-    /// Servers at which plays wait for their turn.
+    /// Notes the servers at which plays are waiting.
     pub fn on_waiting(&mut self, now: f64, servers: impl IntoIterator<Item = u64>) {
         for id in servers {
             let is_cold = self.listed_servers.get(&id).is_some_and(|server| now < server.cold_until);
@@ -181,11 +188,12 @@
         }
     }
 
+    /// Records the result of an allocation for the health of its server.
     pub fn on_result(&mut self, now: f64, server: u64, result: AllocationResult) {
         self.server_health.record(now, server, result);
     }
 
-    /// A play's so-many-th allocation, out for so long, plays or is out no more.
+    /// Records that an allocation, given as play and number, plays or has ended, after `waited_ms`.
     pub fn on_allocation_result(
         &mut self,
         now: f64,
@@ -209,21 +217,21 @@
         self.outcomes.record_result(wall_clock, play, allocation, set_up_result);
     }
 
-    /// Set-ups out and plays that run, by server and product: all of this front's own.
+    /// Sets this front's own plays by server and product: those being set up, and those playing.
     pub fn set_play_counts(&mut self, own_counts: BTreeMap<(u64, u16), (u32, u32)>) {
         self.counts.replace(own_counts);
     }
 
-    /// What runs, as it was read back from it; without what this front holds itself to for being adrift.
+    /// Sets the sections that the front runs, as read back from it, without the stricter values that it uses while adrift.
     pub fn set_active(&mut self, sections: Sections) {
         self.sections = sections;
     }
 
-    /// The approved versions. A chain that does not go on from the one in hand is refused.
+    /// Sets the approved versions. A chain that does not begin with the current one is rejected.
     pub fn set_approved(&mut self, chain: VersionChain) -> Result<(), String> {
         match &self.chain {
             Some(current) if !current.is_prefix_of(&chain) => {
-                Err("it does not go on from the versions that are in hand".into())
+                Err("the file does not begin with the approved versions that are already in use".into())
             }
             _ => {
                 self.chain = Some(chain);
@@ -232,24 +240,25 @@
         }
     }
 
-    // ---- the exchange ----
+    // ---- gossip ----
 
-    /// When it wants to be looked at next: a round, a look, or the end of a loan.
+    /// The next moment at which `tick` must be called: a gossip round, a regular tick, or the end of a loan.
     pub fn next_deadline(&self) -> f64 {
         self.next_tick_at.min(self.gossip.next_deadline()).min(self.budgets.next_expiry())
     }
 
-    /// Who a datagram is for.
+    /// The name of the front that a datagram is for.
     pub fn name(&self, to: Origin) -> &str {
         self.gossip.name(to)
     }
 
+    /// Handles a datagram of another front; returns the answers to send.
     pub fn receive(&mut self, now: f64, bytes: &[u8]) -> Vec<Datagram> {
         self.gossip.receive(now, bytes)
     }
 
-    /// Writes this front's row, reads the others', and asks some of them. What the decisions are to be told anew of
-    /// servers comes back, and datagrams to send.
+    /// Writes this front's row, reads the others' rows, and asks some of them. Returns the hints that have changed, and the
+    /// datagrams to send.
     pub fn tick(&mut self, now: f64, wall_clock: f64) -> (Vec<ServerHint>, Vec<Datagram>) {
         if self.gossip.incarnation() != self.incarnation {
             self.incarnation = self.gossip.incarnation();
@@ -265,6 +274,7 @@
         (self.changed_hints(now), self.gossip.run_round(now))
     }
 
+    /// Reads the other fronts' rows into the budgets and the health of servers.
     fn read_rows(&mut self, now: f64) {
         let rows: Vec<FrontView> =
             self.gossip.fronts(now).filter(|v| v.origin != self.gossip.own()).collect();
@@ -274,7 +284,7 @@
         self.health = self.server_health.evaluate(now, &peers, &servers, &self.titles);
     }
 
-    /// What has changed of what the decisions are told.
+    /// The hints that differ from those last handed out.
     fn changed_hints(&mut self, now: f64) -> Vec<ServerHint> {
         let mut out = Vec::new();
         for id in self.listed_servers.keys() {
@@ -298,31 +308,32 @@
         out
     }
 
-    /// What this front believes of the servers now.
+    /// What this front currently concludes on the servers.
     pub fn health(&self) -> &HealthView {
         &self.health
     }
 
-    /// Parts of a server's pace that this front holds now.
+    /// Parts of a server's pace that this front currently holds.
     pub fn budget_parts(&self, now: f64, server: u64) -> u32 {
         self.budgets.parts(now, (server, BudgetKind::Pace))
     }
 
     // ---- drift ----
 
-    /// This front's own word on what it goes by.
+    /// What this front reports about its own configuration.
     fn own_active(&self, wall_clock: f64) -> ActiveVersion {
         let head = self.chain.as_ref().and_then(VersionChain::head_id);
         ActiveVersion::new(&self.sections, head, self.own_differences(wall_clock))
     }
 
+    /// Differences of this front's configuration from the newest version that it may run.
     fn own_differences(&self, wall_clock: f64) -> Vec<pulleystair_drift::Difference> {
         let Some(chain) = &self.chain else { return Vec::new() };
         let index = chain.version_window(&self.config.gossip.name, wall_clock).0;
         index.map(|index| differences(&chain.sections(index), &self.sections)).unwrap_or_default()
     }
 
-    /// While it is adrift and asked to: the figures that it is to go by instead of its own, by path.
+    /// The stricter values that the front must use instead of its own, by path. Empty unless it is adrift and configured to.
     pub fn stricter(&self, wall_clock: f64) -> Vec<(String, f64)> {
         let Some(chain) = self.chain.as_ref().filter(|_| self.config.stricter) else { return Vec::new() };
         let own_report = status::own_report(&self.config.gossip.name, self.own_active(wall_clock));
@@ -332,7 +343,7 @@
         }
     }
 
-    /// The verdict on each front and on the fleet; none without an approved version.
+    /// The verdicts on all fronts and on the fleet; `None` without an approved version.
     pub fn drift(&mut self, now: f64, wall_clock: f64) -> Option<FleetStatus> {
         let own_report = status::own_report(&self.config.gossip.name, self.own_active(wall_clock));
         let chain = self.chain.as_ref()?;
@@ -342,11 +353,12 @@
         Some(self.detector.observe(&self.config.gossip.name, wall_clock, chain, &reports))
     }
 
+    /// Counters of the gossip.
     pub fn gossip_stats(&self) -> pulleystair_gossip::GossipStats {
         self.gossip.stats
     }
 
-    /// Fronts that are not heard now, by name.
+    /// Names of the fronts that are unheard now.
     pub fn unheard(&self, now: f64) -> BTreeSet<String> {
         status::unheard(&self.gossip, now)
     }
--- a/crates/fleet-member/src/row.rs
+++ b/crates/fleet-member/src/row.rs
@@ -1,4 +1,4 @@
-//! Where in a front's row what stands: the one place that gives keys to cells.
+//! Layout of a front's row: assigns the keys to cells. Writes this front's row, and reads the others' rows.
 
 use crate::{FleetMember, SLOW_TICKS};
 use pulleystair_gossip::{FrontView, Gossip};
@@ -15,12 +15,13 @@
 const SERVER_RESULTS: Range<u16> = 0x600..0x800;
 pub(crate) const AGGREGATES: Range<u16> = 0x800..0xC00;
 
+/// The cell with the name of the front's zone.
 #[derive(Serialize, Deserialize)]
 struct ZoneCell {
     zone: String,
 }
 
-/// Writes a list of cells under its keys; those that the list no longer has are emptied.
+/// Writes a list of cells under its keys. Cells of a previous, longer list are emptied.
 fn write_cells(
     gossip: &mut Gossip,
     cells_written: &mut BTreeMap<u16, usize>,
@@ -39,12 +40,13 @@
 }
 
 impl FleetMember {
+    /// Writes the cell with this front's zone.
     pub(crate) fn write_zone(&mut self) {
         let zone = self.config.zones.get(self.config.zone).cloned().unwrap_or_default();
         self.gossip.put(ZONE, postcard::to_stdvec(&ZoneCell { zone }).unwrap_or_default());
     }
 
-    /// Writes this front's own row.
+    /// Writes all other cells of this front's row.
     pub(crate) fn write_row(&mut self, now: f64, wall_clock: f64) {
         let (loan_requests, grants) = self.budgets.cells();
         let (counts, server_results) = (self.counts.cells(), self.server_health.cells(now));
@@ -53,7 +55,8 @@
         write_cells(gossip, cells_written, GRANTS, grants);
         write_cells(gossip, cells_written, COUNTS, counts);
         write_cells(gossip, cells_written, SERVER_RESULTS, server_results);
-        // Estimates are the largest part of a row, and the least urgent: in a large fleet they go round more seldom.
+        // The sums for estimates are the largest and least urgent part of a row: the larger the fleet, the less often they are
+        // sent.
         let aggregate_ticks = SLOW_TICKS * (self.fronts as u64).div_ceil(10);
         if self.ticks % aggregate_ticks == 1 {
             write_cells(gossip, cells_written, AGGREGATES, self.outcomes.cells());
@@ -65,7 +68,7 @@
     }
 }
 
-/// What a row says to budgets, counts and judgements.
+/// The part of a row that budgets, play counts and the health of servers need.
 pub(crate) fn peer_state<'a>(row: &FrontView<'a>, zones: &[String]) -> PeerState<'a> {
     let zone_cell: Option<ZoneCell> = row.cell(ZONE).and_then(|cell| postcard::from_bytes(cell).ok());
     let cells = |keys: Range<u16>| row.cells(keys).map(|(_, cell)| cell).collect::<Vec<&[u8]>>();
--- a/crates/fleet-member/src/status.rs
+++ b/crates/fleet-member/src/status.rs
@@ -1,4 +1,4 @@
-//! What a fellow says of the fleet when it is asked: verdicts, estimates, who is heard.
+//! Status of the fleet as this front sees it: verdicts, estimates, and which fronts are heard.
 
 use crate::FleetMember;
 use crate::row::{ACTIVE_VERSION, AGGREGATES, peer_state};
@@ -11,9 +11,10 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Titles whose regret is told, of those with most plays.
+/// Maximum number of titles in the status report: those with the most plays.
 const MAX_TITLES: usize = 20;
 
+/// The report of this front on itself.
 pub(crate) fn own_report(name: &str, active: ActiveVersion) -> FrontReport {
     FrontReport {
         front: name.to_string(),
@@ -24,7 +25,7 @@
     }
 }
 
-/// What every other front says that it goes by.
+/// What every other front reports about its configuration.
 pub(crate) fn peer_reports(gossip: &Gossip, now: f64) -> Vec<FrontReport> {
     let others = gossip.fronts(now).filter(|row| row.origin != gossip.own());
     let report_from = |row: pulleystair_gossip::FrontView| FrontReport {
@@ -37,6 +38,7 @@
     others.map(report_from).collect()
 }
 
+/// Names of the fronts that are unheard now.
 pub(crate) fn unheard(gossip: &Gossip, now: f64) -> BTreeSet<String> {
     let others = gossip.fronts(now).filter(|row| row.origin != gossip.own());
     let others = others.filter(|row| row.liveness == Liveness::Unheard);
@@ -44,17 +46,18 @@
 }
 
 impl FleetMember {
-    /// Set-up times under other policies, over all fronts that are heard; of all plays, or of some strata.
+    /// Set-up times under other policies, over all fronts that are heard, for the strata that `include` accepts.
     pub fn whatif(&self, now: f64, include: impl Fn(&StratumKey) -> bool) -> Report {
         report(self.scope(now), &self.aggregates(now), include)
     }
 
+    /// Whose sums the estimates include.
     fn scope(&self, now: f64) -> Scope {
         let unheard: Vec<String> = self.unheard(now).into_iter().collect();
         Scope { fronts: self.fronts, heard: self.fronts - unheard.len(), unheard }
     }
 
-    /// Each front's sums once: this one's own, and the row of each other that is heard.
+    /// The sums of this front and of each other front that is heard, each added once.
     fn aggregates(&self, now: f64) -> Aggregates {
         let mut aggregates = Aggregates::default();
         let own = self.outcomes.cells();
@@ -67,14 +70,14 @@
         aggregates
     }
 
-    /// Plays at a server over the whole fleet.
+    /// Number of plays at a server over the whole fleet.
     pub fn plays_at(&self, now: f64, server: u64, product: Option<u16>, bounds: PlayBounds) -> Interval {
         let others = self.gossip.fronts(now).filter(|row| row.origin != self.gossip.own());
         let others: Vec<_> = others.map(|row| peer_state(&row, &self.config.zones)).collect();
         self.counts.estimate(server, product, &others, bounds)
     }
 
-    /// All of it, for a person or a program that asks.
+    /// The status report as JSON, for operators and their tools. `names` gives the servers' names by id.
     pub fn status_report(&mut self, now: f64, wall_clock: f64, names: &BTreeMap<u64, String>) -> Value {
         let drift = self.drift(now, wall_clock);
         let status = drift.as_ref().map(pulleystair_drift::detector::FleetStatus::status);
