--- a/crates/drift/src/approved.rs
+++ b/crates/drift/src/approved.rs
@@ -26,10 +26,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ApprovedVersion {
+    /// Position in the chain, from 1.
     pub number: u64,
     /// Digest of the previous version; `None` for the first.
     pub parent: Option<String>,
+    /// The sections that this version sets.
     pub sections: Sections,
+    /// The stages of its rollout; at least one.
     pub stages: Vec<RolloutStage>,
     /// Who approved it, and when (Unix ms).
     pub by: String,
@@ -40,13 +43,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {cause}")]
 pub struct ChainError {
+    /// Number of the line, from 1.
     pub line: usize,
+    /// The field and what is wrong with it.
     pub cause: String,
 }
 
 /// All versions, beginning with the first.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VersionChain {
+    /// The versions in their order.
     pub documents: Vec<ApprovedVersion>,
     digests: Vec<String>,
 }
--- a/crates/drift/src/detector.rs
+++ b/crates/drift/src/detector.rs
@@ -10,14 +10,18 @@
 /// The verdict on one front, as printed in status reports.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FrontStatus {
+    /// Name of the front.
     pub front: String,
+    /// The verdict on the front as a whole.
     pub verdict: Verdict,
     /// Since when the verdict has applied, Unix ms on the reader's clock, and whether a person must look into it.
     pub since: f64,
     pub alarm: bool,
     /// Whether any difference is in a section on which one of the six rules depends.
     pub rule: bool,
+    /// The verdict on each section.
     pub sections: Vec<(String, Verdict)>,
+    /// What the front itself reports as different, if the verdict is wrong.
     pub differences: Vec<Difference>,
     /// Upper bound on the time since the front last reported, ms; `None` if it never did.
     pub age: Option<f64>,
@@ -35,6 +39,7 @@
     pub counts: BTreeMap<&'static str, usize>,
     /// Number of fronts on which no verdict is possible.
     pub unknown: usize,
+    /// The verdict on each front.
     pub fronts: Vec<FrontStatus>,
 }
 
--- a/crates/drift/src/lib.rs
+++ b/crates/drift/src/lib.rs
@@ -50,6 +50,7 @@
 pub struct Difference {
     /// Path of the value.
     pub name: String,
+    /// The approved value and the active one, as JSON text.
     pub approved: String,
     pub active: String,
 }
--- a/crates/drift/src/verdict.rs
+++ b/crates/drift/src/verdict.rs
@@ -58,11 +58,15 @@
 /// What a reader knows about a front.
 #[derive(Clone, Debug)]
 pub struct FrontReport {
+    /// Name of the front.
     pub front: String,
     /// Upper bound on the time since the front reported this, ms; infinite if it never did.
     pub age: f64,
+    /// Whether the front counts as unheard.
     pub unheard: bool,
+    /// Whether two different rows of the same version were received from it.
     pub contradictory: bool,
+    /// What it reports about its configuration; `None` if nothing or nothing valid.
     pub active: Option<ActiveVersion>,
 }
 
--- a/crates/fleet-member/src/lib.rs
+++ b/crates/fleet-member/src/lib.rs
@@ -50,9 +50,11 @@
 /// What a [`FleetMember`] is made with.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
+    /// Fleet, peers and rates of the gossip.
     pub gossip: GossipConfig,
     /// Index of this front's zone in `zones`.
     pub zone: usize,
+    /// Names of all zones, the same at all fronts.
     pub zones: Vec<String>,
     /// How long parts of budgets are lent, ms.
     pub lease_ms: f64,
@@ -71,8 +73,11 @@
 /// A server in this front's list, when its process started, and until when it is cold (ms).
 #[derive(Clone, Copy, Debug)]
 pub struct ListedServer {
+    /// The server.
     pub server: Server,
+    /// When its process started.
     pub born: u64,
+    /// Until when it is cold, ms.
     pub cold_until: f64,
 }
 
@@ -85,6 +90,7 @@
     budgets: Budgets,
     counts: PlayCounts,
     server_health: ServerHealth,
+    /// Choices and their results; the host records the choices directly.
     pub outcomes: OutcomeLog,
     detector: Detector,
     chain: Option<VersionChain>,
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -57,8 +57,10 @@
 /// Why a list of peers was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeerListError {
+    /// A peer occurs twice, or has this front's own name.
     #[error("peers: {0:?} is listed twice or is this front itself")]
     Duplicate(String),
+    /// Two names have the same CRC-32C and cannot be told apart.
     #[error("peers: {0:?} and {1:?} have the same checksum; rename one of them")]
     SameChecksum(String, String),
 }
@@ -86,6 +88,7 @@
     next_round_at: f64,
     /// Bytes that may be sent now, and when that was last updated.
     token_bucket: (f64, f64),
+    /// Counters since the start.
     pub stats: GossipStats,
 }
 
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -20,14 +20,19 @@
 /// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
+    /// Longer than [`MAX_BYTES`].
     #[error("the datagram is longer than 1,200 bytes")]
     TooLong,
+    /// Another [`GOSSIP_VERSION`].
     #[error("the datagram has another version of the gossip format")]
     OtherVersion,
+    /// The checksum of another fleet's name.
     #[error("the datagram is from another fleet")]
     OtherFleet,
+    /// Truncated, wrong checksum, not decodable, or with cells outside the stated versions.
     #[error("the datagram is truncated, corrupt or inconsistent")]
     Corrupt,
+    /// A row older than `MAX_AGE_MS`.
     #[error("the datagram gives a row an impossible age")]
     ImpossibleAge,
 }
@@ -35,8 +40,11 @@
 /// Up to which version a front knows a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowVersion {
+    /// The front whose row it is.
     pub origin: Origin,
+    /// Incarnation of the row's origin.
     pub incarnation: u64,
+    /// Number of changes that the origin had made in this incarnation.
     pub version: u64,
     /// Upper bound on the time since the row was current at its origin, ms; `None` if unknown.
     pub age: Option<u32>,
@@ -47,31 +55,42 @@
 /// One value of a row, and the version of the row that last changed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cell {
+    /// Key of the cell; the layout is the caller's.
     pub key: u16,
+    /// Version of the row that last changed the cell.
     pub version: u64,
+    /// Value of the cell; the encoding is the caller's.
     pub value: Vec<u8>,
 }
 
 /// All changes of a row after version `from`, up to `known.version`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
+    /// The row, and the version up to which the change goes.
     pub known: RowVersion,
+    /// Version after which the change begins; 0 for the whole row.
     pub from: u64,
     /// Version of the sender's row when the change was cut from it. If it is above `known.version`, more parts follow.
     pub source_version: u64,
+    /// The changed cells.
     pub cells: Vec<Cell>,
 }
 
 /// A question, an answer, or both.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
+    /// The sending front.
     pub from: Origin,
+    /// Number of this message, which an answer repeats as `echo`.
     pub nonce: u32,
     /// Nonce of the question that this answers. It gives the receiver an upper bound on the age of the rows.
     pub echo: Option<u32>,
     /// Whether the sender wants an answer.
     pub wants_answer: bool,
+    /// Versions of rows that the sender knows. A question lists those that it asks about. An answer lists those that need no
+    /// change, and those that it asks about in turn.
     pub known: Vec<RowVersion>,
+    /// Changes that the receiver lacks.
     pub changes: Vec<Change>,
 }
 
--- a/crates/gossip/src/view.rs
+++ b/crates/gossip/src/view.rs
@@ -6,14 +6,18 @@
 /// How recently a front was heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Liveness {
+    /// Its row is recent.
     Heard,
+    /// Its row is older than `doubted_after`.
     Doubted,
+    /// Its row is older than `unheard_after`, or it was never heard.
     Unheard,
 }
 
 /// Counters of datagrams and changes that were sent, accepted and rejected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GossipStats {
+    /// Datagrams sent, and their bytes.
     pub sent: u64,
     pub sent_bytes: u64,
     /// Datagrams accepted.
@@ -41,17 +45,23 @@
 /// A datagram to a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
+    /// The receiving front.
     pub to: Origin,
+    /// The encoded message.
     pub bytes: Vec<u8>,
 }
 
 /// One front as this front knows it.
 pub struct FrontView<'a> {
+    /// Identifier of the front.
     pub origin: Origin,
+    /// Incarnation of its row; 0 if it was never heard.
     pub incarnation: u64,
+    /// Version of its row.
     pub version: u64,
     /// Upper bound on the time since the row was current at its origin, ms; infinite if it was never heard.
     pub age: f64,
+    /// How recently it was heard, by `age`.
     pub liveness: Liveness,
     /// Whether two different rows of the same incarnation and version were received recently.
     pub contradictory: bool,
--- a/crates/shared-state/src/budgets.rs
+++ b/crates/shared-state/src/budgets.rs
@@ -42,8 +42,11 @@
 /// What a budget limits: the pace of allocations to a cold server, further allocations of a play, or probes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum BudgetKind {
+    /// Allocations to a cold server.
     Pace,
+    /// Further allocations of plays that have one already.
     Further,
+    /// Probes.
     Probes,
 }
 
--- a/crates/shared-state/src/counts.rs
+++ b/crates/shared-state/src/counts.rs
@@ -29,8 +29,11 @@
 /// Bounds on a number of plays, and the best estimate.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Interval {
+    /// Lower bound.
     pub low: f64,
+    /// The reported number, limited to the bounds.
     pub middle: f64,
+    /// Upper bound.
     pub high: f64,
 }
 
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -15,24 +15,32 @@
 /// What one other front reports, as last received. The lists hold the cells of its row.
 #[derive(Clone, Debug)]
 pub struct PeerState<'a> {
+    /// Identifier of the front.
     pub origin: u32,
+    /// Incarnation of its row.
     pub incarnation: u64,
     /// The front's zone, if it reported one.
     pub zone: Option<usize>,
     /// Upper bound on the time since the front reported this, ms.
     pub age: f64,
+    /// Cells with its loan requests; see [`budgets`].
     pub loan_requests: Vec<&'a [u8]>,
+    /// Cells with the loans that it has granted; see [`budgets`].
     pub grants: Vec<&'a [u8]>,
+    /// Cells with its numbers of plays; see [`counts`].
     pub counts: Vec<&'a [u8]>,
+    /// Cells with its results at servers; see [`server_health`].
     pub server_results: Vec<&'a [u8]>,
 }
 
 /// A media server as the server list gives it.
 #[derive(Clone, Copy, Debug)]
 pub struct Server {
+    /// Identifier that is the same at all fronts.
     pub id: u64,
     /// Index of its zone.
     pub zone: usize,
+    /// Index of its cell; the holders of a title are the servers of consecutive cells.
     pub cell: usize,
     /// Capacity of its link, in any unit that is the same for all servers.
     pub link: f64,
@@ -41,6 +49,7 @@
 /// What the placement policy is to know about a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerHint {
+    /// Identifier of the server.
     pub server: u64,
     /// Whether it is doubted because of reports of other fronts.
     pub doubted: bool,
--- a/crates/shared-state/src/server_health.rs
+++ b/crates/shared-state/src/server_health.rs
@@ -40,15 +40,20 @@
 /// The result of an allocation, as far as it concerns the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AllocationResult {
+    /// The play was set up.
     Success,
+    /// The server answered with an error.
     Error,
+    /// The server did not answer in time, or the connection broke.
     TimedOut,
+    /// The server refused the connection or could not be reached.
     Refused,
 }
 
 /// Numbers of allocations and of their results.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultCounts {
+    /// Allocations with a result.
     pub tries: u32,
     pub successes: u32,
     pub errors: u32,
@@ -116,6 +121,7 @@
 /// This front's conclusions on the servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HealthView {
+    /// Identifiers of the servers that are doubted.
     pub doubted: BTreeSet<u64>,
     /// The zone that counts as lost; its servers are among the doubted.
     pub lost: Option<usize>,
@@ -133,6 +139,7 @@
 }
 
 impl ServerHealth {
+    /// For a front in this zone.
     pub fn new(now: f64, zone: usize) -> ServerHealth {
         ServerHealth {
             zone,
--- a/crates/whatif/src/aggregates.rs
+++ b/crates/whatif/src/aggregates.rs
@@ -26,8 +26,11 @@
 /// A bucket of time, a product and, while there is room for it, the checksum of the title (0 for all other titles).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StratumKey {
+    /// Number of the bucket of time.
     pub bucket: u64,
+    /// Index of the product.
     pub product: u16,
+    /// Checksum of the title, or 0.
     pub title: u32,
 }
 
@@ -84,7 +87,9 @@
 /// Unweighted sums of one value per play.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlainSum {
+    /// Sum of the values.
     pub sum: f64,
+    /// Sum of their squares.
     pub squares: f64,
 }
 
@@ -144,9 +149,13 @@
 /// Sums over the set-ups of one stratum.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Stratum {
+    /// Number of set-ups.
     pub set_ups: u32,
+    /// How many of them were given up.
     pub given_up: u32,
+    /// Set-up times, with the expected ones of those given up.
     pub set_up_times: PlainSum,
+    /// Sums by policy, in the order of [`POLICIES`].
     pub policies: [PolicySums; 5],
 }
 
@@ -183,8 +192,11 @@
 /// Sums over one server's set-ups, weighted by inverse chances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServerSums {
+    /// Number of set-ups.
     pub set_ups: u32,
+    /// How many of them were given up.
     pub given_up: u32,
+    /// Their times, weighted by inverse chances.
     pub times: WeightedSum,
 }
 
--- a/crates/whatif/src/lib.rs
+++ b/crates/whatif/src/lib.rs
@@ -34,19 +34,24 @@
 /// A holder that could have been drawn.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
+    /// Identifier of the server.
     pub server: u64,
     /// When its process started. After a restart it counts as a different server.
     pub born: u64,
+    /// Index of its zone.
     pub zone: usize,
     /// The chance with which it was drawn.
     pub chance: f64,
+    /// Free capacity by which the draw is weighted.
     pub room: f64,
 }
 
 /// The result of an allocation, in ms: the set-up time, or the time waited until it was given up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SetUpResult {
+    /// The play was set up.
     Playing(f64),
+    /// The set-up failed, was withdrawn or timed out.
     GivenUp(f64),
 }
 
--- a/crates/whatif/src/report.rs
+++ b/crates/whatif/src/report.rs
@@ -15,8 +15,11 @@
 /// How many fronts there are, and whose sums are included.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Scope {
+    /// Fronts in the fleet.
     pub fronts: usize,
+    /// Fronts whose sums are included.
     pub heard: usize,
+    /// Names of the other fronts.
     pub unheard: Vec<String>,
 }
 
@@ -35,7 +38,9 @@
     pub policy: Policy,
     /// The doubly robust estimate; `None` if the data does not allow one.
     pub robust: Option<Estimate>,
+    /// The estimate by inverse chances.
     pub inverse: Option<Estimate>,
+    /// The estimate by the model of the servers alone, without an interval.
     pub direct: Option<f64>,
     /// Change of the set-up time under this policy, ms. Below 0, the actual routing was worse.
     pub gain: Option<Estimate>,
@@ -46,9 +51,13 @@
 /// The set-up times of one server.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ServerEstimate {
+    /// Identifier of the server.
     pub server: u64,
+    /// When its process started.
     pub born: u64,
+    /// Number of set-ups there.
     pub plays: u32,
+    /// Mean set-up time.
     pub mean: Option<Estimate>,
     /// Excess over the mean of the other servers, ms.
     pub more: Option<Estimate>,
@@ -59,13 +68,19 @@
 /// All estimates for a set of strata.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Report {
+    /// Whose sums are included.
     pub over: Scope,
+    /// Number of set-ups.
     pub plays: u32,
+    /// How many of them were given up.
     pub given_up: u32,
+    /// Whether the data is too scarce for any estimate.
     pub undecided: bool,
     /// The reasons if `undecided`.
     pub because: Vec<String>,
+    /// The estimates by policy.
     pub policies: Vec<PolicyEstimate>,
+    /// The estimates by server.
     pub servers: Vec<ServerEstimate>,
     /// The alternative that is significantly better, if there is one; the best of several.
     pub better: Option<Policy>,
