--- a/crates/fleet-member/src/lib.rs
+++ b/crates/fleet-member/src/lib.rs
@@ -1,6 +1,6 @@
-//! One front's membership in a fleet of fronts that share state. [`FleetMember`] writes the front's own gossip row, reads the
-//! rows of the others, and returns plain values: datagrams to send, hints on servers for the placement policy, verdicts and
-//! estimates. It decides nothing about plays, does no I/O, and gets the time from its caller; times are in ms. The real
+//! One front's membership in a fleet of fronts that share state. [`FleetMember`] writes the front's own gossip row, reads
+//! the rows of the others, and returns plain values: datagrams to send, hints on servers for the placement policy, verdicts
+//! and estimates. It decides nothing about plays, does no I/O, and gets the time from its caller; times are in ms. The real
 //! front (`pulleystair-edge`) and the tests' fleets use the same code.
 //!
 //! [`FleetMember::next_deadline`] gives the next moment at which [`FleetMember::tick`] must be called. The end of a loan is
--- a/crates/fleet-member/src/row.rs
+++ b/crates/fleet-member/src/row.rs
@@ -55,8 +55,8 @@
         write_cells(gossip, cells_written, GRANTS, grants);
         write_cells(gossip, cells_written, COUNTS, counts);
         write_cells(gossip, cells_written, SERVER_RESULTS, server_results);
-        // The sums for estimates are the largest and least urgent part of a row: the larger the fleet, the less often they are
-        // sent.
+        // The sums for estimates are the largest and least urgent part of a row. The larger the fleet, the less often they
+        // are sent.
         let aggregate_ticks = SLOW_TICKS * (self.fronts as u64).div_ceil(10);
         if self.ticks % aggregate_ticks == 1 {
             write_cells(gossip, cells_written, AGGREGATES, self.outcomes.cells());
--- a/crates/fleet-member/src/status.rs
+++ b/crates/fleet-member/src/status.rs
@@ -60,8 +60,8 @@
     /// The sums of this front and of each other front that is heard, each added once.
     fn aggregates(&self, now: f64) -> Aggregates {
         let mut aggregates = Aggregates::default();
-        let own = self.outcomes.cells();
-        aggregates.add(own.iter().map(Vec::as_slice));
+        let own_cells = self.outcomes.cells();
+        aggregates.add(own_cells.iter().map(Vec::as_slice));
         let others = self.gossip.fronts(now).filter(|row| row.origin != self.gossip.own());
         for row in others.filter(|row| row.liveness != Liveness::Unheard) {
             let cells = row.cells(AGGREGATES).map(|(_, cell)| cell).filter(|cell| !cell.is_empty());
--- a/crates/shared-state/src/budgets.rs
+++ b/crates/shared-state/src/budgets.rs
@@ -167,11 +167,11 @@
 
     /// Parts that this front may spend now. Ask before each use, because loans end by the clock alone.
     pub fn parts(&self, now: f64, budget: BudgetId) -> u32 {
-        let own = if now < self.loans_unknown_until { RESERVED_PARTS } else { PARTS_PER_FRONT };
-        let Some(state) = self.states.get(&budget) else { return own };
+        let own_parts = if now < self.loans_unknown_until { RESERVED_PARTS } else { PARTS_PER_FRONT };
+        let Some(state) = self.states.get(&budget) else { return own_parts };
         let lent = state.parts_lent(now);
         let borrowed: u32 = state.borrowed.values().filter(|h| now < h.2).map(|h| h.1).sum();
-        let parts = own.saturating_sub(lent) + borrowed;
+        let parts = own_parts.saturating_sub(lent) + borrowed;
         assert!(
             lent <= PARTS_PER_FRONT - RESERVED_PARTS && parts <= self.total_parts(),
             "budget exceeded: {lent} parts lent, {parts} held, {} in total",
--- a/crates/shared-state/src/counts.rs
+++ b/crates/shared-state/src/counts.rs
@@ -51,22 +51,22 @@
 /// This front's plays, by server and product: being set up, and playing.
 #[derive(Default)]
 pub struct PlayCounts {
-    own: BTreeMap<(u64, u16), (u32, u32)>,
+    own_counts: BTreeMap<(u64, u16), (u32, u32)>,
 }
 
 impl PlayCounts {
     /// Sets this front's numbers for one server and product.
     pub fn set(&mut self, server: u64, product: u16, setting_up: u32, playing: u32) {
         if setting_up + playing == 0 {
-            self.own.remove(&(server, product));
+            self.own_counts.remove(&(server, product));
         } else {
-            self.own.insert((server, product), (setting_up, playing));
+            self.own_counts.insert((server, product), (setting_up, playing));
         }
     }
 
     /// Replaces all of this front's numbers.
-    pub fn replace(&mut self, own: BTreeMap<(u64, u16), (u32, u32)>) {
-        self.own = own;
+    pub fn replace(&mut self, own_counts: BTreeMap<(u64, u16), (u32, u32)>) {
+        self.own_counts = own_counts;
     }
 
     /// The cells for this front's row.
@@ -77,7 +77,7 @@
             setting_up: counts.0,
             playing: counts.1,
         };
-        encode_cells(self.own.iter().map(row), MAX_CELL_BYTES)
+        encode_cells(self.own_counts.iter().map(row), MAX_CELL_BYTES)
     }
 
     /// Plays at a server, of one product or of all. `peers` must hold every other front; the age of those never heard is
@@ -90,9 +90,9 @@
         bounds: PlayBounds,
     ) -> Interval {
         let matches = |s: u64, p: u16| s == server && product.is_none_or(|product| product == p);
-        let own = self.own.iter().filter(|(k, _)| matches(k.0, k.1));
-        let own: f64 = own.map(|(_, n)| f64::from(n.0 + n.1)).sum();
-        let (mut low, mut middle, mut oldest) = (own, own, 0.0f64);
+        let own_plays = self.own_counts.iter().filter(|(k, _)| matches(k.0, k.1));
+        let own_plays: f64 = own_plays.map(|(_, n)| f64::from(n.0 + n.1)).sum();
+        let (mut low, mut middle, mut oldest) = (own_plays, own_plays, 0.0f64);
         for peer in peers {
             let rows = decode_cells::<Row>(&peer.counts);
             let reported = rows.iter().filter(|r| matches(r.server, r.product));
@@ -107,7 +107,7 @@
         let added = bounds.max_added_per_ms.map_or(f64::INFINITY, |max_added_per_ms| {
             (max_added_per_ms * oldest).ceil() + peers.len() as f64
         });
-        let high = (middle + added).min(bounds.max_plays).max(own);
+        let high = (middle + added).min(bounds.max_plays).max(own_plays);
         let low = low.min(high);
         Interval { low, middle: middle.clamp(low, high), high }
     }
--- a/crates/shared-state/src/server_health.rs
+++ b/crates/shared-state/src/server_health.rs
@@ -13,8 +13,9 @@
 //! - A zone counts as lost if at least [`LOST_ZONE_SHARE`] of its servers timed out or refused since any of them last
 //!   served, as seen by this front and those of its zone, while servers elsewhere serve. This front must have seen such a
 //!   failure there itself, or [`MIN_AGREEING`] fronts of its zone must have. For old reports, failures count as that much
-//!   older and successes do not. At most one zone counts as lost, with no more than [`MAX_LOST_ZONE_LINKS`] of the total link
-//!   capacity. Its servers are doubted in addition to those above, and none of them is any longer once the first one serves.
+//!   older and successes do not. At most one zone counts as lost, with no more than [`MAX_LOST_ZONE_LINKS`] of the total
+//!   link capacity. Its servers are doubted in addition to those above, and none of them is any longer once the first one
+//!   serves.
 //!
 //! A doubted server is still tried at its pace, so that a wrong doubt is discovered.
 
@@ -257,21 +258,21 @@
     }
 
     /// Number of fronts that report failures of a server, if they are enough to doubt it.
-    fn count_agreeing(&self, own: Option<&ResultCounts>, reports: &[ServerReport]) -> Option<usize> {
-        let own_report = own.map(|counts| (Some(self.zone), *counts));
+    fn count_agreeing(&self, own_counts: Option<&ResultCounts>, reports: &[ServerReport]) -> Option<usize> {
+        let own_report = own_counts.map(|counts| (Some(self.zone), *counts));
         let all: Vec<(Option<usize>, ResultCounts)> =
-            reports.iter().map(|w| (w.zone, w.counts)).chain(own_report).collect();
+            reports.iter().map(|r| (r.zone, r.counts)).chain(own_report).collect();
         let own_zone: Vec<(Option<usize>, ResultCounts)> =
-            all.iter().filter(|w| w.0 == Some(self.zone)).copied().collect();
+            all.iter().filter(|r| r.0 == Some(self.zone)).copied().collect();
         let count = |group: &[(Option<usize>, ResultCounts)]| {
-            let failing = group.iter().filter(|w| w.1.is_failing()).count();
-            (failing, group.iter().filter(|w| w.1.is_serving()).count())
+            let failing = group.iter().filter(|r| r.1.is_failing()).count();
+            (failing, group.iter().filter(|r| r.1.is_serving()).count())
         };
         let (failing, serving) = count(&own_zone);
         if failing + serving >= MIN_AGREEING {
             return (failing >= MIN_AGREEING && failing > serving).then_some(failing);
         }
-        let zones: BTreeSet<Option<usize>> = all.iter().filter(|w| w.1.is_failing()).map(|w| w.0).collect();
+        let zones: BTreeSet<Option<usize>> = all.iter().filter(|r| r.1.is_failing()).map(|r| r.0).collect();
         let own_zone_serves = serving > 0;
         let (failing, serving) = count(&all);
         (failing >= MIN_AGREEING && failing > serving && zones.len() >= 2 && !own_zone_serves)
@@ -281,13 +282,13 @@
     /// The zone whose servers all failed this front and others of its zone since any of them last served.
     fn lost_zone(&self, reports: &BTreeMap<u64, Vec<ServerReport>>, servers: &[Server]) -> Option<usize> {
         let own_zone_reports =
-            |id: u64| reports.get(&id).into_iter().flatten().filter(|w| w.zone == Some(self.zone));
+            |id: u64| reports.get(&id).into_iter().flatten().filter(|r| r.zone == Some(self.zone));
         let mut zones: BTreeMap<usize, Vec<&Server>> = BTreeMap::new();
         servers.iter().for_each(|server| zones.entry(server.zone).or_default().push(server));
         let last_served = |zone_servers: &[&Server]| {
             let last_served_at = zone_servers.iter().flat_map(|s| {
-                let own = self.served_at.get(&s.id).copied();
-                own_zone_reports(s.id).filter_map(|w| w.served_at).chain(own)
+                let own_served_at = self.served_at.get(&s.id).copied();
+                own_zone_reports(s.id).filter_map(|r| r.served_at).chain(own_served_at)
             });
             last_served_at.fold(f64::NEG_INFINITY, f64::max)
         };
@@ -297,7 +298,7 @@
             let is_newer = |at: f64| at > last_served_at;
             let own_failure = |s: &Server| self.failed_at.get(&s.id).is_some_and(|at| is_newer(*at));
             let peer_failures =
-                |s: &Server| own_zone_reports(s.id).filter(|w| w.failed_at.is_some_and(is_newer)).count();
+                |s: &Server| own_zone_reports(s.id).filter(|r| r.failed_at.is_some_and(is_newer)).count();
             let failed_count = zone_servers.iter().filter(|s| own_failure(s) || peer_failures(s) > 0).count();
             // A single peer with false reports must not be enough.
             let is_confirmed =
--- a/crates/shared-state/tests/conclusions.rs
+++ b/crates/shared-state/tests/conclusions.rs
@@ -30,7 +30,7 @@
 }
 
 /// What a front concludes from its own results and the others' reports of this age.
-fn evaluate(own: &Front, others: &[Front], age: f64) -> HealthView {
+fn evaluate(own_results: &Front, others: &[Front], age: f64) -> HealthView {
     let report_cells: Vec<Vec<Vec<u8>>> = others.iter().map(cells).collect();
     let mut peers = Vec::new();
     for (i, front) in others.iter().enumerate() {
@@ -45,8 +45,8 @@
             server_results: report_cells[i].iter().map(Vec::as_slice).collect(),
         });
     }
-    let mut health = ServerHealth::new(0.0, own.0);
-    for (server, result, times) in &own.1 {
+    let mut health = ServerHealth::new(0.0, own_results.0);
+    for (server, result, times) in &own_results.1 {
         (0..*times).for_each(|_| health.record(100.0, *server, *result));
     }
     health.evaluate(100.0, &peers, &servers(), &titles())
@@ -112,12 +112,12 @@
 
 #[test]
 fn a_failing_zone_is_lost_until_its_first_success() {
-    let own: Front = (0, vec![(1, AllocationResult::TimedOut, 1), (0, AllocationResult::Success, 3)]);
+    let own_results: Front = (0, vec![(1, AllocationResult::TimedOut, 1), (0, AllocationResult::Success, 3)]);
     let others = [timing_out_at(0, &[3]), timing_out_at(0, &[5]), served_at(0, &[2, 4])];
-    let view = evaluate(&own, &others, 10.0);
+    let view = evaluate(&own_results, &others, 10.0);
     assert_eq!((view.lost, view.doubted.into_iter().collect::<Vec<u64>>()), (Some(1), vec![1, 3, 5, 7]));
     let after_success = [timing_out_at(0, &[3]), timing_out_at(0, &[5]), served_at(0, &[2, 4, 7])];
-    assert_eq!(evaluate(&own, &after_success, 10.0), HealthView::default());
+    assert_eq!(evaluate(&own_results, &after_success, 10.0), HealthView::default());
 }
 
 #[test]
@@ -167,8 +167,8 @@
             reported.set(1, 0, 0, true_counts[front]);
             last_rows[front] = (now, reported.cells());
         }
-        let mut own = PlayCounts::default();
-        own.replace(BTreeMap::from([((1, 0), (0, true_counts[0]))]));
+        let mut own_counts = PlayCounts::default();
+        own_counts.replace(BTreeMap::from([((1, 0), (0, true_counts[0]))]));
         let peer = |i: usize| PeerState {
             origin: i as u32,
             incarnation: 1,
@@ -180,7 +180,7 @@
             server_results: vec![],
         };
         let peers: Vec<PeerState> = (1..4).map(peer).collect();
-        let interval = own.estimate(1, None, &peers, bounds);
+        let interval = own_counts.estimate(1, None, &peers, bounds);
         let total = f64::from(true_counts.iter().sum::<u32>());
         assert!(
             interval.low <= total
--- a/crates/whatif/src/censored.rs
+++ b/crates/whatif/src/censored.rs
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Expected time of a set-up that was given up after `waited_ms`: the mean of the longer ones, as far as any were waited for
-    /// longer. If none was, it is `waited_ms`.
+    /// Expected time of a set-up that was given up after `waited_ms`: the mean of the longer ones, as far as any were waited
+    /// for longer. If none was, it is `waited_ms`.
     pub fn expected_after(&self, waited_ms: f64) -> f64 {
         let waited_ms = waited_ms.min(self.max_ms);
         let Some((completed, censored)) = &self.histograms else { return waited_ms };
--- a/crates/whatif/tests/estimates.rs
+++ b/crates/whatif/tests/estimates.rs
@@ -9,8 +9,8 @@
 const SERVERS: usize = 6;
 
 /// Simulates one front's plays, each with the weighted draw among four of six servers in two zones. The last server is
-/// slower by `slower` ms. A set-up of an even-numbered play that takes longer than `patience` ms is given up. Also returns the
-/// true means under the uniform policy and under the one that takes the holder with the most room.
+/// slower by `slower` ms. A set-up of an even-numbered play that takes longer than `patience` ms is given up. Also returns
+/// the true means under the uniform policy and under the one that takes the holder with the most room.
 fn simulate_plays(seed: u64, plays: usize, slower: f64, patience: f64) -> (OutcomeLog, [f64; 2]) {
     let mut rng = Rand64::new(seed.into());
     let mut log = OutcomeLog::new(0, 60_000.0, 10_000.0);
