--- a/crates/drift/src/detector.rs
+++ b/crates/drift/src/detector.rs
@@ -1,5 +1,5 @@
-//! How long each verdict has stood, and the verdict on the fleet. One that changes within the hold time is no alarm, so a
-//! front that is between two versions for the moment of taking one wakes nobody.
+//! Tracks how long each verdict has lasted, and summarises the fleet. A verdict that changes within the alarm delay raises
+//! no alarm, so that a front that is briefly between two versions while it applies one does not alert anyone.
 
 use crate::approved::VersionChain;
 use crate::verdict::{FrontReport, Verdict, judge};
@@ -7,38 +7,46 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
+/// The verdict on one front, as printed in status reports.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FrontStatus {
+    /// Name of the front.
     pub front: String,
+    /// The verdict on the front as a whole.
     pub verdict: Verdict,
-    /// Since when it is said of it, Unix ms on the reader's clock, and whether a person is to look.
+    /// Since when the verdict has applied, Unix ms on the reader's clock, and whether a person must look into it.
     pub since: f64,
     pub alarm: bool,
-    /// What differs lies in what one of the six rules stands on.
+    /// Whether any difference is in a section on which one of the six rules depends.
     pub rule: bool,
+    /// The verdict on each section.
     pub sections: Vec<(String, Verdict)>,
+    /// What the front itself reports as different, if the verdict is wrong.
     pub differences: Vec<Difference>,
-    /// ms since it last said so, at most; none where it never did.
+    /// Upper bound on the time since the front last reported, ms; `None` if it never did.
     pub age: Option<f64>,
 }
 
-/// The fleet, from one front.
+/// The state of the fleet as one front sees it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct FleetStatus {
-    /// The front that says so, and the approved version that it holds.
+    /// The front that reports this, and the number of the newest approved version that it holds.
     pub by: String,
     pub approved: Option<u64>,
-    /// Some front holds another version of this number.
+    /// Whether some front holds a different version with the same number.
     pub forked: bool,
+    /// Number of fronts by verdict.
     pub counts: BTreeMap<&'static str, usize>,
+    /// Number of fronts on which no verdict is possible.
     pub unknown: usize,
+    /// The verdict on each front.
     pub fronts: Vec<FrontStatus>,
 }
 
 impl FleetStatus {
-    /// 0: all in step, or on their way. 1: one is not. 2: of some nobody can say.
+    /// Exit status: 0 if all fronts are in step or on their way, 1 if one has an alarm, 2 if some are unknown.
     pub fn status(&self) -> u8 {
-        if self.fronts.iter().any(|s| s.alarm && s.verdict.wrong()) {
+        if self.fronts.iter().any(|s| s.alarm && s.verdict.is_wrong()) {
             1
         } else {
             2 * u8::from(self.unknown > 0)
@@ -46,65 +54,72 @@
     }
 }
 
+/// Tracks the verdicts on all fronts over time.
 pub struct Detector {
-    hold: f64,
-    /// By front: the verdict, since when, and since when it has been other than well.
-    stood: BTreeMap<String, (Verdict, f64, Option<f64>)>,
+    alarm_delay: f64,
+    /// By front: the verdict, since when it has applied, and since when verdicts have been wrong or unknown.
+    verdicts: BTreeMap<String, (Verdict, f64, Option<f64>)>,
 }
 
-fn same(a: &Verdict, b: &Verdict) -> bool {
+/// Whether two verdicts are of the same kind, whatever their numbers.
+fn is_same_kind(a: &Verdict, b: &Verdict) -> bool {
     a.name() == b.name()
 }
 
 impl Detector {
-    /// A verdict is an alarm once it has stood for so many ms.
-    pub fn new(hold: f64) -> Detector {
-        Detector { hold, stood: BTreeMap::new() }
+    /// A verdict becomes an alarm once it has been wrong or unknown for `alarm_delay` ms.
+    pub fn new(alarm_delay: f64) -> Detector {
+        Detector { alarm_delay, verdicts: BTreeMap::new() }
     }
 
+    /// Judges all reports at a time, and updates how long each verdict has lasted. `by` is this front's name.
     pub fn observe(
         &mut self,
         by: &str,
-        wall: f64,
+        wall_clock: f64,
         chain: &VersionChain,
-        words: &[FrontReport],
+        reports: &[FrontReport],
     ) -> FleetStatus {
         let head = chain.head_id();
         let mut fleet =
             FleetStatus { by: by.to_string(), approved: head.map(|head| head.0), ..FleetStatus::default() };
-        for word in words {
-            let (verdict, sections) = judge(chain, wall, word);
-            let theirs = word.active.as_ref().and_then(|active| active.head);
-            fleet.forked |= theirs.zip(head).is_some_and(|(t, h)| t.0 <= h.0 && !chain.has(t));
-            let bad = verdict.wrong() || verdict.unknown();
-            let stood = self.stood.entry(word.front.clone()).or_insert((verdict.clone(), wall, None));
-            if !same(&stood.0, &verdict) {
-                stood.1 = wall;
+        for report in reports {
+            let (verdict, sections) = judge(chain, wall_clock, report);
+            let their_head = report.active.as_ref().and_then(|active| active.head);
+            fleet.forked |= their_head
+                .zip(head)
+                .is_some_and(|(theirs, ours)| theirs.0 <= ours.0 && !chain.contains(theirs));
+            let is_bad = verdict.is_wrong() || verdict.is_unknown();
+            let entry =
+                self.verdicts.entry(report.front.clone()).or_insert((verdict.clone(), wall_clock, None));
+            if !is_same_kind(&entry.0, &verdict) {
+                entry.1 = wall_clock;
             }
-            stood.0 = verdict.clone();
-            stood.2 = bad.then(|| stood.2.unwrap_or(wall));
-            let alarm = stood.2.is_some_and(|since| wall - since >= self.hold);
+            entry.0 = verdict.clone();
+            entry.2 = is_bad.then(|| entry.2.unwrap_or(wall_clock));
+            let alarm = entry.2.is_some_and(|since| wall_clock - since >= self.alarm_delay);
             let differs = |name: &str| {
-                let own = |d: &Difference| d.name == name || d.name.starts_with(&format!("{name}."));
-                sections.iter().any(|(n, v)| *n == name && v.wrong())
-                    || word.active.iter().flat_map(|a| &a.differences).any(own)
+                let is_in_section =
+                    |d: &Difference| d.name == name || d.name.starts_with(&format!("{name}."));
+                sections.iter().any(|(n, v)| *n == name && v.is_wrong())
+                    || report.active.iter().flat_map(|a| &a.differences).any(is_in_section)
             };
             *fleet.counts.entry(verdict.name()).or_default() += 1;
-            fleet.unknown += usize::from(verdict.unknown());
-            let told = word.active.as_ref().filter(|_| verdict.wrong());
+            fleet.unknown += usize::from(verdict.is_unknown());
+            let wrong_report = report.active.as_ref().filter(|_| verdict.is_wrong());
             fleet.fronts.push(FrontStatus {
-                front: word.front.clone(),
-                since: stood.1,
+                front: report.front.clone(),
+                since: entry.1,
                 alarm,
-                rule: verdict.wrong() && RULE_SECTIONS.iter().any(|name| differs(name)),
+                rule: verdict.is_wrong() && RULE_SECTIONS.iter().any(|name| differs(name)),
                 sections: sections.iter().map(|(name, v)| (name.to_string(), v.clone())).collect(),
-                differences: told.map(|a| a.differences.clone()).unwrap_or_default(),
-                age: word.age.is_finite().then_some(word.age),
+                differences: wrong_report.map(|a| a.differences.clone()).unwrap_or_default(),
+                age: report.age.is_finite().then_some(report.age),
                 verdict,
             });
         }
-        let named: Vec<&str> = words.iter().map(|w| w.front.as_str()).collect();
-        self.stood.retain(|front, _| named.contains(&front.as_str()));
+        let names: Vec<&str> = reports.iter().map(|w| w.front.as_str()).collect();
+        self.verdicts.retain(|front, _| names.contains(&front.as_str()));
         fleet
     }
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,14 +1,17 @@
-//! The exchange between the fronts of a fleet, after scuttlebutt reconciliation (van Renesse et al., 2008): each front
-//! keeps rows, one an origin, versioned by that origin's incarnation (as in SWIM, Das et al., 2002) and its count of
-//! changes. In a round a front tells a few others how far it knows which rows; they answer with what it lacks, and it
-//! with what they lack. No I/O and no clock: time, bytes and a seed come in; bytes and whom to send them to go out.
+//! Gossip between the fronts of a fleet, after scuttlebutt reconciliation (van Renesse et al., 2008). Each front keeps one
+//! row per front ("origin"), versioned by the origin's incarnation (as in SWIM, Das et al., 2002) and its count of
+//! changes. In a round, a front asks a few peers and reports up to which version it knows which rows. Each peer answers
+//! with the changes that the front lacks, and asks in turn for those that the peer lacks. The module does no I/O and reads
+//! no clock: the caller (`pulleystair-fleet-member`) passes in the time (ms), received bytes and a seed, and sends the
+//! returned datagrams.
 //!
-//! Nothing is taken that does not answer a question of this front's own, of this moment. So each row comes with the
-//! most that its age can be, with no agreement of clocks: the time since the question, plus the age that the answerer
-//! gives, which it has in the same way. Delay, doubling and reorder make a row older than it is, never younger.
+//! A front applies only answers to a recent question of its own. It can therefore bound the age of each row without
+//! synchronised clocks: the age is at most the time since the question plus the age that the answering peer gives, which
+//! that peer has bounded in the same way. Delay, duplication and reordering can make a row appear older than it is, never
+//! younger.
 //!
-//! A front that is not heard is *doubted* after a while and *unheard* after a longer one; its last row stays, as bounds
-//! may rest on it. What is sent stays under a rate, whatever the size of the fleet.
+//! A front that has not been heard is *doubted* after a while and *unheard* after a longer while. Its last row is kept,
+//! because bounds may depend on it. The bytes sent per second stay under a limit, whatever the size of the fleet.
 
 pub mod message;
 mod row;
@@ -16,342 +19,369 @@
 
 use message::{Change, MAX_BYTES, Message, MessageError, Origin, RowVersion};
 use oorandom::Rand32;
-use row::{Row, Taken};
+use row::{ChangeResult, Row};
 use std::collections::{BTreeMap, VecDeque};
 pub use view::{Datagram, FrontView, GossipStats, Liveness};
 
-/// Clocks of two fronts run apart by no more than this part; spans that must not be too short are longer by it.
+/// Maximum relative drift between the clocks of two fronts. Durations that must not be too short are extended by it.
 pub const MAX_CLOCK_DRIFT: f64 = 0.01;
-/// Questions whose answers are still taken.
-const ASKED: usize = 64;
-/// Rows told of in one question: so many that changed last, and so many in turn.
-const LATEST: usize = 14;
-const IN_TURN: usize = 18;
-/// Datagrams that answer one.
-const ANSWERS: usize = 4;
-/// A cell's value, bytes: it must fit into a datagram with its head.
+/// Questions that are remembered; answers to older questions are discarded.
+const MAX_OPEN_QUESTIONS: usize = 64;
+/// Rows listed in one question: the `LATEST_ROWS` that changed last, and `ROTATING_ROWS` others in rotation.
+const LATEST_ROWS: usize = 14;
+const ROTATING_ROWS: usize = 18;
+/// Maximum number of datagrams that answer one datagram.
+const MAX_ANSWERS: usize = 4;
+/// Maximum size of a cell's value, bytes: it must fit into one datagram together with its header.
 pub const MAX_CELL_BYTES: usize = 1_000;
 
+/// What a [`Gossip`] is made with.
 #[derive(Clone, Debug)]
 pub struct GossipConfig {
+    /// Name of the fleet; datagrams of other fleets are ignored.
     pub fleet: String,
+    /// Name of this front.
     pub name: String,
+    /// Names of all other fronts.
     pub peers: Vec<String>,
-    /// How often a front asks, ms, and how many others each time.
+    /// Time between two rounds, ms, and the number of peers asked in each.
     pub interval: f64,
     pub fan_out: usize,
-    /// Bytes sent in a second, at most; questions and answers.
+    /// Maximum number of bytes sent per second, questions and answers together.
     pub bytes_s: f64,
-    /// Not heard for so long, ms.
+    /// A front is doubted, or unheard, once its row is older than this, ms.
     pub doubted_after: f64,
     pub unheard_after: f64,
 }
 
+/// Why a list of peers was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeerListError {
-    #[error("peers: {0:?} is listed twice, or is this front")]
-    Twice(String),
-    #[error("peers: {0:?} and {1:?} have one checksum; rename one of them")]
-    Alike(String, String),
+    /// A peer occurs twice, or has this front's own name.
+    #[error("peers: {0:?} is listed twice or is this front itself")]
+    Duplicate(String),
+    /// Two names have the same CRC-32C and cannot be told apart.
+    #[error("peers: {0:?} and {1:?} have the same checksum; rename one of them")]
+    SameChecksum(String, String),
 }
 
+/// The identifier of a front: the CRC-32C of its name.
 pub fn origin_of(name: &str) -> Origin {
     crc32c::crc32c(name.as_bytes())
 }
 
+/// One front's replica of all rows, and its part in the exchange.
 pub struct Gossip {
-    terms: GossipConfig,
+    config: GossipConfig,
     fleet: u32,
-    own: Origin,
-    rnd: Rand32,
+    own_origin: Origin,
+    rng: Rand32,
     names: BTreeMap<Origin, String>,
     rows: BTreeMap<Origin, Row>,
-    /// Others in an order drawn anew each time it is through: each is asked equally often.
+    /// Peers still to be asked, in random order. It is refilled once it is empty, so that all are asked equally often.
     order: Vec<Origin>,
-    /// Where the rows told of in turn go on.
-    turn: usize,
+    /// Index of the row that was last listed in rotation.
+    rotation: usize,
     nonce: u32,
-    asked: VecDeque<(u32, Origin, f64)>,
-    next: f64,
-    purse: (f64, f64),
+    /// Recent questions of this front: nonce, peer, and when it was asked.
+    open_questions: VecDeque<(u32, Origin, f64)>,
+    next_round_at: f64,
+    /// Bytes that may be sent now, and when that was last updated.
+    token_bucket: (f64, f64),
+    /// Counters since the start.
     pub stats: GossipStats,
 }
 
 impl Gossip {
-    /// `incarnation` must be above that of any earlier start of this front, as a wall clock's reading is; one that is
-    /// not is raised once a peer tells.
-    pub fn new(terms: GossipConfig, now: f64, incarnation: u64, seed: u64) -> Result<Gossip, PeerListError> {
-        let own = origin_of(&terms.name);
-        let mut names = BTreeMap::from([(own, terms.name.clone())]);
-        for peer in &terms.peers {
+    /// `incarnation` must be above that of any earlier start of this front; a reading of the wall clock is. If it is not,
+    /// it is raised as soon as a peer reports a newer one.
+    pub fn new(config: GossipConfig, now: f64, incarnation: u64, seed: u64) -> Result<Gossip, PeerListError> {
+        let own_origin = origin_of(&config.name);
+        let mut names = BTreeMap::from([(own_origin, config.name.clone())]);
+        for peer in &config.peers {
             match names.insert(origin_of(peer), peer.clone()) {
-                Some(other) if other == *peer => return Err(PeerListError::Twice(other)),
-                Some(other) => return Err(PeerListError::Alike(other, peer.clone())),
+                Some(other) if other == *peer => return Err(PeerListError::Duplicate(other)),
+                Some(other) => return Err(PeerListError::SameChecksum(other, peer.clone())),
                 None => {}
             }
         }
         let mut rows: BTreeMap<Origin, Row> = names.keys().map(|o| (*o, Row::default())).collect();
-        rows.insert(own, Row { incarnation, as_of: f64::INFINITY, ..Row::default() });
+        rows.insert(own_origin, Row { incarnation, as_of: f64::INFINITY, ..Row::default() });
         Ok(Gossip {
-            fleet: crc32c::crc32c(terms.fleet.as_bytes()),
-            own,
-            rnd: Rand32::new(seed ^ u64::from(own)),
+            fleet: crc32c::crc32c(config.fleet.as_bytes()),
+            own_origin,
+            rng: Rand32::new(seed ^ u64::from(own_origin)),
             names,
             rows,
             order: Vec::new(),
-            turn: 0,
+            rotation: 0,
             nonce: 0,
-            asked: VecDeque::new(),
-            next: now,
-            purse: (terms.bytes_s, now),
+            open_questions: VecDeque::new(),
+            next_round_at: now,
+            token_bucket: (config.bytes_s, now),
             stats: GossipStats::default(),
-            terms,
+            config,
         })
     }
 
+    /// The identifier of this front.
     pub fn own(&self) -> Origin {
-        self.own
+        self.own_origin
     }
 
+    /// The current incarnation of this front's row.
     pub fn incarnation(&self) -> u64 {
-        self.rows[&self.own].incarnation
+        self.rows[&self.own_origin].incarnation
     }
 
+    /// The name of a front; "?" if it is unknown.
     pub fn name(&self, origin: Origin) -> &str {
         self.names.get(&origin).map_or("?", String::as_str)
     }
 
-    /// Writes a cell of this front's own row; a value that stands there already is no change. False where it is too long.
+    /// Writes a cell of this front's own row. A value equal to the present one is no change. Returns false if the value is
+    /// too long.
     pub fn put(&mut self, key: u16, value: Vec<u8>) -> bool {
         let fits = value.len() <= MAX_CELL_BYTES;
-        if let Some(row) = self.rows.get_mut(&self.own).filter(|_| fits)
-            && row.cells.get(&key).is_none_or(|(_, was)| *was != value)
+        if let Some(row) = self.rows.get_mut(&self.own_origin).filter(|_| fits)
+            && row.cells.get(&key).is_none_or(|(_, old_value)| *old_value != value)
         {
             row.version += 1;
-            row.set(key, row.version, value);
+            row.set_cell(key, row.version, value);
         }
         fits
     }
 
-    /// All fronts, this one among them, by name's checksum.
+    /// All fronts including this one, ordered by identifier.
     pub fn fronts(&self, now: f64) -> impl Iterator<Item = FrontView<'_>> {
         self.rows.iter().map(move |(origin, row)| self.view(now, *origin, row))
     }
 
+    /// One front; `None` if it is not in this fleet.
     pub fn front(&self, now: f64, origin: Origin) -> Option<FrontView<'_>> {
         self.rows.get(&origin).map(|row| self.view(now, origin, row))
     }
 
     fn view<'a>(&self, now: f64, origin: Origin, row: &'a Row) -> FrontView<'a> {
         let age = row.age(now);
-        let silence = match age {
-            _ if age > self.terms.unheard_after => Liveness::Unheard,
-            _ if age > self.terms.doubted_after => Liveness::Doubted,
+        let liveness = match age {
+            _ if age > self.config.unheard_after => Liveness::Unheard,
+            _ if age > self.config.doubted_after => Liveness::Doubted,
             _ => Liveness::Heard,
         };
-        let contradictory = now < row.contradicted + self.terms.unheard_after;
+        let contradictory = now < row.contradicted_at + self.config.unheard_after;
         let Row { incarnation, version, .. } = *row;
-        FrontView { origin, incarnation, version, age, silence, contradictory, row }
+        FrontView { origin, incarnation, version, age, liveness, contradictory, row }
     }
 
-    /// When the next round is due.
+    /// When the next round starts.
     pub fn next_deadline(&self) -> f64 {
-        self.next
+        self.next_round_at
     }
 
-    /// Asks a few others, if a round is due.
+    /// Asks a few peers if a round is due.
     pub fn run_round(&mut self, now: f64) -> Vec<Datagram> {
-        if now < self.next {
+        if now < self.next_round_at {
             return Vec::new();
         }
-        // Uneven, so that fronts which started together do not ask together.
-        self.next = now + self.terms.interval * (0.75 + 0.5 * f64::from(self.rnd.rand_float()));
+        // The interval is randomised, so that fronts that start together do not all ask at the same time.
+        self.next_round_at = now + self.config.interval * (0.75 + 0.5 * f64::from(self.rng.rand_float()));
         let mut out = Vec::new();
-        for _ in 0..self.terms.fan_out.min(self.rows.len() - 1) {
-            let Some(to) = self.whom() else { break };
+        for _ in 0..self.config.fan_out.min(self.rows.len() - 1) {
+            let Some(to) = self.next_peer() else { break };
             self.nonce = self.nonce.wrapping_add(1);
-            self.asked.push_back((self.nonce, to, now));
-            if self.asked.len() > ASKED.max(4 * self.terms.fan_out) {
-                self.asked.pop_front();
+            self.open_questions.push_back((self.nonce, to, now));
+            if self.open_questions.len() > MAX_OPEN_QUESTIONS.max(4 * self.config.fan_out) {
+                self.open_questions.pop_front();
             }
-            let known = self.told_of().into_iter().map(|o| self.rows[&o].had(now, o)).collect();
-            let it = Message {
-                from: self.own,
+            let known = self
+                .rows_to_ask_about()
+                .into_iter()
+                .map(|o| self.rows[&o].received_version(now, o))
+                .collect();
+            let question = Message {
+                from: self.own_origin,
                 nonce: self.nonce,
                 echo: None,
-                asks: true,
+                wants_answer: true,
                 known,
                 changes: Vec::new(),
             };
-            self.send(now, to, &it, &mut out);
+            self.send(now, to, &question, &mut out);
         }
         out
     }
 
-    fn whom(&mut self) -> Option<Origin> {
+    /// The peer to ask next.
+    fn next_peer(&mut self) -> Option<Origin> {
         if self.order.is_empty() {
-            self.order = self.rows.keys().copied().filter(|o| *o != self.own).collect();
+            self.order = self.rows.keys().copied().filter(|o| *o != self.own_origin).collect();
             for i in (1..self.order.len()).rev() {
-                self.order.swap(i, self.rnd.rand_range(0..i as u32 + 1) as usize);
+                self.order.swap(i, self.rng.rand_range(0..i as u32 + 1) as usize);
             }
         }
         self.order.pop()
     }
 
-    /// Rows for a question: this front's own, those that changed last, and others in turn.
-    fn told_of(&mut self) -> Vec<Origin> {
-        let mut latest: Vec<(f64, Origin)> = self.rows.iter().map(|(o, row)| (row.changed, *o)).collect();
-        let mut out = vec![self.own];
-        if latest.len() <= LATEST + IN_TURN {
-            out.extend(latest.iter().map(|l| l.1).filter(|o| *o != self.own));
+    /// Rows to list in a question: this front's own, those that changed last, and others in rotation.
+    fn rows_to_ask_about(&mut self) -> Vec<Origin> {
+        let mut latest: Vec<(f64, Origin)> = self.rows.iter().map(|(o, row)| (row.changed_at, *o)).collect();
+        let mut out = vec![self.own_origin];
+        if latest.len() <= LATEST_ROWS + ROTATING_ROWS {
+            out.extend(latest.iter().map(|l| l.1).filter(|o| *o != self.own_origin));
             return out;
         }
         let all: Vec<Origin> = self.rows.keys().copied().collect();
         latest.sort_by(|a, b| b.0.total_cmp(&a.0));
-        out.extend(latest.iter().take(LATEST).map(|l| l.1).filter(|o| *o != self.own));
-        for _ in 0..IN_TURN {
-            self.turn = (self.turn + 1) % all.len();
-            if !out.contains(&all[self.turn]) {
-                out.push(all[self.turn]);
+        out.extend(latest.iter().take(LATEST_ROWS).map(|l| l.1).filter(|o| *o != self.own_origin));
+        for _ in 0..ROTATING_ROWS {
+            self.rotation = (self.rotation + 1) % all.len();
+            if !out.contains(&all[self.rotation]) {
+                out.push(all[self.rotation]);
             }
         }
         out
     }
 
-    /// A datagram came. What answers it goes to the peer that it is from.
+    /// Handles a received datagram. The returned answers go to the peer that sent it.
     pub fn receive(&mut self, now: f64, bytes: &[u8]) -> Vec<Datagram> {
         let mut out = Vec::new();
-        let it = match Message::decode(bytes, self.fleet) {
-            Ok(it) => it,
-            Err(fault) => {
-                let count = match fault {
-                    MessageError::Long => &mut self.stats.long,
-                    MessageError::Version => &mut self.stats.version,
-                    MessageError::Foreign => &mut self.stats.foreign,
-                    MessageError::Spoilt => &mut self.stats.spoilt,
-                    MessageError::Age => &mut self.stats.ages,
+        let message = match Message::decode(bytes, self.fleet) {
+            Ok(message) => message,
+            Err(error) => {
+                let counter = match error {
+                    MessageError::TooLong => &mut self.stats.long,
+                    MessageError::OtherVersion => &mut self.stats.version,
+                    MessageError::OtherFleet => &mut self.stats.foreign,
+                    MessageError::Corrupt => &mut self.stats.spoilt,
+                    MessageError::ImpossibleAge => &mut self.stats.ages,
                 };
-                *count += 1;
+                *counter += 1;
                 return out;
             }
         };
-        if it.from == self.own || !self.rows.contains_key(&it.from) {
+        if message.from == self.own_origin || !self.rows.contains_key(&message.from) {
             self.stats.unknown += 1;
             return out;
         }
-        // Only what answers a question of ours has an age that we can tell.
-        let asked =
-            it.echo.map(|echo| self.asked.iter().find(|a| (a.0, a.1) == (echo, it.from)).map(|a| a.2));
-        if asked == Some(None) {
+        // The age of a row can be bounded only if it answers a question of this front.
+        let asked_at = message
+            .echo
+            .map(|echo| self.open_questions.iter().find(|a| (a.0, a.1) == (echo, message.from)).map(|a| a.2));
+        if asked_at == Some(None) {
             self.stats.late += 1;
             return out;
         }
         self.stats.taken += 1;
-        if let Some(asked) = asked.flatten() {
-            for change in &it.changes {
-                self.take(now, asked, change);
+        if let Some(asked_at) = asked_at.flatten() {
+            for change in &message.changes {
+                self.apply_change(now, asked_at, change);
             }
-            for known in &it.known {
-                self.vouched(now, asked, known);
+            for known in &message.known {
+                self.confirm(now, asked_at, known);
             }
         }
-        if it.asks {
-            self.answer(now, &it, asked.is_none(), &mut out);
+        if message.wants_answer {
+            self.answer(now, &message, asked_at.is_none(), &mut out);
         }
         out
     }
 
-    /// Takes what changed in a row.
-    fn take(&mut self, now: f64, asked: f64, change: &Change) {
+    /// Applies a change of a row; `asked_at` is when this front asked the question that it answers.
+    fn apply_change(&mut self, now: f64, asked_at: f64, change: &Change) {
         let known = &change.known;
-        if known.origin == self.own {
-            return self.claimed(known);
+        if known.origin == self.own_origin {
+            return self.overtake_claim(known);
         }
         let Some(row) = self.rows.get_mut(&known.origin) else {
             self.stats.unknown += 1;
             return;
         };
-        match row.take(now, change) {
-            Taken::Yes | Taken::Old => row.vouched(now, asked, known),
-            Taken::Gap => self.stats.gaps += 1,
-            Taken::Altered => self.stats.altered += 1,
+        match row.apply(now, change) {
+            ChangeResult::Accepted | ChangeResult::Outdated => row.confirm(now, asked_at, known),
+            ChangeResult::Gap => self.stats.gaps += 1,
+            ChangeResult::ChecksumMismatch => self.stats.altered += 1,
         }
     }
 
-    fn vouched(&mut self, now: f64, asked: f64, known: &RowVersion) {
-        if known.origin == self.own {
-            self.claimed(known);
+    /// Uses a peer's report that it knows a row at this version: it bounds the row's age, or reveals a contradiction.
+    fn confirm(&mut self, now: f64, asked_at: f64, known: &RowVersion) {
+        if known.origin == self.own_origin {
+            self.overtake_claim(known);
         } else if let Some(row) = self.rows.get_mut(&known.origin) {
-            row.vouched(now, asked, known);
+            row.confirm(now, asked_at, known);
         }
     }
 
-    /// Somebody knows more of this front than it has said: it was said before a restart under a clock that ran ahead,
-    /// or by another that goes by this name. A higher incarnation than both ends it.
-    fn claimed(&mut self, known: &RowVersion) {
-        let Some(row) = self.rows.get_mut(&self.own) else { return };
+    /// Handles a peer that knows a newer version of this front's own row than this front does. Either that row was written
+    /// before a restart, under a clock that ran ahead, or by another process with the same name. A higher incarnation
+    /// replaces it in both cases.
+    fn overtake_claim(&mut self, known: &RowVersion) {
+        let Some(row) = self.rows.get_mut(&self.own_origin) else { return };
         if (known.incarnation, known.version) > (row.incarnation, row.version) {
             row.incarnation = known.incarnation.saturating_add(1);
             self.stats.claimed += 1;
         }
     }
 
-    /// Answers a question, or the question that came with an answer.
-    fn answer(&mut self, now: f64, it: &Message, first: bool, out: &mut Vec<Datagram>) {
+    /// Answers a question, or the question that came with an answer. Asks back only if `may_ask_back`.
+    fn answer(&mut self, now: f64, message: &Message, may_ask_back: bool, out: &mut Vec<Datagram>) {
         let mut answers = vec![Message {
-            from: self.own,
+            from: self.own_origin,
             nonce: self.nonce,
-            echo: Some(it.nonce),
-            asks: false,
+            echo: Some(message.nonce),
+            wants_answer: false,
             known: Vec::new(),
             changes: Vec::new(),
         }];
-        for theirs in &it.known {
+        for theirs in &message.known {
             let Some(row) = self.rows.get(&theirs.origin) else {
                 self.stats.unknown += 1;
                 continue;
             };
-            let ours = row.known(now, theirs.origin);
+            let ours = row.row_version(now, theirs.origin);
             let newer = (ours.incarnation, ours.version) > (theirs.incarnation, theirs.version);
             let older = (ours.incarnation, ours.version) < (theirs.incarnation, theirs.version);
-            if older && theirs.origin == self.own {
-                self.claimed(theirs);
+            if older && theirs.origin == self.own_origin {
+                self.overtake_claim(theirs);
                 continue;
             }
-            if older && first {
-                answers[0].asks = true;
-                answers[0].known.push(row.had(now, theirs.origin));
+            if older && may_ask_back {
+                answers[0].wants_answer = true;
+                answers[0].known.push(row.received_version(now, theirs.origin));
             }
-            let younger = ours.age.is_some_and(|age| theirs.age.is_none_or(|t| t > age));
-            if !newer && !older && (younger || ours.sum != theirs.sum) {
+            let fresher = ours.age.is_some_and(|age| theirs.age.is_none_or(|t| t > age));
+            if !newer && !older && (fresher || ours.sum != theirs.sum) {
                 answers[0].known.push(ours);
             }
             if newer {
-                let after = if ours.incarnation == theirs.incarnation { theirs.version } else { 0 };
-                self.rows[&theirs.origin].changes(ours, after, &mut answers);
+                let after_version = if ours.incarnation == theirs.incarnation { theirs.version } else { 0 };
+                self.rows[&theirs.origin].append_changes(ours, after_version, &mut answers);
             }
         }
-        // What is asked in turn is a question of this front's own.
-        if answers[0].asks {
+        // The question that is sent with the answer gets a nonce of its own.
+        if answers[0].wants_answer {
             self.nonce = self.nonce.wrapping_add(1);
             answers[0].nonce = self.nonce;
-            self.asked.push_back((self.nonce, it.from, now));
+            self.open_questions.push_back((self.nonce, message.from, now));
         }
         let empty = |m: &Message| m.known.is_empty() && m.changes.is_empty();
-        for answer in answers.iter().take(ANSWERS).filter(|m| !empty(m)) {
-            self.send(now, it.from, answer, out);
+        for answer in answers.iter().take(MAX_ANSWERS).filter(|m| !empty(m)) {
+            self.send(now, message.from, answer, out);
         }
     }
 
-    fn send(&mut self, now: f64, to: Origin, it: &Message, out: &mut Vec<Datagram>) {
-        let bytes = it.encode(self.fleet);
-        let rate = self.terms.bytes_s;
-        self.purse = ((self.purse.0 + (now - self.purse.1) * rate / 1000.0).min(rate), now);
-        if self.purse.0 < bytes.len() as f64 || bytes.len() > MAX_BYTES {
+    /// Queues a datagram, unless the rate limit is used up.
+    fn send(&mut self, now: f64, to: Origin, message: &Message, out: &mut Vec<Datagram>) {
+        let bytes = message.encode(self.fleet);
+        let rate = self.config.bytes_s;
+        self.token_bucket =
+            ((self.token_bucket.0 + (now - self.token_bucket.1) * rate / 1000.0).min(rate), now);
+        if self.token_bucket.0 < bytes.len() as f64 || bytes.len() > MAX_BYTES {
             self.stats.held_back += 1;
             return;
         }
-        self.purse.0 -= bytes.len() as f64;
+        self.token_bucket.0 -= bytes.len() as f64;
         self.stats.sent += 1;
         self.stats.sent_bytes += bytes.len() as u64;
         out.push(Datagram { to, bytes });
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -1,127 +1,156 @@
-//! What goes between two fronts: one datagram, checked whole before anything of it is taken.
+//! The message between two fronts: one datagram, which is validated as a whole before any of it is applied.
 //!
-//! `GOSSIP_VERSION`, the fleet's name as a checksum, a checksum of all that follows, then postcard.
+//! Layout: [`GOSSIP_VERSION`] (1 byte), CRC-32C of the fleet's name, CRC-32C of the body (4 bytes each, big endian), then
+//! the body in postcard.
 
 use serde::{Deserialize, Serialize};
 
-/// A datagram's size at most, bytes: what a path of 1,280 carries with IPv6 and UDP heads.
+/// Maximum size of a datagram, bytes: what a path with an MTU of 1,280 carries beside IPv6 and UDP headers.
 pub const MAX_BYTES: usize = 1_200;
-/// The form of what goes round; another is passed over.
-pub const VERSION: u8 = 1;
-/// Version, fleet and checksum before the message.
-const HEAD: usize = 9;
-/// No row is older, ms: a week. What claims to be is impossible.
-const OLDEST: u32 = 7 * 86_400_000;
+/// Version of this format; datagrams of other versions are ignored.
+pub const GOSSIP_VERSION: u8 = 1;
+/// Bytes before the body: version, fleet and checksum.
+const HEADER_BYTES: usize = 9;
+/// Maximum age of a row, ms (a week). A row that claims to be older is invalid.
+const MAX_AGE_MS: u32 = 7 * 86_400_000;
 
-/// A front by the checksum of its name.
+/// Identifier of a front: the checksum of its name.
 pub type Origin = u32;
 
-/// Why a datagram was not taken.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    #[error("longer than 1,200 bytes")]
-    Long,
-    #[error("of another version of the exchange")]
-    Version,
-    #[error("of another fleet")]
-    Foreign,
-    #[error("spoilt")]
-    Spoilt,
-    #[error("an age that can't be")]
-    Age,
+    /// Longer than [`MAX_BYTES`].
+    #[error("the datagram is longer than 1,200 bytes")]
+    TooLong,
+    /// Another [`GOSSIP_VERSION`].
+    #[error("the datagram has another version of the gossip format")]
+    OtherVersion,
+    /// The checksum of another fleet's name.
+    #[error("the datagram is from another fleet")]
+    OtherFleet,
+    /// Truncated, wrong checksum, not decodable, or with cells outside the stated versions.
+    #[error("the datagram is truncated, corrupt or inconsistent")]
+    Corrupt,
+    /// A row older than `MAX_AGE_MS`.
+    #[error("the datagram gives a row an impossible age")]
+    ImpossibleAge,
 }
 
-/// How far a front knows a row.
+/// Up to which version a front knows a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowVersion {
+    /// The front whose row it is.
     pub origin: Origin,
+    /// Incarnation of the row's origin.
     pub incarnation: u64,
+    /// Number of changes that the origin had made in this incarnation.
     pub version: u64,
-    /// The row was its origin's own no longer ago than this, ms; none where nobody can say.
+    /// Upper bound on the time since the row was current at its origin, ms; `None` if unknown.
     pub age: Option<u32>,
-    /// Checksum of all its cells, where they are known whole.
+    /// Checksum of all the row's cells; `None` if the front has received only a part of them.
     pub sum: Option<u32>,
 }
 
-/// A value of a row, and the row's version that brought it.
+/// One value of a row, and the version of the row that last changed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cell {
+    /// Key of the cell; the layout is the caller's.
     pub key: u16,
+    /// Version of the row that last changed the cell.
     pub version: u64,
+    /// Value of the cell; the encoding is the caller's.
     pub value: Vec<u8>,
 }
 
-/// All that changed in a row after `from`, up to `known.version`.
+/// All changes of a row after version `from`, up to `known.version`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
+    /// The row, and the version up to which the change goes.
     pub known: RowVersion,
+    /// Version after which the change begins; 0 for the whole row.
     pub from: u64,
-    /// The version of the row that it was taken from: a part lacks what changed up to there.
-    pub of: u64,
+    /// Version of the sender's row when the change was cut from it. If it is above `known.version`, more parts follow.
+    pub source_version: u64,
+    /// The changed cells.
     pub cells: Vec<Cell>,
 }
 
+/// A question, an answer, or both.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
+    /// The sending front.
     pub from: Origin,
+    /// Number of this message, which an answer repeats as `echo`.
     pub nonce: u32,
-    /// The nonce that this answers: what tells the reader how old it may be at most.
+    /// Nonce of the question that this answers. It gives the receiver an upper bound on the age of the rows.
     pub echo: Option<u32>,
-    /// An answer to this is wanted.
-    pub asks: bool,
+    /// Whether the sender wants an answer.
+    pub wants_answer: bool,
+    /// Versions of rows that the sender knows. A question lists those that it asks about. An answer lists those that need no
+    /// change, and those that it asks about in turn.
     pub known: Vec<RowVersion>,
+    /// Changes that the receiver lacks.
     pub changes: Vec<Change>,
 }
 
 impl Message {
+    /// The datagram for a fleet, given as the checksum of its name.
     pub fn encode(&self, fleet: u32) -> Vec<u8> {
         let body = postcard::to_stdvec(self).unwrap_or_default();
-        let mut out = Vec::with_capacity(HEAD + body.len());
-        out.push(VERSION);
+        let mut out = Vec::with_capacity(HEADER_BYTES + body.len());
+        out.push(GOSSIP_VERSION);
         out.extend_from_slice(&fleet.to_be_bytes());
         out.extend_from_slice(&crc32c::crc32c(&body).to_be_bytes());
         out.extend_from_slice(&body);
         out
     }
 
+    /// Parses and validates a datagram of this fleet.
     pub fn decode(bytes: &[u8], fleet: u32) -> Result<Message, MessageError> {
         if bytes.len() > MAX_BYTES {
-            return Err(MessageError::Long);
+            return Err(MessageError::TooLong);
         }
-        let word = |at: usize| bytes.get(at..at + 4).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes);
-        let (Some(version), Some(of), Some(sum)) = (bytes.first(), word(1), word(5)) else {
-            return Err(MessageError::Spoilt);
+        let read_u32 = |offset: usize| {
+            bytes.get(offset..offset + 4).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes)
         };
-        if *version != VERSION {
-            return Err(MessageError::Version);
+        let (Some(version), Some(sender_fleet), Some(sum)) = (bytes.first(), read_u32(1), read_u32(5)) else {
+            return Err(MessageError::Corrupt);
+        };
+        if *version != GOSSIP_VERSION {
+            return Err(MessageError::OtherVersion);
         }
-        if of != fleet {
-            return Err(MessageError::Foreign);
+        if sender_fleet != fleet {
+            return Err(MessageError::OtherFleet);
         }
-        let body = &bytes[HEAD..];
+        let body = &bytes[HEADER_BYTES..];
         if crc32c::crc32c(body) != sum {
-            return Err(MessageError::Spoilt);
+            return Err(MessageError::Corrupt);
         }
-        let (it, rest): (Message, _) = postcard::take_from_bytes(body).map_err(|_| MessageError::Spoilt)?;
-        let ages = it.known.iter().chain(it.changes.iter().map(|c| &c.known)).filter_map(|k| k.age);
-        if ages.max().is_some_and(|age| age > OLDEST) {
-            return Err(MessageError::Age);
+        let (message, rest): (Message, _) =
+            postcard::take_from_bytes(body).map_err(|_| MessageError::Corrupt)?;
+        let ages = message.known.iter().chain(message.changes.iter().map(|c| &c.known)).filter_map(|k| k.age);
+        if ages.max().is_some_and(|age| age > MAX_AGE_MS) {
+            return Err(MessageError::ImpossibleAge);
         }
-        if !rest.is_empty() || it.changes.iter().any(|c| !c.is_sound()) {
-            return Err(MessageError::Spoilt);
+        if !rest.is_empty() || message.changes.iter().any(|c| !c.is_consistent()) {
+            return Err(MessageError::Corrupt);
         }
-        Ok(it)
+        Ok(message)
     }
 
+    /// Size of the datagram, bytes.
     pub fn size(&self) -> usize {
-        HEAD + postcard::experimental::serialized_size(self).unwrap_or(MAX_BYTES)
+        HEADER_BYTES + postcard::experimental::serialized_size(self).unwrap_or(MAX_BYTES)
     }
 }
 
 impl Change {
-    /// Its cells' versions lie where it says.
-    fn is_sound(&self) -> bool {
+    /// Whether the versions of the cells lie in the stated range.
+    fn is_consistent(&self) -> bool {
         let within = |c: &Cell| self.from < c.version && c.version <= self.known.version;
-        self.from <= self.known.version && self.known.version <= self.of && self.cells.iter().all(within)
+        self.from <= self.known.version
+            && self.known.version <= self.source_version
+            && self.cells.iter().all(within)
     }
 }
--- a/crates/shared-state/src/counts.rs
+++ b/crates/shared-state/src/counts.rs
@@ -1,96 +1,113 @@
-//! How many plays are out to a server or run there, over all fronts, as an interval that **holds the truth**:
+//! How many plays are being set up or run at a server, over all fronts, as an interval that **always contains the true
+//! number**:
 //!
-//! - At least: this front's own, and of each other what was heard less what may have ended since, by the stated most that
-//!   end in a second; where none is stated, all may have.
-//! - At most: what was heard, plus what its budget lets each add since. A server that is cold is paced: all fronts
-//!   together add no more than its whole pace over the age of the oldest row, and one set-up each for the turn that had
-//!   come. A server that is not paced holds no more than its places.
-//! - A front that was never heard, or that is heard of from before its restart, is counted by its budget alone.
+//! - Lower bound: this front's own plays, plus for each other front what it reported less what may have ended since, by
+//!   the stated maximum rate. If no rate is stated, all of them may have ended.
+//! - Upper bound: what was reported, plus what each front's budget allows it to have added since. A cold server is paced:
+//!   all fronts together add no more than the whole pace over the age of the oldest row, plus one set-up each whose turn
+//!   had already come. A server that is not paced holds no more plays than it has places.
+//! - A front that was never heard, or was last heard before its restart, is counted by its budget alone.
 //!
-//! Rules go by the upper end, quality by the middle, which is what was heard, within the two.
+//! Rules use the upper bound. Quality decisions use the middle, which is the reported number, limited to the interval.
 
-use crate::{PeerState, chunks, items};
+use crate::{PeerState, decode_cells, encode_cells};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-const CELL: usize = 900;
+/// Maximum size of a cell, bytes.
+const MAX_CELL_BYTES: usize = 900;
 
+/// One front's plays of a product at a server: being set up, and playing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Row {
     server: u64,
     product: u16,
-    out: u32,
+    setting_up: u32,
     playing: u32,
 }
 
+/// Bounds on a number of plays, and the best estimate.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Interval {
+    /// Lower bound.
     pub low: f64,
+    /// The reported number, limited to the bounds.
     pub middle: f64,
+    /// Upper bound.
     pub high: f64,
 }
 
-/// What bounds how a server's plays come and go.
+/// Limits on how the number of plays at a server changes.
 #[derive(Clone, Copy, Debug)]
 pub struct PlayBounds {
-    /// Plays that it holds at most.
-    pub places: f64,
-    /// What all fronts together may add, plays an ms, while it is paced; none where it is not.
-    pub pace: Option<f64>,
-    /// Plays of one front that end there at most, an ms; none where all may at once.
-    pub ends: Option<f64>,
+    /// Maximum number of plays that the server holds.
+    pub max_plays: f64,
+    /// Plays that all fronts together may add per ms while the server is paced; `None` if it is not.
+    pub max_added_per_ms: Option<f64>,
+    /// Plays of one front that may end there per ms; `None` if all may end at once.
+    pub max_ended_per_ms: Option<f64>,
 }
 
+/// This front's plays, by server and product: being set up, and playing.
 #[derive(Default)]
 pub struct PlayCounts {
-    own: BTreeMap<(u64, u16), (u32, u32)>,
+    own_counts: BTreeMap<(u64, u16), (u32, u32)>,
 }
 
 impl PlayCounts {
-    /// This front's own: set-ups out, and plays that run.
-    pub fn set(&mut self, server: u64, product: u16, out: u32, playing: u32) {
-        if out + playing == 0 {
-            self.own.remove(&(server, product));
+    /// Sets this front's numbers for one server and product.
+    pub fn set(&mut self, server: u64, product: u16, setting_up: u32, playing: u32) {
+        if setting_up + playing == 0 {
+            self.own_counts.remove(&(server, product));
         } else {
-            self.own.insert((server, product), (out, playing));
+            self.own_counts.insert((server, product), (setting_up, playing));
         }
     }
 
-    /// All of this front's own anew.
-    pub fn replace(&mut self, own: BTreeMap<(u64, u16), (u32, u32)>) {
-        self.own = own;
+    /// Replaces all of this front's numbers.
+    pub fn replace(&mut self, own_counts: BTreeMap<(u64, u16), (u32, u32)>) {
+        self.own_counts = own_counts;
     }
 
+    /// The cells for this front's row.
     pub fn cells(&self) -> Vec<Vec<u8>> {
-        let row =
-            |(of, n): (&(u64, u16), &(u32, u32))| Row { server: of.0, product: of.1, out: n.0, playing: n.1 };
-        chunks(self.own.iter().map(row), CELL)
+        let row = |(key, counts): (&(u64, u16), &(u32, u32))| Row {
+            server: key.0,
+            product: key.1,
+            setting_up: counts.0,
+            playing: counts.1,
+        };
+        encode_cells(self.own_counts.iter().map(row), MAX_CELL_BYTES)
     }
 
-    /// Plays at a server, of one product or of all; `heard` must hold every other front, those never heard with an
-    /// infinite age.
+    /// Plays at a server, of one product or of all. `peers` must hold every other front; the age of those never heard is
+    /// infinite.
     pub fn estimate(
         &self,
         server: u64,
         product: Option<u16>,
-        heard: &[PeerState],
+        peers: &[PeerState],
         bounds: PlayBounds,
     ) -> Interval {
-        let of = |s: u64, p: u16| s == server && product.is_none_or(|product| product == p);
-        let own = self.own.iter().filter(|(k, _)| of(k.0, k.1));
-        let own: f64 = own.map(|(_, n)| f64::from(n.0 + n.1)).sum();
-        let (mut low, mut middle, mut oldest) = (own, own, 0.0f64);
-        for peer in heard {
-            let rows = items::<Row>(&peer.counts);
-            let said = rows.iter().filter(|r| of(r.server, r.product));
-            let said: f64 = said.map(|r| f64::from(r.out) + f64::from(r.playing)).sum();
-            let said = if peer.age.is_finite() { said } else { 0.0 };
-            low += bounds.ends.map_or(0.0, |ends| (said - (ends * peer.age).ceil()).max(0.0));
-            middle += said;
+        let matches = |s: u64, p: u16| s == server && product.is_none_or(|product| product == p);
+        let own_plays = self.own_counts.iter().filter(|(k, _)| matches(k.0, k.1));
+        let own_plays: f64 = own_plays.map(|(_, n)| f64::from(n.0 + n.1)).sum();
+        let (mut low, mut middle, mut oldest) = (own_plays, own_plays, 0.0f64);
+        for peer in peers {
+            let rows = decode_cells::<Row>(&peer.counts);
+            let reported = rows.iter().filter(|r| matches(r.server, r.product));
+            let reported: f64 = reported.map(|r| f64::from(r.setting_up) + f64::from(r.playing)).sum();
+            let reported = if peer.age.is_finite() { reported } else { 0.0 };
+            low += bounds
+                .max_ended_per_ms
+                .map_or(0.0, |max_ended_per_ms| (reported - (max_ended_per_ms * peer.age).ceil()).max(0.0));
+            middle += reported;
             oldest = oldest.max(peer.age);
         }
-        let added = bounds.pace.map_or(f64::INFINITY, |pace| (pace * oldest).ceil() + heard.len() as f64);
-        let high = (middle + added).min(bounds.places).max(own);
+        let added = bounds.max_added_per_ms.map_or(f64::INFINITY, |max_added_per_ms| {
+            (max_added_per_ms * oldest).ceil() + peers.len() as f64
+        });
+        let high = (middle + added).min(bounds.max_plays).max(own_plays);
         let low = low.min(high);
         Interval { low, middle: middle.clamp(low, high), high }
     }
