--- a/crates/connections/tests/reached.rs
+++ b/crates/connections/tests/reached.rs
@@ -14,7 +14,7 @@
 /// While the event loop is busy, a server can read a set-up, run it and reset the connection. If the connection then
 /// counted as never established, a paid set-up would be sent a second time.
 #[test]
-fn a_server_that_read_the_request_and_reset_was_reached() {
+fn a_reset_after_the_request_was_read_counts_as_established() {
     let event_loop = EventLoop::<'static, NoOpHandler>::try_new().expect("an event loop");
     let mut connections: Connections<NoOpHandler, ()> = Connections::new(event_loop.handle());
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/crates/connections/tests/timers.rs
+++ b/crates/connections/tests/timers.rs
@@ -16,7 +16,7 @@
 /// much too early, at exactly the time at which the loop woke for it. The timer of the list query was then ignored, and no
 /// further query was sent.
 #[test]
-fn no_timer_fires_early_at_unix_times() {
+fn a_timer_at_unix_times_is_due_at_most_3_us_late_and_never_early() {
     let mut rng = oorandom::Rand64::new(7);
     for _ in 0..200_000 {
         let due_at = 1_796_179_500_000.0 + 3e6 * rng.rand_float();
--- a/crates/dns-discovery/src/lib.rs
+++ b/crates/dns-discovery/src/lib.rs
@@ -151,8 +151,8 @@
 const MAX_REVISION_STEP: u32 = 1 << 16;
 
 /// Whether a response with this serial is newer than the known revision.
-pub fn is_newer(rev: Option<u32>, serial: u32) -> bool {
-    rev.is_none_or(|rev| serial > rev && serial - rev <= MAX_REVISION_STEP)
+pub fn is_newer(revision: Option<u32>, serial: u32) -> bool {
+    revision.is_none_or(|revision| serial > revision && serial - revision <= MAX_REVISION_STEP)
 }
 
 /// Encodes the DNS query for the whole list. The response will carry the same id.
--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -8,29 +8,30 @@
 
 impl Actions for NodeState {
     /// The set-up is sent at the end of the turn, after the viewer's connection was read.
-    fn send(&mut self, play: u64, server: u32, rung: usize, timeout: f64) {
+    fn send(&mut self, play: u64, server_number: u32, rung: usize, timeout: f64) {
         let now = self.now();
         let Some(session) = self.sessions.get_mut(&play) else { return };
         session.attempts += 1;
-        (session.server, session.since, session.attempt_deadline) = (Some(server), now, now + timeout);
+        (session.server_number, session.phase_started_at, session.attempt_deadline) =
+            (Some(server_number), now, now + timeout);
         (session.rung, session.rung_sent) = (rung, rung);
         let number = session.attempts;
         self.schedule(now + timeout, Timer::AttemptDeadline(play, number));
-        self.outgoing_attempts.push_back(Attempt { session: play, number });
+        self.outgoing_attempts.push_back(Attempt { play, number });
     }
 
     /// Ends the play's session or abandons its attempt, and queues the outcome.
     fn withdraw(&mut self, play: u64) {
         let Some(session) = self.sessions.get(&play) else { return };
-        let Some(server) = session.server else { return };
+        let Some(server_number) = session.server_number else { return };
         let mut outcome = Outcome::Withdrawn;
         if session.is_playing {
-            let (preferred, cause) = (session.server_connection, session.release_cause);
-            self.release_on_server(server, preferred, play, cause);
+            let (preferred, cause) = (session.server_connection_id, session.release_cause);
+            self.release_on_server(server_number, preferred, play, cause);
         } else if self.abandon_attempt(play) {
             outcome = Outcome::NeverSent;
         }
-        self.finished_allocations.push_back(AllocationEnd { play, server, outcome });
+        self.finished_allocations.push_back(AllocationEnd { play, server_number, outcome });
     }
 
     /// Records the rung and sends it to the server if the session plays.
@@ -42,9 +43,9 @@
     }
 
     /// Requests a load report from a server, if a connection to it can be had.
-    fn probe(&mut self, server: u32) {
+    fn probe(&mut self, server_number: u32) {
         self.stats.probes += 1;
-        let Some(connection_id) = self.connection_to(server, false) else { return };
+        let Some(connection_id) = self.connection_to(server_number, false) else { return };
         let id = self.rng.rand_u64();
         let bytes = rtsp::request("OPTIONS", "load", CSEQ_PROBE, id, &[], b"");
         self.write_to_server(connection_id, &bytes);
--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -32,23 +32,24 @@
 
     /// Sends the set-up of one attempt, unless its viewer has gone or its server is not ready.
     fn start_attempt(&mut self, attempt: Attempt) {
-        let Some((_, viewer_connection)) = self.state.startable_attempt(&attempt) else { return };
-        if !self.handle_viewer_connection(viewer_connection) {
+        let Some((_, viewer_connection_id)) = self.state.startable_attempt(&attempt) else { return };
+        if !self.handle_viewer_connection(viewer_connection_id) {
             return self.state.held_attempts.push(attempt);
         }
-        let Some((server, _)) = self.state.startable_attempt(&attempt) else {
-            return debug!(target: "play", play = format!("{:016x}", attempt.session), "set-up not sent: its viewer has gone");
+        let Some((server_number, _)) = self.state.startable_attempt(&attempt) else {
+            return debug!(target: "play", play = format!("{:016x}", attempt.play), "set-up not sent: its viewer has gone");
         };
-        let (play, standing) = (attempt.session, self.state.servers.get(&server).map(|s| s.listing.standing));
+        let (play, standing) =
+            (attempt.play, self.state.servers.get(&server_number).map(|s| s.listing.standing));
         let outcome = if standing != Some(Standing::Ready) {
             Outcome::NeverSent
-        } else if !self.state.send_set_up(&attempt, server) {
+        } else if !self.state.send_set_up(&attempt, server_number) {
             Outcome::Unreachable
         } else {
             self.state.stats.sent += 1;
             return;
         };
-        self.state.finished_allocations.push_back(AllocationEnd { play, server, outcome });
+        self.state.finished_allocations.push_back(AllocationEnd { play, server_number, outcome });
     }
 
     /// Checks the set-ups that are about to be sent on a connection that is now up. A set-up is dropped if
@@ -56,7 +57,7 @@
     pub(crate) fn recheck_unsent_set_ups(&mut self, connection_id: ConnectionId) {
         for play in self.state.unsent_set_ups(connection_id) {
             if let Some(session) = self.state.sessions.get(&play) {
-                self.handle_viewer_connection(session.viewer_connection);
+                self.handle_viewer_connection(session.viewer_connection_id);
             }
             let now = self.state.now();
             if let Some(session) =
@@ -72,7 +73,7 @@
         let pending_attempt = |node: &Node| {
             let session = node.state.sessions.get(&play)?;
             let is_pending = session.attempts == number && !session.is_playing;
-            Some((session.server.filter(|_| is_pending)?, session.server_connection))
+            Some((session.server_number.filter(|_| is_pending)?, session.server_connection_id))
         };
         // A response or a close that has already arrived decides the outcome. A set-up that was not sent
         // cannot have a response.
@@ -81,40 +82,48 @@
         {
             self.handle_server_connection(connection_id);
         }
-        let Some((server, connection_id)) = pending_attempt(self) else { return };
-        let since = self.state.sessions.get(&play).map_or(0.0, |session| session.since);
+        let Some((server_number, connection_id)) = pending_attempt(self) else { return };
+        let phase_started_at = self.state.sessions.get(&play).map_or(0.0, |session| session.phase_started_at);
         if let Some(connection) =
             connection_id.and_then(|connection_id| self.state.server_connection(connection_id))
         {
             // The connection is not up by now, or has been silent since this set-up was sent, so the server
             // may never respond on it.
-            connection.is_unresponsive |= !connection.is_up || connection.last_heard_at < since;
+            connection.is_unresponsive |= !connection.is_up || connection.last_heard_at < phase_started_at;
         }
         let unsent = self.state.abandon_attempt(play);
-        let waited = self.state.now() - since;
-        debug!(target: "play", play = format!("{play:016x}"), server = self.state.server_id(server), waited, unsent, "attempt timed out");
+        let waited = self.state.now() - phase_started_at;
+        debug!(target: "play", play = format!("{play:016x}"), server = self.state.server_id(server_number), waited, unsent, "attempt timed out");
         let outcome = match (unsent, connection_id) {
             (false, _) => Outcome::TimedOut,
             (true, Some(_)) => Outcome::Unreachable,
             (true, None) => Outcome::NeverSent,
         };
-        self.on_attempt_ended(play, server, outcome, &[]);
+        self.on_attempt_ended(play, server_number, outcome, &[]);
         self.report_finished_allocations();
     }
 
     /// Records that an attempt ended without a playing session, and reports it to the dispatcher.
-    pub(crate) fn on_attempt_ended(&mut self, play: u64, server: u32, outcome: Outcome, load: &[LoadMetric]) {
+    pub(crate) fn on_attempt_ended(
+        &mut self,
+        play: u64,
+        server_number: u32,
+        outcome: Outcome,
+        load: &[LoadMetric],
+    ) {
         let now = self.state.now();
-        if let Some(session) = self.state.sessions.get_mut(&play).filter(|s| s.server == Some(server)) {
-            let connection_id = session.server_connection.take();
-            session.server = None;
-            let waited = now - session.since;
+        if let Some(session) =
+            self.state.sessions.get_mut(&play).filter(|s| s.server_number == Some(server_number))
+        {
+            let connection_id = session.server_connection_id.take();
+            session.server_number = None;
+            let waited = now - session.phase_started_at;
             if let Some(connection_id) = connection_id {
                 self.state.remove_pending_set_up(connection_id, play);
             }
-            debug!(target: "play", play = format!("{play:016x}"), server = self.state.server_id(server), ?outcome, waited, "attempt ended");
+            debug!(target: "play", play = format!("{play:016x}"), server = self.state.server_id(server_number), ?outcome, waited, "attempt ended");
         }
-        self.dispatcher.on_allocation_ended(now, play, server, outcome, false, load, &mut self.state);
+        self.dispatcher.on_allocation_ended(now, play, server_number, outcome, false, load, &mut self.state);
         if self.dispatcher.play(play).is_none() {
             self.state.sessions.remove(&play);
         }
@@ -122,9 +131,10 @@
 
     /// Reports the queued ends of attempts to the dispatcher.
     pub(crate) fn report_finished_allocations(&mut self) {
-        while let Some(AllocationEnd { play, server, outcome }) = self.state.finished_allocations.pop_front()
+        while let Some(AllocationEnd { play, server_number, outcome }) =
+            self.state.finished_allocations.pop_front()
         {
-            self.on_attempt_ended(play, server, outcome, &[]);
+            self.on_attempt_ended(play, server_number, outcome, &[]);
         }
     }
 }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -72,25 +72,25 @@
     /// time.
     pub idle_close: f64,
     /// Set-ups that may be pending on a connection to a server at the same time.
-    pub max_set_ups_per_connection: usize,
+    pub max_set_ups_per_server_connection: usize,
 }
 
 impl Config {
     /// Reads and checks the file. Errors name the file and the setting.
     pub fn read(path: &Path) -> anyhow::Result<Config> {
-        let file_name = || path.display().to_string();
-        let size = std::fs::metadata(path).with_context(file_name)?.len();
+        let path_text = || path.display().to_string();
+        let size = std::fs::metadata(path).with_context(path_text)?.len();
         if size > MAX_FILE_BYTES {
-            return Err(anyhow!("{}: the file has {size} bytes, more than {MAX_FILE_BYTES}", file_name()));
+            return Err(anyhow!("{}: the file has {size} bytes, more than {MAX_FILE_BYTES}", path_text()));
         }
-        let text = std::fs::read(path).with_context(file_name)?;
+        let text = std::fs::read(path).with_context(path_text)?;
         let mut json = serde_json::Deserializer::from_slice(&text);
         let mut config: Config = serde_path_to_error::deserialize(&mut json)
-            .map_err(|e| anyhow!("{}: {}: {}", file_name(), e.path(), e.inner()))?;
+            .map_err(|e| anyhow!("{}: {}: {}", path_text(), e.path(), e.inner()))?;
         config.policy_settings =
-            settings_from_json(&config.settings).map_err(|e| anyhow!("{}: settings: {e}", file_name()))?;
+            settings_from_json(&config.settings).map_err(|e| anyhow!("{}: settings: {e}", path_text()))?;
         config.salt = u64::from_str_radix(&config.seed, 16).map_err(|e| {
-            anyhow!("{}: seed: {:?} is not a 64-bit number in hex digits: {e}", file_name(), config.seed)
+            anyhow!("{}: seed: {:?} is not a 64-bit number in hex digits: {e}", path_text(), config.seed)
         })?;
         config.settings = serde_json::Value::Null;
         // Without a class the node could accept no set-up, and would reject every viewer's set-up as
@@ -98,7 +98,7 @@
         if config.node_limits().products.is_empty() {
             return Err(anyhow!(
                 "{}: settings: lanes[0].name is missing: the settings name no class",
-                file_name()
+                path_text()
             ));
         }
         config.path = path.to_path_buf();
@@ -114,7 +114,7 @@
         };
         let products = text_list(&self.policy_settings, |i| format!("products.{i}.name"));
         let time_limit = |i: usize| number(&format!("products.{i}.time_limit"), 3_000.0);
-        let is_heeded = number("ceilings.retry_after", 0.0) > 0.0;
+        let is_retry_after_obeyed = number("ceilings.retry_after", 0.0) > 0.0;
         NodeLimits {
             max_time_limit: (0..products.len()).map(time_limit).fold(0.0, f64::max),
             products,
@@ -124,11 +124,15 @@
             rungs: count("extra.ladder_kb").max(1),
             dial_timeout: number("ceilings.dial_timeout", 250.0).max(1.0),
             note_interval: number("extra.reports_every", 0.0),
-            max_retry_after: if is_heeded { number("ceilings.max_retry_after", 0.0) } else { 0.0 },
+            max_retry_after: if is_retry_after_obeyed {
+                number("ceilings.max_retry_after", 0.0)
+            } else {
+                0.0
+            },
             idle_close: Some(number("ceilings.idle_close", 0.0))
                 .filter(|ms| *ms > 0.0)
                 .unwrap_or(f64::INFINITY),
-            max_set_ups_per_connection: number("ceilings.streams_per_conn", 100.0).max(1.0) as usize,
+            max_set_ups_per_server_connection: number("ceilings.streams_per_conn", 100.0).max(1.0) as usize,
         }
     }
 }
--- a/crates/node/src/listing.rs
+++ b/crates/node/src/listing.rs
@@ -197,7 +197,7 @@
         let connections: Vec<(u32, u64)> = not_ready
             .flat_map(|(n, s)| s.connections.iter().map(|connection_id| (*n, *connection_id)))
             .collect();
-        for (server, connection_id) in connections {
+        for (server_number, connection_id) in connections {
             let plays: Vec<u64> = self
                 .state
                 .server_connection(connection_id)
@@ -206,7 +206,7 @@
                 if self.state.cancel_unsent_set_up(connection_id, play) {
                     self.state.finished_allocations.push_back(AllocationEnd {
                         play,
-                        server,
+                        server_number,
                         outcome: Outcome::NeverSent,
                     });
                 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -30,7 +30,7 @@
     pub(crate) state: NodeState,
     pub(crate) dns_client: DnsClient,
     /// The loop ends, although work may be left.
-    pub(crate) halted: bool,
+    pub(crate) is_halted: bool,
 }
 
 impl ConnectionHandler for Node {
@@ -53,13 +53,13 @@
 pub fn run(config: Config, signals: Signals) -> anyhow::Result<()> {
     let mut event_loop: EventLoop<'static, Node> = EventLoop::try_new()?;
     let loop_handle = event_loop.handle();
-    let at = config.listen;
-    let listener = listen(at).map_err(|e| anyhow::anyhow!("listen: cannot listen on {at}: {e}"))?;
-    let (at, listener) = (listener.local_addr()?, Arc::new(listener));
+    let address = config.listen;
+    let listener = listen(address).map_err(|e| anyhow::anyhow!("listen: cannot listen on {address}: {e}"))?;
+    let (address, listener) = (listener.local_addr()?, Arc::new(listener));
     let dispatcher = Dispatcher::new(config.policy_settings.clone(), config.salt);
     let state = NodeState::new(config, loop_handle.clone());
     let dns_client = DnsClient::new(&state, None, false)?;
-    let mut node = Node { dispatcher, state, dns_client, halted: false };
+    let mut node = Node { dispatcher, state, dns_client, is_halted: false };
     node.apply_initial_events();
     let registration = loop_handle.insert_source(
         Generic::new(listener.clone(), Interest::READ, Mode::Level),
@@ -78,11 +78,11 @@
     let now = node.state.now();
     node.state.schedule(now + SERVER_CHECK_INTERVAL_MS, Timer::CheckServers);
     node.state.schedule(now + STATS_INTERVAL_MS, Timer::LogStats);
-    info!(target: "node", name = node.state.config.name, %at, servers = node.state.servers.len(), shares = ?node.state.shares, "listens");
+    info!(target: "node", name = node.state.config.name, at = %address, servers = node.state.servers.len(), shares = ?node.state.shares, "listens");
     // Input is handled before timers: in one turn, connections that are ready are read before due timers
     // fire.
     while !(node.is_done() && node.drain_input_and_check_done()) {
-        let delay = node.state.time_to_next_timer();
+        let delay = node.state.dispatch_timeout();
         event_loop.dispatch(delay, &mut node)?;
         for _ in 0..node.state.revisit_queue.len() {
             let Some(connection_id) = node.state.revisit_queue.pop_front() else { break };
@@ -173,7 +173,7 @@
         connection.deadline = f64::INFINITY;
         let connected = connection.connected() == Some(true);
         match &connection.role {
-            Role::Viewer(viewer) if !viewer.is_proven && viewer.accepted_at.is_finite() => {
+            Role::Viewer(viewer) if !viewer.is_identified && viewer.accepted_at.is_finite() => {
                 debug!(target: "viewer", "connection closed: no usable message arrived");
                 self.close_viewer_connection(connection_id);
             }
@@ -184,8 +184,8 @@
 
     /// Handles the restart of a server: sessions and connections that are older than the start are lost.
     pub(crate) fn on_server_restarted(&mut self, server_number: u32, started_at: f64) {
-        for play in self.state.sessions_playing_at(server_number) {
-            if self.state.sessions.get(&play).is_some_and(|s| s.since < started_at) {
+        for play in self.state.plays_playing_on(server_number) {
+            if self.state.sessions.get(&play).is_some_and(|s| s.phase_started_at < started_at) {
                 self.on_session_ended_by_server(play, server_number, Outcome::Broken, CAUSE_FAILED, &[]);
             }
         }
@@ -204,7 +204,8 @@
 
     /// Forgets servers that are gone and have no sessions, in the dispatcher too.
     pub(crate) fn forget_gone_servers(&mut self) {
-        let servers_in_use: HashSet<u32> = self.state.sessions.values().filter_map(|s| s.server).collect();
+        let servers_in_use: HashSet<u32> =
+            self.state.sessions.values().filter_map(|s| s.server_number).collect();
         let is_gone = |s: &Server| s.is_gone() && s.address.is_some();
         let gone = self
             .state
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -14,7 +14,7 @@
 use tracing::{debug, info};
 
 /// Maximum number of reads of one connection in a turn.
-const MAX_READS_PER_TURN: usize = 16;
+const MAX_SERVER_READS_PER_TURN: usize = 16;
 /// How much longer than the interval between notes a server may be silent before there is a reason to check
 /// it, ms.
 const NOTE_GRACE_MS: f64 = 1_000.0;
@@ -27,7 +27,7 @@
 impl Node {
     /// Handles the events of a connection to a server: it is established, has input, or is closed.
     pub(crate) fn handle_server_connection(&mut self, connection_id: ConnectionId) {
-        for _ in 0..MAX_READS_PER_TURN {
+        for _ in 0..MAX_SERVER_READS_PER_TURN {
             let now = self.state.now();
             let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
             match connection.connected() {
@@ -36,7 +36,7 @@
                 Some(true) => {}
             }
             let Role::Server(server_connection) = &mut connection.role else { return };
-            let server_number = server_connection.server;
+            let server_number = server_connection.server_number;
             let has_just_connected = !std::mem::replace(&mut server_connection.is_up, true);
             if has_just_connected {
                 (server_connection.last_heard_at, server_connection.last_active_at) = (now, now);
@@ -80,7 +80,7 @@
     fn handle_server_messages(
         &mut self,
         connection_id: ConnectionId,
-        server: u32,
+        server_number: u32,
         input: &[u8],
     ) -> Option<usize> {
         let mut used = 0;
@@ -89,7 +89,7 @@
             match parsed {
                 Ok(None) => return Some(used),
                 Err(e) => {
-                    debug!(target: "server", server = self.state.server_id(server), "connection closed: message cannot be parsed: {e}");
+                    debug!(target: "server", server = self.state.server_id(server_number), "connection closed: message cannot be parsed: {e}");
                     self.state.stats.spoilt += 1;
                     return None;
                 }
@@ -99,7 +99,7 @@
                     // If the bytes after a message cannot be parsed, the length of the message was wrong, so
                     // the message is not used either.
                     if parsed.is_ok() {
-                        self.handle_server_message(connection_id, server, &message);
+                        self.handle_server_message(connection_id, server_number, &message);
                         self.report_finished_allocations();
                         if self.state.connections.get_mut(connection_id).is_none() {
                             return Some(used);
@@ -111,7 +111,7 @@
     }
 
     /// Handles one message of a server.
-    fn handle_server_message(&mut self, connection_id: ConnectionId, server: u32, message: &Message) {
+    fn handle_server_message(&mut self, connection_id: ConnectionId, server_number: u32, message: &Message) {
         let now = self.state.now();
         let play = message.session;
         let load: Vec<LoadMetric> = message
@@ -124,20 +124,21 @@
         if let (Start::Answer(200), Some(session)) =
             (&message.start, self.state.sessions.get(&play).filter(awaits_answer))
         {
-            self.handle_viewer_connection(session.viewer_connection);
+            self.handle_viewer_connection(session.viewer_connection_id);
         }
         let session_of_play = self.state.sessions.get(&play);
-        let session = session_of_play.filter(|s| s.server == Some(server));
+        let session = session_of_play.filter(|s| s.server_number == Some(server_number));
         let is_playing = session.is_some_and(|s| s.is_playing);
-        let is_pending = session.is_some_and(|s| !s.is_playing && s.server_connection == Some(connection_id));
+        let is_pending =
+            session.is_some_and(|s| !s.is_playing && s.server_connection_id == Some(connection_id));
         match &message.start {
             Start::Answer(100..=199) => {}
             Start::Answer(_) if message.cseq() == Some(CSEQ_TEARDOWN) => {}
             Start::Answer(_) if message.cseq() == Some(CSEQ_PROBE) => {
-                self.dispatcher.on_load_report(now, server, &load, &mut self.state);
+                self.dispatcher.on_load_report(now, server_number, &load, &mut self.state);
             }
             Start::Answer(200) if is_pending => {
-                self.on_set_up_succeeded(now, connection_id, server, play, &message.body, &load)
+                self.on_set_up_succeeded(now, connection_id, server_number, play, &message.body, &load)
             }
             // The response belongs to an attempt that was abandoned on another connection. This play has a
             // newer attempt or a session at the same server, which a TEARDOWN would end.
@@ -146,7 +147,7 @@
                 // The response is late or belongs to no known play. The server must not keep a session that
                 // was given up.
                 self.state.stats.late += 1;
-                self.state.release_on_server(server, Some(connection_id), play, CAUSE_WITHDRAWN);
+                self.state.release_on_server(server_number, Some(connection_id), play, CAUSE_WITHDRAWN);
             }
             Start::Answer(status) if is_pending => {
                 let outcome = match status {
@@ -155,7 +156,7 @@
                     504 => Outcome::Broken,
                     _ => Outcome::Error,
                 };
-                self.on_attempt_ended(play, server, outcome, &load);
+                self.on_attempt_ended(play, server_number, outcome, &load);
             }
             Start::Answer(_) => {}
             Start::Request(method) => match method.as_str() {
@@ -166,16 +167,22 @@
                         CAUSE_WITHDRAWN => Outcome::Withdrawn,
                         _ => Outcome::Broken,
                     };
-                    self.on_session_ended_by_server(play, server, outcome, cause, &load);
+                    self.on_session_ended_by_server(play, server_number, outcome, cause, &load);
                 }
                 "TEARDOWN" if session_of_play.is_none() => {
                     let cause = message.cause().unwrap_or(CAUSE_FAILED);
                     self.state.ended_sessions.record(now, play, EndReport::Server(cause));
                 }
-                "TEARDOWN" if is_pending => self.on_attempt_ended(play, server, Outcome::Broken, &load),
-                "REDIRECT" if is_playing => {
-                    self.on_session_ended_by_server(play, server, Outcome::Withdrawn, CAUSE_FAILED, &load)
+                "TEARDOWN" if is_pending => {
+                    self.on_attempt_ended(play, server_number, Outcome::Broken, &load)
                 }
+                "REDIRECT" if is_playing => self.on_session_ended_by_server(
+                    play,
+                    server_number,
+                    Outcome::Withdrawn,
+                    CAUSE_FAILED,
+                    &load,
+                ),
                 "ANNOUNCE" if is_playing => {
                     let (Some(metric), Some(value)) = (message.field("X-Why"), message.number("Figure"))
                     else {
@@ -185,21 +192,21 @@
                         "d" => self.dispatcher.on_play_note(
                             now,
                             play,
-                            server,
+                            server_number,
                             LoadMetric::Delivered(value),
                             &mut self.state,
                         ),
                         "l" => self.dispatcher.on_play_note(
                             now,
                             play,
-                            server,
+                            server_number,
                             LoadMetric::Link(value),
                             &mut self.state,
                         ),
                         "u" => self.dispatcher.on_play_note(
                             now,
                             play,
-                            server,
+                            server_number,
                             LoadMetric::Uplink(value),
                             &mut self.state,
                         ),
@@ -223,30 +230,30 @@
         &mut self,
         now: f64,
         connection_id: ConnectionId,
-        server: u32,
+        server_number: u32,
         play: u64,
         description: &[u8],
         load: &[LoadMetric],
     ) {
         self.state.remove_pending_set_up(connection_id, play);
         let Some(bytes) = protocol::encode(kind::ANSWER, play, &[(code::DESCRIPTION, description)]) else {
-            self.state.release_on_server(server, Some(connection_id), play, CAUSE_WITHDRAWN);
-            return self.on_attempt_ended(play, server, Outcome::Error, load);
+            self.state.release_on_server(server_number, Some(connection_id), play, CAUSE_WITHDRAWN);
+            return self.on_attempt_ended(play, server_number, Outcome::Error, load);
         };
         let Some(session) = self.state.sessions.get_mut(&play) else { return };
         session.is_playing = true;
-        session.since = now;
+        session.phase_started_at = now;
         session.description = Vec::new();
         session.abandoned_connections = Vec::new();
-        let viewer_connection = session.viewer_connection;
+        let viewer_connection_id = session.viewer_connection_id;
         self.state.stats.played += 1;
-        self.state.mark_set_up_answered(viewer_connection, play);
-        self.state.write_to_viewer(viewer_connection, &bytes);
-        if let Some(server) = self.state.servers.get_mut(&server) {
+        self.state.mark_set_up_answered(viewer_connection_id, play);
+        self.state.write_to_viewer(viewer_connection_id, &bytes);
+        if let Some(server) = self.state.servers.get_mut(&server_number) {
             server.playing_sessions += 1;
         }
         self.dispatcher.on_playing(now, play, &mut self.state);
-        self.dispatcher.on_load_report(now, server, load, &mut self.state);
+        self.dispatcher.on_load_report(now, server_number, load, &mut self.state);
         self.state.send_rung(play);
     }
 
@@ -255,7 +262,7 @@
     pub(crate) fn on_session_ended_by_server(
         &mut self,
         play: u64,
-        server: u32,
+        server_number: u32,
         outcome: Outcome,
         cause: u8,
         load: &[LoadMetric],
@@ -263,7 +270,7 @@
         let now = self.state.now();
         let Some(session) = self.state.sessions.remove(&play) else { return };
         self.state.ended_sessions.record(now, play, EndReport::Both);
-        if let Some(server) = self.state.servers.get_mut(&server) {
+        if let Some(server) = self.state.servers.get_mut(&server_number) {
             server.playing_sessions = server.playing_sessions.saturating_sub(1);
         }
         if outcome == Outcome::Finished {
@@ -272,9 +279,9 @@
             self.state.stats.lost += 1;
         }
         if outcome != Outcome::Withdrawn || cause != CAUSE_WITHDRAWN {
-            self.state.notify_session_end(play, session.viewer_connection, session.viewer_ip, cause);
+            self.state.notify_session_end(play, session.viewer_connection_id, session.viewer_ip, cause);
         }
-        self.dispatcher.on_allocation_ended(now, play, server, outcome, true, load, &mut self.state);
+        self.dispatcher.on_allocation_ended(now, play, server_number, outcome, true, load, &mut self.state);
         self.report_finished_allocations();
     }
 
@@ -286,7 +293,7 @@
         // instead, because the session no longer exists when the queue is processed.
         let Some(session) = self.state.sessions.remove(&play) else { return };
         self.state.ended_sessions.record(now, play, EndReport::Both);
-        if let Some(server_number) = session.server {
+        if let Some(server_number) = session.server_number {
             if let Some(server) = self.state.servers.get_mut(&server_number) {
                 server.playing_sessions = server.playing_sessions.saturating_sub(1);
             }
@@ -311,7 +318,7 @@
         let bytes_sent = connection.bytes_sent();
         let Role::Server(server_connection) = &mut connection.role else { return };
         let (server_number, lost_set_ups) =
-            (server_connection.server, std::mem::take(&mut server_connection.pending_set_ups));
+            (server_connection.server_number, std::mem::take(&mut server_connection.pending_set_ups));
         self.state.close_server_connection(connection_id);
         let (playing, left) = self
             .state
@@ -341,17 +348,17 @@
 
     /// Dials a server with sessions that has no connection or is silent. The server may have ends to report,
     /// or may be gone.
-    fn reconnect(&mut self, server_number: u32, urgent: bool) {
+    fn reconnect(&mut self, server_number: u32, may_close_needed: bool) {
         if self.state.servers.get(&server_number).is_some_and(|s| s.dial_address().is_none()) {
             return self.on_server_lost(server_number);
         }
         // If no descriptor is left, the next check dials the server.
-        let _ = self.state.dial(server_number, urgent);
+        let _ = self.state.dial(server_number, may_close_needed);
     }
 
     /// Ends all sessions at a server that is lost, and closes the connections to it.
     fn on_server_lost(&mut self, server_number: u32) {
-        let plays = self.state.sessions_playing_at(server_number);
+        let plays = self.state.plays_playing_on(server_number);
         info!(target: "server", server = self.state.server_id(server_number), plays = plays.len(), "server lost: its sessions end");
         for play in plays {
             self.on_session_ended_by_server(play, server_number, Outcome::Broken, CAUSE_FAILED, &[]);
@@ -392,13 +399,13 @@
         for (last_heard_at, server_number) in silent_servers {
             let connections =
                 self.state.servers.get(&server_number).map(|s| s.connections.clone()).unwrap_or_default();
-            let urgent = connections.is_empty() && now - last_heard_at > silence_limit / 2.0;
+            let may_close_needed = connections.is_empty() && now - last_heard_at > silence_limit / 2.0;
             if !connections.into_iter().any(|connection_id| {
                 self.state
                     .server_connection(connection_id)
                     .is_some_and(|server_connection| !server_connection.is_up)
             }) {
-                self.reconnect(server_number, urgent);
+                self.reconnect(server_number, may_close_needed);
             }
         }
     }
--- a/crates/node/src/set_up.rs
+++ b/crates/node/src/set_up.rs
@@ -17,7 +17,7 @@
     pub(crate) title: String,
     pub(crate) description: Vec<u8>,
     /// The id of the server at which the session plays already, if the node is to adopt it.
-    pub(crate) adopted_from: Option<String>,
+    pub(crate) current_server_id: Option<String>,
 }
 
 impl Node {
@@ -50,7 +50,7 @@
             }
         }
         let description = message.get(code::DESCRIPTION).ok_or("the description is missing")?.to_vec();
-        let (mut first_cell, mut holders, mut max_rung, mut adopted_from) = (None, None, None, None);
+        let (mut first_cell, mut holders, mut max_rung, mut current_server_id) = (None, None, None, None);
         for pair in message.text(code::EXTRAS).ok_or("home, copies and top are missing")?.split(';') {
             let (name, value) = pair.split_once(':').unwrap_or((pair, ""));
             let parse_count =
@@ -70,7 +70,7 @@
                 "top" => {
                     max_rung = Some(parse_count().filter(|x| *x < limits.rungs).ok_or("top is out of range")?)
                 }
-                "at" if !value.is_empty() && value.len() <= 64 => adopted_from = Some(value.to_string()),
+                "at" if !value.is_empty() && value.len() <= 64 => current_server_id = Some(value.to_string()),
                 "at" => return Err("at is not a server id"),
                 _ => {}
             }
@@ -83,7 +83,7 @@
             .text(code::TIME_LIMIT)
             .and_then(|t| t.parse().ok())
             .ok_or("the time limit is missing or not a number")?;
-        if adopted_from.is_none() && !(time_limit > 0.0 && time_limit <= MAX_TIME_LIMIT_MS) {
+        if current_server_id.is_none() && !(time_limit > 0.0 && time_limit <= MAX_TIME_LIMIT_MS) {
             return Err("the time limit is out of range");
         }
         let request = PlayRequest {
@@ -100,27 +100,27 @@
             class: class.to_string(),
             title: title.to_string(),
             description,
-            adopted_from,
+            current_server_id,
         })
     }
 }
 
 /// A session that has no attempt yet.
 pub(crate) fn new_session(
-    viewer_connection: ConnectionId,
+    viewer_connection_id: ConnectionId,
     viewer_ip: Option<std::net::IpAddr>,
     set_up: SetUpRequest,
 ) -> Session {
     Session {
-        viewer_connection,
+        viewer_connection_id,
         viewer_ip,
         class: set_up.class,
         title: set_up.title,
         description: set_up.description,
-        server: None,
-        server_connection: None,
+        server_number: None,
+        server_connection_id: None,
         is_playing: false,
-        since: 0.0,
+        phase_started_at: 0.0,
         attempt_deadline: 0.0,
         attempts: 0,
         abandoned_connections: Vec::new(),
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -53,11 +53,11 @@
     /// When it was accepted, Unix ms; infinite after a health check, which needs no set-up.
     pub(crate) accepted_at: f64,
     /// Whether a usable set-up or a session's end has arrived on it.
-    pub(crate) is_proven: bool,
+    pub(crate) is_identified: bool,
     /// Plays whose set-up on this connection has no answer yet.
     pub(crate) pending_set_ups: Vec<u64>,
     /// How many set-ups were rejected on this connection, for any cause.
-    pub(crate) refusals: usize,
+    pub(crate) rejected_set_ups: usize,
     /// End notices that were written recently. If the connection ends, the viewer may not have received them.
     pub(crate) recent_notices: Vec<EndNotice>,
 }
@@ -76,7 +76,7 @@
 
 /// A connection to a media server.
 pub(crate) struct ServerConnection {
-    pub(crate) server: u32,
+    pub(crate) server_number: u32,
     /// Set-ups on this connection that have no response yet.
     pub(crate) pending_set_ups: Vec<PendingSetUp>,
     /// Release notices that were written on this connection and of which no byte was sent yet.
@@ -95,10 +95,10 @@
 }
 
 impl ServerConnection {
-    pub(crate) fn new(server: u32, now: f64) -> ServerConnection {
+    pub(crate) fn new(server_number: u32, now: f64) -> ServerConnection {
         let (pending_set_ups, unsent_releases) = (Vec::new(), Vec::new());
         ServerConnection {
-            server,
+            server_number,
             pending_set_ups,
             unsent_releases,
             is_up: false,
@@ -120,7 +120,7 @@
 
 /// The notice to a server that a session has ended.
 pub(crate) struct ReleaseNotice {
-    pub(crate) server: u32,
+    pub(crate) server_number: u32,
     pub(crate) play: u64,
     pub(crate) cause: u8,
     /// When the notice was created, Unix ms.
@@ -130,25 +130,25 @@
 
 /// An attempt that the dispatcher requests, numbered from 1 within its session.
 pub(crate) struct Attempt {
-    pub(crate) session: u64,
+    pub(crate) play: u64,
     pub(crate) number: u32,
 }
 
 /// A play as the node's connections see it.
 pub(crate) struct Session {
     /// The connection on which the viewer sent the set-up.
-    pub(crate) viewer_connection: ConnectionId,
+    pub(crate) viewer_connection_id: ConnectionId,
     pub(crate) viewer_ip: Option<IpAddr>,
     pub(crate) class: String,
     pub(crate) title: String,
     pub(crate) description: Vec<u8>,
     /// The server of the current attempt or session, and its connection.
-    pub(crate) server: Option<u32>,
-    pub(crate) server_connection: Option<ConnectionId>,
+    pub(crate) server_number: Option<u32>,
+    pub(crate) server_connection_id: Option<ConnectionId>,
     /// Whether the server has accepted the set-up.
     pub(crate) is_playing: bool,
     /// When the current attempt was made or, once it plays, when that began, Unix ms.
-    pub(crate) since: f64,
+    pub(crate) phase_started_at: f64,
     /// When the current attempt times out, Unix ms.
     pub(crate) attempt_deadline: f64,
     /// How many attempts were made.
@@ -218,7 +218,7 @@
 /// The end of an attempt that is still to be reported, because the dispatcher was busy when it ended.
 pub(crate) struct AllocationEnd {
     pub(crate) play: u64,
-    pub(crate) server: u32,
+    pub(crate) server_number: u32,
     pub(crate) outcome: Outcome,
 }
 
@@ -337,7 +337,7 @@
 
     /// How long the event loop may wait: until the next timer, or not at all if connections wait to be
     /// handled again.
-    pub(crate) fn time_to_next_timer(&self) -> Option<Duration> {
+    pub(crate) fn dispatch_timeout(&self) -> Option<Duration> {
         if !self.revisit_queue.is_empty() {
             return Some(Duration::ZERO);
         }
--- a/crates/node/src/stopping.rs
+++ b/crates/node/src/stopping.rs
@@ -9,8 +9,8 @@
 /// How long connections and set-ups are accepted after SIGTERM, ms. They keep arriving for 0.6 s.
 const ACCEPT_AFTER_STOP_MS: f64 = 900.0;
 /// A node that was told to stop is killed no sooner than `STOP_MARGIN_MS` after the longest time limit, which
-/// counts as `MAX_TIME_LIMIT_MS` at most. By then everything that is pending has been answered. Both in ms.
-const MAX_TIME_LIMIT_MS: f64 = 3_000.0;
+/// counts as `MAX_STOP_TIME_LIMIT_MS` at most. By then everything that is pending has been answered. Both in ms.
+const MAX_STOP_TIME_LIMIT_MS: f64 = 3_000.0;
 const STOP_MARGIN_MS: f64 = 600.0;
 
 impl Node {
@@ -23,7 +23,7 @@
         let now = self.state.now();
         self.state.stopping_since = Some(now);
         info!(target: "node", open = self.state.pending_set_up_count, standing = self.state.sessions.len(), "stopping");
-        let stop_at = now + self.state.limits.max_time_limit.min(MAX_TIME_LIMIT_MS) + STOP_MARGIN_MS;
+        let stop_at = now + self.state.limits.max_time_limit.min(MAX_STOP_TIME_LIMIT_MS) + STOP_MARGIN_MS;
         self.state.schedule(stop_at, Timer::StopDeadline);
         self.state.schedule(now + ACCEPT_AFTER_STOP_MS, Timer::CloseListener);
     }
@@ -43,8 +43,8 @@
     /// Whether the node was told to stop and has nothing left to do: no set-up to answer, no incomplete
     /// message from a viewer, and no notice to a server that a session has ended.
     pub(crate) fn is_done(&mut self) -> bool {
-        if self.halted || self.state.stopping_since.is_none() {
-            return self.halted;
+        if self.is_halted || self.state.stopping_since.is_none() {
+            return self.is_halted;
         }
         let state = &mut self.state;
         let has_partial_message = state.viewer_connections.iter().any(|connection_id| {
@@ -61,7 +61,7 @@
 
     /// Handles all input that has arrived, which may add work. Returns true if nothing is left to do.
     pub(crate) fn drain_input_and_check_done(&mut self) -> bool {
-        if !self.halted {
+        if !self.is_halted {
             self.accept_viewers();
             for connection_id in self.state.connections.ids() {
                 self.handle_connection(connection_id);
@@ -76,6 +76,6 @@
         self.drain_input_and_check_done();
         self.dispatcher.expire_pending(self.state.now(), &mut self.state);
         self.report_finished_allocations();
-        self.halted = true;
+        self.is_halted = true;
     }
 }
--- a/crates/node/src/to_servers.rs
+++ b/crates/node/src/to_servers.rs
@@ -11,8 +11,8 @@
 
 impl NodeState {
     /// The id of a server, for the log.
-    pub(crate) fn server_id(&self, server: u32) -> &str {
-        self.servers.get(&server).map_or("?", |s| s.id.as_str())
+    pub(crate) fn server_id(&self, server_number: u32) -> &str {
+        self.servers.get(&server_number).map_or("?", |s| s.id.as_str())
     }
 
     /// The number of a server with this id. An unknown id gets a new number.
@@ -27,11 +27,11 @@
         server_number
     }
 
-    /// Opens a connection to a listed server. If `urgent`, a connection to another server that has sessions
+    /// Opens a connection to a listed server. If `may_close_needed`, a connection to another server that has sessions
     /// may be closed for it.
-    pub(crate) fn dial(&mut self, server_number: u32, urgent: bool) -> Option<ConnectionId> {
+    pub(crate) fn dial(&mut self, server_number: u32, may_close_needed: bool) -> Option<ConnectionId> {
         let address = self.servers.get(&server_number)?.dial_address()?;
-        if self.is_at_connection_limit() && !self.close_idle_connection(urgent) {
+        if self.is_at_connection_limit() && !self.close_idle_connection(may_close_needed) {
             return None;
         }
         let server = self.servers.get(&server_number)?;
@@ -59,10 +59,10 @@
 
     /// Closes the connection to a server that is needed least, and returns whether there was one. No set-up
     /// may be pending on it and no output may wait, and its server must have no sessions or another
-    /// connection. Of several, the one that was silent longest is closed. If `urgent`, the only connection to
+    /// connection. Of several, the one that was silent longest is closed. If `may_close_needed`, the only connection to
     /// a server with sessions may be closed as a last resort, once the server has had the time to report all
     /// earlier ends on it; that server is dialled again later.
-    fn close_idle_connection(&mut self, urgent: bool) -> bool {
+    fn close_idle_connection(&mut self, may_close_needed: bool) -> bool {
         let now = self.now();
         let mut idle: Vec<(bool, f64, ConnectionId)> = Vec::new();
         for server in self.servers.values() {
@@ -72,7 +72,7 @@
                 let has_pending_output = connection.pending() > 0;
                 let Role::Server(server_connection) = &connection.role else { continue };
                 let may_close = !is_needed
-                    || urgent
+                    || may_close_needed
                         && server_connection.is_up
                         && now - server_connection.dialled_at >= SERVER_CHECK_INTERVAL_MS;
                 if may_close && !has_pending_output && server_connection.pending_set_ups.is_empty() {
@@ -135,7 +135,7 @@
                 || connection.closed
                 || may_be_closing
                 || excluded.contains(connection_id)
-                || server_connection.pending_set_ups.len() >= self.limits.max_set_ups_per_connection
+                || server_connection.pending_set_ups.len() >= self.limits.max_set_ups_per_server_connection
             {
                 continue;
             }
@@ -172,14 +172,18 @@
     }
 
     /// A connection on which to send requests about a server's sessions: an existing one, or a new one.
-    pub(crate) fn connection_to(&mut self, server_number: u32, urgent: bool) -> Option<ConnectionId> {
+    pub(crate) fn connection_to(
+        &mut self,
+        server_number: u32,
+        may_close_needed: bool,
+    ) -> Option<ConnectionId> {
         let connection_ids = self.servers.get(&server_number)?.connections.clone();
         let usable = connection_ids.into_iter().find(|connection_id| {
             self.connections
                 .get_mut(*connection_id)
                 .is_some_and(|connection| !connection.closed && matches!(&connection.role, Role::Server(server_connection) if !server_connection.is_unresponsive))
         });
-        usable.or_else(|| self.dial(server_number, urgent))
+        usable.or_else(|| self.dial(server_number, may_close_needed))
     }
 
     /// Writes to a server. Bytes for a connection that is not known to be established are sent when it is
@@ -210,7 +214,7 @@
         let unsent =
             server_connection.unsent_releases.into_iter().filter(|release| release.offset >= bytes_sent);
         self.pending_releases.extend(unsent.take(MAX_NOTICES.saturating_sub(self.pending_releases.len())));
-        if let Some(server) = self.servers.get_mut(&server_connection.server) {
+        if let Some(server) = self.servers.get_mut(&server_connection.server_number) {
             server.connections.retain(|id| *id != connection_id);
         }
     }
@@ -219,18 +223,18 @@
     /// later if there is none.
     pub(crate) fn release_on_server(
         &mut self,
-        server: u32,
+        server_number: u32,
         preferred: Option<ConnectionId>,
         play: u64,
         cause: u8,
     ) {
         let created_at = self.now();
-        self.send_release(preferred, ReleaseNotice { server, play, cause, created_at, offset: 0 });
+        self.send_release(preferred, ReleaseNotice { server_number, play, cause, created_at, offset: 0 });
     }
 
     /// Sends a release notice, or keeps it if there is no connection to its server.
     fn send_release(&mut self, preferred: Option<ConnectionId>, mut release: ReleaseNotice) {
-        let Some(connection_id) = self.preferred_or_any_connection(release.server, preferred) else {
+        let Some(connection_id) = self.preferred_or_any_connection(release.server_number, preferred) else {
             if self.pending_releases.len() < MAX_NOTICES {
                 self.pending_releases.push_back(release);
             }
@@ -251,7 +255,8 @@
     /// has passed, because the player must have learnt of the end in another way by then.
     pub(crate) fn retry_pending_releases(&mut self, now: f64) {
         for release in std::mem::take(&mut self.pending_releases) {
-            let is_reachable = self.servers.get(&release.server).is_some_and(|s| s.dial_address().is_some());
+            let is_reachable =
+                self.servers.get(&release.server_number).is_some_and(|s| s.dial_address().is_some());
             if is_reachable && now - release.created_at < NOTICE_TTL_MS {
                 self.send_release(None, release);
             }
@@ -273,37 +278,32 @@
     /// The server and the viewer's connection of an attempt that is still to be started, or `None` if its
     /// session no longer waits for it.
     pub(crate) fn startable_attempt(&self, attempt: &Attempt) -> Option<(u32, ConnectionId)> {
-        let session = self.sessions.get(&attempt.session)?;
-        let is_startable =
-            session.attempts == attempt.number && !session.is_playing && session.server_connection.is_none();
-        Some((session.server.filter(|_| is_startable)?, session.viewer_connection))
+        let session = self.sessions.get(&attempt.play)?;
+        let is_startable = session.attempts == attempt.number
+            && !session.is_playing
+            && session.server_connection_id.is_none();
+        Some((session.server_number.filter(|_| is_startable)?, session.viewer_connection_id))
     }
 
     /// Sends the set-up of an attempt. Returns false if there is no connection to the server.
-    pub(crate) fn send_set_up(&mut self, attempt: &Attempt, server: u32) -> bool {
+    pub(crate) fn send_set_up(&mut self, attempt: &Attempt, server_number: u32) -> bool {
         let now = self.now();
         let excluded =
-            self.sessions.get(&attempt.session).map(|s| s.abandoned_connections.clone()).unwrap_or_default();
-        let Some(connection_id) = self.connection_for_set_up(server, &excluded) else { return false };
-        let Some(session) = self.sessions.get_mut(&attempt.session) else { return true };
-        session.server_connection = Some(connection_id);
+            self.sessions.get(&attempt.play).map(|s| s.abandoned_connections.clone()).unwrap_or_default();
+        let Some(connection_id) = self.connection_for_set_up(server_number, &excluded) else { return false };
+        let Some(session) = self.sessions.get_mut(&attempt.play) else { return true };
+        session.server_connection_id = Some(connection_id);
         let time_limit = (session.attempt_deadline - now).max(1.0).ceil().to_string();
         let rung = session.rung.to_string();
         let fields: [(&str, &str); 3] =
             [("X-Call-Class", &session.class), ("X-Ring-Limit", &time_limit), ("Rate-Step", &rung)];
-        let bytes = rtsp::request(
-            "SETUP",
-            &session.title,
-            CSEQ_SET_UP,
-            attempt.session,
-            &fields,
-            &session.description,
-        );
+        let bytes =
+            rtsp::request("SETUP", &session.title, CSEQ_SET_UP, attempt.play, &fields, &session.description);
         if let Some(connection) = self.connections.get_mut(connection_id) {
             let offset = connection.bytes_queued();
             if let Role::Server(server_connection) = &mut connection.role {
                 server_connection.pending_set_ups.push(PendingSetUp {
-                    play: attempt.session,
+                    play: attempt.play,
                     offset,
                     length: bytes.len(),
                 });
@@ -363,7 +363,7 @@
     /// end the session.
     pub(crate) fn abandon_attempt(&mut self, play: u64) -> bool {
         let Some(session) = self.sessions.get_mut(&play) else { return false };
-        let Some(connection_id) = session.server_connection.take() else { return true };
+        let Some(connection_id) = session.server_connection_id.take() else { return true };
         if self.cancel_unsent_set_up(connection_id, play) {
             return true;
         }
@@ -384,9 +384,9 @@
     }
 
     /// The plays whose sessions play on a server, in order.
-    pub(crate) fn sessions_playing_at(&self, server_number: u32) -> Vec<u64> {
+    pub(crate) fn plays_playing_on(&self, server_number: u32) -> Vec<u64> {
         let playing_here =
-            self.sessions.iter().filter(|(_, s)| s.is_playing && s.server == Some(server_number));
+            self.sessions.iter().filter(|(_, s)| s.is_playing && s.server_number == Some(server_number));
         let mut plays: Vec<u64> = playing_here.map(|(play, _)| *play).collect();
         plays.sort_unstable();
         plays
@@ -395,16 +395,16 @@
     /// Sends the rung of a playing session to its server, unless the server knows it already.
     pub(crate) fn send_rung(&mut self, play: u64) {
         let Some(session) = self.sessions.get_mut(&play) else { return };
-        let (Some(server), true) = (session.server, session.is_playing) else { return };
+        let (Some(server_number), true) = (session.server_number, session.is_playing) else { return };
         if session.rung == session.rung_sent {
             return;
         }
         session.rung_sent = session.rung;
         let rung = session.rung.to_string();
-        let preferred = session.server_connection;
+        let preferred = session.server_connection_id;
         self.stats.steps += 1;
         let bytes = rtsp::request("SET_PARAMETER", "session", CSEQ_OTHER, play, &[("Rate-Step", &rung)], b"");
-        if let Some(connection_id) = self.preferred_or_any_connection(server, preferred) {
+        if let Some(connection_id) = self.preferred_or_any_connection(server_number, preferred) {
             self.write_to_server(connection_id, &bytes);
         }
     }
--- a/crates/node/src/to_viewers.rs
+++ b/crates/node/src/to_viewers.rs
@@ -21,12 +21,12 @@
     /// Sends the final answer to a set-up that does not play.
     pub(crate) fn reject_play(&mut self, play: u64, cause: u8, retry_after: f64) {
         let Some(session) = self.sessions.remove(&play) else { return };
-        self.mark_set_up_answered(session.viewer_connection, play);
-        self.write_release(session.viewer_connection, play, cause, retry_after);
+        self.mark_set_up_answered(session.viewer_connection_id, play);
+        self.write_final_message(session.viewer_connection_id, play, cause, retry_after);
     }
 
     /// Sends a release: a refusal, a failure or the end of a session. The play need not be known.
-    pub(crate) fn write_release(
+    pub(crate) fn write_final_message(
         &mut self,
         connection_id: ConnectionId,
         play: u64,
@@ -95,7 +95,7 @@
             viewer.recent_notices.retain(|kept| now - kept.ended_at < NOTICE_TTL_MS);
             viewer.recent_notices.push(notice);
         }
-        self.write_release(connection_id, play, cause, 0.0);
+        self.write_final_message(connection_id, play, cause, 0.0);
     }
 
     /// The newest proven connection from this address, or from any address if there is none.
@@ -103,9 +103,9 @@
         let mut fallback = None;
         for connection_id in self.viewer_connections.clone().into_iter().rev() {
             let Some(connection) = self.connections.get_mut(connection_id) else { continue };
-            let is_proven = matches!(&connection.role, Role::Viewer(viewer) if viewer.is_proven);
+            let is_identified = matches!(&connection.role, Role::Viewer(viewer) if viewer.is_identified);
             let is_same_ip = connection.peer_ip() == viewer_ip;
-            if !is_proven || !is_same_ip && fallback.is_some() || !self.is_peer_open(connection_id) {
+            if !is_identified || !is_same_ip && fallback.is_some() || !self.is_peer_open(connection_id) {
                 continue;
             }
             if is_same_ip {
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -13,12 +13,12 @@
 use tracing::debug;
 
 /// Maximum number of reads of one connection in a turn.
-const MAX_READS_PER_TURN: usize = 64;
+const MAX_VIEWER_READS_PER_TURN: usize = 64;
 /// A connection on which no usable message has arrived is closed after this time, ms. It must be closed
 /// within 3 s.
-const UNPROVEN_TIMEOUT_MS: f64 = 2_400.0;
+const UNIDENTIFIED_TIMEOUT_MS: f64 = 2_400.0;
 /// Maximum number of set-ups that may be pending on one connection, and on all connections together.
-const MAX_SET_UPS_PER_CONNECTION: usize = 48;
+const MAX_SET_UPS_PER_VIEWER_CONNECTION: usize = 48;
 const MAX_PENDING_SET_UPS: usize = 1_024;
 /// Connections that are accepted beyond the limit, only to reject set-ups on them. They use the reserved
 /// descriptors.
@@ -27,7 +27,7 @@
 /// this time for a set-up that crosses a close.
 const CLOSE_CROSSING_MS: f64 = 50.0;
 /// A connection is closed after this many rejected set-ups.
-const MAX_REFUSALS: usize = 256;
+const MAX_REJECTED_SET_UPS: usize = 256;
 
 impl Node {
     /// Accepts all waiting connections. Returns false if there was no descriptor for some of them.
@@ -62,9 +62,9 @@
             let now = self.state.now();
             let viewer = ViewerConnection {
                 accepted_at: now,
-                is_proven: false,
+                is_identified: false,
                 pending_set_ups: Vec::new(),
-                refusals: 0,
+                rejected_set_ups: 0,
                 recent_notices: Vec::new(),
             };
             let Ok(connection_id) = self.state.connections.open(stream, None, Role::Viewer(viewer)) else {
@@ -73,9 +73,9 @@
             self.state.viewer_connections.push_back(connection_id);
             debug!(target: "viewer", key = connection_id, viewers = self.state.viewer_connections.len(), "viewer connected");
             if let Some(connection) = self.state.connections.get_mut(connection_id) {
-                connection.deadline = now + UNPROVEN_TIMEOUT_MS;
+                connection.deadline = now + UNIDENTIFIED_TIMEOUT_MS;
             }
-            self.state.schedule(now + UNPROVEN_TIMEOUT_MS, Timer::ConnectionDeadline(connection_id));
+            self.state.schedule(now + UNIDENTIFIED_TIMEOUT_MS, Timer::ConnectionDeadline(connection_id));
         }
     }
 
@@ -103,13 +103,13 @@
     pub(crate) fn evict_viewer_connection(&mut self) -> bool {
         let state = &mut self.state;
         let playing_on: HashSet<ConnectionId> =
-            state.sessions.values().filter(|s| s.is_playing).map(|s| s.viewer_connection).collect();
+            state.sessions.values().filter(|s| s.is_playing).map(|s| s.viewer_connection_id).collect();
         let mut idle: Vec<(bool, bool, ConnectionId)> = Vec::new();
         for connection_id in state.viewer_connections.clone() {
             if let Some(viewer) =
                 state.viewer_connection(connection_id).filter(|viewer| viewer.pending_set_ups.is_empty())
             {
-                idle.push((viewer.is_proven, playing_on.contains(&connection_id), connection_id));
+                idle.push((viewer.is_identified, playing_on.contains(&connection_id), connection_id));
             }
         }
         // The sort is stable, so equal connections stay in the order in which they were accepted.
@@ -137,7 +137,7 @@
         let unread = connection.is_broken() || connection.pending() > 0;
         let Some(Role::Viewer(viewer)) = self.state.connections.close(connection_id) else { return };
         self.state.viewer_connections.retain(|id| *id != connection_id);
-        debug!(target: "viewer", key = connection_id, proven = viewer.is_proven, unread, viewers = self.state.viewer_connections.len(), "viewer connection closed");
+        debug!(target: "viewer", key = connection_id, proven = viewer.is_identified, unread, viewers = self.state.viewer_connections.len(), "viewer connection closed");
         for notice in viewer.recent_notices.into_iter().filter(|_| unread) {
             self.state.send_end_notice(notice, connection_id);
         }
@@ -179,19 +179,19 @@
     /// Abandons a pending set-up, because its viewer no longer waits for it.
     fn abandon_set_up(&mut self, play: u64) {
         let Some(session) = self.state.sessions.get(&play) else { return };
-        let (connection_id, server) = (session.viewer_connection, session.server);
+        let (connection_id, server_number) = (session.viewer_connection_id, session.server_number);
         self.state.mark_set_up_answered(connection_id, play);
         self.dispatcher.on_viewer_left(play, &mut self.state);
         // A session with a current attempt is removed when the outcome of the attempt is reported to the
         // dispatcher.
-        if server.is_none() {
+        if server_number.is_none() {
             self.state.sessions.remove(&play);
         }
     }
 
     /// Handles the input of a viewer's connection. Returns false if there may be more than one turn handles.
     pub(crate) fn handle_viewer_connection(&mut self, connection_id: ConnectionId) -> bool {
-        for _ in 0..MAX_READS_PER_TURN {
+        for _ in 0..MAX_VIEWER_READS_PER_TURN {
             let Some(connection) = self.state.connections.get_mut(connection_id) else { return true };
             connection.flush();
             let has_read = connection.read(MAX_INPUT_BYTES);
@@ -256,15 +256,15 @@
                 if session.is_playing {
                     session.release_cause = cause;
                     self.on_session_ended_by_viewer(play);
-                    self.mark_proven(connection_id);
-                } else if session.viewer_connection == connection_id {
+                    self.mark_identified(connection_id);
+                } else if session.viewer_connection_id == connection_id {
                     self.abandon_set_up(play);
                 }
             }
             kind::MOVE => {
                 if self.state.sessions.get(&play).is_some_and(|s| s.is_playing) {
                     self.on_session_ended_by_viewer(play);
-                    self.mark_proven(connection_id);
+                    self.mark_identified(connection_id);
                 }
             }
             kind::HEALTH_CHECK => {
@@ -287,11 +287,11 @@
 
     /// Marks a connection as proven to be a viewer's: pending end notices are sent on it, and it is not
     /// closed for being silent.
-    fn mark_proven(&mut self, connection_id: ConnectionId) {
+    fn mark_identified(&mut self, connection_id: ConnectionId) {
         if self
             .state
             .viewer_connection(connection_id)
-            .is_some_and(|viewer| !std::mem::replace(&mut viewer.is_proven, true))
+            .is_some_and(|viewer| !std::mem::replace(&mut viewer.is_identified, true))
         {
             self.state.send_pending_notices(connection_id);
         }
@@ -315,7 +315,7 @@
                 return self.reject_set_up(connection_id, play, CAUSE_UNUSABLE, 0.0);
             }
         };
-        if let Some(server_id) = set_up.adopted_from.clone() {
+        if let Some(server_id) = set_up.current_server_id.clone() {
             if !is_known {
                 self.adopt_session(now, connection_id, play, set_up, &server_id);
             }
@@ -330,7 +330,7 @@
         let Role::Viewer(viewer) = &mut connection.role else { return true };
         let is_over_limit = self.state.viewer_connections.len() > self.state.shares.viewers;
         if is_over_limit
-            || viewer.pending_set_ups.len() >= MAX_SET_UPS_PER_CONNECTION
+            || viewer.pending_set_ups.len() >= MAX_SET_UPS_PER_VIEWER_CONNECTION
             || self.state.pending_set_up_count >= MAX_PENDING_SET_UPS
         {
             self.state.stats.flooded += 1;
@@ -340,7 +340,7 @@
         self.state.pending_set_up_count += 1;
         let request = set_up.request;
         self.state.sessions.insert(play, new_session(connection_id, viewer_ip, set_up));
-        self.mark_proven(connection_id);
+        self.mark_identified(connection_id);
         self.dispatcher.add_play(now, play, &request, &mut self.state);
         true
     }
@@ -348,10 +348,10 @@
     /// Rejects a set-up that was not accepted. Returns false if there were too many rejections on this
     /// connection.
     fn reject_set_up(&mut self, connection_id: ConnectionId, play: u64, cause: u8, retry_after: f64) -> bool {
-        self.state.write_release(connection_id, play, cause, retry_after);
+        self.state.write_final_message(connection_id, play, cause, retry_after);
         let Some(viewer) = self.state.viewer_connection(connection_id) else { return true };
-        viewer.refusals += 1;
-        viewer.refusals <= MAX_REFUSALS
+        viewer.rejected_set_ups += 1;
+        viewer.rejected_set_ups <= MAX_REJECTED_SET_UPS
     }
 
     /// Adopts a session that plays already at this server.
@@ -363,11 +363,11 @@
         set_up: SetUpRequest,
         server_id: &str,
     ) {
-        let server = self.state.server_number(server_id);
+        let server_number = self.state.server_number(server_id);
         let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
         let viewer_ip = connection.peer_ip();
         // The viewer keeps the connection while the session plays, to be notified of its end.
-        self.mark_proven(connection_id);
+        self.mark_identified(connection_id);
         match self.state.ended_sessions.take_report(now, play) {
             None => {}
             // The session has ended already, and the report of its end arrived first.
@@ -375,20 +375,23 @@
             Some(EndReport::Server(cause)) => {
                 return self.state.notify_session_end(play, connection_id, viewer_ip, cause);
             }
-            Some(EndReport::Viewer(cause)) => return self.state.release_on_server(server, None, play, cause),
+            Some(EndReport::Viewer(cause)) => {
+                return self.state.release_on_server(server_number, None, play, cause);
+            }
         }
         let request = set_up.request;
         let mut session = new_session(connection_id, viewer_ip, set_up);
-        (session.server, session.is_playing, session.since) = (Some(server), true, now);
+        (session.server_number, session.is_playing, session.phase_started_at) =
+            (Some(server_number), true, now);
         self.state.sessions.insert(play, session);
-        if let Some(server) = self.state.servers.get_mut(&server) {
+        if let Some(server) = self.state.servers.get_mut(&server_number) {
             server.playing_sessions += 1;
             if server.last_heard_at == 0.0 {
                 server.last_heard_at = now;
             }
         }
-        self.dispatcher.adopt(now, play, &request, server, &mut self.state);
+        self.dispatcher.adopt(now, play, &request, server_number, &mut self.state);
         // A server without a connection to this node cannot report anything about the session.
-        let _ = self.state.connection_to(server, false);
+        let _ = self.state.connection_to(server_number, false);
     }
 }
--- a/crates/rtsp/src/lib.rs
+++ b/crates/rtsp/src/lib.rs
@@ -10,7 +10,7 @@
 /// Maximum number of bytes of a message, head and body.
 pub const MAX_BYTES: usize = 16 << 10;
 /// Maximum number of bytes of a first line.
-const MAX_FIRST_LINE_BYTES: usize = 1024;
+const MAX_START_LINE_BYTES: usize = 1024;
 /// Maximum number of header fields of a message.
 const MAX_FIELDS: usize = 32;
 /// The protocol version in the first line.
@@ -21,10 +21,10 @@
 pub enum ParseError {
     #[error("the first line contains the byte {0:#04x}")]
     InvalidByte(u8),
-    #[error("the first line is longer than {MAX_FIRST_LINE_BYTES} bytes")]
-    FirstLineTooLong,
+    #[error("the first line is longer than {MAX_START_LINE_BYTES} bytes")]
+    StartLineTooLong,
     #[error("the first line is neither that of a response nor that of a request: {0:?}")]
-    InvalidFirstLine(String),
+    InvalidStartLine(String),
     #[error("the header cannot be parsed: {0}")]
     InvalidHeader(httparse::Error),
     #[error("the message needs exactly one valid Content-Length")]
@@ -60,8 +60,8 @@
 }
 
 /// Parses the first line of a response or a request.
-fn parse_first_line(line: &str) -> Result<Start, ParseError> {
-    let error = || ParseError::InvalidFirstLine(line.chars().take(60).collect());
+fn parse_start_line(line: &str) -> Result<Start, ParseError> {
+    let error = || ParseError::InvalidStartLine(line.chars().take(60).collect());
     let (first_word, rest) = line.split_once(' ').ok_or_else(error)?;
     if first_word == VERSION {
         let code = rest.split(' ').next().unwrap_or(rest);
@@ -81,17 +81,17 @@
     /// message is incomplete.
     pub fn parse(input: &[u8]) -> Result<Option<(Message, usize)>, ParseError> {
         let line = &input[..input.iter().position(|b| *b == b'\n').unwrap_or(input.len())];
-        if line.len() > MAX_FIRST_LINE_BYTES {
-            return Err(ParseError::FirstLineTooLong);
+        if line.len() > MAX_START_LINE_BYTES {
+            return Err(ParseError::StartLineTooLong);
         }
-        let first_line = line.strip_suffix(b"\r").unwrap_or(line);
-        if let Some(invalid_byte) = first_line.iter().find(|b| !(b' '..=b'~').contains(*b)) {
+        let start_line = line.strip_suffix(b"\r").unwrap_or(line);
+        if let Some(invalid_byte) = start_line.iter().find(|b| !(b' '..=b'~').contains(*b)) {
             return Err(ParseError::InvalidByte(*invalid_byte));
         }
         if line.len() == input.len() {
             return Ok(None);
         }
-        let start = parse_first_line(&String::from_utf8_lossy(first_line))?;
+        let start = parse_start_line(&String::from_utf8_lossy(start_line))?;
         let head = &input[line.len() + 1..];
         let mut header_slots = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let (used, headers) = match httparse::parse_headers(head, &mut header_slots) {
