--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -5,8 +5,8 @@
 //! [`ConnectionHandler::connection_ready`] tells the owner of every event on a connection.
 //!
 //! A connection with TLS counts as connected only once the handshake is done, so no byte of a request has
-//! been sent to a server whose handshake failed. Bytes that wait inside the TLS session count as waiting to
-//! be written.
+//! been sent to a server whose handshake failed. Bytes that wait inside the TLS session count as unsent for
+//! [`Connection::pending`], and as sent for [`Connection::bytes_sent`].
 
 pub mod timers;
 
@@ -47,15 +47,16 @@
     /// Bytes that were read and not yet consumed by the owner.
     pub input: Vec<u8>,
     output: Vec<u8>,
-    /// How many bytes at the front of `output` have been written.
+    /// How many bytes at the front of `output` have been sent.
     output_sent: usize,
-    /// All bytes that were ever queued for writing, and all of them that the socket (with TLS: the TLS
-    /// session) has taken.
+    /// How many bytes were ever queued, and how many of them were sent, which means that the socket (with
+    /// TLS: the TLS session) has taken them.
     bytes_queued: u64,
     bytes_sent: u64,
     /// When the owner's timer for this connection runs out, Unix ms; infinite if no timer is set.
     pub deadline: f64,
-    /// The peer has closed its side, or the connection is broken.
+    /// Whether nothing more can be read: the peer has closed its side, the connection is broken, or the owner
+    /// has given it up.
     pub closed: bool,
     is_broken: bool,
     is_write_shut_down: bool,
@@ -99,24 +100,26 @@
         self.stream.peer_addr().ok().map(|address| address.ip())
     }
 
-    /// How many bytes were ever queued for writing. This is the offset at which the next message will start.
+    /// How many bytes were ever queued, without cancelled ones. This is the offset at which the next message
+    /// will start.
     pub fn bytes_queued(&self) -> u64 {
         self.bytes_queued
     }
 
-    /// How many of the queued bytes the socket has taken. The peer may have read all of them.
+    /// How many of the queued bytes were sent. The peer may have read all of them.
     pub fn bytes_sent(&self) -> u64 {
         self.bytes_sent
     }
 
-    /// Queues bytes for writing. They are sent by [`Connection::flush`].
+    /// Queues bytes. They are sent by [`Connection::flush`].
     pub fn write(&mut self, bytes: &[u8]) {
         self.bytes_queued += bytes.len() as u64;
         self.output.extend_from_slice(bytes);
     }
 
     /// Removes `length` queued bytes that start at `offset`. Returns false and changes nothing if any of them
-    /// may have been sent.
+    /// may have been sent, or was never queued. The bytes queued after them move forward by `length`, so the
+    /// caller has to adjust the offsets that it keeps.
     pub fn cancel_write(&mut self, offset: u64, length: usize) -> bool {
         if offset < self.bytes_sent || offset + length as u64 > self.bytes_queued {
             return false;
@@ -135,13 +138,14 @@
         self.input = input;
     }
 
-    /// How many bytes wait to be written. Output of the TLS session counts as one byte.
+    /// How many bytes were queued and not sent. All output that waits inside the TLS session counts as one
+    /// byte.
     pub fn pending(&self) -> usize {
         let has_tls_output = self.tls.as_ref().is_some_and(|tls| tls.wants_write());
         self.output.len() - self.output_sent + usize::from(has_tls_output)
     }
 
-    /// Writes as much as the socket takes. Returns true if anything was written.
+    /// Sends as many of the queued bytes as the socket takes. Returns true if the socket took anything.
     pub fn flush(&mut self) -> bool {
         let mut has_written = false;
         while self.pending() > 0 {
@@ -182,9 +186,9 @@
         has_written
     }
 
-    /// Whether the connection was reset, so that the peer may not have read what was written on it. If the
-    /// peer closed its side before it received bytes in flight, the reset is known only after these bytes
-    /// have reached the peer.
+    /// Whether the connection has failed (a reset, an I/O error or a TLS error), so that the peer may not
+    /// have read all that was sent. A peer that has closed the connection resets it only when later bytes
+    /// reach the peer, so a reset may become known some time after the close.
     pub fn is_broken(&mut self) -> bool {
         self.is_broken |= !matches!(self.stream.take_error(), Ok(None));
         self.is_broken
@@ -345,13 +349,13 @@
         Ok(id)
     }
 
-    /// The connection with this id, or `None` if it has been closed.
+    /// The connection with this id, or `None` if the owner has closed it.
     pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection<R, O>> {
         let (generation, connection) = self.connections.get_mut(id as u32 as usize)?;
         (*generation == (id >> 32) as u32).then_some(connection)
     }
 
-    /// Whether any connection whose role satisfies `has_role` still has bytes to write.
+    /// Whether any connection whose role satisfies `has_role` still has unsent bytes.
     pub fn any_pending(&self, has_role: impl Fn(&R) -> bool) -> bool {
         self.connections
             .iter()
@@ -368,7 +372,7 @@
         self.connections.len()
     }
 
-    /// Closes a connection and returns its role, or `None` if it was closed before.
+    /// Closes a connection and returns its role, or `None` if the owner has closed it before.
     pub fn close(&mut self, id: ConnectionId) -> Option<R> {
         self.get_mut(id)?;
         let (_, connection) = self.connections.remove(id as u32 as usize);
--- a/crates/connections/src/timers.rs
+++ b/crates/connections/src/timers.rs
@@ -15,7 +15,8 @@
 }
 
 impl<T: Ord> Timers<T> {
-    /// Takes one reading of the wall clock in Unix ms, to which monotonic time is added.
+    /// Creates an empty set of timers. `unix_ms` is the present time of the wall clock, to which the
+    /// monotonic time that passes from now on is added.
     pub fn new(unix_ms: f64) -> Timers<T> {
         Timers { pending: BinaryHeap::new(), started_at: (Instant::now(), unix_ms) }
     }
@@ -25,10 +26,10 @@
         self.started_at.1 + self.started_at.0.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Sets a timer. Its time is rounded up to whole µs, because the owner ignores a timer that fires early
-    /// and waits for a second one that never comes. A Unix time in ms as `f64` has a precision of a quarter
-    /// of a µs, and the conversion to whole µs and back can lose that much; a loop that wakes exactly then
-    /// would be too early.
+    /// Sets a timer. Its time is rounded up to whole µs, so that it never fires early: an owner ignores an
+    /// early timer, and the timer does not fire again. Present Unix times in ms as `f64` are a quarter of a
+    /// µs apart, so the conversion to whole µs and back can itself round down by that much, which is
+    /// corrected.
     pub fn schedule(&mut self, due_at: f64, timer: T) {
         let mut us = (due_at * 1000.0).max(0.0).ceil() as u64;
         if us as f64 / 1000.0 < due_at {
@@ -37,7 +38,7 @@
         self.pending.push(Reverse((us, timer)));
     }
 
-    /// How long until the next timer is due, or `None` if no timer is set.
+    /// How long until the next timer is due: zero if it is overdue, `None` if no timer is set.
     pub fn time_to_next(&self) -> Option<Duration> {
         let next = self.pending.peek()?.0.0 as f64 / 1000.0;
         Some(Duration::from_secs_f64((next - self.now()).max(0.0) / 1000.0))
--- a/crates/connections/tests/reached.rs
+++ b/crates/connections/tests/reached.rs
@@ -11,8 +11,9 @@
     fn connection_ready(&mut self, _: ConnectionId) {}
 }
 
-/// While the event loop is busy, a server can read a set-up, run it and reset the connection. If the connection then
-/// counted as never established, a paid set-up would be sent a second time.
+/// While the event loop is busy, a server can read a set-up, run it and reset the connection. If the
+/// connection then counted as never established, a set-up that must not run twice would be sent a second
+/// time.
 #[test]
 fn a_reset_after_the_request_was_read_counts_as_established() {
     let event_loop = EventLoop::<'static, NoOpHandler>::try_new().expect("an event loop");
--- a/crates/connections/tests/timers.rs
+++ b/crates/connections/tests/timers.rs
@@ -12,9 +12,9 @@
     assert!(timers.is_empty() && timers.time_to_next().is_none());
 }
 
-/// At Unix times, the conversion of `f64` ms to whole µs lost up to a quarter of a µs. About one timer in 250 was due that
-/// much too early, at exactly the time at which the loop woke for it. The timer of the list query was then ignored, and no
-/// further query was sent.
+/// At present Unix times, the conversion of `f64` ms to whole µs can round down. Without the correction for
+/// this, about one timer in 250 is up to a quarter of a µs early, and its owner ignores it. The node sets the
+/// timer of its next query of the server list when it sends a query, so it would send no further one.
 #[test]
 fn a_timer_at_unix_times_is_due_at_most_3_us_late_and_never_early() {
     let mut rng = oorandom::Rand64::new(7);
--- a/crates/dns-discovery/src/lib.rs
+++ b/crates/dns-discovery/src/lib.rs
@@ -11,12 +11,12 @@
 
 /// The name whose SRV records make up the list.
 const SERVICE_NAME: &str = "_app._tcp.cluster.lan";
-/// Maximum number of bytes of a response: the size of a UDP datagram. A list of hundreds of servers needs more
-/// than 8 KiB.
+/// Maximum number of bytes of a response: the size of a UDP datagram. A list of hundreds of servers needs
+/// more than 8 KiB.
 pub const MAX_BYTES: usize = 64 << 10;
 /// The SRV priority of a server that is draining.
 const DRAINING_PRIORITY: u16 = 1;
-/// How much the weight of an SRV record is larger than the weight in the list.
+/// The weight of an SRV record is the weight in the list times this.
 const WEIGHT_SCALE: f64 = 10.0;
 
 /// A server's entry in the list.
@@ -24,25 +24,32 @@
 pub struct ServerEntry {
     pub id: String,
     pub address: SocketAddr,
+    /// The name of the zone in which the server is.
     pub zone: String,
+    /// The name of the kind of server.
     pub kind: String,
+    /// The number of the cell to which the server belongs.
     pub cell: usize,
     pub standing: Standing,
     pub weight: f64,
-    /// When the server started, Unix ms, if it started late; otherwise 0.
+    /// When the server started, Unix ms, if it started late; otherwise 0. A later time than that of the
+    /// previous list means a restart.
     pub started: f64,
 }
 
 /// The events known when a node starts, in order.
 #[derive(Debug, Deserialize)]
 pub struct InitialEvents {
+    /// The revision of the list after these events.
     pub rev: u32,
+    /// The events, oldest first.
     pub notices: Vec<ListEvent>,
 }
 
 /// One event: the whole list, or the entries that have changed.
 #[derive(Debug, Deserialize)]
 pub struct ListEvent {
+    /// The event's number, which is the revision of the list after it.
     pub rev: u32,
     pool: Pool,
 }
@@ -150,7 +157,7 @@
 /// corrupt; accepting it would make every later list look old.
 const MAX_REVISION_STEP: u32 = 1 << 16;
 
-/// Whether a response with this serial is newer than the known revision.
+/// Whether a response's serial, which is the revision of its list, is newer than the known revision.
 pub fn is_newer(revision: Option<u32>, serial: u32) -> bool {
     revision.is_none_or(|revision| serial > revision && serial - revision <= MAX_REVISION_STEP)
 }
--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -1,7 +1,7 @@
 //! What the node does for the dispatcher: starts and withdraws attempts, changes rungs, sends probes and
 //! writes final answers.
 
-use crate::state::{AllocationEnd, Attempt, CAUSE_FAILED, CAUSE_REFUSED, CSEQ_PROBE, NodeState, Timer};
+use crate::state::{AllocationEnd, Attempt, CAUSE_DECLINED, CAUSE_FAILED, CSEQ_PROBE, NodeState, Timer};
 use pulleystair::Outcome;
 use pulleystair_dispatcher::Actions;
 use pulleystair_rtsp as rtsp;
@@ -20,7 +20,7 @@
         self.outgoing_attempts.push_back(Attempt { play, number });
     }
 
-    /// Ends the play's session or abandons its attempt, and queues the outcome.
+    /// Ends the play's session at its server or abandons its attempt, and queues the outcome.
     fn withdraw(&mut self, play: u64) {
         let Some(session) = self.sessions.get(&play) else { return };
         let Some(server_number) = session.server_number else { return };
@@ -51,13 +51,13 @@
         self.write_to_server(connection_id, &bytes);
     }
 
-    /// Answers the set-up with a refusal. The viewer may try again after `retry_after` ms.
+    /// Answers that the play is declined. The viewer may try again after `retry_after` ms.
     fn decline(&mut self, play: u64, retry_after: f64) {
         self.stats.declined += 1;
-        self.reject_play(play, CAUSE_REFUSED, retry_after);
+        self.reject_play(play, CAUSE_DECLINED, retry_after);
     }
 
-    /// Answers the set-up with a failure.
+    /// Answers that the play has failed.
     fn fail(&mut self, play: u64) {
         self.stats.failed += 1;
         self.reject_play(play, CAUSE_FAILED, 0.0);
@@ -69,6 +69,6 @@
         self.schedule(due_at, Timer::Dispatcher(timer));
     }
 
-    /// Does nothing, because the node queries the list at a fixed interval.
+    /// Does nothing, because the node queries the list regularly anyway.
     fn watch_list(&mut self) {}
 }
--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -4,7 +4,7 @@
 //! viewer that has closed its connection or given up its set-up by then. Therefore the attempts that the
 //! dispatcher requests wait until the end of the turn, and each viewer's connection is first read until it is
 //! empty. A connection with more input than one turn handles delays its own attempts, and only those, until
-//! all of it is read. Between that read and the bytes of the set-up there is only the time of one write.
+//! all of it is read. Nothing else runs between that read and the queueing of the set-up.
 
 use crate::node::Node;
 use crate::state::{AllocationEnd, Attempt};
@@ -13,7 +13,7 @@
 use tracing::debug;
 
 impl Node {
-    /// Starts the attempts that the dispatcher has requested. Returns true if there were any.
+    /// Starts the queued attempts. Returns true if there were any.
     pub(crate) fn start_outgoing_attempts(&mut self) -> bool {
         let mut has_started = false;
         while let Some(attempt) = self.state.outgoing_attempts.pop_front() {
@@ -30,14 +30,16 @@
         self.state.outgoing_attempts.extend(held);
     }
 
-    /// Sends the set-up of one attempt, unless its viewer has gone or its server is not ready.
+    /// Handles the viewer's input, then sends the set-up of one attempt if the viewer still waits for it.
+    /// Holds the attempt if input is left. Queues the attempt's end if the server is not ready or has no
+    /// connection.
     fn start_attempt(&mut self, attempt: Attempt) {
         let Some((_, viewer_connection_id)) = self.state.startable_attempt(&attempt) else { return };
         if !self.handle_viewer_connection(viewer_connection_id) {
             return self.state.held_attempts.push(attempt);
         }
         let Some((server_number, _)) = self.state.startable_attempt(&attempt) else {
-            return debug!(target: "play", play = format!("{:016x}", attempt.play), "set-up not sent: its viewer has gone");
+            return debug!(target: "play", play = format!("{:016x}", attempt.play), "set-up not sent: its viewer no longer waits for it");
         };
         let (play, standing) =
             (attempt.play, self.state.servers.get(&server_number).map(|s| s.listing.standing));
@@ -52,8 +54,8 @@
         self.state.finished_allocations.push_back(AllocationEnd { play, server_number, outcome });
     }
 
-    /// Checks the set-ups that are about to be sent on a connection that is now up. A set-up is dropped if
-    /// its viewer has gone or its deadline has passed.
+    /// Checks the set-ups that are queued on a connection and about to be sent. A set-up is dropped if its
+    /// viewer no longer waits for it or its deadline has passed.
     pub(crate) fn recheck_unsent_set_ups(&mut self, connection_id: ConnectionId) {
         for play in self.state.unsent_set_ups(connection_id) {
             if let Some(session) = self.state.sessions.get(&play) {
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Ends an attempt whose deadline has passed.
+    /// Ends the attempt with this number, whose deadline has passed, unless it ended before.
     pub(crate) fn on_attempt_deadline(&mut self, play: u64, number: u32) {
         let pending_attempt = |node: &Node| {
             let session = node.state.sessions.get(&play)?;
@@ -87,9 +89,10 @@
         if let Some(connection) =
             connection_id.and_then(|connection_id| self.state.server_connection(connection_id))
         {
-            // The connection is not up by now, or has been silent since this set-up was sent, so the server
-            // may never respond on it.
-            connection.is_unresponsive |= !connection.is_up || connection.last_heard_at < phase_started_at;
+            // The connection is not established by now, or has been silent since this set-up was sent, so the
+            // server may never respond on it.
+            connection.is_unresponsive |=
+                !connection.is_established || connection.last_heard_at < phase_started_at;
         }
         let unsent = self.state.abandon_attempt(play);
         let waited = self.state.now() - phase_started_at;
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Reports the queued ends of attempts to the dispatcher.
+    /// Reports the queued ends to the dispatcher.
     pub(crate) fn report_finished_allocations(&mut self) {
         while let Some(AllocationEnd { play, server_number, outcome }) =
             self.state.finished_allocations.pop_front()
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -25,7 +25,7 @@
     pub limits: Limits,
     /// The address of the name service.
     pub resolver: SocketAddr,
-    /// The list of servers known at the start.
+    /// The events of the server list that are known at the start.
     pub known: InitialEvents,
     /// The platform's settings as they stand in the file; null once `policy_settings` is set.
     settings: serde_json::Value,
@@ -35,7 +35,7 @@
     /// The settings by flat name.
     #[serde(skip)]
     pub policy_settings: Settings,
-    /// The number in `seed`.
+    /// `seed` as a number.
     #[serde(skip)]
     pub salt: u64,
 }
@@ -71,12 +71,12 @@
     /// A server closes a connection that was idle for this long, ms; infinite if the settings name no such
     /// time.
     pub idle_close: f64,
-    /// Set-ups that may be pending on a connection to a server at the same time.
+    /// How many set-ups may be pending on a connection to a server at the same time.
     pub max_set_ups_per_server_connection: usize,
 }
 
 impl Config {
-    /// Reads and checks the file. Errors name the file and the setting.
+    /// Reads and checks the file. Errors name the path and the setting.
     pub fn read(path: &Path) -> anyhow::Result<Config> {
         let path_text = || path.display().to_string();
         let size = std::fs::metadata(path).with_context(path_text)?.len();
@@ -93,11 +93,11 @@
             anyhow!("{}: seed: {:?} is not a 64-bit number in hex digits: {e}", path_text(), config.seed)
         })?;
         config.settings = serde_json::Value::Null;
-        // Without a class the node could accept no set-up, and would reject every viewer's set-up as
-        // unusable.
+        // A product is a lane in the file and a class in a viewer's set-up. Without one, the node would
+        // reject every set-up as unusable.
         if config.node_limits().products.is_empty() {
             return Err(anyhow!(
-                "{}: settings: lanes[0].name is missing: the settings name no class",
+                "{}: settings: lanes[0].name is missing: there must be at least one lane",
                 path_text()
             ));
         }
--- a/crates/node/src/listing.rs
+++ b/crates/node/src/listing.rs
@@ -1,5 +1,5 @@
 //! The list of media servers: the initial events of the configuration file, and then the responses of the
-//! name service, which is queried at a fixed interval.
+//! name service, which is queried about every 200 ms.
 
 use crate::config::Config;
 use crate::node::Node;
@@ -37,7 +37,7 @@
     query_ids: VecDeque<u16>,
     /// When the next query is due, Unix ms. Timers that fire earlier are stale and ignored.
     next_query_at: f64,
-    /// The number of the last event that is in use.
+    /// The revision of the list in use, which is the number of the last event that it includes.
     pub(crate) revision: Option<u32>,
     /// Whether a response was accepted since the start.
     pub(crate) has_response: bool,
@@ -84,10 +84,10 @@
 }
 
 impl Node {
-    /// Applies the initial events, or those of a new file, as one merged list, because events that are long
-    /// past start and end nothing. Before the first response of the name service the list may be older than
-    /// the servers' state; afterwards it counts as newer, and server starts in it are handled like those in
-    /// responses.
+    /// Applies the initial events, or those of a new file, as one merged list: applied one by one, old events
+    /// would make servers seem to start and leave now. Before the first response of the name service the list
+    /// may be older than the servers' state; afterwards it counts as newer, and server starts in it are
+    /// handled like those in responses.
     pub(crate) fn apply_initial_events(&mut self) {
         let (is_whole, entries) = self.state.config.known.merged_list();
         self.state.config.known.notices.clear();
@@ -95,14 +95,15 @@
         self.dns_client.revision = Some(self.state.config.known.rev);
     }
 
-    /// Queries the name service, unless the timer that fired is stale.
+    /// Queries the name service if the next query is due; otherwise the timer that fired is stale.
     pub(crate) fn query_list_if_due(&mut self, now: f64) {
         if now >= self.dns_client.next_query_at {
             self.query_list();
         }
     }
 
-    /// Queries the name service and sets the timer of the next query.
+    /// Queries the name service, and sets the timer of the next query to 200 ms from now, varied by up to a
+    /// quarter.
     pub(crate) fn query_list(&mut self) {
         let id = self.state.rng.rand_range(0..1 << 16) as u16;
         let dns_client = &mut self.dns_client;
@@ -237,8 +238,8 @@
         }
     }
 
-    /// Checks the file, replaces the client of the name service, and applies the file's events if they are
-    /// newer.
+    /// Checks the file, replaces the client of the name service (also if its address is the same), and
+    /// applies the file's events if they are newer.
     fn apply_config_file(&mut self) -> anyhow::Result<()> {
         let config = Config::read(&self.state.config.path)?;
         let old = &self.state.config;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -29,7 +29,7 @@
     pub(crate) dispatcher: Dispatcher,
     pub(crate) state: NodeState,
     pub(crate) dns_client: DnsClient,
-    /// The loop ends, although work may be left.
+    /// Whether the loop ends, although work may be left.
     pub(crate) is_halted: bool,
 }
 
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Closes a connection at its deadline: a viewer's if no usable message has arrived, a server's if it is
-    /// not established.
+    /// Closes a connection at its deadline: a viewer's if it is not identified as such and no health check
+    /// has arrived on it, a server's if it is not established.
     fn on_connection_deadline(&mut self, now: f64, connection_id: ConnectionId) {
         let is_due = |node: &mut Node| {
             node.state.connections.get_mut(connection_id).is_some_and(|connection| connection.deadline <= now)
@@ -174,7 +174,7 @@
         let connected = connection.connected() == Some(true);
         match &connection.role {
             Role::Viewer(viewer) if !viewer.is_identified && viewer.accepted_at.is_finite() => {
-                debug!(target: "viewer", "connection closed: no usable message arrived");
+                debug!(target: "viewer", "connection closed: no set-up was accepted and no session ended on it");
                 self.close_viewer_connection(connection_id);
             }
             Role::Server(_) if !connected => self.on_server_connection_lost(connection_id),
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -15,8 +15,8 @@
 
 /// Maximum number of reads of one connection in a turn.
 const MAX_SERVER_READS_PER_TURN: usize = 16;
-/// How much longer than the interval between notes a server may be silent before there is a reason to check
-/// it, ms.
+/// Added to 1.25 intervals between notes, this is the time after which the silence of a server has to have a
+/// cause, ms.
 const NOTE_GRACE_MS: f64 = 1_000.0;
 /// The part of the time within which viewers must be notified of an end that is kept for detecting the end
 /// and for sending the notice, ms.
@@ -37,7 +37,7 @@
             }
             let Role::Server(server_connection) = &mut connection.role else { return };
             let server_number = server_connection.server_number;
-            let has_just_connected = !std::mem::replace(&mut server_connection.is_up, true);
+            let has_just_connected = !std::mem::replace(&mut server_connection.is_established, true);
             if has_just_connected {
                 (server_connection.last_heard_at, server_connection.last_active_at) = (now, now);
             }
@@ -120,9 +120,9 @@
             .collect();
         // If the viewer has gone by now, the response must not be forwarded, so the viewer's input is handled
         // first.
-        let awaits_answer = |s: &&Session| !s.is_playing && message.cseq() != Some(CSEQ_PROBE);
+        let awaits_response = |s: &&Session| !s.is_playing && message.cseq() != Some(CSEQ_PROBE);
         if let (Start::Answer(200), Some(session)) =
-            (&message.start, self.state.sessions.get(&play).filter(awaits_answer))
+            (&message.start, self.state.sessions.get(&play).filter(awaits_response))
         {
             self.handle_viewer_connection(session.viewer_connection_id);
         }
@@ -150,6 +150,7 @@
                 self.state.release_on_server(server_number, Some(connection_id), play, CAUSE_WITHDRAWN);
             }
             Start::Answer(status) if is_pending => {
+                // In RTSP, 453 is "Not Enough Bandwidth", 454 "Session Not Found" and 504 "Gateway Time-out".
                 let outcome = match status {
                     453 => Outcome::Full,
                     454 => Outcome::NeverSent,
@@ -176,6 +177,7 @@
                 "TEARDOWN" if is_pending => {
                     self.on_attempt_ended(play, server_number, Outcome::Broken, &load)
                 }
+                // The session counts as withdrawn, and the viewer is notified that it has failed.
                 "REDIRECT" if is_playing => self.on_session_ended_by_server(
                     play,
                     server_number,
@@ -183,6 +185,8 @@
                     CAUSE_FAILED,
                     &load,
                 ),
+                // A note: the delivered share ("d"), the load of the link ("l") or of the uplink ("u"), or
+                // the rung that the server has changed to ("r").
                 "ANNOUNCE" if is_playing => {
                     let (Some(metric), Some(value)) = (message.field("X-Why"), message.number("Figure"))
                     else {
@@ -346,8 +350,9 @@
         self.report_finished_allocations();
     }
 
-    /// Dials a server with sessions that has no connection or is silent. The server may have ends to report,
-    /// or may be gone.
+    /// Dials a server with sessions that has no connection or is silent, because the server may have ends to
+    /// report. If there is no address to dial, the server counts as lost. `may_close_needed`: the only
+    /// connection to another server with sessions may be closed for the new one.
     fn reconnect(&mut self, server_number: u32, may_close_needed: bool) {
         if self.state.servers.get(&server_number).is_some_and(|s| s.dial_address().is_none()) {
             return self.on_server_lost(server_number);
@@ -370,12 +375,15 @@
         }
     }
 
-    /// Dials silent servers with sessions again. This is done as late as the viewers' deadline for notices
-    /// allows, so that a server that is cut off for some seconds keeps its sessions. A server that is listed
-    /// as gone is given no more than the time between two of its notes. If more servers have sessions than
-    /// there may be connections, the servers without one are dialled in turn, the longest silent first. Each
-    /// check can replace all connections, so M servers with K connections are all heard within half of that
-    /// time plus M / K checks.
+    /// Dials servers with sessions that have no connection, or were silent for `silence_limit`. That is as
+    /// late as the viewers' deadline for notices allows, so that a server that is cut off for some seconds
+    /// keeps its sessions. A server that is listed as gone counts as silent after `note_timeout` (1.25
+    /// intervals between notes plus `NOTE_GRACE_MS`) and is then lost.
+    ///
+    /// If more servers have sessions than there may be connections, the servers without one are dialled in
+    /// turn, the longest silent first. After half of `silence_limit` they may close a connection to a server
+    /// with sessions. Each check can replace all connections, so with M servers and K connections a server is
+    /// heard again within half of `silence_limit` plus M / K checks.
     pub(crate) fn check_silent_servers(&mut self, now: f64) {
         let limits = &self.state.limits;
         let note_timeout = limits.note_interval * 1.25 + NOTE_GRACE_MS;
@@ -403,7 +411,7 @@
             if !connections.into_iter().any(|connection_id| {
                 self.state
                     .server_connection(connection_id)
-                    .is_some_and(|server_connection| !server_connection.is_up)
+                    .is_some_and(|server_connection| !server_connection.is_established)
             }) {
                 self.reconnect(server_number, may_close_needed);
             }
--- a/crates/node/src/set_up.rs
+++ b/crates/node/src/set_up.rs
@@ -105,7 +105,7 @@
     }
 }
 
-/// A session that has no attempt yet.
+/// The session of a play that has no attempt yet.
 pub(crate) fn new_session(
     viewer_connection_id: ConnectionId,
     viewer_ip: Option<std::net::IpAddr>,
--- a/crates/node/src/shares.rs
+++ b/crates/node/src/shares.rs
@@ -7,16 +7,18 @@
 /// files that are read again.
 const RESERVED_DESCRIPTORS: usize = 16;
 
-/// How many connections to viewers and to servers may be open.
+/// The division of the file descriptors between connections to viewers and to servers.
 #[derive(Clone, Copy, Debug)]
 pub struct Shares {
+    /// How many connections to viewers may be open.
     pub viewers: usize,
+    /// How many connections to servers may be open.
     pub servers: usize,
 }
 
 impl Shares {
-    /// Divides `sockets` descriptors. Normally viewers use a third of the limit; a second third is for
-    /// viewers that use more, and the last third is for servers.
+    /// Divides `sockets` descriptors, without those that are in use or kept free: two thirds are for viewers,
+    /// who normally use half of that, and one third is for servers.
     pub fn new(sockets: usize) -> Shares {
         let available = sockets.saturating_sub(INTERNAL_DESCRIPTORS + RESERVED_DESCRIPTORS).max(12);
         let servers = available / 3;
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -18,13 +18,13 @@
 /// The connections of a node, with their roles.
 pub(crate) type Connections = pulleystair_connections::Connections<Node, Role>;
 
-/// Causes of releases that are sent to viewers: refused or busy (a retry is harmless), failed (also for a lost
-/// session), and an unusable set-up.
-pub(crate) const CAUSE_REFUSED: u8 = 34;
+/// Causes that are sent to viewers: the play was declined or the node is busy (in both cases nothing ran, so
+/// a retry is harmless), the play failed or its session was lost, the set-up is unusable.
+pub(crate) const CAUSE_DECLINED: u8 = 34;
 pub(crate) const CAUSE_BUSY: u8 = 42;
 pub(crate) const CAUSE_FAILED: u8 = 41;
 pub(crate) const CAUSE_UNUSABLE: u8 = 100;
-/// Causes that are sent to servers and received from them.
+/// Causes that are sent to servers and received from them: the session has finished, or was given up.
 pub(crate) const CAUSE_ENDED: u8 = 16;
 pub(crate) const CAUSE_WITHDRAWN: u8 = 31;
 /// The `CSeq` of each kind of request to a server, which its responses repeat.
@@ -50,15 +50,17 @@
 
 /// A viewer's connection.
 pub(crate) struct ViewerConnection {
-    /// When it was accepted, Unix ms; infinite after a health check, which needs no set-up.
+    /// When it was accepted, Unix ms. Infinite once a health check has arrived on it, which means that it is
+    /// not closed for lack of a set-up.
     pub(crate) accepted_at: f64,
-    /// Whether a usable set-up or a session's end has arrived on it.
+    /// Whether a set-up was accepted, the adoption of a session requested, or a playing session ended on it.
     pub(crate) is_identified: bool,
     /// Plays whose set-up on this connection has no answer yet.
     pub(crate) pending_set_ups: Vec<u64>,
-    /// How many set-ups were rejected on this connection, for any cause.
+    /// How many set-ups were rejected on this connection without becoming plays: unusable ones, and those
+    /// over a limit.
     pub(crate) rejected_set_ups: usize,
-    /// End notices that were written recently. If the connection ends, the viewer may not have received them.
+    /// End notices that were queued recently. If the connection ends, the viewer may not have received them.
     pub(crate) recent_notices: Vec<EndNotice>,
 }
 
@@ -70,8 +72,8 @@
     pub(crate) viewer_ip: Option<IpAddr>,
     /// When the session ended, Unix ms.
     pub(crate) ended_at: f64,
-    /// When the notice was last written, Unix ms.
-    pub(crate) written_at: f64,
+    /// When the notice was last queued on a connection, Unix ms.
+    pub(crate) queued_at: f64,
 }
 
 /// A connection to a media server.
@@ -79,16 +81,15 @@
     pub(crate) server_number: u32,
     /// Set-ups on this connection that have no response yet.
     pub(crate) pending_set_ups: Vec<PendingSetUp>,
-    /// Release notices that were written on this connection and of which no byte was sent yet.
+    /// Release notices that were queued on this connection and of which no byte was sent yet.
     pub(crate) unsent_releases: Vec<ReleaseNotice>,
     /// Whether the connection is established.
-    pub(crate) is_up: bool,
-    /// When something last arrived on the connection, and when something last arrived or was written, Unix
-    /// ms.
+    pub(crate) is_established: bool,
+    /// When something last arrived on the connection, and when something last arrived or was queued, Unix ms.
     pub(crate) last_heard_at: f64,
     pub(crate) last_active_at: f64,
-    /// No further set-ups are sent on it, because a set-up had no response in time and the connection was
-    /// silent meanwhile.
+    /// Whether a set-up had no response in time while the connection was silent. No further set-ups are sent
+    /// on such a connection.
     pub(crate) is_unresponsive: bool,
     /// When it was dialled, Unix ms. A server process that started later does not know this connection.
     pub(crate) dialled_at: f64,
@@ -101,7 +102,7 @@
             server_number,
             pending_set_ups,
             unsent_releases,
-            is_up: false,
+            is_established: false,
             last_heard_at: now,
             last_active_at: now,
             is_unresponsive: false,
@@ -110,7 +111,7 @@
     }
 }
 
-/// A set-up on a connection: its offset among all bytes written on the connection, and its length.
+/// A set-up on a connection: its offset among all bytes queued on the connection, and its length.
 #[derive(Clone, Copy)]
 pub(crate) struct PendingSetUp {
     pub(crate) play: u64,
@@ -118,23 +119,24 @@
     pub(crate) length: usize,
 }
 
-/// The notice to a server that a session has ended.
+/// The notice to a server that a session has ended, which is sent as a TEARDOWN.
 pub(crate) struct ReleaseNotice {
     pub(crate) server_number: u32,
     pub(crate) play: u64,
     pub(crate) cause: u8,
     /// When the notice was created, Unix ms.
     pub(crate) created_at: f64,
+    /// The offset of the TEARDOWN among all bytes queued on its connection; 0 if it was not queued yet.
     pub(crate) offset: u64,
 }
 
-/// An attempt that the dispatcher requests, numbered from 1 within its session.
+/// An attempt that the dispatcher requests, numbered from 1 within its play.
 pub(crate) struct Attempt {
     pub(crate) play: u64,
     pub(crate) number: u32,
 }
 
-/// A play as the node's connections see it.
+/// A play, from its set-up to the end of its session.
 pub(crate) struct Session {
     /// The connection on which the viewer sent the set-up.
     pub(crate) viewer_connection_id: ConnectionId,
@@ -142,16 +144,16 @@
     pub(crate) class: String,
     pub(crate) title: String,
     pub(crate) description: Vec<u8>,
-    /// The server of the current attempt or session, and its connection.
+    /// The number of the server of the current attempt or playing session, and the connection to that server.
     pub(crate) server_number: Option<u32>,
     pub(crate) server_connection_id: Option<ConnectionId>,
     /// Whether the server has accepted the set-up.
     pub(crate) is_playing: bool,
-    /// When the current attempt was made or, once it plays, when that began, Unix ms.
+    /// When the current attempt was made or, once the session plays, when that began, Unix ms.
     pub(crate) phase_started_at: f64,
     /// When the current attempt times out, Unix ms.
     pub(crate) attempt_deadline: f64,
-    /// How many attempts were made.
+    /// How many attempts were made, which is also the number of the current one.
     pub(crate) attempts: u32,
     /// Connections on which earlier attempts were abandoned. Late responses there must not be taken for those
     /// of a newer attempt.
@@ -159,7 +161,7 @@
     pub(crate) rung: usize,
     /// The last rung that was sent to the server or reported by it.
     pub(crate) rung_sent: usize,
-    /// The cause with which the viewer ended the session.
+    /// The cause with which the viewer ended the session, to be sent to its server.
     pub(crate) release_cause: u8,
 }
 
@@ -174,7 +176,7 @@
     /// How many sessions play on it.
     pub(crate) playing_sessions: usize,
     pub(crate) last_heard_at: f64,
-    /// How many consecutive connections could not be established while sessions play on the server.
+    /// How many connections could not be established since something last arrived from the server.
     pub(crate) failed_dials: u32,
 }
 
@@ -195,7 +197,7 @@
 pub(crate) enum Timer {
     /// A timer of the dispatcher.
     Dispatcher(u32),
-    /// The attempt with this number of this session times out.
+    /// The attempt with this number of this play times out.
     AttemptDeadline(u64, u32),
     /// The deadline of a connection may have passed.
     ConnectionDeadline(ConnectionId),
@@ -215,7 +217,8 @@
     StopDeadline,
 }
 
-/// The end of an attempt that is still to be reported, because the dispatcher was busy when it ended.
+/// The end of an attempt or the withdrawal of a playing session. It is queued to be reported, because the
+/// dispatcher was busy when it came about. The dispatcher calls an attempt an allocation.
 pub(crate) struct AllocationEnd {
     pub(crate) play: u64,
     pub(crate) server_number: u32,
@@ -235,7 +238,7 @@
     pub(crate) failed: u64,
     /// Set-ups and other messages from viewers that could not be used.
     pub(crate) unusable: u64,
-    /// Set-ups that were rejected because too many were pending or too many connections open.
+    /// Set-ups that were rejected because too many were pending or too many viewers' connections were open.
     pub(crate) flooded: u64,
     /// Set-ups that were sent to servers.
     pub(crate) sent: u64,
@@ -249,9 +252,9 @@
     pub(crate) late: u64,
     /// Connections to servers that brought input that cannot be parsed.
     pub(crate) spoilt: u64,
-    /// Viewers' connections that were closed to make room.
+    /// Viewers' connections that were closed to free their descriptors.
     pub(crate) evicted: u64,
-    /// Rung changes that servers were to be told.
+    /// Rung changes to be sent to servers.
     pub(crate) steps: u64,
 }
 
@@ -272,16 +275,16 @@
     pub(crate) server_numbers: HashMap<String, u32>,
     pub(crate) next_server_number: u32,
     pub(crate) timers: Timers<Timer>,
-    /// Ends of attempts that are still to be reported to the dispatcher.
+    /// Ends of attempts, and withdrawals, that are still to be reported to the dispatcher.
     pub(crate) finished_allocations: VecDeque<AllocationEnd>,
     /// Attempts that the dispatcher requested, and those of them whose viewer's connection was read only in
     /// part.
     pub(crate) outgoing_attempts: VecDeque<Attempt>,
     pub(crate) held_attempts: Vec<Attempt>,
-    /// Release notices that no connection could carry to their servers.
+    /// Release notices that are still to be sent, for lack of a connection to their servers.
     pub(crate) pending_releases: VecDeque<ReleaseNotice>,
     pub(crate) ended_sessions: EndedSessions,
-    /// Connections that have more input than one turn handles, or that were found closed.
+    /// Connections to be handled again in the next turn: they may have input left, or are closed.
     pub(crate) revisit_queue: VecDeque<ConnectionId>,
     /// Viewers' connections in the order in which they were accepted.
     pub(crate) viewer_connections: VecDeque<ConnectionId>,
@@ -335,8 +338,8 @@
         self.timers.schedule(due_at, timer);
     }
 
-    /// How long the event loop may wait: until the next timer, or not at all if connections wait to be
-    /// handled again.
+    /// How long the event loop may wait for events: until the next timer, or not at all if connections are to
+    /// be handled again.
     pub(crate) fn dispatch_timeout(&self) -> Option<Duration> {
         if !self.revisit_queue.is_empty() {
             return Some(Duration::ZERO);
@@ -344,7 +347,7 @@
         self.timers.time_to_next()
     }
 
-    /// The viewer's side of a connection, or `None` if it is closed or leads to a server.
+    /// The node's state of a viewer's connection, or `None` if the connection is closed or leads to a server.
     pub(crate) fn viewer_connection(&mut self, connection_id: ConnectionId) -> Option<&mut ViewerConnection> {
         match &mut self.connections.get_mut(connection_id)?.role {
             Role::Viewer(viewer) => Some(viewer),
@@ -352,7 +355,7 @@
         }
     }
 
-    /// The server's side of a connection, or `None` if it is closed or leads to a viewer.
+    /// The node's state of a connection to a server, or `None` if it is closed or leads to a viewer.
     pub(crate) fn server_connection(&mut self, connection_id: ConnectionId) -> Option<&mut ServerConnection> {
         match &mut self.connections.get_mut(connection_id)?.role {
             Role::Server(server_connection) => Some(server_connection),
@@ -360,8 +363,8 @@
         }
     }
 
-    /// Whether the peer has kept the connection open, as far as is known. Input that this reads is handled in
-    /// the connection's own turn.
+    /// Whether the peer has kept the connection open, as far as is known. This reads the connection; what it
+    /// finds is handled when the connection's turn in `revisit_queue` comes.
     pub(crate) fn is_peer_open(&mut self, connection_id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get_mut(connection_id) else { return false };
         if connection.read(MAX_INPUT_BYTES) || connection.closed {
--- a/crates/node/src/stopping.rs
+++ b/crates/node/src/stopping.rs
@@ -1,21 +1,22 @@
-//! The shutdown of a node: after SIGTERM it still accepts set-ups for a short time, answers all that it has
-//! accepted, and ends at a fixed deadline at the latest.
+//! The shutdown of a node: after SIGTERM it still accepts connections for a short time, answers all set-ups
+//! that it has accepted, and ends at a fixed deadline at the latest.
 
 use crate::node::Node;
 use crate::shares::RETRY_DELAY_MS;
 use crate::state::Timer;
 use tracing::{info, warn};
 
-/// How long connections and set-ups are accepted after SIGTERM, ms. They keep arriving for 0.6 s.
+/// How long connections are accepted after SIGTERM, ms. New ones keep arriving for 0.6 s after the signal.
 const ACCEPT_AFTER_STOP_MS: f64 = 900.0;
-/// A node that was told to stop is killed no sooner than `STOP_MARGIN_MS` after the longest time limit, which
-/// counts as `MAX_STOP_TIME_LIMIT_MS` at most. By then everything that is pending has been answered. Both in ms.
+/// A node is killed at the earliest `STOP_MARGIN_MS` plus the longest time limit after SIGTERM, where a time
+/// limit counts as `MAX_STOP_TIME_LIMIT_MS` at most. By then the node has answered everything that is
+/// pending. Both in ms.
 const MAX_STOP_TIME_LIMIT_MS: f64 = 3_000.0;
 const STOP_MARGIN_MS: f64 = 600.0;
 
 impl Node {
-    /// Starts the shutdown. No new plays are accepted once the listener is closed. A second signal changes
-    /// nothing: the set-ups accepted so far still get their answers, and the deadline is fixed.
+    /// Starts the shutdown. No new connections are accepted once the listener is closed. A second signal
+    /// changes nothing: the set-ups accepted so far still get their answers, and the deadline is fixed.
     pub(crate) fn stop(&mut self) {
         if self.state.stopping_since.is_some() {
             return warn!(target: "node", "told to stop again: the node is already stopping");
--- a/crates/node/src/to_servers.rs
+++ b/crates/node/src/to_servers.rs
@@ -27,8 +27,8 @@
         server_number
     }
 
-    /// Opens a connection to a listed server. If `may_close_needed`, a connection to another server that has sessions
-    /// may be closed for it.
+    /// Opens a connection to a listed server. At the limit of connections, another one is closed for it (see
+    /// `close_idle_connection`). Returns `None` if no connection can be opened.
     pub(crate) fn dial(&mut self, server_number: u32, may_close_needed: bool) -> Option<ConnectionId> {
         let address = self.servers.get(&server_number)?.dial_address()?;
         if self.is_at_connection_limit() && !self.close_idle_connection(may_close_needed) {
@@ -59,9 +59,9 @@
 
     /// Closes the connection to a server that is needed least, and returns whether there was one. No set-up
     /// may be pending on it and no output may wait, and its server must have no sessions or another
-    /// connection. Of several, the one that was silent longest is closed. If `may_close_needed`, the only connection to
-    /// a server with sessions may be closed as a last resort, once the server has had the time to report all
-    /// earlier ends on it; that server is dialled again later.
+    /// connection. Of several, the one that was silent longest is closed. If `may_close_needed`, the only
+    /// connection to a server with sessions may be closed as a last resort, once the server has had the time
+    /// to report all earlier ends on it; that server is dialled again later.
     fn close_idle_connection(&mut self, may_close_needed: bool) -> bool {
         let now = self.now();
         let mut idle: Vec<(bool, f64, ConnectionId)> = Vec::new();
@@ -73,7 +73,7 @@
                 let Role::Server(server_connection) = &connection.role else { continue };
                 let may_close = !is_needed
                     || may_close_needed
-                        && server_connection.is_up
+                        && server_connection.is_established
                         && now - server_connection.dialled_at >= SERVER_CHECK_INTERVAL_MS;
                 if may_close && !has_pending_output && server_connection.pending_set_ups.is_empty() {
                     idle.push((is_needed, server_connection.last_heard_at, *connection_id));
@@ -122,7 +122,9 @@
         let max_idle = self.limits.idle_close - self.limits.dial_timeout;
         let mut best: Option<(bool, usize, ConnectionId)> = None;
         for connection_id in &connection_ids {
-            if self.server_connection(*connection_id).is_none_or(|server_connection| server_connection.is_up)
+            if self
+                .server_connection(*connection_id)
+                .is_none_or(|server_connection| server_connection.is_established)
                 && !self.is_peer_open(*connection_id)
             {
                 continue;
@@ -140,7 +142,7 @@
                 continue;
             }
             let candidate =
-                (!server_connection.is_up, server_connection.pending_set_ups.len(), *connection_id);
+                (!server_connection.is_established, server_connection.pending_set_ups.len(), *connection_id);
             if best.is_none_or(|b| (candidate.1, candidate.0) < (b.1, b.0)) {
                 best = Some(candidate);
             }
@@ -151,8 +153,8 @@
             Some((_, 0, connection_id)) => Some(connection_id),
             Some((_, _, connection_id)) if !may_dial => Some(connection_id),
             Some((_, _, connection_id)) => self.dial(server_number, false).or(Some(connection_id)),
-            // None of the connections to this server can be used. One without pending set-ups is closed to
-            // make room for a new one.
+            // None of the connections to this server can be used. If the server has as many as it may have,
+            // one without pending set-ups is closed for a new one.
             None => {
                 let is_unused = |connection_id: &ConnectionId| {
                     self.server_connection(*connection_id)
@@ -172,6 +174,7 @@
     }
 
     /// A connection on which to send requests about a server's sessions: an existing one, or a new one.
+    /// `may_close_needed`: the only connection to another server with sessions may be closed for the new one.
     pub(crate) fn connection_to(
         &mut self,
         server_number: u32,
@@ -186,13 +189,13 @@
         usable.or_else(|| self.dial(server_number, may_close_needed))
     }
 
-    /// Writes to a server. Bytes for a connection that is not known to be established are sent when it is
-    /// found to be.
+    /// Queues bytes for a server. They are sent at once if the connection is known to be established,
+    /// otherwise when it is found to be.
     pub(crate) fn write_to_server(&mut self, connection_id: ConnectionId, bytes: &[u8]) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(connection_id) else { return };
         connection.write(bytes);
-        if matches!(&connection.role, Role::Server(server_connection) if server_connection.is_up) {
+        if matches!(&connection.role, Role::Server(server_connection) if server_connection.is_established) {
             connection.flush();
         }
         let (is_closed, bytes_sent) = (connection.closed, connection.bytes_sent());
@@ -219,8 +222,8 @@
         }
     }
 
-    /// Notifies a server that a session at it has ended: on the `preferred` connection, on any other, or
-    /// later if there is none.
+    /// Notifies a server with a TEARDOWN that a session at it has ended: on the `preferred` connection, on
+    /// any other, or later if there is none.
     pub(crate) fn release_on_server(
         &mut self,
         server_number: u32,
@@ -232,7 +235,7 @@
         self.send_release(preferred, ReleaseNotice { server_number, play, cause, created_at, offset: 0 });
     }
 
-    /// Sends a release notice, or keeps it if there is no connection to its server.
+    /// Sends a release notice as a TEARDOWN, or keeps it if there is no connection to its server.
     fn send_release(&mut self, preferred: Option<ConnectionId>, mut release: ReleaseNotice) {
         let Some(connection_id) = self.preferred_or_any_connection(release.server_number, preferred) else {
             if self.pending_releases.len() < MAX_NOTICES {
@@ -251,8 +254,8 @@
         self.write_to_server(connection_id, &bytes);
     }
 
-    /// Sends the pending release notices again. A notice is dropped if its server is gone or `NOTICE_TTL_MS`
-    /// has passed, because the player must have learnt of the end in another way by then.
+    /// Tries to send the pending release notices. A notice is dropped if its server is gone or
+    /// `NOTICE_TTL_MS` has passed, because by then the viewer must have learnt of the end in another way.
     pub(crate) fn retry_pending_releases(&mut self, now: f64) {
         for release in std::mem::take(&mut self.pending_releases) {
             let is_reachable =
@@ -275,8 +278,8 @@
         usable.or_else(|| self.connection_to(server_number, true))
     }
 
-    /// The server and the viewer's connection of an attempt that is still to be started, or `None` if its
-    /// session no longer waits for it.
+    /// The server's number and the viewer's connection of an attempt that is still to be started, or `None`
+    /// if its play no longer waits for it.
     pub(crate) fn startable_attempt(&self, attempt: &Attempt) -> Option<(u32, ConnectionId)> {
         let session = self.sessions.get(&attempt.play)?;
         let is_startable = session.attempts == attempt.number
@@ -359,8 +362,8 @@
         true
     }
 
-    /// Abandons the current attempt. Returns true if no byte of it was sent; otherwise the server is told to
-    /// end the session.
+    /// Abandons the current attempt. Returns true if no byte of its set-up was sent; otherwise a TEARDOWN
+    /// tells the server to end the session.
     pub(crate) fn abandon_attempt(&mut self, play: u64) -> bool {
         let Some(session) = self.sessions.get_mut(&play) else { return false };
         let Some(connection_id) = session.server_connection_id.take() else { return true };
@@ -376,14 +379,15 @@
         false
     }
 
-    /// Removes a set-up from a connection, because it was answered or no longer needs an answer.
+    /// Removes a set-up from those that wait for a response on a connection, because the response has arrived
+    /// or is no longer awaited.
     pub(crate) fn remove_pending_set_up(&mut self, connection_id: ConnectionId, play: u64) {
         if let Some(server_connection) = self.server_connection(connection_id) {
             server_connection.pending_set_ups.retain(|set_up| set_up.play != play);
         }
     }
 
-    /// The plays whose sessions play on a server, in order.
+    /// The ids of the plays that are playing on a server, ascending.
     pub(crate) fn plays_playing_on(&self, server_number: u32) -> Vec<u64> {
         let playing_here =
             self.sessions.iter().filter(|(_, s)| s.is_playing && s.server_number == Some(server_number));
--- a/crates/node/src/to_viewers.rs
+++ b/crates/node/src/to_viewers.rs
@@ -7,7 +7,8 @@
 use tracing::debug;
 
 impl NodeState {
-    /// Writes to a viewer. A connection on which too much output waits to be read is closed.
+    /// Queues bytes for a viewer and sends what the socket takes. A connection with more than
+    /// `MAX_UNREAD_BYTES` unsent bytes is closed.
     pub(crate) fn write_to_viewer(&mut self, connection_id: ConnectionId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(connection_id) else { return };
         connection.write(bytes);
@@ -18,14 +19,15 @@
         }
     }
 
-    /// Sends the final answer to a set-up that does not play.
+    /// Sends the final answer to a play that the dispatcher has declined or failed, and forgets the play.
     pub(crate) fn reject_play(&mut self, play: u64, cause: u8, retry_after: f64) {
         let Some(session) = self.sessions.remove(&play) else { return };
         self.mark_set_up_answered(session.viewer_connection_id, play);
         self.write_final_message(session.viewer_connection_id, play, cause, retry_after);
     }
 
-    /// Sends a release: a refusal, a failure or the end of a session. The play need not be known.
+    /// Sends the last message on a play, of kind `RELEASE`: that it was rejected or failed, or that its
+    /// session has ended. The play need not be known.
     pub(crate) fn write_final_message(
         &mut self,
         connection_id: ConnectionId,
@@ -62,7 +64,7 @@
     ) {
         let ended_at = self.now();
         self.send_end_notice(
-            EndNotice { play, cause, viewer_ip, ended_at, written_at: ended_at },
+            EndNotice { play, cause, viewer_ip, ended_at, queued_at: ended_at },
             connection_id,
         );
     }
@@ -86,11 +88,11 @@
         }
     }
 
-    /// Writes an end notice on this connection. The notice is recorded, because the connection may end before
+    /// Sends an end notice on this connection. The notice is recorded, because the connection may end before
     /// the viewer has received it.
     fn write_end_notice(&mut self, connection_id: ConnectionId, mut notice: EndNotice) {
         let (play, cause, now) = (notice.play, notice.cause, self.now());
-        notice.written_at = now;
+        notice.queued_at = now;
         if let Some(viewer) = self.viewer_connection(connection_id) {
             viewer.recent_notices.retain(|kept| now - kept.ended_at < NOTICE_TTL_MS);
             viewer.recent_notices.push(notice);
@@ -98,7 +100,8 @@
         self.write_final_message(connection_id, play, cause, 0.0);
     }
 
-    /// The newest proven connection from this address, or from any address if there is none.
+    /// The newest open connection from this address that is identified as a viewer's, or the newest from any
+    /// address if there is none.
     fn find_viewer_connection(&mut self, viewer_ip: Option<IpAddr>) -> Option<ConnectionId> {
         let mut fallback = None;
         for connection_id in self.viewer_connections.clone().into_iter().rev() {
@@ -116,7 +119,7 @@
         fallback
     }
 
-    /// Sends the pending end notices on a connection that has just been proven to be a viewer's.
+    /// Sends the pending end notices on a connection that has just been identified as a viewer's.
     pub(crate) fn send_pending_notices(&mut self, connection_id: ConnectionId) {
         let now = self.now();
         for notice in std::mem::take(&mut self.pending_notices) {
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -14,19 +14,20 @@
 
 /// Maximum number of reads of one connection in a turn.
 const MAX_VIEWER_READS_PER_TURN: usize = 64;
-/// A connection on which no usable message has arrived is closed after this time, ms. It must be closed
-/// within 3 s.
+/// A connection that is not identified as a viewer's after this time is closed, ms. It must be closed within
+/// 3 s.
 const UNIDENTIFIED_TIMEOUT_MS: f64 = 2_400.0;
 /// Maximum number of set-ups that may be pending on one connection, and on all connections together.
 const MAX_SET_UPS_PER_VIEWER_CONNECTION: usize = 48;
 const MAX_PENDING_SET_UPS: usize = 1_024;
-/// Connections that are accepted beyond the limit, only to reject set-ups on them. They use the reserved
+/// How many connections are accepted beyond the limit, only to reject set-ups on them. They use the reserved
 /// descriptors.
 const EXTRA_CONNECTIONS: usize = 8;
-/// How long after a notice was written a viewer's close may cross it on the network, ms. The platform states
-/// this time for a set-up that crosses a close.
+/// An end notice that was sent less than this time before the viewer's close is seen may have crossed the
+/// close on the network, ms. The platform states this time for a set-up that crosses a close; it is used for
+/// notices too.
 const CLOSE_CROSSING_MS: f64 = 50.0;
-/// A connection is closed after this many rejected set-ups.
+/// A connection is closed once more set-ups than this were rejected on it.
 const MAX_REJECTED_SET_UPS: usize = 256;
 
 impl Node {
@@ -40,8 +41,7 @@
                 Ok((stream, _)) => stream,
                 Err(e) if e.kind() == std::io::ErrorKind::Interrupted => continue,
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionAborted => continue,
-                // No descriptor is left: a connection on which nothing usable has arrived is closed for the
-                // waiting one.
+                // No descriptor is left for the waiting connection, so another one is closed.
                 Err(e) if is_resource_exhaustion(&e) && self.evict_viewer_connection() => continue,
                 Err(e) if is_resource_exhaustion(&e) => {
                     self.pause_accepting();
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Pauses accepting for a moment. Without a descriptor for the waiting connections, the listener would be
-    /// reported as ready again and again.
+    /// Pauses accepting for `RETRY_DELAY_MS`. Without a descriptor for the waiting connections, the listener
+    /// would be reported as ready again and again.
     fn pause_accepting(&mut self) {
         if let Some((registration, _)) = &self.state.listener {
             let _ = self.state.loop_handle.disable(registration);
@@ -96,10 +96,10 @@
         }
     }
 
-    /// Closes a viewer's connection to make room, and returns whether there was one: the oldest on which
-    /// nothing usable has arrived, otherwise the oldest without pending set-ups. Connections of playing
-    /// sessions come last, because their viewers are notified of the end there. Input that has arrived by now
-    /// is handled first.
+    /// Closes one viewer's connection without pending set-ups to free its descriptor, and returns whether
+    /// there was one. The oldest connection that is not identified as a viewer's is closed first, then the
+    /// oldest without a playing session. Connections of playing sessions come last, because their viewers are
+    /// notified of the end there. Input that has arrived by now is handled first.
     pub(crate) fn evict_viewer_connection(&mut self) -> bool {
         let state = &mut self.state;
         let playing_on: HashSet<ConnectionId> =
@@ -145,7 +145,7 @@
 
     /// Handles a connection that its viewer has closed. A recent end notice may have crossed the close on the
     /// network. In that case the viewer's machine resets the connection when the notice arrives, so the
-    /// connection is kept until this would be known.
+    /// connection is kept open for `CLOSE_CROSSING_MS` after the notice, until the reset has been seen.
     fn on_viewer_closed(&mut self, connection_id: ConnectionId) {
         let now = self.state.now();
         let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
@@ -154,7 +154,7 @@
         let close_at = viewer
             .recent_notices
             .iter()
-            .map(|notice| notice.written_at + CLOSE_CROSSING_MS)
+            .map(|notice| notice.queued_at + CLOSE_CROSSING_MS)
             .fold(now, f64::max);
         if broken || close_at <= now {
             return self.close_viewer_connection(connection_id);
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Handles the input of a viewer's connection. Returns false if there may be more than one turn handles.
+    /// Handles the input of a viewer's connection. Returns false if input may be left for the next turn.
     pub(crate) fn handle_viewer_connection(&mut self, connection_id: ConnectionId) -> bool {
         for _ in 0..MAX_VIEWER_READS_PER_TURN {
             let Some(connection) = self.state.connections.get_mut(connection_id) else { return true };
@@ -261,6 +261,7 @@
                     self.abandon_set_up(play);
                 }
             }
+            // The session ends as with a release, but the message states no cause.
             kind::MOVE => {
                 if self.state.sessions.get(&play).is_some_and(|s| s.is_playing) {
                     self.on_session_ended_by_viewer(play);
@@ -276,6 +277,7 @@
                 );
                 self.state.write_to_viewer(connection_id, &bytes.unwrap_or_default());
                 if let Some(viewer) = self.state.viewer_connection(connection_id) {
+                    // The connection is not closed for lack of a set-up.
                     viewer.accepted_at = f64::INFINITY;
                 }
             }
@@ -285,8 +287,8 @@
         true
     }
 
-    /// Marks a connection as proven to be a viewer's: pending end notices are sent on it, and it is not
-    /// closed for being silent.
+    /// Marks a connection as identified as a viewer's: pending end notices are sent on it, and it is not
+    /// closed at `UNIDENTIFIED_TIMEOUT_MS`.
     fn mark_identified(&mut self, connection_id: ConnectionId) {
         if self
             .state
@@ -307,7 +309,7 @@
             Ok(set_up) => set_up,
             Err(cause) => {
                 debug!(target: "viewer", play = format!("{play:016x}"), "set-up not usable: {cause}");
-                // The id of a pending set-up was used again; that set-up keeps its answer.
+                // The id belongs to a known play, whose answer this set-up must not take.
                 if is_known {
                     return false;
                 }
@@ -345,8 +347,8 @@
         true
     }
 
-    /// Rejects a set-up that was not accepted. Returns false if there were too many rejections on this
-    /// connection.
+    /// Rejects a set-up that never became a play, because it is unusable or over a limit. Returns false if
+    /// the connection is to be closed, because more than `MAX_REJECTED_SET_UPS` were rejected on it.
     fn reject_set_up(&mut self, connection_id: ConnectionId, play: u64, cause: u8, retry_after: f64) -> bool {
         self.state.write_final_message(connection_id, play, cause, retry_after);
         let Some(viewer) = self.state.viewer_connection(connection_id) else { return true };
@@ -354,7 +356,8 @@
         viewer.rejected_set_ups <= MAX_REJECTED_SET_UPS
     }
 
-    /// Adopts a session that plays already at this server.
+    /// Adopts a session that plays already at this server, unless the session's end was reported before. Such
+    /// an end is passed on to the side that does not know of it.
     fn adopt_session(
         &mut self,
         now: f64,
--- a/crates/rtsp/src/lib.rs
+++ b/crates/rtsp/src/lib.rs
@@ -1,7 +1,7 @@
 //! The RTSP messages between media servers and the node: a parser for bytes that arrive in any fragments, and
 //! an encoder for requests. No I/O; called by the node, the fuzz checks and the message mutation.
 //!
-//! The first line is parsed here. The header fields are parsed by httparse, which rejects an invalid field
+//! The start line is parsed here. The header fields are parsed by httparse, which rejects an invalid field
 //! before its line has ended.
 
 use std::fmt::Write;
@@ -9,21 +9,21 @@
 
 /// Maximum number of bytes of a message, head and body.
 pub const MAX_BYTES: usize = 16 << 10;
-/// Maximum number of bytes of a first line.
+/// Maximum number of bytes of a start line, the first line of a message.
 const MAX_START_LINE_BYTES: usize = 1024;
 /// Maximum number of header fields of a message.
 const MAX_FIELDS: usize = 32;
-/// The protocol version in the first line.
+/// The protocol version in the start line.
 const VERSION: &str = "RTSP/1.0";
 
 /// Why bytes from a peer could not be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseError {
-    #[error("the first line contains the byte {0:#04x}")]
+    #[error("the start line contains the byte {0:#04x}")]
     InvalidByte(u8),
-    #[error("the first line is longer than {MAX_START_LINE_BYTES} bytes")]
+    #[error("the start line is longer than {MAX_START_LINE_BYTES} bytes")]
     StartLineTooLong,
-    #[error("the first line is neither that of a response nor that of a request: {0:?}")]
+    #[error("the start line is neither that of a response nor that of a request: {0:?}")]
     InvalidStartLine(String),
     #[error("the header cannot be parsed: {0}")]
     InvalidHeader(httparse::Error),
@@ -35,7 +35,7 @@
     InvalidSession,
 }
 
-/// The first line of a message.
+/// The start line of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Start {
     /// A response with its status code.
@@ -47,9 +47,13 @@
 /// A parsed message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
+    /// The start line.
     pub start: Start,
+    /// The session id, from the header field `Session`.
     pub session: u64,
+    /// The names and values of the header fields.
     fields: Vec<(String, String)>,
+    /// The body, of the length that `Content-Length` states.
     pub body: Vec<u8>,
 }
 
@@ -59,7 +63,7 @@
     is_valid.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
-/// Parses the first line of a response or a request.
+/// Parses the start line of a response or a request.
 fn parse_start_line(line: &str) -> Result<Start, ParseError> {
     let error = || ParseError::InvalidStartLine(line.chars().take(60).collect());
     let (first_word, rest) = line.split_once(' ').ok_or_else(error)?;
@@ -148,8 +152,8 @@
         self.field("Reason")?.trim().strip_prefix("cause=")?.parse().ok()
     }
 
-    /// The named load values of a report, such as `x0:12;x1:40`. Values that are not finite numbers are
-    /// skipped.
+    /// The named load values of a load report, from the header field `X-Circuits`, such as `x0:12;x1:40`.
+    /// Values that are not finite numbers are skipped.
     pub fn report(&self) -> impl Iterator<Item = (&str, f64)> {
         let pairs = self.field("X-Circuits").unwrap_or("").split(';');
         pairs.filter_map(|pair| {
@@ -159,7 +163,8 @@
     }
 }
 
-/// Encodes a request with its header and body.
+/// Encodes a request with its header and body. `path` is what follows `rtsp://media/` in the request's
+/// target. The length is not checked against [`MAX_BYTES`].
 pub fn request(
     method: &str,
     path: &str,
--- a/crates/viewer-protocol/src/lib.rs
+++ b/crates/viewer-protocol/src/lib.rs
@@ -16,27 +16,47 @@
 
 /// The types of messages.
 pub mod kind {
+    /// From a viewer: requests a play, or has the node adopt a session that plays already.
     pub const SET_UP: u8 = 1;
+    /// From a viewer; the node ignores it.
     pub const PROGRESS: u8 = 6;
+    /// To a viewer: the session plays, with the description from its server.
     pub const ANSWER: u8 = 9;
+    /// From a viewer: withdraws the set-up or ends the session. To a viewer: the play was rejected or has
+    /// failed, or its session has ended.
     pub const RELEASE: u8 = 12;
+    /// From a viewer; the node ignores it.
     pub const ACK: u8 = 16;
+    /// From a viewer; the node ignores it.
     pub const NOTE: u8 = 44;
+    /// From a viewer: ends the playing session.
     pub const MOVE: u8 = 51;
+    /// Asks the node whether it accepts plays.
     pub const HEALTH_CHECK: u8 = 52;
+    /// The response to a health check. Its cause is 1, or 0 once the node was told to stop.
     pub const HEALTH_CHECK_REPLY: u8 = 53;
+    /// From a viewer; the node ignores it.
     pub const RUNG: u8 = 60;
 }
 
 /// The codes of parameters.
 pub mod code {
+    /// The name of the product.
     pub const CLASS: u8 = 3;
+    /// How long the viewer waits for an answer, ms, as text.
     pub const TIME_LIMIT: u8 = 6;
+    /// The id of the title, 1 to 16 hex digits.
     pub const TITLE: u8 = 15;
+    /// Further attributes of the play as text, such as `home:3;copies:2;top:4`; `at:ID` names the server of a
+    /// session that is to be adopted.
     pub const EXTRAS: u8 = 18;
+    /// Delay before the viewer may try again, ms, as text.
     pub const RETRY_AFTER: u8 = 21;
+    /// A time as text. The node checks only that it is one.
     pub const HINT: u8 = 33;
+    /// The cause of a release or the result of a health check, one byte.
     pub const CAUSE: u8 = 45;
+    /// The description of the session, which the node forwards unchanged in both directions.
     pub const DESCRIPTION: u8 = 48;
 }
 
@@ -58,6 +78,7 @@
 pub struct Message<'a> {
     /// The type, one of [`kind`].
     pub kind: u8,
+    /// The id of the session, which is also that of the play.
     pub session: u64,
     parameters: &'a [u8],
 }
