--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -377,8 +377,9 @@
 
     /// Dials servers with sessions that have no connection, or were silent for `silence_limit`. That is as
     /// late as the viewers' deadline for notices allows, so that a server that is cut off for some seconds
-    /// keeps its sessions. A server that is listed as gone counts as silent after `note_timeout` (1.25
-    /// intervals between notes plus `NOTE_GRACE_MS`) and is then lost.
+    /// keeps its sessions. A server that is listed as gone cannot be dialled: it is lost at the first check at
+    /// which it has no connection, or was silent for `note_timeout` (1.25 intervals between notes plus
+    /// `NOTE_GRACE_MS`).
     ///
     /// If more servers have sessions than there may be connections, the servers without one are dialled in
     /// turn, the longest silent first. After half of `silence_limit` they may close a connection to a server
