--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -1,36 +1,37 @@
 //! What the node does for the dispatcher: starts and withdraws attempts, changes rungs, sends probes and
 //! writes final answers.
 
-use crate::state::{AllocationEnd, Attempt, CAUSE_FAILED, CAUSE_REFUSED, CSEQ_PROBE, NodeState, Timer};
+use crate::state::{AllocationEnd, Attempt, CAUSE_DECLINED, CAUSE_FAILED, CSEQ_PROBE, NodeState, Timer};
 use pulleystair::Outcome;
 use pulleystair_dispatcher::Actions;
 use pulleystair_rtsp as rtsp;
 
 impl Actions for NodeState {
     /// The set-up is sent at the end of the turn, after the viewer's connection was read.
-    fn send(&mut self, play: u64, server: u32, rung: usize, timeout: f64) {
+    fn send(&mut self, play: u64, server_number: u32, rung: usize, timeout: f64) {
         let now = self.now();
         let Some(session) = self.sessions.get_mut(&play) else { return };
         session.attempts += 1;
-        (session.server, session.since, session.attempt_deadline) = (Some(server), now, now + timeout);
+        (session.server_number, session.phase_started_at, session.attempt_deadline) =
+            (Some(server_number), now, now + timeout);
         (session.rung, session.rung_sent) = (rung, rung);
         let number = session.attempts;
         self.schedule(now + timeout, Timer::AttemptDeadline(play, number));
-        self.outgoing_attempts.push_back(Attempt { session: play, number });
+        self.outgoing_attempts.push_back(Attempt { play, number });
     }
 
-    /// Ends the play's session or abandons its attempt, and queues the outcome.
+    /// Ends the play's session at its server or abandons its attempt, and queues the outcome.
     fn withdraw(&mut self, play: u64) {
         let Some(session) = self.sessions.get(&play) else { return };
-        let Some(server) = session.server else { return };
+        let Some(server_number) = session.server_number else { return };
         let mut outcome = Outcome::Withdrawn;
         if session.is_playing {
-            let (preferred, cause) = (session.server_connection, session.release_cause);
-            self.release_on_server(server, preferred, play, cause);
+            let (preferred, cause) = (session.server_connection_id, session.release_cause);
+            self.release_on_server(server_number, preferred, play, cause);
         } else if self.abandon_attempt(play) {
             outcome = Outcome::NeverSent;
         }
-        self.finished_allocations.push_back(AllocationEnd { play, server, outcome });
+        self.finished_allocations.push_back(AllocationEnd { play, server_number, outcome });
     }
 
     /// Records the rung and sends it to the server if the session plays.
@@ -42,21 +43,21 @@
     }
 
     /// Requests a load report from a server, if a connection to it can be had.
-    fn probe(&mut self, server: u32) {
+    fn probe(&mut self, server_number: u32) {
         self.stats.probes += 1;
-        let Some(connection_id) = self.connection_to(server, false) else { return };
+        let Some(connection_id) = self.connection_to(server_number, false) else { return };
         let id = self.rng.rand_u64();
         let bytes = rtsp::request("OPTIONS", "load", CSEQ_PROBE, id, &[], b"");
         self.write_to_server(connection_id, &bytes);
     }
 
-    /// Answers the set-up with a refusal. The viewer may try again after `retry_after` ms.
+    /// Answers that the play is declined. The viewer may try again after `retry_after` ms.
     fn decline(&mut self, play: u64, retry_after: f64) {
         self.stats.declined += 1;
-        self.reject_play(play, CAUSE_REFUSED, retry_after);
+        self.reject_play(play, CAUSE_DECLINED, retry_after);
     }
 
-    /// Answers the set-up with a failure.
+    /// Answers that the play has failed.
     fn fail(&mut self, play: u64) {
         self.stats.failed += 1;
         self.reject_play(play, CAUSE_FAILED, 0.0);
@@ -68,6 +69,6 @@
         self.schedule(due_at, Timer::Dispatcher(timer));
     }
 
-    /// Does nothing, because the node queries the list at a fixed interval.
+    /// Does nothing, because the node queries the list regularly anyway.
     fn watch_list(&mut self) {}
 }
--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -4,7 +4,7 @@
 //! viewer that has closed its connection or given up its set-up by then. Therefore the attempts that the
 //! dispatcher requests wait until the end of the turn, and each viewer's connection is first read until it is
 //! empty. A connection with more input than one turn handles delays its own attempts, and only those, until
-//! all of it is read. Between that read and the bytes of the set-up there is only the time of one write.
+//! all of it is read. Nothing else runs between that read and the queueing of the set-up.
 
 use crate::node::Node;
 use crate::state::{AllocationEnd, Attempt};
@@ -13,7 +13,7 @@
 use tracing::debug;
 
 impl Node {
-    /// Starts the attempts that the dispatcher has requested. Returns true if there were any.
+    /// Starts the queued attempts. Returns true if there were any.
     pub(crate) fn start_outgoing_attempts(&mut self) -> bool {
         let mut has_started = false;
         while let Some(attempt) = self.state.outgoing_attempts.pop_front() {
@@ -30,33 +30,36 @@
         self.state.outgoing_attempts.extend(held);
     }
 
-    /// Sends the set-up of one attempt, unless its viewer has gone or its server is not ready.
+    /// Handles the viewer's input, then sends the set-up of one attempt if the viewer still waits for it.
+    /// Holds the attempt if input is left. Queues the attempt's end if the server is not ready or has no
+    /// connection.
     fn start_attempt(&mut self, attempt: Attempt) {
-        let Some((_, viewer_connection)) = self.state.startable_attempt(&attempt) else { return };
-        if !self.handle_viewer_connection(viewer_connection) {
+        let Some((_, viewer_connection_id)) = self.state.startable_attempt(&attempt) else { return };
+        if !self.handle_viewer_connection(viewer_connection_id) {
             return self.state.held_attempts.push(attempt);
         }
-        let Some((server, _)) = self.state.startable_attempt(&attempt) else {
-            return debug!(target: "play", play = format!("{:016x}", attempt.session), "set-up not sent: its viewer has gone");
+        let Some((server_number, _)) = self.state.startable_attempt(&attempt) else {
+            return debug!(target: "play", play = format!("{:016x}", attempt.play), "set-up not sent: its viewer no longer waits for it");
         };
-        let (play, standing) = (attempt.session, self.state.servers.get(&server).map(|s| s.listing.standing));
+        let (play, standing) =
+            (attempt.play, self.state.servers.get(&server_number).map(|s| s.listing.standing));
         let outcome = if standing != Some(Standing::Ready) {
             Outcome::NeverSent
-        } else if !self.state.send_set_up(&attempt, server) {
+        } else if !self.state.send_set_up(&attempt, server_number) {
             Outcome::Unreachable
         } else {
             self.state.stats.sent += 1;
             return;
         };
-        self.state.finished_allocations.push_back(AllocationEnd { play, server, outcome });
+        self.state.finished_allocations.push_back(AllocationEnd { play, server_number, outcome });
     }
 
-    /// Checks the set-ups that are about to be sent on a connection that is now up. A set-up is dropped if
-    /// its viewer has gone or its deadline has passed.
+    /// Checks the set-ups that are queued on a connection and about to be sent. A set-up is dropped if its
+    /// viewer no longer waits for it or its deadline has passed.
     pub(crate) fn recheck_unsent_set_ups(&mut self, connection_id: ConnectionId) {
         for play in self.state.unsent_set_ups(connection_id) {
             if let Some(session) = self.state.sessions.get(&play) {
-                self.handle_viewer_connection(session.viewer_connection);
+                self.handle_viewer_connection(session.viewer_connection_id);
             }
             let now = self.state.now();
             if let Some(session) =
@@ -67,12 +70,12 @@
         }
     }
 
-    /// Ends an attempt whose deadline has passed.
+    /// Ends the attempt with this number, whose deadline has passed, unless it ended before.
     pub(crate) fn on_attempt_deadline(&mut self, play: u64, number: u32) {
         let pending_attempt = |node: &Node| {
             let session = node.state.sessions.get(&play)?;
             let is_pending = session.attempts == number && !session.is_playing;
-            Some((session.server.filter(|_| is_pending)?, session.server_connection))
+            Some((session.server_number.filter(|_| is_pending)?, session.server_connection_id))
         };
         // A response or a close that has already arrived decides the outcome. A set-up that was not sent
         // cannot have a response.
@@ -81,50 +84,60 @@
         {
             self.handle_server_connection(connection_id);
         }
-        let Some((server, connection_id)) = pending_attempt(self) else { return };
-        let since = self.state.sessions.get(&play).map_or(0.0, |session| session.since);
+        let Some((server_number, connection_id)) = pending_attempt(self) else { return };
+        let phase_started_at = self.state.sessions.get(&play).map_or(0.0, |session| session.phase_started_at);
         if let Some(connection) =
             connection_id.and_then(|connection_id| self.state.server_connection(connection_id))
         {
-            // The connection is not up by now, or has been silent since this set-up was sent, so the server
-            // may never respond on it.
-            connection.is_unresponsive |= !connection.is_up || connection.last_heard_at < since;
+            // The connection is not established by now, or has been silent since this set-up was sent, so the
+            // server may never respond on it.
+            connection.is_unresponsive |=
+                !connection.is_established || connection.last_heard_at < phase_started_at;
         }
         let unsent = self.state.abandon_attempt(play);
-        let waited = self.state.now() - since;
-        debug!(target: "play", play = format!("{play:016x}"), server = self.state.server_id(server), waited, unsent, "attempt timed out");
+        let waited = self.state.now() - phase_started_at;
+        debug!(target: "play", play = format!("{play:016x}"), server = self.state.server_id(server_number), waited, unsent, "attempt timed out");
         let outcome = match (unsent, connection_id) {
             (false, _) => Outcome::TimedOut,
             (true, Some(_)) => Outcome::Unreachable,
             (true, None) => Outcome::NeverSent,
         };
-        self.on_attempt_ended(play, server, outcome, &[]);
+        self.on_attempt_ended(play, server_number, outcome, &[]);
         self.report_finished_allocations();
     }
 
     /// Records that an attempt ended without a playing session, and reports it to the dispatcher.
-    pub(crate) fn on_attempt_ended(&mut self, play: u64, server: u32, outcome: Outcome, load: &[LoadMetric]) {
+    pub(crate) fn on_attempt_ended(
+        &mut self,
+        play: u64,
+        server_number: u32,
+        outcome: Outcome,
+        load: &[LoadMetric],
+    ) {
         let now = self.state.now();
-        if let Some(session) = self.state.sessions.get_mut(&play).filter(|s| s.server == Some(server)) {
-            let connection_id = session.server_connection.take();
-            session.server = None;
-            let waited = now - session.since;
+        if let Some(session) =
+            self.state.sessions.get_mut(&play).filter(|s| s.server_number == Some(server_number))
+        {
+            let connection_id = session.server_connection_id.take();
+            session.server_number = None;
+            let waited = now - session.phase_started_at;
             if let Some(connection_id) = connection_id {
                 self.state.remove_pending_set_up(connection_id, play);
             }
-            debug!(target: "play", play = format!("{play:016x}"), server = self.state.server_id(server), ?outcome, waited, "attempt ended");
+            debug!(target: "play", play = format!("{play:016x}"), server = self.state.server_id(server_number), ?outcome, waited, "attempt ended");
         }
-        self.dispatcher.on_allocation_ended(now, play, server, outcome, false, load, &mut self.state);
+        self.dispatcher.on_allocation_ended(now, play, server_number, outcome, false, load, &mut self.state);
         if self.dispatcher.play(play).is_none() {
             self.state.sessions.remove(&play);
         }
     }
 
-    /// Reports the queued ends of attempts to the dispatcher.
+    /// Reports the queued ends to the dispatcher.
     pub(crate) fn report_finished_allocations(&mut self) {
-        while let Some(AllocationEnd { play, server, outcome }) = self.state.finished_allocations.pop_front()
+        while let Some(AllocationEnd { play, server_number, outcome }) =
+            self.state.finished_allocations.pop_front()
         {
-            self.on_attempt_ended(play, server, outcome, &[]);
+            self.on_attempt_ended(play, server_number, outcome, &[]);
         }
     }
 }
--- a/crates/node/src/stopping.rs
+++ b/crates/node/src/stopping.rs
@@ -1,21 +1,22 @@
-//! The shutdown of a node: after SIGTERM it still accepts set-ups for a short time, answers all that it has
-//! accepted, and ends at a fixed deadline at the latest.
+//! The shutdown of a node: after SIGTERM it still accepts connections for a short time, answers all set-ups
+//! that it has accepted, and ends at a fixed deadline at the latest.
 
 use crate::node::Node;
 use crate::shares::RETRY_DELAY_MS;
 use crate::state::Timer;
 use tracing::{info, warn};
 
-/// How long connections and set-ups are accepted after SIGTERM, ms. They keep arriving for 0.6 s.
+/// How long connections are accepted after SIGTERM, ms. New ones keep arriving for 0.6 s after the signal.
 const ACCEPT_AFTER_STOP_MS: f64 = 900.0;
-/// A node that was told to stop is killed no sooner than `STOP_MARGIN_MS` after the longest time limit, which
-/// counts as `MAX_TIME_LIMIT_MS` at most. By then everything that is pending has been answered. Both in ms.
-const MAX_TIME_LIMIT_MS: f64 = 3_000.0;
+/// A node is killed at the earliest `STOP_MARGIN_MS` plus the longest time limit after SIGTERM, where a time
+/// limit counts as `MAX_STOP_TIME_LIMIT_MS` at most. By then the node has answered everything that is
+/// pending. Both in ms.
+const MAX_STOP_TIME_LIMIT_MS: f64 = 3_000.0;
 const STOP_MARGIN_MS: f64 = 600.0;
 
 impl Node {
-    /// Starts the shutdown. No new plays are accepted once the listener is closed. A second signal changes
-    /// nothing: the set-ups accepted so far still get their answers, and the deadline is fixed.
+    /// Starts the shutdown. No new connections are accepted once the listener is closed. A second signal
+    /// changes nothing: the set-ups accepted so far still get their answers, and the deadline is fixed.
     pub(crate) fn stop(&mut self) {
         if self.state.stopping_since.is_some() {
             return warn!(target: "node", "told to stop again: the node is already stopping");
@@ -23,7 +24,7 @@
         let now = self.state.now();
         self.state.stopping_since = Some(now);
         info!(target: "node", open = self.state.pending_set_up_count, standing = self.state.sessions.len(), "stopping");
-        let stop_at = now + self.state.limits.max_time_limit.min(MAX_TIME_LIMIT_MS) + STOP_MARGIN_MS;
+        let stop_at = now + self.state.limits.max_time_limit.min(MAX_STOP_TIME_LIMIT_MS) + STOP_MARGIN_MS;
         self.state.schedule(stop_at, Timer::StopDeadline);
         self.state.schedule(now + ACCEPT_AFTER_STOP_MS, Timer::CloseListener);
     }
@@ -43,8 +44,8 @@
     /// Whether the node was told to stop and has nothing left to do: no set-up to answer, no incomplete
     /// message from a viewer, and no notice to a server that a session has ended.
     pub(crate) fn is_done(&mut self) -> bool {
-        if self.halted || self.state.stopping_since.is_none() {
-            return self.halted;
+        if self.is_halted || self.state.stopping_since.is_none() {
+            return self.is_halted;
         }
         let state = &mut self.state;
         let has_partial_message = state.viewer_connections.iter().any(|connection_id| {
@@ -61,7 +62,7 @@
 
     /// Handles all input that has arrived, which may add work. Returns true if nothing is left to do.
     pub(crate) fn drain_input_and_check_done(&mut self) -> bool {
-        if !self.halted {
+        if !self.is_halted {
             self.accept_viewers();
             for connection_id in self.state.connections.ids() {
                 self.handle_connection(connection_id);
@@ -76,6 +77,6 @@
         self.drain_input_and_check_done();
         self.dispatcher.expire_pending(self.state.now(), &mut self.state);
         self.report_finished_allocations();
-        self.halted = true;
+        self.is_halted = true;
     }
 }
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -13,21 +13,22 @@
 use tracing::debug;
 
 /// Maximum number of reads of one connection in a turn.
-const MAX_READS_PER_TURN: usize = 64;
-/// A connection on which no usable message has arrived is closed after this time, ms. It must be closed
-/// within 3 s.
-const UNPROVEN_TIMEOUT_MS: f64 = 2_400.0;
+const MAX_VIEWER_READS_PER_TURN: usize = 64;
+/// A connection that is not identified as a viewer's after this time is closed, ms. It must be closed within
+/// 3 s.
+const UNIDENTIFIED_TIMEOUT_MS: f64 = 2_400.0;
 /// Maximum number of set-ups that may be pending on one connection, and on all connections together.
-const MAX_SET_UPS_PER_CONNECTION: usize = 48;
+const MAX_SET_UPS_PER_VIEWER_CONNECTION: usize = 48;
 const MAX_PENDING_SET_UPS: usize = 1_024;
-/// Connections that are accepted beyond the limit, only to reject set-ups on them. They use the reserved
+/// How many connections are accepted beyond the limit, only to reject set-ups on them. They use the reserved
 /// descriptors.
 const EXTRA_CONNECTIONS: usize = 8;
-/// How long after a notice was written a viewer's close may cross it on the network, ms. The platform states
-/// this time for a set-up that crosses a close.
+/// An end notice that was sent less than this time before the viewer's close is seen may have crossed the
+/// close on the network, ms. The platform states this time for a set-up that crosses a close; it is used for
+/// notices too.
 const CLOSE_CROSSING_MS: f64 = 50.0;
-/// A connection is closed after this many rejected set-ups.
-const MAX_REFUSALS: usize = 256;
+/// A connection is closed once more set-ups than this were rejected on it.
+const MAX_REJECTED_SET_UPS: usize = 256;
 
 impl Node {
     /// Accepts all waiting connections. Returns false if there was no descriptor for some of them.
@@ -40,8 +41,7 @@
                 Ok((stream, _)) => stream,
                 Err(e) if e.kind() == std::io::ErrorKind::Interrupted => continue,
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionAborted => continue,
-                // No descriptor is left: a connection on which nothing usable has arrived is closed for the
-                // waiting one.
+                // No descriptor is left for the waiting connection, so another one is closed.
                 Err(e) if is_resource_exhaustion(&e) && self.evict_viewer_connection() => continue,
                 Err(e) if is_resource_exhaustion(&e) => {
                     self.pause_accepting();
@@ -62,9 +62,9 @@
             let now = self.state.now();
             let viewer = ViewerConnection {
                 accepted_at: now,
-                is_proven: false,
+                is_identified: false,
                 pending_set_ups: Vec::new(),
-                refusals: 0,
+                rejected_set_ups: 0,
                 recent_notices: Vec::new(),
             };
             let Ok(connection_id) = self.state.connections.open(stream, None, Role::Viewer(viewer)) else {
@@ -73,14 +73,14 @@
             self.state.viewer_connections.push_back(connection_id);
             debug!(target: "viewer", key = connection_id, viewers = self.state.viewer_connections.len(), "viewer connected");
             if let Some(connection) = self.state.connections.get_mut(connection_id) {
-                connection.deadline = now + UNPROVEN_TIMEOUT_MS;
+                connection.deadline = now + UNIDENTIFIED_TIMEOUT_MS;
             }
-            self.state.schedule(now + UNPROVEN_TIMEOUT_MS, Timer::ConnectionDeadline(connection_id));
+            self.state.schedule(now + UNIDENTIFIED_TIMEOUT_MS, Timer::ConnectionDeadline(connection_id));
         }
     }
 
-    /// Pauses accepting for a moment. Without a descriptor for the waiting connections, the listener would be
-    /// reported as ready again and again.
+    /// Pauses accepting for `RETRY_DELAY_MS`. Without a descriptor for the waiting connections, the listener
+    /// would be reported as ready again and again.
     fn pause_accepting(&mut self) {
         if let Some((registration, _)) = &self.state.listener {
             let _ = self.state.loop_handle.disable(registration);
@@ -96,20 +96,20 @@
         }
     }
 
-    /// Closes a viewer's connection to make room, and returns whether there was one: the oldest on which
-    /// nothing usable has arrived, otherwise the oldest without pending set-ups. Connections of playing
-    /// sessions come last, because their viewers are notified of the end there. Input that has arrived by now
-    /// is handled first.
+    /// Closes one viewer's connection without pending set-ups to free its descriptor, and returns whether
+    /// there was one. The oldest connection that is not identified as a viewer's is closed first, then the
+    /// oldest without a playing session. Connections of playing sessions come last, because their viewers are
+    /// notified of the end there. Input that has arrived by now is handled first.
     pub(crate) fn evict_viewer_connection(&mut self) -> bool {
         let state = &mut self.state;
         let playing_on: HashSet<ConnectionId> =
-            state.sessions.values().filter(|s| s.is_playing).map(|s| s.viewer_connection).collect();
+            state.sessions.values().filter(|s| s.is_playing).map(|s| s.viewer_connection_id).collect();
         let mut idle: Vec<(bool, bool, ConnectionId)> = Vec::new();
         for connection_id in state.viewer_connections.clone() {
             if let Some(viewer) =
                 state.viewer_connection(connection_id).filter(|viewer| viewer.pending_set_ups.is_empty())
             {
-                idle.push((viewer.is_proven, playing_on.contains(&connection_id), connection_id));
+                idle.push((viewer.is_identified, playing_on.contains(&connection_id), connection_id));
             }
         }
         // The sort is stable, so equal connections stay in the order in which they were accepted.
@@ -137,7 +137,7 @@
         let unread = connection.is_broken() || connection.pending() > 0;
         let Some(Role::Viewer(viewer)) = self.state.connections.close(connection_id) else { return };
         self.state.viewer_connections.retain(|id| *id != connection_id);
-        debug!(target: "viewer", key = connection_id, proven = viewer.is_proven, unread, viewers = self.state.viewer_connections.len(), "viewer connection closed");
+        debug!(target: "viewer", key = connection_id, proven = viewer.is_identified, unread, viewers = self.state.viewer_connections.len(), "viewer connection closed");
         for notice in viewer.recent_notices.into_iter().filter(|_| unread) {
             self.state.send_end_notice(notice, connection_id);
         }
@@ -145,7 +145,7 @@
 
     /// Handles a connection that its viewer has closed. A recent end notice may have crossed the close on the
     /// network. In that case the viewer's machine resets the connection when the notice arrives, so the
-    /// connection is kept until this would be known.
+    /// connection is kept open for `CLOSE_CROSSING_MS` after the notice, until the reset has been seen.
     fn on_viewer_closed(&mut self, connection_id: ConnectionId) {
         let now = self.state.now();
         let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
@@ -154,7 +154,7 @@
         let close_at = viewer
             .recent_notices
             .iter()
-            .map(|notice| notice.written_at + CLOSE_CROSSING_MS)
+            .map(|notice| notice.queued_at + CLOSE_CROSSING_MS)
             .fold(now, f64::max);
         if broken || close_at <= now {
             return self.close_viewer_connection(connection_id);
@@ -179,19 +179,19 @@
     /// Abandons a pending set-up, because its viewer no longer waits for it.
     fn abandon_set_up(&mut self, play: u64) {
         let Some(session) = self.state.sessions.get(&play) else { return };
-        let (connection_id, server) = (session.viewer_connection, session.server);
+        let (connection_id, server_number) = (session.viewer_connection_id, session.server_number);
         self.state.mark_set_up_answered(connection_id, play);
         self.dispatcher.on_viewer_left(play, &mut self.state);
         // A session with a current attempt is removed when the outcome of the attempt is reported to the
         // dispatcher.
-        if server.is_none() {
+        if server_number.is_none() {
             self.state.sessions.remove(&play);
         }
     }
 
-    /// Handles the input of a viewer's connection. Returns false if there may be more than one turn handles.
+    /// Handles the input of a viewer's connection. Returns false if input may be left for the next turn.
     pub(crate) fn handle_viewer_connection(&mut self, connection_id: ConnectionId) -> bool {
-        for _ in 0..MAX_READS_PER_TURN {
+        for _ in 0..MAX_VIEWER_READS_PER_TURN {
             let Some(connection) = self.state.connections.get_mut(connection_id) else { return true };
             connection.flush();
             let has_read = connection.read(MAX_INPUT_BYTES);
@@ -256,15 +256,16 @@
                 if session.is_playing {
                     session.release_cause = cause;
                     self.on_session_ended_by_viewer(play);
-                    self.mark_proven(connection_id);
-                } else if session.viewer_connection == connection_id {
+                    self.mark_identified(connection_id);
+                } else if session.viewer_connection_id == connection_id {
                     self.abandon_set_up(play);
                 }
             }
+            // The session ends as with a release, but the message states no cause.
             kind::MOVE => {
                 if self.state.sessions.get(&play).is_some_and(|s| s.is_playing) {
                     self.on_session_ended_by_viewer(play);
-                    self.mark_proven(connection_id);
+                    self.mark_identified(connection_id);
                 }
             }
             kind::HEALTH_CHECK => {
@@ -276,6 +277,7 @@
                 );
                 self.state.write_to_viewer(connection_id, &bytes.unwrap_or_default());
                 if let Some(viewer) = self.state.viewer_connection(connection_id) {
+                    // The connection is not closed for lack of a set-up.
                     viewer.accepted_at = f64::INFINITY;
                 }
             }
@@ -285,13 +287,13 @@
         true
     }
 
-    /// Marks a connection as proven to be a viewer's: pending end notices are sent on it, and it is not
-    /// closed for being silent.
-    fn mark_proven(&mut self, connection_id: ConnectionId) {
+    /// Marks a connection as identified as a viewer's: pending end notices are sent on it, and it is not
+    /// closed at `UNIDENTIFIED_TIMEOUT_MS`.
+    fn mark_identified(&mut self, connection_id: ConnectionId) {
         if self
             .state
             .viewer_connection(connection_id)
-            .is_some_and(|viewer| !std::mem::replace(&mut viewer.is_proven, true))
+            .is_some_and(|viewer| !std::mem::replace(&mut viewer.is_identified, true))
         {
             self.state.send_pending_notices(connection_id);
         }
@@ -307,7 +309,7 @@
             Ok(set_up) => set_up,
             Err(cause) => {
                 debug!(target: "viewer", play = format!("{play:016x}"), "set-up not usable: {cause}");
-                // The id of a pending set-up was used again; that set-up keeps its answer.
+                // The id belongs to a known play, whose answer this set-up must not take.
                 if is_known {
                     return false;
                 }
@@ -315,7 +317,7 @@
                 return self.reject_set_up(connection_id, play, CAUSE_UNUSABLE, 0.0);
             }
         };
-        if let Some(server_id) = set_up.adopted_from.clone() {
+        if let Some(server_id) = set_up.current_server_id.clone() {
             if !is_known {
                 self.adopt_session(now, connection_id, play, set_up, &server_id);
             }
@@ -330,7 +332,7 @@
         let Role::Viewer(viewer) = &mut connection.role else { return true };
         let is_over_limit = self.state.viewer_connections.len() > self.state.shares.viewers;
         if is_over_limit
-            || viewer.pending_set_ups.len() >= MAX_SET_UPS_PER_CONNECTION
+            || viewer.pending_set_ups.len() >= MAX_SET_UPS_PER_VIEWER_CONNECTION
             || self.state.pending_set_up_count >= MAX_PENDING_SET_UPS
         {
             self.state.stats.flooded += 1;
@@ -340,21 +342,22 @@
         self.state.pending_set_up_count += 1;
         let request = set_up.request;
         self.state.sessions.insert(play, new_session(connection_id, viewer_ip, set_up));
-        self.mark_proven(connection_id);
+        self.mark_identified(connection_id);
         self.dispatcher.add_play(now, play, &request, &mut self.state);
         true
     }
 
-    /// Rejects a set-up that was not accepted. Returns false if there were too many rejections on this
-    /// connection.
+    /// Rejects a set-up that never became a play, because it is unusable or over a limit. Returns false if
+    /// the connection is to be closed, because more than `MAX_REJECTED_SET_UPS` were rejected on it.
     fn reject_set_up(&mut self, connection_id: ConnectionId, play: u64, cause: u8, retry_after: f64) -> bool {
-        self.state.write_release(connection_id, play, cause, retry_after);
+        self.state.write_final_message(connection_id, play, cause, retry_after);
         let Some(viewer) = self.state.viewer_connection(connection_id) else { return true };
-        viewer.refusals += 1;
-        viewer.refusals <= MAX_REFUSALS
+        viewer.rejected_set_ups += 1;
+        viewer.rejected_set_ups <= MAX_REJECTED_SET_UPS
     }
 
-    /// Adopts a session that plays already at this server.
+    /// Adopts a session that plays already at this server, unless the session's end was reported before. Such
+    /// an end is passed on to the side that does not know of it.
     fn adopt_session(
         &mut self,
         now: f64,
@@ -363,11 +366,11 @@
         set_up: SetUpRequest,
         server_id: &str,
     ) {
-        let server = self.state.server_number(server_id);
+        let server_number = self.state.server_number(server_id);
         let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
         let viewer_ip = connection.peer_ip();
         // The viewer keeps the connection while the session plays, to be notified of its end.
-        self.mark_proven(connection_id);
+        self.mark_identified(connection_id);
         match self.state.ended_sessions.take_report(now, play) {
             None => {}
             // The session has ended already, and the report of its end arrived first.
@@ -375,20 +378,23 @@
             Some(EndReport::Server(cause)) => {
                 return self.state.notify_session_end(play, connection_id, viewer_ip, cause);
             }
-            Some(EndReport::Viewer(cause)) => return self.state.release_on_server(server, None, play, cause),
+            Some(EndReport::Viewer(cause)) => {
+                return self.state.release_on_server(server_number, None, play, cause);
+            }
         }
         let request = set_up.request;
         let mut session = new_session(connection_id, viewer_ip, set_up);
-        (session.server, session.is_playing, session.since) = (Some(server), true, now);
+        (session.server_number, session.is_playing, session.phase_started_at) =
+            (Some(server_number), true, now);
         self.state.sessions.insert(play, session);
-        if let Some(server) = self.state.servers.get_mut(&server) {
+        if let Some(server) = self.state.servers.get_mut(&server_number) {
             server.playing_sessions += 1;
             if server.last_heard_at == 0.0 {
                 server.last_heard_at = now;
             }
         }
-        self.dispatcher.adopt(now, play, &request, server, &mut self.state);
+        self.dispatcher.adopt(now, play, &request, server_number, &mut self.state);
         // A server without a connection to this node cannot report anything about the session.
-        let _ = self.state.connection_to(server, false);
+        let _ = self.state.connection_to(server_number, false);
     }
 }
--- a/crates/rtsp/src/lib.rs
+++ b/crates/rtsp/src/lib.rs
@@ -1,7 +1,7 @@
 //! The RTSP messages between media servers and the node: a parser for bytes that arrive in any fragments, and
 //! an encoder for requests. No I/O; called by the node, the fuzz checks and the message mutation.
 //!
-//! The first line is parsed here. The header fields are parsed by httparse, which rejects an invalid field
+//! The start line is parsed here. The header fields are parsed by httparse, which rejects an invalid field
 //! before its line has ended.
 
 use std::fmt::Write;
@@ -9,22 +9,22 @@
 
 /// Maximum number of bytes of a message, head and body.
 pub const MAX_BYTES: usize = 16 << 10;
-/// Maximum number of bytes of a first line.
-const MAX_FIRST_LINE_BYTES: usize = 1024;
+/// Maximum number of bytes of a start line, the first line of a message.
+const MAX_START_LINE_BYTES: usize = 1024;
 /// Maximum number of header fields of a message.
 const MAX_FIELDS: usize = 32;
-/// The protocol version in the first line.
+/// The protocol version in the start line.
 const VERSION: &str = "RTSP/1.0";
 
 /// Why bytes from a peer could not be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseError {
-    #[error("the first line contains the byte {0:#04x}")]
+    #[error("the start line contains the byte {0:#04x}")]
     InvalidByte(u8),
-    #[error("the first line is longer than {MAX_FIRST_LINE_BYTES} bytes")]
-    FirstLineTooLong,
-    #[error("the first line is neither that of a response nor that of a request: {0:?}")]
-    InvalidFirstLine(String),
+    #[error("the start line is longer than {MAX_START_LINE_BYTES} bytes")]
+    StartLineTooLong,
+    #[error("the start line is neither that of a response nor that of a request: {0:?}")]
+    InvalidStartLine(String),
     #[error("the header cannot be parsed: {0}")]
     InvalidHeader(httparse::Error),
     #[error("the message needs exactly one valid Content-Length")]
@@ -35,7 +35,7 @@
     InvalidSession,
 }
 
-/// The first line of a message.
+/// The start line of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Start {
     /// A response with its status code.
@@ -47,9 +47,13 @@
 /// A parsed message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
+    /// The start line.
     pub start: Start,
+    /// The session id, from the header field `Session`.
     pub session: u64,
+    /// The names and values of the header fields.
     fields: Vec<(String, String)>,
+    /// The body, of the length that `Content-Length` states.
     pub body: Vec<u8>,
 }
 
@@ -59,9 +63,9 @@
     is_valid.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
-/// Parses the first line of a response or a request.
-fn parse_first_line(line: &str) -> Result<Start, ParseError> {
-    let error = || ParseError::InvalidFirstLine(line.chars().take(60).collect());
+/// Parses the start line of a response or a request.
+fn parse_start_line(line: &str) -> Result<Start, ParseError> {
+    let error = || ParseError::InvalidStartLine(line.chars().take(60).collect());
     let (first_word, rest) = line.split_once(' ').ok_or_else(error)?;
     if first_word == VERSION {
         let code = rest.split(' ').next().unwrap_or(rest);
@@ -81,17 +85,17 @@
     /// message is incomplete.
     pub fn parse(input: &[u8]) -> Result<Option<(Message, usize)>, ParseError> {
         let line = &input[..input.iter().position(|b| *b == b'\n').unwrap_or(input.len())];
-        if line.len() > MAX_FIRST_LINE_BYTES {
-            return Err(ParseError::FirstLineTooLong);
+        if line.len() > MAX_START_LINE_BYTES {
+            return Err(ParseError::StartLineTooLong);
         }
-        let first_line = line.strip_suffix(b"\r").unwrap_or(line);
-        if let Some(invalid_byte) = first_line.iter().find(|b| !(b' '..=b'~').contains(*b)) {
+        let start_line = line.strip_suffix(b"\r").unwrap_or(line);
+        if let Some(invalid_byte) = start_line.iter().find(|b| !(b' '..=b'~').contains(*b)) {
             return Err(ParseError::InvalidByte(*invalid_byte));
         }
         if line.len() == input.len() {
             return Ok(None);
         }
-        let start = parse_first_line(&String::from_utf8_lossy(first_line))?;
+        let start = parse_start_line(&String::from_utf8_lossy(start_line))?;
         let head = &input[line.len() + 1..];
         let mut header_slots = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let (used, headers) = match httparse::parse_headers(head, &mut header_slots) {
@@ -148,8 +152,8 @@
         self.field("Reason")?.trim().strip_prefix("cause=")?.parse().ok()
     }
 
-    /// The named load values of a report, such as `x0:12;x1:40`. Values that are not finite numbers are
-    /// skipped.
+    /// The named load values of a load report, from the header field `X-Circuits`, such as `x0:12;x1:40`.
+    /// Values that are not finite numbers are skipped.
     pub fn report(&self) -> impl Iterator<Item = (&str, f64)> {
         let pairs = self.field("X-Circuits").unwrap_or("").split(';');
         pairs.filter_map(|pair| {
@@ -159,7 +163,8 @@
     }
 }
 
-/// Encodes a request with its header and body.
+/// Encodes a request with its header and body. `path` is what follows `rtsp://media/` in the request's
+/// target. The length is not checked against [`MAX_BYTES`].
 pub fn request(
     method: &str,
     path: &str,
