--- a/crates/dispatcher/src/actions.rs
+++ b/crates/dispatcher/src/actions.rs
@@ -4,20 +4,20 @@
 /// runs.
 pub trait Actions {
     /// Sets the play up on this server and rung. An answer later than `time_out` ms is [`pulleystair::Outcome::TimedOut`].
-    fn send(&mut self, play: u64, server: u32, rung: usize, time_out: f64);
+    fn send(&mut self, play_id: u64, server_id: u32, rung: usize, time_out: f64);
     /// Records the candidates of the choice that is sent next: servers, their chances and rooms (kB).
-    fn record_candidates(&mut self, _play: u64, _candidates: &[(u32, f64, f64)]) {}
+    fn record_candidates(&mut self, _play_id: u64, _candidates: &[(u32, f64, f64)]) {}
     /// Cancels the allocation that is out, or ends the running play: its viewer has left, or its time is up.
-    fn withdraw(&mut self, play: u64);
+    fn withdraw(&mut self, play_id: u64);
     /// Changes the play's rung to this one.
-    fn set_rung(&mut self, play: u64, rung: usize);
+    fn set_rung(&mut self, play_id: u64, rung: usize);
     /// Asks the server for its load.
-    fn probe(&mut self, server: u32);
+    fn probe(&mut self, server_id: u32);
     /// Gives the final answer that the play is not placed and no allocation of it ran. The viewer should retry no earlier
     /// than after `retry_after` ms.
-    fn decline(&mut self, play: u64, retry_after: f64);
+    fn decline(&mut self, play_id: u64, retry_after: f64);
     /// Gives the final answer that the play is not placed and an allocation of it may have run.
-    fn fail(&mut self, play: u64);
+    fn fail(&mut self, play_id: u64);
     /// Has [`crate::Dispatcher::on_timer`] called with this `timer` once `delay` ms have passed. Timers are never
     /// cancelled: outdated ones do no harm.
     fn set_timer(&mut self, timer: u32, delay: f64);
--- a/crates/dispatcher/src/indices.rs
+++ b/crates/dispatcher/src/indices.rs
@@ -8,14 +8,14 @@
 pub(crate) struct Indices<K> {
     pub(crate) by_id: HashMap<K, usize>,
     pub(crate) ids: Vec<K>,
-    pub(crate) free: Vec<usize>,
+    pub(crate) free_indices: Vec<usize>,
 }
 
 impl<K: Copy + Eq + Hash> Indices<K> {
     /// The index of this id, assigned now if it has none.
     pub(crate) fn get_or_assign(&mut self, id: K) -> usize {
         *self.by_id.entry(id).or_insert_with(|| {
-            let index = self.free.pop().unwrap_or(self.ids.len());
+            let index = self.free_indices.pop().unwrap_or(self.ids.len());
             if index == self.ids.len() {
                 self.ids.push(id);
             }
@@ -26,7 +26,7 @@
 
     pub(crate) fn release(&mut self, index: usize) {
         self.by_id.remove(&self.ids[index]);
-        self.free.push(index);
+        self.free_indices.push(index);
     }
 }
 
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -29,7 +29,7 @@
     plays: Vec<Play>,
     /// For each slot of `plays`: the host's id of the play, and when the play's timer is due.
     slots: Vec<(u64, Option<f64>)>,
-    free_slots: Vec<usize>,
+    free_indices: Vec<usize>,
     by_id: HashMap<u64, usize>,
     /// Plays without an answer and without an allocation out, and whether a fact has come in since they were last queued to
     /// be placed again.
@@ -51,7 +51,7 @@
             policy: Policy::new(settings, seed),
             plays: Vec::new(),
             slots: Vec::new(),
-            free_slots: Vec::new(),
+            free_indices: Vec::new(),
             by_id: HashMap::new(),
             waiting: BTreeSet::new(),
             has_new_facts: false,
@@ -93,7 +93,7 @@
     pub fn update_list(&mut self, now: f64, is_whole: bool, is_cached: bool, entries: &[(u32, Listing)]) {
         let entries: Vec<Listing> = entries
             .iter()
-            .map(|(id, entry)| Listing { server: self.servers.get_or_assign(*id), ..*entry })
+            .map(|(server_id, entry)| Listing { server: self.servers.get_or_assign(*server_id), ..*entry })
             .collect();
         self.policy.update_list(now, is_whole, is_cached, &entries);
         self.has_new_facts = true;
@@ -101,9 +101,9 @@
 
     /// Takes what other fronts let this one know of servers. The index within a hint is ignored.
     pub fn apply_hints(&mut self, now: f64, hints: &[(u32, ServerHint)]) {
-        for (id, hint) in hints {
-            let server = self.servers.get_or_assign(*id);
-            self.policy.apply_hint(now, &ServerHint { server, ..*hint });
+        for (server_id, hint) in hints {
+            let server_index = self.servers.get_or_assign(*server_id);
+            self.policy.apply_hint(now, &ServerHint { server: server_index, ..*hint });
             self.has_new_facts = true;
         }
     }
@@ -131,8 +131,8 @@
     pub fn play_counts(&self) -> BTreeMap<(u32, usize), (u32, u32)> {
         let mut counts: BTreeMap<(u32, usize), (u32, u32)> = BTreeMap::new();
         for play in self.by_id.values().map(|play_index| &self.plays[*play_index]) {
-            let Some(server) = play.server else { continue };
-            let count = counts.entry((self.servers.ids[server], play.product)).or_default();
+            let Some(server_index) = play.server else { continue };
+            let count = counts.entry((self.servers.ids[server_index], play.product)).or_default();
             if play.playing { count.1 += 1 } else { count.0 += 1 }
         }
         counts
@@ -145,7 +145,7 @@
         let refers_to_server = |play: &Play| {
             play.server == Some(server_index)
                 || play.tried.contains(&server_index)
-                || play.may_have_run.is_some_and(|(server, _)| server == server_index)
+                || play.may_have_run.is_some_and(|(ran_index, _)| ran_index == server_index)
         };
         if self.by_id.values().any(|play_index| refers_to_server(&self.plays[*play_index])) {
             return false;
@@ -174,12 +174,12 @@
         now: f64,
         play_id: u64,
         request: &PlayRequest,
-        server: u32,
+        server_id: u32,
         actions: &mut impl Actions,
     ) {
-        let server = self.servers.get_or_assign(server);
+        let server_index = self.servers.get_or_assign(server_id);
         let play_index = self.insert_play(play_id, request);
-        self.plays[play_index].server = Some(server);
+        self.plays[play_index].server = Some(server_index);
         self.policy.adopt(now, &mut self.plays, play_index);
         self.update_timer(now, play_index, actions);
     }
@@ -199,13 +199,13 @@
         &mut self,
         now: f64,
         play_id: u64,
-        server: u32,
+        server_id: u32,
         outcome: Outcome,
         closed: bool,
         load: &[LoadMetric],
         actions: &mut impl Actions,
     ) {
-        let server_index = self.servers.get_or_assign(server);
+        let server_index = self.servers.get_or_assign(server_id);
         let play_index = self.by_id.get(&play_id).copied();
         let next = play_index.map(|play_index| {
             (play_index, self.policy.after_outcome(now, &mut self.plays, play_index, outcome, closed))
@@ -222,7 +222,7 @@
     /// The viewer has left, or the play's end was reported from elsewhere.
     pub fn on_viewer_left(&mut self, play_id: u64, actions: &mut impl Actions) {
         if let Some(&play_index) = self.by_id.get(&play_id) {
-            self.policy.on_viewer_left(&mut self.plays, play_index);
+            self.policy.finish_play(&mut self.plays, play_index);
             if self.plays[play_index].server.is_some() {
                 actions.withdraw(play_id);
             }
@@ -232,10 +232,10 @@
 
     /// Ends the time of all plays without an answer, because the host stops and can hold nothing any longer.
     pub fn expire_pending(&mut self, now: f64, actions: &mut impl Actions) {
-        let mut pending: Vec<usize> =
+        let mut unanswered: Vec<usize> =
             self.by_id.values().copied().filter(|play_index| !self.plays[*play_index].playing).collect();
-        pending.sort_unstable();
-        for play_index in pending {
+        unanswered.sort_unstable();
+        for play_index in unanswered {
             self.plays[play_index].deadline = now;
             if self.plays[play_index].server.is_some() {
                 actions.withdraw(self.slots[play_index].0);
@@ -287,9 +287,15 @@
     }
 
     /// Takes a server's load, reported in an answer to a set-up or a probe.
-    pub fn on_load_report(&mut self, now: f64, server: u32, load: &[LoadMetric], actions: &mut impl Actions) {
-        let server = self.servers.get_or_assign(server);
-        self.apply_load(now, server, None, load, actions);
+    pub fn on_load_report(
+        &mut self,
+        now: f64,
+        server_id: u32,
+        load: &[LoadMetric],
+        actions: &mut impl Actions,
+    ) {
+        let server_index = self.servers.get_or_assign(server_id);
+        self.apply_load(now, server_index, None, load, actions);
     }
 
     /// Takes a server's note about one of its running plays.
@@ -297,13 +303,13 @@
         &mut self,
         now: f64,
         play_id: u64,
-        server: u32,
+        server_id: u32,
         metric: LoadMetric,
         actions: &mut impl Actions,
     ) {
-        let server = self.servers.get_or_assign(server);
+        let server_index = self.servers.get_or_assign(server_id);
         if let Some(&play_index) = self.by_id.get(&play_id) {
-            self.apply_load(now, server, Some(play_index), &[metric], actions);
+            self.apply_load(now, server_index, Some(play_index), &[metric], actions);
         }
     }
 
@@ -316,11 +322,21 @@
 
     /// Stores a new play and returns its slot.
     fn insert_play(&mut self, play_id: u64, request: &PlayRequest) -> usize {
-        let PlayRequest { product, first_cell, holders, max_rung, arrived_at, deadline, .. } = *request;
+        let PlayRequest {
+            product, first_cell, holders: holder_cells, max_rung, arrived_at, deadline, ..
+        } = *request;
         let title = self.titles.add_play(request.title);
-        let play =
-            Play { product, title, first_cell, holders, max_rung, arrived_at, deadline, ..Play::default() };
-        let play_index = self.free_slots.pop().unwrap_or(self.plays.len());
+        let play = Play {
+            product,
+            title,
+            first_cell,
+            holder_cells,
+            max_rung,
+            arrived_at,
+            deadline,
+            ..Play::default()
+        };
+        let play_index = self.free_indices.pop().unwrap_or(self.plays.len());
         if play_index == self.plays.len() {
             self.plays.push(play);
             self.slots.push((play_id, None));
@@ -348,7 +364,7 @@
             Placement::Keep { rung } if rung != old_rung => actions.set_rung(play_id, rung),
             Placement::Keep { .. } => {}
             Placement::Wait { probe } => {
-                probe.iter().for_each(|server| actions.probe(self.servers.ids[*server]));
+                probe.iter().for_each(|server_index| actions.probe(self.servers.ids[*server_index]));
             }
             Placement::Declined { retry_after } => actions.decline(play_id, retry_after),
             Placement::Failed => actions.fail(play_id),
@@ -367,14 +383,15 @@
     fn apply_load(
         &mut self,
         now: f64,
-        server: usize,
+        server_index: usize,
         noted_play: Option<usize>,
         load: &[LoadMetric],
         actions: &mut impl Actions,
     ) {
         self.has_new_facts |= !load.is_empty();
         for metric in load {
-            let rung_changes = self.policy.on_load_metric(now, &mut self.plays, server, noted_play, *metric);
+            let rung_changes =
+                self.policy.on_load_metric(now, &mut self.plays, server_index, noted_play, *metric);
             self.apply_rung_changes(now, &rung_changes, actions);
         }
     }
@@ -407,7 +424,7 @@
             self.slots[play_index].1 = None;
             self.waiting.remove(&play_index);
             self.titles.remove_play(self.plays[play_index].title);
-            self.free_slots.push(play_index);
+            self.free_indices.push(play_index);
         }
     }
 }
--- a/crates/dispatcher/tests/cold_fleet.rs
+++ b/crates/dispatcher/tests/cold_fleet.rs
@@ -71,7 +71,7 @@
     max_list_delay: f64,
     restarts: usize,
     /// How long the fronts have run when the first server is replaced, ms.
-    run_in: f64,
+    uptime_before_replacement: f64,
     /// The number of cells that hold a title, and the size of the crowd that arrives within three seconds for a title whose
     /// first cell is the new server's.
     holders: usize,
@@ -89,7 +89,7 @@
     scheduled: BTreeMap<u64, Event>,
     dispatchers: Vec<Dispatcher>,
     /// How often each front was restarted; timers set before a restart are ignored.
-    starts: Vec<u64>,
+    restart_counts: Vec<u64>,
     front_weights: Vec<f64>,
     list: Vec<Listing>,
     running_plays: BTreeMap<u32, usize>,
@@ -155,7 +155,7 @@
             dispatchers: (0..fleet.fronts)
                 .map(|f| Dispatcher::new(test_settings(&fleet, f), seed * 1_000 + f as u64))
                 .collect(),
-            starts: vec![0; fleet.fronts],
+            restart_counts: vec![0; fleet.fronts],
             front_weights,
             list: (0..fleet.cells).map(entry).collect(),
             running_plays: BTreeMap::new(),
@@ -203,9 +203,9 @@
         let mut actions = RecordedActions::default();
         body(&mut self.dispatchers[front], self.now, &mut actions);
         while self.dispatchers[front].end_turn(self.now, &mut actions) {}
-        let start = self.starts[front];
+        let restart_count = self.restart_counts[front];
         for (timer, delay) in std::mem::take(&mut actions.timers) {
-            self.schedule(delay, Event::TimerFires(front, timer, start));
+            self.schedule(delay, Event::TimerFires(front, timer, restart_count));
         }
         for (play, server) in std::mem::take(&mut actions.sends) {
             if let Some(sends) = self.sends_to_cold.get_mut(&server) {
@@ -260,7 +260,7 @@
                 self.add_play(front, title as u64);
             }
             Event::CrowdPlayArrives(front, cell) => self.add_play(front, cell as u64),
-            Event::TimerFires(front, timer, start) if self.starts[front] == start => {
+            Event::TimerFires(front, timer, restart_count) if self.restart_counts[front] == restart_count => {
                 self.call(front, &mut |dispatcher, now, actions| dispatcher.on_timer(now, timer, actions));
             }
             Event::SetUpAnswered(front, play, server) => {
@@ -337,8 +337,8 @@
             }
             Event::ListArrives(front) => self.send_list(front, false),
             Event::FrontRestarts(front) => {
-                self.starts[front] += 1;
-                let seed = self.seed * 1_000 + front as u64 + 7_777 * self.starts[front];
+                self.restart_counts[front] += 1;
+                let seed = self.seed * 1_000 + front as u64 + 7_777 * self.restart_counts[front];
                 self.dispatchers[front] = Dispatcher::new(test_settings(&self.fleet, front), seed);
                 self.send_list(front, true);
                 self.schedule(200.0, Event::ListArrives(front));
@@ -361,7 +361,7 @@
 /// bound, the number of all cold starts, and the ratio of sent to allowed set-ups.
 fn run_simulation(fleet: Fleet, seed: u64) -> (usize, usize, f64) {
     let mut simulation = Simulation::new(fleet, seed);
-    let first_replacement_at = simulation.now + fleet.run_in;
+    let first_replacement_at = simulation.now + fleet.uptime_before_replacement;
     let replacements = fleet.cells as u32;
     for i in 0..replacements {
         let new = fleet.cells as u32 * (1 + i / fleet.cells as u32) + i;
@@ -406,17 +406,25 @@
     crowd: usize,
 ) {
     for restarts in [0, fronts / 3] {
-        let fleet =
-            Fleet { fronts, cells, rate, max_list_delay: 1_400.0, restarts, run_in: 5_000.0, holders, crowd };
+        let fleet = Fleet {
+            fronts,
+            cells,
+            rate,
+            max_list_delay: 1_400.0,
+            restarts,
+            uptime_before_replacement: 5_000.0,
+            holders,
+            crowd,
+        };
         let seeds = 1..=if fronts > 50 { 6 } else { 12 };
-        let (mut starts, mut used) = (0, 0.0);
+        let (mut cold_starts, mut used) = (0, 0.0);
         for seed in seeds.clone() {
-            let (exceeded, all, used_part) = run_simulation(fleet, seed);
+            let (exceeded, all, used_share) = run_simulation(fleet, seed);
             assert_eq!(exceeded, 0, "of {all} starts, seed {seed}, {restarts} restarts");
-            (starts, used) = (starts + all, used + used_part);
+            (cold_starts, used) = (cold_starts + all, used + used_share);
         }
         // The bound is not kept by sending too little: a part of what the servers may take is sent.
         let used = used / seeds.count() as f64;
-        assert!(used > 0.1, "{used:.2} of what {starts} cold starts may take");
+        assert!(used > 0.1, "{used:.2} of what {cold_starts} cold starts may take");
     }
 }
--- a/crates/dispatcher/tests/waiting_plays.rs
+++ b/crates/dispatcher/tests/waiting_plays.rs
@@ -181,9 +181,9 @@
     drain_server(&mut host);
     let mut answers = Vec::new();
     while answers.len() < 99 {
-        let new = host.end_turn();
-        assert!(new.len() <= 32 && host.now < 30_000.0, "{new:?}");
-        answers.extend(new);
+        let turn_answers = host.end_turn();
+        assert!(turn_answers.len() <= 32 && host.now < 30_000.0, "{turn_answers:?}");
+        answers.extend(turn_answers);
         host.now += 10.0;
     }
     let times_declined = |id| answers.iter().filter(|action| **action == Action::Decline(id, 500.0)).count();
--- a/crates/sim-adapter/src/frame.rs
+++ b/crates/sim-adapter/src/frame.rs
@@ -20,9 +20,11 @@
         format!("{} at byte {} of the batch: {cause}", self.event_name, self.start)
     }
 
-    pub fn read_bytes(&mut self, n: usize) -> Result<&'a [u8], String> {
-        let Some((bytes, rest)) = self.rest.split_at_checked(n) else {
-            return Err(self.error_at(&format!("wants {n} more bytes where {} are left", self.rest.len())));
+    pub fn read_bytes(&mut self, count: usize) -> Result<&'a [u8], String> {
+        let Some((bytes, rest)) = self.rest.split_at_checked(count) else {
+            return Err(
+                self.error_at(&format!("wants {count} more bytes where {} are left", self.rest.len()))
+            );
         };
         self.rest = rest;
         Ok(bytes)
@@ -53,14 +55,14 @@
     }
 
     /// Reads a duration, which the protocol has in µs, and returns it in ms.
-    pub fn read_ms(&mut self) -> Result<f64, String> {
+    pub fn read_us_as_ms(&mut self) -> Result<f64, String> {
         Ok(f64::from(self.read_u32()?) / 1000.0)
     }
 
     /// Reads a list of numbers preceded by its length, as in load reports.
-    pub fn read_numbers(&mut self) -> Result<Vec<f64>, String> {
-        let n = self.read_u8()?;
-        (0..n).map(|_| self.read_f32()).collect()
+    pub fn read_f32_list(&mut self) -> Result<Vec<f64>, String> {
+        let count = self.read_u8()?;
+        (0..count).map(|_| self.read_f32()).collect()
     }
 }
 
@@ -102,6 +104,6 @@
 }
 
 /// Encodes a duration in ms as the protocol has it: whole µs, rounded up.
-pub fn encode_us(ms: f64) -> [u8; 4] {
+pub fn encode_ms_as_us(ms: f64) -> [u8; 4] {
     ((ms * 1000.0).ceil().clamp(0.0, f64::from(u32::MAX)) as u32).to_le_bytes()
 }
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -1,7 +1,7 @@
 //! The fronts simulated by this process, called instances: decodes the simulator's events into calls of their dispatchers,
 //! and encodes the actions that the dispatchers request. Times are in ms, in the protocol in µs.
 
-use crate::frame::{Fields, Reply, encode_us, records};
+use crate::frame::{Fields, Reply, encode_ms_as_us, records};
 use pulleystair::{Listing, LoadMetric, Outcome, Settings, Standing};
 use pulleystair_dispatcher::{Actions, Dispatcher, PlayRequest};
 use pulleystair_settings::{LoadColumns, parse_settings};
@@ -54,7 +54,7 @@
             let mut fields = Fields::new(name, start + 8, record_fields);
             if code == 28 {
                 // CENSUS: a server table, for later MEMBERS events.
-                let (table, entries) = parse_census(&mut fields)?;
+                let (table, entries) = parse_server_table(&mut fields)?;
                 self.tables.insert(table, entries);
                 continue;
             }
@@ -109,7 +109,7 @@
 }
 
 /// Reads a server table: its number and its entries.
-fn parse_census(fields: &mut Fields) -> Result<(u8, Vec<TableEntry>), String> {
+fn parse_server_table(fields: &mut Fields) -> Result<(u8, Vec<TableEntry>), String> {
     let table = fields.read_u8()?;
     let count = fields.read_u32()?;
     let mut entries = Vec::new();
@@ -170,9 +170,9 @@
                 let holders = fields.read_f32()?.max(0.0) as usize;
                 fields.read_u32()?;
                 let title = fields.read_u64()?;
-                let deadline = now + fields.read_ms()?;
+                let deadline = now + fields.read_us_as_ms()?;
                 let first_cell = fields.read_f32()?.max(0.0) as usize;
-                fields.read_ms()?;
+                fields.read_us_as_ms()?;
                 let product = fields.read_u16()?.into();
                 let request =
                     PlayRequest { product, title, first_cell, holders, max_rung, arrived_at: now, deadline };
@@ -187,17 +187,17 @@
                 fields.read_u32()?;
                 fields.read_u64()?;
                 let title = fields.read_u64()?;
-                let deadline = now + fields.read_ms()?;
-                fields.read_ms()?;
+                let deadline = now + fields.read_us_as_ms()?;
+                fields.read_us_as_ms()?;
                 let first_cell = fields.read_f32()?.max(0.0) as usize;
                 let holders = fields.read_f32()?.max(0.0) as usize;
                 let max_rung = fields.read_f32()?.max(0.0) as usize;
                 fields.read_u8()?;
-                let server = fields.read_u32()?;
+                let server_id = fields.read_u32()?;
                 let request =
                     PlayRequest { product, title, first_cell, holders, max_rung, arrived_at: now, deadline };
                 if self.check_product(&request, fields, actions) {
-                    self.dispatcher.adopt(now, play_id, &request, server, actions);
+                    self.dispatcher.adopt(now, play_id, &request, server_id, actions);
                 }
             }
             // ESTABLISHED: an allocation plays.
@@ -208,10 +208,10 @@
                 let outcome = outcome_of_code(fields.read_u16()?).map_err(|e| fields.error_at(&e))?;
                 let closed = fields.read_u8()? != 0;
                 fields.read_u8()?;
-                let server = fields.read_u32()?;
-                fields.read_ms()?;
-                let load = self.columns.load_metrics(&fields.read_numbers()?);
-                self.dispatcher.on_allocation_ended(now, play_id, server, outcome, closed, &load, actions);
+                let server_id = fields.read_u32()?;
+                fields.read_us_as_ms()?;
+                let load = self.columns.load_metrics(&fields.read_f32_list()?);
+                self.dispatcher.on_allocation_ended(now, play_id, server_id, outcome, closed, &load, actions);
             }
             // DROPPED: the viewer has left.
             21 => self.dispatcher.on_viewer_left(fields.read_u64()?, actions),
@@ -219,30 +219,40 @@
             22 => self.dispatcher.on_timer(now, fields.read_u32()?, actions),
             // ECHO: a probe is answered.
             23 => {
-                fields.read_ms()?;
+                fields.read_us_as_ms()?;
                 fields.read_u16()?;
-                let server = fields.read_u32()?;
-                let load = self.columns.load_metrics(&fields.read_numbers()?);
-                self.dispatcher.on_load_report(now, server, &load, actions);
+                let server_id = fields.read_u32()?;
+                let load = self.columns.load_metrics(&fields.read_f32_list()?);
+                self.dispatcher.on_load_report(now, server_id, &load, actions);
             }
             // NOTE: a server's note about a running play.
             27 => {
                 let play_id = fields.read_u64()?;
                 let value = fields.read_f32()?;
-                let server = fields.read_u32()?;
+                let server_id = fields.read_u32()?;
                 match fields.read_u8()? {
                     1 => self.dispatcher.on_play_note(
                         now,
                         play_id,
-                        server,
+                        server_id,
                         LoadMetric::Delivered(value),
                         actions,
                     ),
                     2 => self.dispatcher.set_adopted_rung(play_id, value.max(0.0) as usize),
-                    3 => self.dispatcher.on_play_note(now, play_id, server, LoadMetric::Link(value), actions),
-                    4 => {
-                        self.dispatcher.on_play_note(now, play_id, server, LoadMetric::Uplink(value), actions)
-                    }
+                    3 => self.dispatcher.on_play_note(
+                        now,
+                        play_id,
+                        server_id,
+                        LoadMetric::Link(value),
+                        actions,
+                    ),
+                    4 => self.dispatcher.on_play_note(
+                        now,
+                        play_id,
+                        server_id,
+                        LoadMetric::Uplink(value),
+                        actions,
+                    ),
                     _ => {}
                 }
             }
@@ -278,32 +288,35 @@
 }
 
 impl Actions for ReplyActions<'_> {
-    fn send(&mut self, play: u64, server: u32, rung: usize, time_out: f64) {
-        self.set_rung(play, rung);
-        self.record(29, &[&play.to_le_bytes(), &encode_us(time_out.max(0.001)), &server.to_le_bytes()]);
+    fn send(&mut self, play_id: u64, server_id: u32, rung: usize, time_out: f64) {
+        self.set_rung(play_id, rung);
+        self.record(
+            29,
+            &[&play_id.to_le_bytes(), &encode_ms_as_us(time_out.max(0.001)), &server_id.to_le_bytes()],
+        );
     }
 
     /// Nothing to do: the simulator itself withdraws the allocation of a viewer who has left.
-    fn withdraw(&mut self, _play: u64) {}
+    fn withdraw(&mut self, _play_id: u64) {}
 
-    fn set_rung(&mut self, play: u64, rung: usize) {
-        self.record(28, &[&play.to_le_bytes(), &[rung as u8]]);
+    fn set_rung(&mut self, play_id: u64, rung: usize) {
+        self.record(28, &[&play_id.to_le_bytes(), &[rung as u8]]);
     }
 
-    fn probe(&mut self, server: u32) {
-        self.record(18, &[&server.to_le_bytes()]);
+    fn probe(&mut self, server_id: u32) {
+        self.record(18, &[&server_id.to_le_bytes()]);
     }
 
-    fn decline(&mut self, play: u64, retry_after: f64) {
-        self.record(17, &[&play.to_le_bytes(), &encode_us(retry_after)]);
+    fn decline(&mut self, play_id: u64, retry_after: f64) {
+        self.record(17, &[&play_id.to_le_bytes(), &encode_ms_as_us(retry_after)]);
     }
 
-    fn fail(&mut self, play: u64) {
-        self.record(25, &[&play.to_le_bytes()]);
+    fn fail(&mut self, play_id: u64) {
+        self.record(25, &[&play_id.to_le_bytes()]);
     }
 
     fn set_timer(&mut self, timer: u32, delay: f64) {
-        self.record(24, &[&timer.to_le_bytes(), &encode_us(delay)]);
+        self.record(24, &[&timer.to_le_bytes(), &encode_ms_as_us(delay)]);
     }
 
     fn watch_list(&mut self) {
--- a/crates/sim-adapter/tests/invalid_input.rs
+++ b/crates/sim-adapter/tests/invalid_input.rs
@@ -7,7 +7,7 @@
 const TAPE: &[u8] = include_bytes!("tape.bin");
 
 /// The first frames of the recording, each with its reply, both with their length prefix.
-fn frames(count: usize) -> Vec<(Vec<u8>, Vec<u8>)> {
+fn frames_with_replies(count: usize) -> Vec<(Vec<u8>, Vec<u8>)> {
     let mut rest = TAPE;
     let mut next_part = || {
         let size = u32::from_le_bytes(*rest.first_chunk().expect("a length")) as usize;
@@ -33,14 +33,14 @@
 
 #[test]
 fn input_that_ends_within_a_frame_is_an_error_and_earlier_frames_are_answered() {
-    let frames = frames(3);
-    let input: Vec<u8> = frames.iter().flat_map(|f| f.0.clone()).collect();
-    let replies: Vec<u8> = frames.iter().flat_map(|f| f.1.clone()).collect();
+    let frames = frames_with_replies(3);
+    let input: Vec<u8> = frames.iter().flat_map(|pair| pair.0.clone()).collect();
+    let replies: Vec<u8> = frames.iter().flat_map(|pair| pair.1.clone()).collect();
     let output = run_adapter(&input);
     assert!(output.status.success() && output.stdout == replies);
-    let next = [&5u32.to_le_bytes()[..], b"12345"].concat();
-    for length in 1..next.len() {
-        let output = run_adapter(&[&input, &next[..length]].concat());
+    let last_frame = [&5u32.to_le_bytes()[..], b"12345"].concat();
+    for length in 1..last_frame.len() {
+        let output = run_adapter(&[&input, &last_frame[..length]].concat());
         let errors = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
             !output.status.success() && output.stdout == replies,
@@ -101,7 +101,7 @@
 #[test]
 fn a_request_with_impossible_numbers_is_answered() {
     // A request for a title whose first cell is infinite, after the recording's settings and list.
-    let mut input: Vec<u8> = frames(60).iter().flat_map(|f| f.0.clone()).collect();
+    let mut input: Vec<u8> = frames_with_replies(60).iter().flat_map(|f| f.0.clone()).collect();
     let f = |x: f32| x.to_le_bytes();
     let fields: [&[u8]; 12] = [
         &3u32.to_le_bytes(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -40,9 +40,9 @@
     pub product: usize,
     /// Index of the title.
     pub title: usize,
-    /// The title's holders are the servers of `holders` consecutive cells from `first_cell` on.
+    /// The title's holders are the servers of `holder_cells` consecutive cells from `first_cell` on.
     pub first_cell: usize,
-    pub holders: usize,
+    pub holder_cells: usize,
     /// Highest rung that the viewer can use.
     pub max_rung: usize,
     pub arrived_at: f64,
--- a/src/logic/facts.rs
+++ b/src/logic/facts.rs
@@ -53,7 +53,7 @@
         let old_gap = self.play_gap(now, hint.server);
         let server = &mut self.servers[hint.server];
         let newly_doubted = hint.doubted && !server.doubted_by_others;
-        (server.doubted_by_others, server.lent_pace) = (hint.doubted, hint.pace.max(0.01) - 1.0);
+        (server.doubted_by_others, server.borrowed_pace) = (hint.doubted, hint.pace.max(0.01) - 1.0);
         (server.further_gap, server.probe_gap) = (hint.further_gap, hint.probe_gap);
         let new_gap = self.play_gap(now, hint.server);
         let first_trial_delay =
@@ -167,7 +167,7 @@
     }
 
     /// Marks the play as finished because its viewer left; an allocation may still be out.
-    pub fn on_viewer_left(&mut self, plays: &mut [Play], play_index: usize) {
+    pub fn finish_play(&mut self, plays: &mut [Play], play_index: usize) {
         self.leave_queue(plays, play_index);
         plays[play_index].finished = true;
     }
@@ -183,7 +183,7 @@
     ) -> Next {
         let Some(server_index) = plays[play_index].server else {
             if closed {
-                self.on_viewer_left(plays, play_index);
+                self.finish_play(plays, play_index);
             }
             return Next::Nothing;
         };
@@ -227,8 +227,8 @@
 
     /// Time (ms) until the play is to be placed again; none while an allocation is out and once the play is finished.
     pub fn time_to_recheck(&self, now: f64, play: &Play) -> Option<f64> {
-        let is_pending = !play.finished && (play.playing || play.server.is_none());
-        is_pending.then(|| (play.recheck_at - now).max(0.0))
+        let has_recheck_time = !play.finished && (play.playing || play.server.is_none());
+        has_recheck_time.then(|| (play.recheck_at - now).max(0.0))
     }
 
     /// Drops arrivals older than the allocation budget's span, and returns that span in ms.
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -1,18 +1,18 @@
 //! All decisions of one front. The caller creates a [`Policy`] from its settings and a seed, passes it facts
-//! (`update_list`, `apply_hint`, `add_play`, `adopt`, `on_load_metric`, `on_viewer_left`, ...), and asks it three questions:
+//! (`update_list`, `apply_hint`, `add_play`, `adopt`, `on_load_metric`, `finish_play`, ...), and asks it three questions:
 //! `place` (where to send this play, or that it has to wait, or that it is refused), `after_outcome` (what to do after an
 //! allocation's outcome) and `time_to_recheck` (how long until the play is to be placed again).
 //!
 //! `placing` holds the ordinary path of a play, `facts` takes in the facts and draws the consequences, `room` models links
 //! and their load, `pace` limits the rate of plays to cold and doubted servers, `rungs` chooses and changes rungs, and
-//! `shown` shows and overrides settings and decides nothing. Times are in ms, rates and capacities in kB.
+//! `settings_view` shows and overrides settings and decides nothing. Times are in ms, rates and capacities in kB.
 
 mod facts;
 mod pace;
 mod placing;
 mod room;
 mod rungs;
-mod shown;
+mod settings_view;
 
 use crate::{Settings, Value, number};
 use room::{Link, Server, fronts_on_link};
@@ -23,7 +23,7 @@
 const QUIET_JITTER_MS: f64 = 5_000.0;
 
 /// Time constant with which a front forgets which servers its plays requested.
-const REQUEST_MEMORY_MS: f64 = 60_000.0;
+const ELIGIBLE_MEMORY_MS: f64 = 60_000.0;
 
 /// One product's settings.
 struct Product {
@@ -68,9 +68,9 @@
     /// Capacity of all servers' links.
     total_capacity_kb: f64,
     /// Load that this front set up recently (kB) and the time up to which it has decayed, and the number of recent
-    /// requests for a server; both decay over RECENT_MS.
+    /// requests for a server; both decay over FLOOD_MEMORY_MS.
     recent_set_up_kb: (f64, f64),
-    recent_requests: f64,
+    recent_plays: f64,
     /// Seats taken, by product and title.
     seats_taken: BTreeMap<(usize, usize), usize>,
     /// When plays arrived and when further allocations were sent, within the span of the allocation budget.
@@ -100,21 +100,21 @@
         ladder_kb.resize(ladder_kb.len().max(1), 0.0);
         rung_values.resize(ladder_kb.len(), 0.0);
         let product = |i: usize| {
-            let number_of =
+            let product_number =
                 |part: &str, default: f64| number(&settings, &format!("products.{i}.{part}"), default);
-            let extra_of =
+            let extra_number =
                 |part: &str, default: f64| number(&settings, &format!("extra.{part}.{i}"), default);
             Product {
-                importance: number_of("importance", 1.0),
-                first_frame_target: number_of("first_frame_target", 1000.0),
+                importance: product_number("importance", 1.0),
+                first_frame_target: product_number("first_frame_target", 1000.0),
                 effect: text_setting(&settings, &format!("products.{i}.effect")),
                 key_scope: text_setting(&settings, &format!("products.{i}.key_scope")),
-                repeat_window: number_of("repeat_window", 0.0),
-                min_rung: (extra_of("class_floor", 0.0) as usize).min(ladder_kb.len() - 1),
-                max_rung: extra_of("top_by_class", 99.0) as usize,
-                rate_scale: extra_of("class_scale", 1.0),
-                is_live: extra_of("class_live", 0.0) > 0.0,
-                seat_limit: extra_of("seats", 0.0) as usize,
+                repeat_window: product_number("repeat_window", 0.0),
+                min_rung: (extra_number("class_floor", 0.0) as usize).min(ladder_kb.len() - 1),
+                max_rung: extra_number("top_by_class", 99.0) as usize,
+                rate_scale: extra_number("class_scale", 1.0),
+                is_live: extra_number("class_live", 0.0) > 0.0,
+                seat_limit: extra_number("seats", 0.0) as usize,
             }
         };
         let has_name = |i: &usize| settings.contains_key(&format!("products.{i}.name"));
@@ -148,7 +148,7 @@
             cells: vec![Vec::new(); cell_count.clamp(1.0, 65_536.0) as usize],
             mean_utilization: 0.5,
             recent_set_up_kb: (0.0, 0.0),
-            recent_requests: 0.0,
+            recent_plays: 0.0,
             total_capacity_kb: number(&settings, "extra.fleet_kb", 1.0).max(1.0),
             seats_taken: BTreeMap::new(),
             arrivals: VecDeque::new(),
--- a/src/logic/pace.rs
+++ b/src/logic/pace.rs
@@ -6,17 +6,17 @@
 //! rank. Each front keeps
 //!     gap >= F * A / (PACED_SHARE * overload factor * pace),   so that the mean of the sum is <= PACED_SHARE * N < N,
 //! without any exchange with the others: it estimates A from its own rate alone, over the time that it has watched
-//! (REQUEST_MEMORY_MS at most, a warm-up at least), and a flood raises A by the recent requests. Whatever its rate, a
+//! (ELIGIBLE_MEMORY_MS at most, a warm-up at least), and a flood raises A by the recent requests. Whatever its rate, a
 //! front's own mean is then at most PACED_SHARE * N / F, so uneven rates do not raise the sum. A front that restarts does
 //! not know what it sent before: it takes one turn more at most, and estimates a high A until it has watched for long.
 
-use super::{Policy, REQUEST_MEMORY_MS};
+use super::{ELIGIBLE_MEMORY_MS, Policy};
 use crate::Play;
 
 /// The share of what would overload a cold server that all fronts together send to it.
 const PACED_SHARE: f64 = 0.6;
 /// All fronts are assumed to set up as much as this one does within this time, where that exceeds one play.
-pub(super) const RECENT_MS: f64 = 1_500.0;
+pub(super) const FLOOD_MEMORY_MS: f64 = 1_500.0;
 
 impl Policy {
     /// When this play may be sent to the server. Cold and doubted servers get plays at this front's share of the warm-up's
@@ -24,7 +24,13 @@
     /// shares do not coincide. Guards against overloading a server that has just come back, listed or not, and leads a
     /// failing or silent server back by few trials. The cost: a play waits if all its holders are in this state, and is
     /// refused at once if its turn can't come in time.
-    pub(super) fn turn_at(&self, now: f64, server_index: usize, arrived_at: f64, is_further: bool) -> f64 {
+    pub(super) fn earliest_send_at(
+        &self,
+        now: f64,
+        server_index: usize,
+        arrived_at: f64,
+        is_further: bool,
+    ) -> f64 {
         let server = &self.servers[server_index];
         // Further allocations have a budget of the whole fleet, where fronts share one.
         let now = if is_further { server.next_further_at.max(now) } else { now };
@@ -32,16 +38,19 @@
         if !is_cold && !server.is_doubted() {
             return now;
         }
-        let first_turn_at =
+        let first_send_at =
             server.cold_since + self.play_gap(server.cold_since, server_index) * self.rank / self.front_count;
-        let turn_at = server.next_play_at.max(first_turn_at).max(now);
+        let next_send_at = server.next_play_at.max(first_send_at).max(now);
         let ahead = server.queue.partition_point(|q| q.0 < arrived_at) as f64;
         if ahead == 0.0 {
-            return turn_at;
+            return next_send_at;
         }
-        turn_at
+        next_send_at
             + ahead
-                * self.play_gap(turn_at + ahead * self.play_gap(turn_at, server_index) / 2.0, server_index)
+                * self.play_gap(
+                    next_send_at + ahead * self.play_gap(next_send_at, server_index) / 2.0,
+                    server_index,
+                )
     }
 
     /// Removes the play from the queue of the server that it waits for, if any.
@@ -61,22 +70,22 @@
         let pace = max_streams / warm_up_ms * (initial_share + (1.0 - initial_share) * warmed_share);
         // The number of fronts that send to the server: those that usually have plays there, and during the warm-up as many
         // as would have a request if all had this front's own rate, over the last minute or, in a flood, recently.
-        let is_cold = now < server.cold_since + warm_up_ms && server.cold_since != self.cached_list_at;
-        let recent_rate = (self.recent_requests - 1.0).max(0.0) / RECENT_MS * server.link.capacity_kb
+        let is_warming_up = now < server.cold_since + warm_up_ms && server.cold_since != self.cached_list_at;
+        let recent_rate = (self.recent_plays - 1.0).max(0.0) / FLOOD_MEMORY_MS * server.link.capacity_kb
             / self.total_capacity_kb;
-        let watched_ms = REQUEST_MEMORY_MS
-            * (1.0 - (-(now - self.listing_since).max(warm_up_ms) / REQUEST_MEMORY_MS).exp());
-        let rate = (server.recent_requests.0 / watched_ms).max(recent_rate);
-        let requesting_share = if is_cold { 1.0 - (-rate * warm_up_ms).exp() } else { 0.0 };
+        let watched_ms = ELIGIBLE_MEMORY_MS
+            * (1.0 - (-(now - self.listing_since).max(warm_up_ms) / ELIGIBLE_MEMORY_MS).exp());
+        let rate = (server.eligible_plays.0 / watched_ms).max(recent_rate);
+        let requesting_share = if is_warming_up { 1.0 - (-rate * warm_up_ms).exp() } else { 0.0 };
         let front_count = (self.front_count * requesting_share).max(server.link.front_count);
         // A lent pace is given in shares of all fronts. On a server doubted by other fronts, all fronts together make as many
         // trials as one front would.
         let front_count = if server.doubted_by_others { front_count * self.front_count } else { front_count };
-        let lent_share = server.lent_pace.max(0.0) / self.front_count;
-        let front_count = if lent_share > 0.0 {
-            1.0 / (1.0 / front_count + lent_share)
+        let borrowed_share = server.borrowed_pace.max(0.0) / self.front_count;
+        let front_count = if borrowed_share > 0.0 {
+            1.0 / (1.0 / front_count + borrowed_share)
         } else {
-            front_count / (1.0 + server.lent_pace)
+            front_count / (1.0 + server.borrowed_pace)
         };
         front_count / (pace * self.number_setting("rules.overload_factor", 1.0) * PACED_SHARE)
     }
--- a/src/logic/placing.rs
+++ b/src/logic/placing.rs
@@ -1,7 +1,7 @@
 //! Places a play: the ordinary path, from the title's holders to a server and a rung, and the rules on which servers may be
 //! sent a play at all. Times are in ms, rates and rooms in kB.
 
-use super::{Policy, REQUEST_MEMORY_MS, pace::RECENT_MS, room::Link};
+use super::{ELIGIBLE_MEMORY_MS, Policy, pace::FLOOD_MEMORY_MS, room::Link};
 use crate::{HolderChance, Placement, Play, RungChanges, Standing, Value};
 
 /// A random number below this takes the holder with the most room (Wamser et al.).
@@ -21,16 +21,16 @@
     /// Decides where this play goes, by the design's ordinary path from the title's holders to a rung. For a play that runs
     /// already, decides about a step up. Also returns the other plays whose rungs change.
     pub fn place(&mut self, now: f64, plays: &mut [Play], play_index: usize) -> (Placement, RungChanges) {
-        let decay = ((self.recent_set_up_kb.1 - now) / RECENT_MS).exp();
-        (self.recent_set_up_kb, self.recent_requests) =
-            ((self.recent_set_up_kb.0 * decay, now), self.recent_requests * decay);
+        let decay = ((self.recent_set_up_kb.1 - now) / FLOOD_MEMORY_MS).exp();
+        (self.recent_set_up_kb, self.recent_plays) =
+            ((self.recent_set_up_kb.0 * decay, now), self.recent_plays * decay);
         if plays[play_index].playing {
             return self.step_up(now, plays, play_index);
         }
         // A caller places waiting plays again after each new fact; that does not count as another request.
         let (is_early, was_queued) =
             (now < plays[play_index].recheck_at - 0.01, plays[play_index].waiting_for.is_some());
-        self.recent_requests += if is_early { 0.0 } else { 1.0 };
+        self.recent_plays += if is_early { 0.0 } else { 1.0 };
         let (product, title) = (plays[play_index].product, plays[play_index].title);
         let seat_limit = self.products[product].seat_limit;
         let no_seat_left =
@@ -48,22 +48,25 @@
             return (self.refuse(plays, play_index), Vec::new());
         }
         for s in holders.iter().filter(|_| !is_early) {
-            let requests = &mut self.servers[*s].recent_requests;
-            *requests = (1.0 + requests.0 * ((requests.1 - now) / REQUEST_MEMORY_MS).exp(), now);
+            let eligible_plays = &mut self.servers[*s].eligible_plays;
+            *eligible_plays =
+                (1.0 + eligible_plays.0 * ((eligible_plays.1 - now) / ELIGIBLE_MEMORY_MS).exp(), now);
         }
         // Cold and doubted holders take plays only at their pace; a play without another holder waits for its turn.
         self.leave_queue(plays, play_index);
         let (arrived_at, is_further) = (plays[play_index].arrived_at, plays[play_index].allocations > 0);
-        let turns: Vec<f64> = holders.iter().map(|s| self.turn_at(now, *s, arrived_at, is_further)).collect();
-        let mut open: Vec<usize> =
-            (0..holders.len()).filter(|i| turns[*i] <= now).map(|i| holders[i]).collect();
-        if open.is_empty() {
-            let soonest = (0..turns.len()).min_by(|a, b| turns[*a].total_cmp(&turns[*b])).unwrap_or(0);
-            if turns[soonest] >= plays[play_index].deadline - 200.0 {
+        let send_times: Vec<f64> =
+            holders.iter().map(|s| self.earliest_send_at(now, *s, arrived_at, is_further)).collect();
+        let mut eligible: Vec<usize> =
+            (0..holders.len()).filter(|i| send_times[*i] <= now).map(|i| holders[i]).collect();
+        if eligible.is_empty() {
+            let soonest =
+                (0..send_times.len()).min_by(|a, b| send_times[*a].total_cmp(&send_times[*b])).unwrap_or(0);
+            if send_times[soonest] >= plays[play_index].deadline - 200.0 {
                 return (self.refuse(plays, play_index), Vec::new());
             }
             (plays[play_index].waiting_for, plays[play_index].recheck_at) =
-                (Some(holders[soonest]), turns[soonest].max(now + 1.0));
+                (Some(holders[soonest]), send_times[soonest].max(now + 1.0));
             let queue = &mut self.servers[holders[soonest]].queue;
             queue.insert(queue.partition_point(|q| q.0 <= arrived_at), (arrived_at, play_index));
             return (Placement::Wait { probe: Vec::new() }, Vec::new());
@@ -78,15 +81,15 @@
         let streams_title =
             |s: &usize| self.servers[*s].plays.iter().any(same_title) && self.room_kb(plays, *s) > 0.0;
         if self.products[product].is_live && self.join_share < 1.0 {
-            open = prefer(open, streams_title);
+            eligible = prefer(eligible, streams_title);
         }
         // Metrics grow old where this front seldom has plays: as far as the price allows, holders are probed, and those
         // that do not answer are avoided. Guards against guessed room and silent servers, at the price of a short wait.
         let affordable =
             (MAX_PROBE_COST / self.number_setting("costs.probe", MAX_PROBE_COST).max(1e-6)) as usize;
-        let mut to_probe = open.clone();
+        let mut to_probe = eligible.clone();
         to_probe.retain(|s| !self.servers[*s].link.is_measured_lately(now));
-        let measured_count = open.len() - to_probe.len();
+        let measured_count = eligible.len() - to_probe.len();
         to_probe.retain(|s| now >= self.servers[*s].next_probe_at);
         let probe_count = affordable.saturating_sub(measured_count).min(to_probe.len());
         while to_probe.len() > probe_count {
@@ -99,7 +102,7 @@
             return (Placement::Wait { probe: to_probe }, Vec::new());
         }
         if plays[play_index].probed {
-            open = prefer(open, |s| {
+            eligible = prefer(eligible, |s| {
                 self.servers[*s].link.measured_kb.is_some() && self.room_kb(plays, *s) > 0.0
             });
         }
@@ -109,37 +112,37 @@
         let in_own_zone =
             |s: &usize| self.servers[*s].listing.zone as f64 == self.number_setting("zone", 0.0);
         if self.number_setting("costs.cross_zone", 0.0) > 0.0 {
-            open = prefer(open, |s| in_own_zone(s) && self.room_kb(plays, *s) > ample_kb);
+            eligible = prefer(eligible, |s| in_own_zone(s) && self.room_kb(plays, *s) > ample_kb);
         }
         // The same where a connection has a price: holders measured lately have a connection, and come first with ample
         // room. Guards against many fronts that each connect to all servers; meanwhile fewer servers take the load.
         if self.number_setting("costs.handshake", 0.0) > 0.0 {
-            open = prefer(open, |s| {
+            eligible = prefer(eligible, |s| {
                 self.servers[*s].link.is_measured_lately(now) && self.room_kb(plays, *s) > ample_kb
             });
         }
         // Holders without a measurement first; then a weighted draw: half the time the holder with the most room, else one
         // drawn in proportion to room.
         let is_unmeasured = |s: &usize| self.servers[*s].link.measured_kb.is_none();
-        let rooms: Vec<f64> = open.iter().map(|s| self.room_kb(plays, *s).max(0.0)).collect();
+        let rooms: Vec<f64> = eligible.iter().map(|s| self.room_kb(plays, *s).max(0.0)).collect();
         let total_room: f64 = rooms.iter().sum();
-        let candidates = self.candidate_chances(&open, &rooms, total_room);
-        let server_index = if open.iter().any(is_unmeasured) {
-            open.retain(is_unmeasured);
-            open[self.rng.rand_range(0..open.len() as u64) as usize]
+        let candidates = self.candidate_chances(&eligible, &rooms, total_room);
+        let server_index = if eligible.iter().any(is_unmeasured) {
+            eligible.retain(is_unmeasured);
+            eligible[self.rng.rand_range(0..eligible.len() as u64) as usize]
         } else if total_room <= 0.0 {
             let utilization = |s: &usize| self.fuller_link(*s, Link::utilization).1.utilization();
-            *open.iter().min_by(|a, b| utilization(a).total_cmp(&utilization(b))).unwrap_or(&open[0])
+            *eligible.iter().min_by(|a, b| utilization(a).total_cmp(&utilization(b))).unwrap_or(&eligible[0])
         } else if self.rng.rand_float() < BEST_CHANCE {
-            let best = (0..open.len()).max_by(|a, b| rooms[*a].total_cmp(&rooms[*b]));
-            open[best.unwrap_or(0)]
+            let best = (0..eligible.len()).max_by(|a, b| rooms[*a].total_cmp(&rooms[*b]));
+            eligible[best.unwrap_or(0)]
         } else {
             let mut draw = self.rng.rand_float() * total_room;
             let drawn = rooms.iter().position(|r| {
                 draw -= r;
                 draw < 0.0
             });
-            open[drawn.unwrap_or(open.len() - 1)]
+            eligible[drawn.unwrap_or(eligible.len() - 1)]
         };
 
         // The highest rung that the link has room for, including what other plays give up for it.
@@ -169,25 +172,27 @@
     }
 
     /// The chance that each holder has in the draw of [`Policy::place`].
-    fn candidate_chances(&self, open: &[usize], rooms: &[f64], total_room: f64) -> Vec<HolderChance> {
+    fn candidate_chances(&self, eligible: &[usize], rooms: &[f64], total_room: f64) -> Vec<HolderChance> {
         let is_unmeasured = |s: &usize| self.servers[*s].link.measured_kb.is_none();
-        let unmeasured_count = open.iter().filter(|s| is_unmeasured(s)).count();
-        let utilization = |i: &usize| self.fuller_link(open[*i], Link::utilization).1.utilization();
-        let least_used = (0..open.len()).min_by(|a, b| utilization(a).total_cmp(&utilization(b)));
-        let best = (0..open.len()).max_by(|a, b| rooms[*a].total_cmp(&rooms[*b]));
+        let unmeasured_count = eligible.iter().filter(|s| is_unmeasured(s)).count();
+        let utilization = |i: &usize| self.fuller_link(eligible[*i], Link::utilization).1.utilization();
+        let least_used = (0..eligible.len()).min_by(|a, b| utilization(a).total_cmp(&utilization(b)));
+        let best = (0..eligible.len()).max_by(|a, b| rooms[*a].total_cmp(&rooms[*b]));
         let chance = |i: usize| match total_room {
-            _ if unmeasured_count > 0 => f64::from(is_unmeasured(&open[i])) / unmeasured_count as f64,
+            _ if unmeasured_count > 0 => f64::from(is_unmeasured(&eligible[i])) / unmeasured_count as f64,
             _ if total_room <= 0.0 => f64::from(least_used == Some(i)),
             _ => BEST_CHANCE * f64::from(best == Some(i)) + (1.0 - BEST_CHANCE) * rooms[i] / total_room,
         };
-        (0..open.len()).map(|i| HolderChance { server: open[i], chance: chance(i), room: rooms[i] }).collect()
+        (0..eligible.len())
+            .map(|i| HolderChance { server: eligible[i], chance: chance(i), room: rooms[i] })
+            .collect()
     }
 
     /// The title's holders that this play may be sent to.
     pub(super) fn holders(&self, play: &Play) -> Vec<usize> {
         let cell_count = self.cells.len();
         let cells =
-            (0..play.holders.min(cell_count)).map(|i| (play.first_cell % cell_count + i) % cell_count);
+            (0..play.holder_cells.min(cell_count)).map(|i| (play.first_cell % cell_count + i) % cell_count);
         cells.flat_map(|c| &self.cells[c]).copied().filter(|s| self.may_take(*s, play)).collect()
     }
 
@@ -236,7 +241,7 @@
     /// Finishes a play that can't be placed: declined if no allocation of it can have had an effect or the viewer may
     /// safely repeat the request, else failed.
     pub(super) fn refuse(&mut self, plays: &mut [Play], play_index: usize) -> Placement {
-        self.on_viewer_left(plays, play_index);
+        self.finish_play(plays, play_index);
         let play = &plays[play_index];
         let product = &self.products[play.product];
         let may_decline = match product.effect.as_str() {
--- a/src/logic/room.rs
+++ b/src/logic/room.rs
@@ -117,15 +117,15 @@
     pub(super) next_play_at: f64,
     /// Whether other fronts doubt the server, and the pace that they lend, in multiples of this front's part without loans.
     pub(super) doubted_by_others: bool,
-    pub(super) lent_pace: f64,
+    pub(super) borrowed_pace: f64,
     /// Minimum distance between further allocations, and between probes, and when the next of each may be sent.
     pub(super) further_gap: f64,
     pub(super) next_further_at: f64,
     pub(super) probe_gap: f64,
     pub(super) next_probe_at: f64,
-    /// Number of plays that could have been sent to the server, decaying over REQUEST_MEMORY_MS, and when the last was
+    /// Number of plays that could have been sent to the server, decaying over ELIGIBLE_MEMORY_MS, and when the last was
     /// counted.
-    pub(super) recent_requests: (f64, f64),
+    pub(super) eligible_plays: (f64, f64),
     /// This front's plays on the server, set-ups included.
     pub(super) plays: Vec<usize>,
     /// Plays that wait for their turn at the server, ordered by arrival: time of arrival and play.
--- a/tests/hints_and_candidates.rs
+++ b/tests/hints_and_candidates.rs
@@ -5,7 +5,7 @@
 use host::Host;
 use pulleystair::{Outcome, Placement, ServerHint};
 
-const UNAIDED: ServerHint =
+const NEUTRAL_HINT: ServerHint =
     ServerHint { server: 0, doubted: false, pace: 1.0, further_gap: 0.0, probe_gap: 0.0 };
 
 /// The reported chances add up to 1, include the server that was drawn, and agree with the frequencies of the draw.
@@ -49,13 +49,13 @@
 #[test]
 fn a_server_doubted_by_other_fronts_gets_rare_trials_until_it_serves_a_play() {
     let mut host = Host::new(&[("balancers", 3.0)]);
-    host.policy.apply_hint(host.now, &ServerHint { doubted: true, ..UNAIDED });
+    host.policy.apply_hint(host.now, &ServerHint { doubted: true, ..NEUTRAL_HINT });
     let play_index = host.add_play(0, 1);
     assert!(
         matches!(host.place(play_index), Placement::Wait { .. } | Placement::Declined { .. }),
         "all fronts together try it as often as one would"
     );
-    host.policy.on_viewer_left(&mut host.plays, play_index);
+    host.policy.finish_play(&mut host.plays, play_index);
     assert_eq!(host.start_play(0, 2).1, 1, "another holder takes plays meanwhile");
     host.now += 120_000.0;
     host.report_utilization(0, 0.1);
@@ -71,7 +71,7 @@
     host.entries[0].started_at = host.now;
     host.update_list();
     host.now += 5_000.0;
-    host.policy.apply_hint(host.now, &ServerHint { pace, ..UNAIDED });
+    host.policy.apply_hint(host.now, &ServerHint { pace, ..NEUTRAL_HINT });
     host.start_play(0, 1);
     let play_index = host.add_play(0, 1);
     host.plays[play_index].deadline += 60_000.0;
@@ -96,7 +96,7 @@
     host.plays[play_index].deadline += 60_000.0;
     host.place(play_index);
     let before = host.policy.time_to_recheck(host.now, &host.plays[play_index]).expect("the play waits");
-    host.policy.apply_hint(host.now, &ServerHint { pace: 0.5, ..UNAIDED });
+    host.policy.apply_hint(host.now, &ServerHint { pace: 0.5, ..NEUTRAL_HINT });
     host.place(play_index);
     let after = host.policy.time_to_recheck(host.now, &host.plays[play_index]).expect("the play still waits");
     assert!((after / before - 2.0).abs() < 0.01, "{before} {after}");
@@ -105,7 +105,7 @@
 #[test]
 fn further_allocations_to_a_server_keep_their_distance_and_first_allocations_do_not() {
     let mut host = Host::new(&[]);
-    host.policy.apply_hint(host.now, &ServerHint { server: 1, further_gap: 900.0, ..UNAIDED });
+    host.policy.apply_hint(host.now, &ServerHint { server: 1, further_gap: 900.0, ..NEUTRAL_HINT });
     for expected in [Some(1), None] {
         let play_index = host.add_play(0, 2);
         host.plays[play_index].allocations = 1;
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -95,11 +95,11 @@
         rung_changes
     }
 
-    /// Adds a play of a title on `holders` cells from `first_cell` and returns its index.
-    pub fn add_play(&mut self, first_cell: usize, holders: usize) -> usize {
+    /// Adds a play of a title on `holder_cells` cells from `first_cell` and returns its index.
+    pub fn add_play(&mut self, first_cell: usize, holder_cells: usize) -> usize {
         let deadline = self.now + 4000.0;
         let play =
-            Play { first_cell, holders, max_rung: 2, arrived_at: self.now, deadline, ..Play::default() };
+            Play { first_cell, holder_cells, max_rung: 2, arrived_at: self.now, deadline, ..Play::default() };
         self.plays.push(play);
         let play_index = self.plays.len() - 1;
         self.policy.add_play(self.now, &mut self.plays[play_index]);
@@ -125,8 +125,8 @@
     }
 
     /// Adds a play and starts it; returns the play and its server.
-    pub fn start_play(&mut self, first_cell: usize, holders: usize) -> (usize, usize) {
-        let play_index = self.add_play(first_cell, holders);
+    pub fn start_play(&mut self, first_cell: usize, holder_cells: usize) -> (usize, usize) {
+        let play_index = self.add_play(first_cell, holder_cells);
         let server = self.server_for(play_index).expect("a holder takes the play");
         self.report_outcome(play_index, Outcome::Playing);
         (play_index, server)
--- a/tests/load_and_rungs.rs
+++ b/tests/load_and_rungs.rs
@@ -281,11 +281,11 @@
 
 /// Guards against a flood late in a warm-up: the first turn of every front has long come, and no front has used it.
 #[test]
-fn a_flood_late_in_a_warm_up_does_not_get_a_turn_at_every_front() {
+fn in_a_flood_late_in_a_warm_up_only_some_fronts_send_to_the_cold_server() {
     let mut sent = 0;
     for i in 0..16 {
-        let sizes = [("balancers", 50.0), ("rank", f64::from(i * 3)), ("extra.fleet_kb", 100_000.0)];
-        let mut host = Host::new(&sizes);
+        let settings = [("balancers", 50.0), ("rank", f64::from(i * 3)), ("extra.fleet_kb", 100_000.0)];
+        let mut host = Host::new(&settings);
         host.entries[0].started_at = host.now - 10_000.0;
         host.update_list();
         // This front's part of 1500 plays in a second, 15 of them for each of a hundred servers.
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -15,7 +15,7 @@
         while let Some(_server) = host.server_for(play_index) {
             host.report_outcome(play_index, Outcome::Broken);
         }
-        host.policy.on_viewer_left(&mut host.plays, play_index);
+        host.policy.finish_play(&mut host.plays, play_index);
     }
     host.now += 5000.0;
     let (first, second) = (host.add_play(0, 1), host.add_play(0, 1));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_play_is_declined_if_it_takes_more_from_an_overloaded_server_than_it_adds() {
+fn a_play_is_declined_if_plays_on_an_overloaded_server_would_lose_more_than_it_gains() {
     let mut host = Host::new(&[]);
     let plays: Vec<usize> = (0..8).map(|_| host.start_play(0, 1).0).collect();
     for _ in 0..4 {
@@ -239,21 +239,24 @@
 }
 
 #[test]
-fn plays_take_their_turns_at_a_cold_server_in_order_of_arrival() {
+fn plays_wait_for_a_cold_server_in_order_of_arrival() {
     let mut host = Host::new(&[]);
     host.entries[0].started_at = host.now;
     host.update_list();
     let first = host.add_play(0, 1);
     assert_eq!(host.server_for(first), Some(0));
-    let mut turns = Vec::new();
+    let mut send_times = Vec::new();
     for _ in 0..3 {
         host.now += 1.0;
         let play_index = host.add_play(0, 1);
         assert_eq!(host.place(play_index), Placement::Wait { probe: vec![] });
-        turns.push(host.plays[play_index].recheck_at);
+        send_times.push(host.plays[play_index].recheck_at);
     }
-    assert!(turns[0] < turns[1] && turns[1] < turns[2], "each has a turn of its own: {turns:?}");
-    host.now = turns[0];
+    assert!(
+        send_times[0] < send_times[1] && send_times[1] < send_times[2],
+        "each has a turn of its own: {send_times:?}"
+    );
+    host.now = send_times[0];
     let late = host.add_play(0, 1);
     assert_eq!(host.place(late), Placement::Wait { probe: vec![] }, "not before those that wait already");
     assert_eq!(host.server_for(1), Some(0));
