--- a/crates/dispatcher/src/actions.rs
+++ b/crates/dispatcher/src/actions.rs
@@ -5,13 +5,15 @@
 pub trait Actions {
     /// Sets the play up on this server and rung. An answer later than `time_out` ms is [`pulleystair::Outcome::TimedOut`].
     fn send(&mut self, play_id: u64, server_id: u32, rung: usize, time_out: f64);
-    /// Records the candidates of the choice that is sent next: servers, their chances and rooms (kB).
+    /// Records the candidates from which the server of the next [`Actions::send`] was drawn: servers, their chances and
+    /// rooms (kB).
     fn record_candidates(&mut self, _play_id: u64, _candidates: &[(u32, f64, f64)]) {}
-    /// Cancels the allocation that is out, or ends the running play: its viewer has left, or its time is up.
+    /// Cancels the allocation in flight, or ends the running play: its viewer has left, or its time is up.
     fn withdraw(&mut self, play_id: u64);
     /// Changes the play's rung to this one.
     fn set_rung(&mut self, play_id: u64, rung: usize);
-    /// Asks the server for its load.
+    /// Asks the server for its load. The host passes an answer to [`crate::Dispatcher::on_load_report`]; if there is none, it
+    /// calls nothing.
     fn probe(&mut self, server_id: u32);
     /// Gives the final answer that the play is not placed and no allocation of it ran. The viewer should retry no earlier
     /// than after `retry_after` ms.
@@ -21,18 +23,21 @@
     /// Has [`crate::Dispatcher::on_timer`] called with this `timer` once `delay` ms have passed. Timers are never
     /// cancelled: outdated ones do no harm.
     fn set_timer(&mut self, timer: u32, delay: f64);
-    /// Asks discovery for changes of the server list.
+    /// Asks discovery for changes of the server list. The host passes them to [`crate::Dispatcher::update_list`], and calls
+    /// [`crate::Dispatcher::watch_list`] with `failed` if the call failed.
     fn watch_list(&mut self);
 }
 
 /// What a viewer requests.
 #[derive(Clone, Copy, Debug)]
 pub struct PlayRequest {
+    /// Index of the product.
     pub product: usize,
     /// The title by the host's own id.
     pub title: u64,
-    /// The title's holders are the servers of `holders` consecutive cells from `first_cell` on.
+    /// First of the cells whose servers hold the title.
     pub first_cell: usize,
+    /// Number of consecutive cells, from `first_cell` on, whose servers hold the title.
     pub holders: usize,
     /// Highest rung that the viewer can use.
     pub max_rung: usize,
--- a/crates/dispatcher/src/indices.rs
+++ b/crates/dispatcher/src/indices.rs
@@ -1,13 +1,16 @@
-//! Small indices for servers and titles, which the host knows by its own ids.
+//! Dense indices for servers and titles, which the host knows by its own ids.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Small indices for a host's ids, assigned in order of first use. A released index is assigned to the next new id.
+/// Dense indices for a host's ids, assigned in order of first use. The index released last is assigned to the next new id.
 #[derive(Default)]
 pub(crate) struct Indices<K> {
+    /// The index of each id that has one.
     pub(crate) by_id: HashMap<K, usize>,
+    /// The id for each index; out of date at free indices.
     pub(crate) ids: Vec<K>,
+    /// Released indices, to be assigned again.
     pub(crate) free_indices: Vec<usize>,
 }
 
@@ -24,6 +27,7 @@
         })
     }
 
+    /// Releases an index for the next new id.
     pub(crate) fn release(&mut self, index: usize) {
         self.by_id.remove(&self.ids[index]);
         self.free_indices.push(index);
@@ -39,7 +43,7 @@
 }
 
 impl Titles {
-    /// Counts a play of this title and returns the title's index.
+    /// Counts a new play of this title and returns the title's index.
     pub(crate) fn add_play(&mut self, id: u64) -> usize {
         let index = self.indices.get_or_assign(id);
         self.play_counts.resize(self.indices.ids.len(), 0);
@@ -47,7 +51,7 @@
         index
     }
 
-    /// Ends the count of a play of the title with this index.
+    /// Takes a closed play off the count of the title with this index, and releases the index with the last one.
     pub(crate) fn remove_play(&mut self, index: usize) {
         self.play_counts[index] -= 1;
         if self.play_counts[index] == 0 {
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,5 +1,5 @@
-//! The dispatcher of one front: keeps the open plays, their timers and their small indices, asks the placement logic
-//! where plays go, and has the host carry the answers out through [`Actions`].
+//! The dispatcher of one front: keeps the open plays, their timers and the indices of plays, servers and titles, asks the
+//! placement logic where plays go, and has the host carry the answers out through [`Actions`].
 //!
 //! It is the only caller of [`pulleystair::logic`], and serves the simulator's adapter and the real front alike. It does no
 //! I/O and makes no decisions: its host calls it with the time and what happened. All times are milliseconds as
@@ -14,31 +14,36 @@
 use pulleystair::{Listing, LoadMetric, Next, Outcome, Placement, Play, RungChanges, ServerHint, Settings};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// The timer after which discovery is asked for the server list again. Other timers are numbers of play slots.
+/// The timer after which discovery is asked for the server list again. Other timers are indices of plays.
 const LIST_TIMER: u32 = u32::MAX;
-/// The timer after which the rest of the waiting plays is placed again.
+/// The timer after which the next of the waiting plays are placed again.
 const RECHECK_TIMER: u32 = u32::MAX - 1;
-/// Limits on how many waiting plays are placed again in one turn and per ms, so that many waiting plays do not delay
+/// Limit on how many waiting plays are placed again in one turn of the event loop, so that many waiting plays do not delay
 /// other work.
 const MAX_RECHECKS_PER_TURN: f64 = 32.0;
+/// Limit on how many waiting plays are placed again per ms, for the same reason.
 const RECHECKS_PER_MS: f64 = 1.0;
 
 /// The open plays of one front, and the placement logic that decides about them.
 pub struct Dispatcher {
     policy: Policy,
+    /// The plays by index; out of date at free indices.
     plays: Vec<Play>,
-    /// For each slot of `plays`: the host's id of the play, and when the play's timer is due.
+    /// For each index of `plays`: the host's id of the play, and when the play's timer is due.
     slots: Vec<(u64, Option<f64>)>,
+    /// Indices of `plays` without an open play, to be used again.
     free_indices: Vec<usize>,
+    /// The index of each open play, by the host's id.
     by_id: HashMap<u64, usize>,
-    /// Plays without an answer and without an allocation out, and whether a fact has come in since they were last queued to
-    /// be placed again.
+    /// Plays without an answer and without an allocation in flight.
     waiting: BTreeSet<usize>,
+    /// Whether a fact has come in since the waiting plays were last queued to be placed again.
     has_new_facts: bool,
-    /// Waiting plays still to be placed again, whether the timer for them is set, and how many may be placed now with the
-    /// time at which that number was computed.
+    /// Waiting plays still to be placed again.
     recheck_queue: VecDeque<usize>,
+    /// Whether RECHECK_TIMER is set.
     recheck_timer_set: bool,
+    /// How many waiting plays may be placed again now, and the time at which that number was computed.
     recheck_allowance: (f64, f64),
     servers: Indices<u32>,
     titles: Titles,
@@ -108,12 +113,13 @@
         }
     }
 
-    /// All settings in effect.
+    /// All settings, with the defaults in effect filled in as [`Policy::active_settings`] describes.
     pub fn active_settings(&self) -> Settings {
         self.policy.active_settings()
     }
 
-    /// Uses another value for a setting from now on.
+    /// Uses another value for a setting from now on, within the limits of [`Policy::override_setting`]: a setting that is read
+    /// only at the start keeps its former effect.
     pub fn override_setting(&mut self, name: &str, value: f64) {
         self.policy.override_setting(name, value);
         self.has_new_facts = true;
@@ -127,7 +133,7 @@
             .collect()
     }
 
-    /// Numbers of set-ups under way and of running plays, by server and product.
+    /// Numbers of set-ups in flight and of running plays, by server and product.
     pub fn play_counts(&self) -> BTreeMap<(u32, usize), (u32, u32)> {
         let mut counts: BTreeMap<(u32, usize), (u32, u32)> = BTreeMap::new();
         for play in self.by_id.values().map(|play_index| &self.plays[*play_index]) {
@@ -184,7 +190,7 @@
         self.update_timer(now, play_index, actions);
     }
 
-    /// The allocation that was out has succeeded: the play runs.
+    /// The allocation in flight has succeeded: the play runs.
     pub fn on_playing(&mut self, now: f64, play_id: u64, actions: &mut impl Actions) {
         if let Some(&play_index) = self.by_id.get(&play_id) {
             self.policy.after_outcome(now, &mut self.plays, play_index, Outcome::Playing, false);
@@ -230,7 +236,8 @@
         }
     }
 
-    /// Ends the time of all plays without an answer, because the host stops and can hold nothing any longer.
+    /// Called when the host shuts down: sets the deadline of all plays that do not run yet to now. Set-ups in flight are
+    /// withdrawn, and waiting plays get their final answer.
     pub fn expire_pending(&mut self, now: f64, actions: &mut impl Actions) {
         let mut unanswered: Vec<usize> =
             self.by_id.values().copied().filter(|play_index| !self.plays[*play_index].playing).collect();
@@ -260,7 +267,7 @@
 
     /// To be called at the end of each turn of the host's event loop. The facts of the turn may have made a wait hopeless or
     /// ended it, so all waiting plays are placed again, once for all facts of the turn; many waiting plays are spread over
-    /// several turns. Returns whether any play was placed.
+    /// several turns. Returns whether any play was placed again, whatever the decision.
     pub fn end_turn(&mut self, now: f64, actions: &mut impl Actions) -> bool {
         if self.recheck_queue.is_empty() && std::mem::take(&mut self.has_new_facts) {
             self.recheck_queue.extend(&self.waiting);
@@ -286,7 +293,7 @@
         any_placed
     }
 
-    /// Takes a server's load, reported in an answer to a set-up or a probe.
+    /// Takes a server's load, reported in an answer to a set-up or to [`Actions::probe`].
     pub fn on_load_report(
         &mut self,
         now: f64,
@@ -320,7 +327,7 @@
         }
     }
 
-    /// Stores a new play and returns its slot.
+    /// Stores a new play and returns its index.
     fn insert_play(&mut self, play_id: u64, request: &PlayRequest) -> usize {
         let PlayRequest {
             product, first_cell, holders: holder_cells, max_rung, arrived_at, deadline, ..
@@ -415,7 +422,7 @@
         }
     }
 
-    /// Frees the slot of a play that is finished and has no allocation out.
+    /// Releases the index of a play that is finished and has no allocation in flight.
     fn release_if_finished(&mut self, play_index: usize) {
         if self.plays[play_index].finished
             && self.plays[play_index].server.is_none()
--- a/crates/dispatcher/tests/cold_fleet.rs
+++ b/crates/dispatcher/tests/cold_fleet.rs
@@ -1,7 +1,7 @@
-//! Cold servers under the sum of many fronts, in simulated time: real dispatchers and placement logic, sparse and uneven
-//! traffic, crowds for one title, lists that arrive late, and fronts that restart and do not know what they sent. Asserts the
-//! bound at the head of `src/logic/pace.rs`: in no window is a server sent more than its budget N plus 2 * sqrt(N) + 2.
-//! Times are in ms, loads in kB.
+//! Cold servers under the combined sends of many fronts, in simulated time: real dispatchers and placement logic, sparse
+//! and uneven traffic, crowds for one title, lists that arrive late, and fronts that restart and do not know what they
+//! sent. Asserts the bound at the head of `src/logic/pace.rs`: in no window is a server sent more than its budget N plus
+//! 2 * sqrt(N) + 2. Times are in ms, loads in kB.
 
 use pulleystair::{Listing, LoadMetric, Outcome, Settings, Standing, Value};
 use pulleystair_dispatcher::{Actions, Dispatcher, PlayRequest};
@@ -61,20 +61,22 @@
     fn watch_list(&mut self) {}
 }
 
-/// A fleet: the numbers of fronts and cells, requests per second and cell, how much later than others a front gets the list
-/// with a server's start, and how many fronts restart just after it.
+/// A fleet and its traffic.
 #[derive(Clone, Copy)]
 struct Fleet {
     fronts: usize,
     cells: usize,
+    /// Requests per second and cell.
     rate: f64,
+    /// How much later than others a front gets the list with a server's start, at most, ms.
     max_list_delay: f64,
+    /// How many fronts restart while a new server warms up.
     restarts: usize,
     /// How long the fronts have run when the first server is replaced, ms.
     uptime_before_replacement: f64,
-    /// The number of cells that hold a title, and the size of the crowd that arrives within three seconds for a title whose
-    /// first cell is the new server's.
+    /// Number of cells that hold a title.
     holders: usize,
+    /// Size of the crowd that arrives within three seconds for a title whose first cell is the new server's.
     crowd: usize,
 }
 
--- a/crates/dispatcher/tests/memory.rs
+++ b/crates/dispatcher/tests/memory.rs
@@ -1,5 +1,5 @@
-//! The memory of the dispatcher and the placement logic is bounded by what is under way, not by how long the front has run.
-//! Measured by a counting allocator.
+//! The memory of the dispatcher and the placement logic is bounded by the open plays and known servers, not by how long the
+//! front has run. Measured by a counting allocator.
 
 use pulleystair::{Listing, LoadMetric, Settings, Standing, Value};
 use pulleystair_dispatcher::{Actions, Dispatcher, PlayRequest};
--- a/crates/dispatcher/tests/recorded_actions/mod.rs
+++ b/crates/dispatcher/tests/recorded_actions/mod.rs
@@ -1,4 +1,4 @@
-//! An implementation of [`Actions`] that records what the dispatcher requests.
+//! An implementation of [`Actions`] that records what the dispatcher requests, except `watch_list` and `record_candidates`.
 
 use pulleystair_dispatcher::Actions;
 use std::collections::VecDeque;
--- a/crates/dispatcher/tests/simulated.rs
+++ b/crates/dispatcher/tests/simulated.rs
@@ -42,7 +42,7 @@
     product: usize,
     request: u64,
     allocations: usize,
-    /// The server that the allocation is out to or runs on, and whether it runs.
+    /// The server of the allocation in flight or of the running play, and whether the play runs.
     server: Option<(usize, bool)>,
     answered: bool,
 }
@@ -483,7 +483,7 @@
 
 /// Guards against a checker that misses breaches: dispatchers with other settings than the rules assume break the matching
 /// rule, and no other.
-#[test_case(2, "products.1.effect", Value::Text("read_like".into()); "a paid set-up counts as free")]
+#[test_case(2, "products.1.effect", Value::Text("read_like".into()); "a non-idempotent set-up is treated as repeatable")]
 #[test_case(4, "rules.cold", Value::Number(1.0); "no server is ever cold")]
 #[test_case(5, "extra.class_floor.1", Value::Number(0.0); "no lowest rung")]
 #[test_case(5, "extra.seats.2", Value::Number(0.0); "no limit of seats")]
--- a/crates/dispatcher/tests/waiting_plays.rs
+++ b/crates/dispatcher/tests/waiting_plays.rs
@@ -1,5 +1,5 @@
-//! Waiting plays are answered in the turn in which their wait becomes hopeless, whatever the cause; none is held until its
-//! deadline. Times are in ms.
+//! Waiting plays are answered in the turn of the event loop in which their wait becomes hopeless, whatever the cause; none
+//! is held until its deadline. Times are in ms.
 
 mod recorded_actions;
 
@@ -8,7 +8,7 @@
 use recorded_actions::{Action, RecordedActions};
 use test_case::test_case;
 
-/// Settings of the second of two fronts, with one product. With one holder that starts cold, a play waits for its turn there.
+/// Settings of the second of two fronts, with one product. With one holder that starts cold, a second play waits there.
 fn test_settings() -> Settings {
     let numbers = [
         ("balancers", 2.0),
@@ -86,7 +86,7 @@
     }
 }
 
-/// A host where one play runs on the cold server since its first turn there, and the next waits for its own turn.
+/// A host where one play runs on the cold server, and the next waits until the server may be sent another.
 fn host_with_waiting_play() -> TestHost {
     let mut host = TestHost::with_settings(test_settings());
     host.add_play(1);
@@ -170,7 +170,8 @@
     assert!(matches!(host.end_turn()[..], [Action::Send { play: 2, server: 8, .. }]));
 }
 
-/// A hundred plays wait when their server begins to drain: some are answered in the same turn, the rest in later ones.
+/// One play is sent and 99 wait when their server begins to drain: at most 32 (MAX_RECHECKS_PER_TURN) are answered in each
+/// turn of the event loop. The server takes 2000 streams, so that its pace lets all of them wait.
 #[test]
 fn many_waiting_plays_are_answered_over_several_turns() {
     let mut settings = test_settings();
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -3,7 +3,7 @@
 
 use serde_json::Value as Json;
 
-/// JSON pointers of the settings that have to be numbers from 0 on; `*` stands for each element of an array.
+/// JSON pointers of the settings that have to be numbers of at least 0; `*` stands for each element of an array.
 const NUMBERS: &[&str] = &[
     "/balancers",
     "/rank",
@@ -62,14 +62,14 @@
     for path in NUMBERS {
         check_each(settings, path, |value| match value.as_f64() {
             Some(x) if x >= 0.0 => Ok(()),
-            _ => Err("a number from 0 on".into()),
+            _ => Err("a number of at least 0".into()),
         })?;
     }
     for path in BOOLEANS {
         check_each(settings, path, |value| value.as_bool().map(|_| ()).ok_or("true or false".into()))?;
     }
     for path in STRINGS {
-        check_each(settings, path, |value| value.as_str().map(|_| ()).ok_or("a text".into()))?;
+        check_each(settings, path, |value| value.as_str().map(|_| ()).ok_or("a string".into()))?;
     }
     for (path, choices) in CHOICES {
         let is_known = |value: &Json| value.as_str().is_some_and(|value| choices.contains(&value));
@@ -125,7 +125,7 @@
                     let present = elements.iter().enumerate().filter(|(_, value)| !value.is_null());
                     next.extend(present.map(|(i, value)| (format!("{name}[{i}]"), value)));
                 }
-                ("*", value) => return Err(format!("{name} is {}, not a row", to_short_json(value))),
+                ("*", value) => return Err(format!("{name} is {}, not an array", to_short_json(value))),
                 (segment, Json::Object(members)) => {
                     next.extend(
                         members
@@ -174,11 +174,11 @@
         assert_eq!(check(&settings), Ok(()));
     }
 
-    #[test_case("/balancers", json!("many"), "balancers is \"many\", not a number from 0 on"; "a string for a number")]
+    #[test_case("/balancers", json!("many"), "balancers is \"many\", not a number of at least 0"; "a string for a number")]
     #[test_case("/rules/coldUs", json!(-1), "rules.coldUs is -1, not a number"; "a negative time")]
     #[test_case("/ceilings/probes", json!(1), "ceilings.probes is 1, not true or false"; "a number for a boolean")]
-    #[test_case("/discovery", json!(["a"]), "discovery is [\"a\"], not a text"; "an array for a string")]
-    #[test_case("/kinds", json!("std"), "kinds is \"std\", not a row"; "a string for an array")]
+    #[test_case("/discovery", json!(["a"]), "discovery is [\"a\"], not a string"; "an array for a string")]
+    #[test_case("/kinds", json!("std"), "kinds is \"std\", not an array"; "a string for an array")]
     #[test_case("/extra", json!([]), "extra is [], not an object"; "an array for an object")]
     #[test_case("/lanes/0/effect", json!("free"), "lanes[0].effect is \"free\", not one of read_like"; "an unknown choice")]
     #[test_case("/lanes/0/worth", json!({}), "lanes[0].worth is {}"; "an object for a number")]
@@ -186,7 +186,7 @@
     #[test_case("/extra/ladderKb/0", json!(0), "extra.ladderKb[0] is 0; each"; "a rung with rate 0")]
     #[test_case("/extra/rungWorth", json!([1]), "extra.rungWorth has 1 rungs where extra.ladderKb has 2"; "arrays of different lengths")]
     #[test_case("/extra/classFloor/0", json!(2), "extra.classFloor[0] is above the 2 rungs"; "a lowest rung above the ladder")]
-    #[test_case("/kinds/0", json!({ "a": "x".repeat(99) }), "xxx..., not a text"; "a long value is truncated")]
+    #[test_case("/kinds/0", json!({ "a": "x".repeat(99) }), "xxx..., not a string"; "a long value is truncated")]
     fn an_invalid_setting_is_rejected_with_path_and_cause(path: &str, value: Json, expected: &str) {
         let mut settings = valid_settings();
         *settings.pointer_mut(path).expect("the setting exists") = value;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,16 +6,17 @@
 use pulleystair::{LoadMetric, Settings, Value};
 use serde_json::Value as Json;
 
-/// Parses the platform's settings: a flat map with paths joined by dots, pulleystair's names, and times in ms.
+/// Parses and checks the platform's settings (nested JSON) and returns them flat: paths joined by dots, pulleystair's names,
+/// booleans as 0 or 1, times in ms. An error is a text for people that names the setting and the cause.
 pub fn parse_settings(json: &[u8]) -> Result<Settings, String> {
-    let json = serde_json::from_slice(json).map_err(|e| format!("its settings are no JSON: {e}"))?;
+    let json = serde_json::from_slice(json).map_err(|e| format!("the settings are not valid JSON: {e}"))?;
     settings_from_json(&json)
 }
 
 /// The same for settings that are already parsed, as part of a larger document.
 pub fn settings_from_json(json: &Json) -> Result<Settings, String> {
     if !json.is_object() {
-        return Err("its settings are no JSON object".into());
+        return Err("the settings are not a JSON object".into());
     }
     check::check(json)?;
     let mut settings = Settings::new();
@@ -23,7 +24,8 @@
     Ok(settings)
 }
 
-/// Inserts a JSON value and all that it contains into `flat`, under its path.
+/// Inserts a JSON value and all that it contains into `flat`, under its path. Times, whose names end in `_us`, are converted
+/// to ms and lose that ending.
 fn flatten(path: &str, json: &Json, flat: &mut Settings) {
     let join =
         |segment: &str| if path.is_empty() { segment.to_string() } else { format!("{path}.{segment}") };
@@ -63,7 +65,7 @@
     flat
 }
 
-/// The text settings with the names that `name` gives for 0, 1, ..., up to the first that is missing.
+/// The text settings with the names that `name` gives for 0, 1, ..., up to the first that is missing or is no text.
 pub fn text_list(settings: &Settings, name: impl Fn(usize) -> String) -> Vec<String> {
     let text = |i| match settings.get(&name(i)) {
         Some(Value::Text(string)) => Some(string.clone()),
--- a/crates/sim-adapter/src/frame.rs
+++ b/crates/sim-adapter/src/frame.rs
@@ -1,11 +1,11 @@
 //! The binary protocol between the simulator and this adapter: reads the fields of records, and writes records of a reply.
 //! Numbers are little-endian.
 
-/// The fields of one record, read one after another.
+/// The fields of one record, read one after another. Reading beyond the record's end is an error that names the place.
 pub struct Fields<'a> {
     /// The event's name, for error messages.
     event_name: &'static str,
-    /// Where the record starts in the frame's body.
+    /// Where the record starts in the batch, which is the frame's body.
     start: usize,
     rest: &'a [u8],
 }
@@ -20,6 +20,7 @@
         format!("{} at byte {} of the batch: {cause}", self.event_name, self.start)
     }
 
+    /// Reads this many bytes.
     pub fn read_bytes(&mut self, count: usize) -> Result<&'a [u8], String> {
         let Some((bytes, rest)) = self.rest.split_at_checked(count) else {
             return Err(
@@ -50,23 +51,25 @@
         Ok(u64::from_le_bytes(self.read_array()?))
     }
 
+    /// Reads an f32 and returns it as f64.
     pub fn read_f32(&mut self) -> Result<f64, String> {
         Ok(f32::from_le_bytes(self.read_array()?).into())
     }
 
-    /// Reads a duration, which the protocol has in µs, and returns it in ms.
+    /// Reads a duration, which the protocol has in µs as u32, and returns it in ms.
     pub fn read_us_as_ms(&mut self) -> Result<f64, String> {
         Ok(f64::from(self.read_u32()?) / 1000.0)
     }
 
-    /// Reads a list of numbers preceded by its length, as in load reports.
+    /// Reads a count (u8) and that many f32 values, as in load reports.
     pub fn read_f32_list(&mut self) -> Result<Vec<f64>, String> {
         let count = self.read_u8()?;
         (0..count).map(|_| self.read_f32()).collect()
     }
 }
 
-/// Splits a frame's body into records: the event's code, where the record starts, and its fields.
+/// Splits the part of a batch after its timestamp into records: the event's code, where the record starts in this part, and
+/// its fields.
 pub fn records(body: &[u8]) -> impl Iterator<Item = Result<(u8, usize, &[u8]), String>> {
     let mut position = 0;
     std::iter::from_fn(move || {
@@ -103,7 +106,7 @@
     }
 }
 
-/// Encodes a duration in ms as the protocol has it: whole µs, rounded up.
+/// Encodes a duration in ms as the protocol has it: whole µs as u32, rounded up.
 pub fn encode_ms_as_us(ms: f64) -> [u8; 4] {
     ((ms * 1000.0).ceil().clamp(0.0, f64::from(u32::MAX)) as u32).to_le_bytes()
 }
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -158,7 +158,7 @@
                 }
                 let entries = tables
                     .get(&table)
-                    .ok_or_else(|| fields.error_at(&format!("there is no census {table}")))?;
+                    .ok_or_else(|| fields.error_at(&format!("there is no server table {table}")))?;
                 self.dispatcher.update_list(now, change_kind != 0, change_kind == 2, entries);
             }
             // KNOCK: a viewer requests a play.
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,5 +1,6 @@
 //! Connects pulleystair's placement logic to the simulator: reads frames from standard input and writes a reply to each to
-//! standard output. A frame is a length (u32, little-endian) and a body.
+//! standard output. A frame is a length (u32, little-endian) and a body; the body of a frame from the simulator is a batch of
+//! events.
 
 mod frame;
 mod host;
--- a/crates/sim-adapter/tests/invalid_input.rs
+++ b/crates/sim-adapter/tests/invalid_input.rs
@@ -92,10 +92,12 @@
     let output = run_adapter(&[encode_frame(&invalid), encode_frame(&enlist(2, b"{}"))].concat());
     let errors = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        output.status.success() && errors.contains("instance 1: ENLIST") && errors.contains("no JSON object"),
+        output.status.success()
+            && errors.contains("instance 1: ENLIST")
+            && errors.contains("not a JSON object"),
         "{errors}"
     );
-    assert_eq!(output.stdout[4], 19, "the simulator is told that the instance has failed");
+    assert_eq!(output.stdout[4], 19, "the reply reports to the simulator that the instance has failed");
 }
 
 #[test]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! This file holds the plain values that a caller and the placement logic exchange; the logic itself is
 //! in [`logic`]. The caller keeps the plays and the timers, and passes both in with each call.
-//! All times are milliseconds as floating-point numbers; servers, titles and plays are identified by small indices.
+//! All times are milliseconds as floating-point numbers; servers, titles and plays are identified by dense indices.
 
 pub mod logic;
 
@@ -40,8 +40,9 @@
     pub product: usize,
     /// Index of the title.
     pub title: usize,
-    /// The title's holders are the servers of `holder_cells` consecutive cells from `first_cell` on.
+    /// First of the cells whose servers hold the title.
     pub first_cell: usize,
+    /// Number of consecutive cells, from `first_cell` on, whose servers hold the title.
     pub holder_cells: usize,
     /// Highest rung that the viewer can use.
     pub max_rung: usize,
@@ -52,9 +53,11 @@
     // The fields below are written by the placement logic; a caller reads `finished` and `server`.
     /// The play has had its final answer, or has ended.
     pub finished: bool,
-    /// The server that an allocation is out to, or that the play runs on.
+    /// The server of the allocation in flight, or the server that the play runs on.
     pub server: Option<usize>,
+    /// The play runs: an allocation of it has succeeded.
     pub playing: bool,
+    /// The rung that the play runs on, or is to be set up on.
     pub rung: usize,
     /// Number of allocations so far.
     pub allocations: usize,
@@ -69,7 +72,9 @@
     pub probed: bool,
     /// The cold or doubted server in whose queue the play waits.
     pub waiting_for: Option<usize>,
+    /// When its latest allocation was sent.
     pub sent_at: f64,
+    /// When it began to run.
     pub started_at: f64,
     /// When the play is to be placed again, or checked for a step up.
     pub recheck_at: f64,
@@ -92,7 +97,9 @@
     pub server: usize,
     /// Other fronts doubt the server.
     pub doubted: bool,
-    /// This front's part of the server's pace over its part without loans; 1 where nothing is lent or borrowed.
+    /// How much of the server's pace (the rate of plays that it may be sent while cold or doubted) this front holds, in
+    /// multiples of its part without loans: 1 where nothing is lent or borrowed. Each 1 above that adds 1/n of the whole pace,
+    /// where n is the number of fronts; below 1, this front sends at that fraction of its usual rate.
     pub pace: f64,
     /// Minimum distance between further allocations (those after a play's first) to the server, ms.
     pub further_gap: f64,
@@ -103,10 +110,10 @@
 /// The decision where a play goes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Placement {
-    /// Set the play up on this server and rung; `time_out` is in ms.
+    /// Set the play up on this server and rung; an answer counts as too late after `time_out` ms.
     Send { server: usize, rung: usize, time_out: f64, candidates: Vec<HolderChance> },
-    /// The play has to wait. Place it again once `time_to_recheck` has passed, and after each turn in which the logic
-    /// was given a new fact, since that may have made the wait hopeless. Meanwhile probe these servers.
+    /// The play has to wait. Place it again once `time_to_recheck` has passed, and after each turn of the event
+    /// loop in which the logic was given a new fact, since that may have made the wait hopeless. Meanwhile probe these servers.
     Wait { probe: Vec<usize> },
     /// The play runs, and continues on this rung.
     Keep { rung: usize },
@@ -116,17 +123,27 @@
     Failed,
 }
 
-/// How an allocation went on or ended.
+/// How an allocation went on or ended. After `Full`, `Unreachable` and `NeverSent` the allocation has had no effect on the
+/// server; after every other outcome it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// The set-up succeeded: the play runs.
     Playing,
+    /// The play ran to its end.
     Finished,
+    /// The server answered the set-up with an error, or with an answer that cannot be read.
     Error,
+    /// The server refused the set-up because it is full.
     Full,
+    /// The set-up was not answered in time.
     TimedOut,
+    /// The set-up did not reach the server: there was no usable connection.
     Unreachable,
+    /// The connection broke before the set-up was answered, or while the play ran; the process may have been lost.
     Broken,
+    /// The host or the server ended the allocation or the running play, without a fault.
     Withdrawn,
+    /// The set-up was not sent, or is known to have had no effect.
     NeverSent,
 }
 
@@ -138,7 +155,7 @@
     Nothing,
 }
 
-/// One value of a server's load, reported by the server or by a note about one of its plays.
+/// One value of a server's load, from a load report or from a note. A note is a server's report about one running play.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LoadMetric {
     /// Share of its rate that each play on the server gets.
@@ -165,8 +182,11 @@
 /// A server's state in the server list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Standing {
+    /// May be sent plays.
     Ready,
+    /// Keeps its plays and is sent no new ones.
     Draining,
+    /// Not in the list, or listed as gone.
     #[default]
     Gone,
 }
--- a/src/logic/facts.rs
+++ b/src/logic/facts.rs
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Takes what other fronts let this one know of a server. The rest of a wait for the server's pace is scaled to the new
-    /// pace.
+    /// Takes what other fronts let this one know of a server. What is left of the time to the server's next play is scaled
+    /// to the new pace.
     pub fn apply_hint(&mut self, now: f64, hint: &ServerHint) {
         self.ensure_server(hint.server);
         let old_gap = self.play_gap(now, hint.server);
@@ -84,7 +84,8 @@
         if server_index >= self.servers.len() || !value.is_finite() || value < 0.0 {
             return Vec::new();
         }
-        // A note at set-up describes the present; all other metrics are as late as notes are.
+        // A note that arrives in the moment in which its play starts is current; every other metric describes the time
+        // `extra.seen_after` ago.
         let is_current = noted_play.is_some_and(|play_index| plays[play_index].started_at == now);
         let measured_at =
             if is_current { now } else { now - self.number_setting("extra.seen_after", 1000.0) };
@@ -166,7 +167,7 @@
         *self.seats_taken.entry((plays[play_index].product, plays[play_index].title)).or_default() += 1;
     }
 
-    /// Marks the play as finished because its viewer left; an allocation may still be out.
+    /// Marks the play as finished and removes it from the queue that it waits in; an allocation may still be in flight.
     pub fn finish_play(&mut self, plays: &mut [Play], play_index: usize) {
         self.leave_queue(plays, play_index);
         plays[play_index].finished = true;
@@ -225,13 +226,15 @@
         if play.finished { Next::Nothing } else { Next::Place }
     }
 
-    /// Time (ms) until the play is to be placed again; none while an allocation is out and once the play is finished.
+    /// Time (ms) until the play is to be placed again, or checked for a step up if it runs; none while an allocation is in
+    /// flight and once the play is finished.
     pub fn time_to_recheck(&self, now: f64, play: &Play) -> Option<f64> {
         let has_recheck_time = !play.finished && (play.playing || play.server.is_none());
         has_recheck_time.then(|| (play.recheck_at - now).max(0.0))
     }
 
-    /// Drops arrivals older than the allocation budget's span, and returns that span in ms.
+    /// Drops the arrivals that are older than the allocation budget's span. Returns the span (ms), by which
+    /// [`Policy::may_allocate_again`] drops further allocations.
     pub(super) fn drop_old_arrivals(&mut self, now: f64) -> f64 {
         let span_ms = self.number_setting("rules.budget_span", 0.0);
         while self.arrivals.front().is_some_and(|t| *t <= now - span_ms) {
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -18,11 +18,12 @@
 use room::{Link, Server, fronts_on_link};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Quiet period before a step up, and the random addition to it.
+/// How long a play keeps its rung at least before it may step up.
 const QUIET_MS: f64 = 5_000.0;
+/// Upper bound of the random addition to that.
 const QUIET_JITTER_MS: f64 = 5_000.0;
 
-/// Time constant with which a front forgets which servers its plays requested.
+/// Time constant of the count of plays that could have been sent to a server.
 const ELIGIBLE_MEMORY_MS: f64 = 60_000.0;
 
 /// One product's settings.
@@ -60,33 +61,36 @@
     /// The part of its rate that a further viewer adds to a live stream.
     join_share: f64,
     servers: Vec<Server>,
-    /// The listed servers of each cell, and the uplink of each rack.
+    /// The listed servers of each cell.
     cells: Vec<Vec<usize>>,
+    /// The uplink of each rack.
     uplinks: Vec<Link>,
     /// Running mean of the reported link utilizations, assumed for servers without a measurement.
     mean_utilization: f64,
     /// Capacity of all servers' links.
     total_capacity_kb: f64,
-    /// Load that this front set up recently (kB) and the time up to which it has decayed, and the number of recent
-    /// requests for a server; both decay over FLOOD_MEMORY_MS.
+    /// Load that this front set up recently (kB), decaying over FLOOD_MEMORY_MS, and the time up to which it has decayed.
     recent_set_up_kb: (f64, f64),
+    /// Number of plays that this front was recently asked to place, decaying over FLOOD_MEMORY_MS up to the same time.
     recent_plays: f64,
     /// Seats taken, by product and title.
     seats_taken: BTreeMap<(usize, usize), usize>,
-    /// When plays arrived and when further allocations were sent, within the span of the allocation budget.
+    /// When plays arrived, within the span of the allocation budget.
     arrivals: VecDeque<f64>,
+    /// When further allocations (those after a play's first) were sent, within the same span.
     further_allocations: VecDeque<f64>,
     /// When a cached list made all servers count as cold; -1 for never.
     cached_list_at: f64,
-    /// Since when this front has had a server list, and so counts the requests for servers.
+    /// Since when this front has had a server list, and so has counted the plays that could be sent to each server.
     listing_since: f64,
 }
 
+/// The text setting of this name; empty where the settings have no text of that name.
 fn text_setting(settings: &Settings, name: &str) -> String {
     if let Some(Value::Text(t)) = settings.get(name) { t.clone() } else { String::new() }
 }
 
-/// The numbers `name.0`, `name.1`, ... up to the first that is not set.
+/// The numbers `name.0`, `name.1`, ... up to the first that is not set; one that is set to a text counts as 0.
 fn number_list(settings: &Settings, name: &str) -> Vec<f64> {
     let indices = (0..).take_while(|i| settings.contains_key(&format!("{name}.{i}")));
     indices.map(|i| number(settings, &format!("{name}.{i}"), 0.0)).collect()
@@ -164,8 +168,8 @@
         product < self.products.len()
     }
 
-    /// Delay (ms) until discovery is to be asked for changes, where it has to be asked: none at first, 1 s after a
-    /// failed call.
+    /// Delay (ms) until discovery is to be asked for changes: 0 at first, 1000 after a failed call; none where discovery sends
+    /// changes without being asked.
     pub fn list_watch_delay(&self, failed: bool) -> Option<f64> {
         let must_subscribe = text_setting(&self.settings, "discovery") == "subscribe";
         must_subscribe.then_some(if failed { 1000.0 } else { 0.0 })
@@ -183,6 +187,7 @@
         }
     }
 
+    /// The numeric setting of this name, or `default`.
     fn number_setting(&self, name: &str, default: f64) -> f64 {
         number(&self.settings, name, default)
     }
--- a/src/logic/pace.rs
+++ b/src/logic/pace.rs
@@ -2,28 +2,29 @@
 //!
 //! The bound: within the window in which the server would become overloaded, its budget is N = overload factor * its
 //! pace * window, and random fluctuation may exceed the budget by 2 * sqrt(N) + 2. F fronts, of which the share A has
-//! requests for the server within the warm-up, send F * A / gap * window, as their first turns are spread over one gap by
+//! plays for the server within the warm-up, send F * A / gap * window, as their first sends are spread over one gap by
 //! rank. Each front keeps
 //!     gap >= F * A / (PACED_SHARE * overload factor * pace),   so that the mean of the sum is <= PACED_SHARE * N < N,
 //! without any exchange with the others: it estimates A from its own rate alone, over the time that it has watched
-//! (ELIGIBLE_MEMORY_MS at most, a warm-up at least), and a flood raises A by the recent requests. Whatever its rate, a
+//! (ELIGIBLE_MEMORY_MS at most, a warm-up at least), and a flood raises A by the recent plays. Whatever its rate, a
 //! front's own mean is then at most PACED_SHARE * N / F, so uneven rates do not raise the sum. A front that restarts does
-//! not know what it sent before: it takes one turn more at most, and estimates a high A until it has watched for long.
+//! not know what it sent before: it sends one play too many at most, and estimates a high A until it has watched for long.
 
 use super::{ELIGIBLE_MEMORY_MS, Policy};
 use crate::Play;
 
 /// The share of what would overload a cold server that all fronts together send to it.
 const PACED_SHARE: f64 = 0.6;
-/// All fronts are assumed to set up as much as this one does within this time, where that exceeds one play.
+/// Time constant of this front's recent plays and set-ups. Where these exceed one play, all fronts are assumed to have as
+/// many: that is how a flood shows before any metric does.
 pub(super) const FLOOD_MEMORY_MS: f64 = 1_500.0;
 
 impl Policy {
-    /// When this play may be sent to the server. Cold and doubted servers get plays at this front's share of the warm-up's
-    /// pace, and plays that have waited longer go first. Fronts take their first turns by rank, so that their
-    /// shares do not coincide. Guards against overloading a server that has just come back, listed or not, and leads a
-    /// failing or silent server back by few trials. The cost: a play waits if all its holders are in this state, and is
-    /// refused at once if its turn can't come in time.
+    /// The earliest time at which this play may be sent to the server: `now` if the server is neither cold nor doubted. Cold
+    /// and doubted servers get plays at this front's share of the warm-up's pace, and plays that have waited longer go first.
+    /// The fronts' first sends are spread by rank, so that they do not coincide. Protects a server that has just restarted,
+    /// even if the list does not show it yet, and lets a failing or silent server return after a few trial plays. The cost: a
+    /// play waits if all its holders are in this state, and is refused at once if it cannot be sent before its deadline.
     pub(super) fn earliest_send_at(
         &self,
         now: f64,
@@ -69,7 +70,8 @@
         let warmed_share = ((now - server.cold_since) / warm_up_ms).clamp(0.0, 1.0);
         let pace = max_streams / warm_up_ms * (initial_share + (1.0 - initial_share) * warmed_share);
         // The number of fronts that send to the server: those that usually have plays there, and during the warm-up as many
-        // as would have a request if all had this front's own rate, over the last minute or, in a flood, recently.
+        // as would have a play for it if all had this front's own rate, over the last minute or, in a flood, recently. A
+        // server that counts as cold only because a cached list named it is left out of that.
         let is_warming_up = now < server.cold_since + warm_up_ms && server.cold_since != self.cached_list_at;
         let recent_rate = (self.recent_plays - 1.0).max(0.0) / FLOOD_MEMORY_MS * server.link.capacity_kb
             / self.total_capacity_kb;
@@ -78,8 +80,8 @@
         let rate = (server.eligible_plays.0 / watched_ms).max(recent_rate);
         let requesting_share = if is_warming_up { 1.0 - (-rate * warm_up_ms).exp() } else { 0.0 };
         let front_count = (self.front_count * requesting_share).max(server.link.front_count);
-        // A lent pace is given in shares of all fronts. On a server doubted by other fronts, all fronts together make as many
-        // trials as one front would.
+        // On a server doubted by other fronts, all fronts together make as many trials as one front would. A borrowed
+        // pace of 1 is 1/n of the server's pace, where n is the number of fronts; a negative one reduces this front's part.
         let front_count = if server.doubted_by_others { front_count * self.front_count } else { front_count };
         let borrowed_share = server.borrowed_pace.max(0.0) / self.front_count;
         let front_count = if borrowed_share > 0.0 {
--- a/src/logic/placing.rs
+++ b/src/logic/placing.rs
@@ -8,7 +8,7 @@
 const BEST_CHANCE: f64 = 0.5;
 /// How long the answers to probes are waited for.
 const PROBE_WAIT_MS: f64 = 50.0;
-/// What the probes for one allocation may cost, as a share of a play's worth.
+/// What the probes for one allocation may cost together, as a share of a play's worth, which is the unit of `costs.probe`.
 const MAX_PROBE_COST: f64 = 0.025;
 
 /// Those servers that pass the test, or all where none passes.
@@ -18,8 +18,8 @@
 }
 
 impl Policy {
-    /// Decides where this play goes, by the design's ordinary path from the title's holders to a rung. For a play that runs
-    /// already, decides about a step up. Also returns the other plays whose rungs change.
+    /// Decides where this play goes: from the title's holders to a server and a rung. For a play that runs already, decides
+    /// about a step up. Also returns the other plays whose rungs change.
     pub fn place(&mut self, now: f64, plays: &mut [Play], play_index: usize) -> (Placement, RungChanges) {
         let decay = ((self.recent_set_up_kb.1 - now) / FLOOD_MEMORY_MS).exp();
         (self.recent_set_up_kb, self.recent_plays) =
@@ -27,7 +27,7 @@
         if plays[play_index].playing {
             return self.step_up(now, plays, play_index);
         }
-        // A caller places waiting plays again after each new fact; that does not count as another request.
+        // A caller places waiting plays again after each new fact; that does not count as another play.
         let (is_early, was_queued) =
             (now < plays[play_index].recheck_at - 0.01, plays[play_index].waiting_for.is_some());
         self.recent_plays += if is_early { 0.0 } else { 1.0 };
@@ -52,7 +52,8 @@
             *eligible_plays =
                 (1.0 + eligible_plays.0 * ((eligible_plays.1 - now) / ELIGIBLE_MEMORY_MS).exp(), now);
         }
-        // Cold and doubted holders take plays only at their pace; a play without another holder waits for its turn.
+        // Cold and doubted holders take plays only at their pace; a play without another holder waits in a
+        // server's queue.
         self.leave_queue(plays, play_index);
         let (arrived_at, is_further) = (plays[play_index].arrived_at, plays[play_index].allocations > 0);
         let send_times: Vec<f64> =
@@ -71,7 +72,7 @@
             queue.insert(queue.partition_point(|q| q.0 <= arrived_at), (arrived_at, play_index));
             return (Placement::Wait { probe: Vec::new() }, Vec::new());
         }
-        // The play waits for the answers to its probes until they are due.
+        // A play that waits for answers to its probes is not placed before `recheck_at`.
         if is_early && !was_queued {
             return (Placement::Wait { probe: Vec::new() }, Vec::new());
         }
@@ -171,7 +172,7 @@
         (Placement::Send { server: server_index, rung, time_out, candidates }, rung_changes)
     }
 
-    /// The chance that each holder has in the draw of [`Policy::place`].
+    /// The chance that each eligible holder has in the draw of [`Policy::place`].
     fn candidate_chances(&self, eligible: &[usize], rooms: &[f64], total_room: f64) -> Vec<HolderChance> {
         let is_unmeasured = |s: &usize| self.servers[*s].link.measured_kb.is_none();
         let unmeasured_count = eligible.iter().filter(|s| is_unmeasured(s)).count();
@@ -255,8 +256,9 @@
         if may_decline { Placement::Declined { retry_after } } else { Placement::Failed }
     }
 
-    /// Whether a server's link or uplink stays overloaded and the play would take more importance from the plays there than
-    /// it adds. Guards against floods and links that shrink; may refuse a viewer just after a shortage has ended.
+    /// Whether a server's link or uplink stays overloaded and the plays there would lose at least as much worth to the play
+    /// as it adds. A play's worth is its product's importance times the value of its rung. Guards against floods and links
+    /// that shrink; may refuse a viewer just after a shortage has ended.
     pub(super) fn is_overloaded_for(&self, plays: &[Play], server_index: usize, play: &Play) -> bool {
         let (is_uplink, link) = self.fuller_link(server_index, Link::confirmed_utilization);
         let excess = link.confirmed_utilization() - 1.0;
--- a/src/logic/room.rs
+++ b/src/logic/room.rs
@@ -5,8 +5,9 @@
 use crate::{Listing, Play};
 use std::collections::VecDeque;
 
-/// Number of latest results that a server is judged by, and the number of failures among them that makes it doubted.
+/// Number of latest results that a server is judged by.
 const MAX_RESULTS: usize = 4;
+/// The number of failures among the latest results from which the server is doubted.
 const DOUBT_FAILURES: usize = 2;
 /// Reserve for the spread of true rates and for late metrics, as a factor of a play's rate times the root of the number of
 /// plays.
@@ -75,7 +76,7 @@
         self.utilization().min(self.previous_kb / self.capacity_kb)
     }
 
-    /// The same, less the estimated reduction by other fronts.
+    /// The smaller of that and the present utilization less the estimated reduction by other fronts.
     pub(super) fn adjusted_utilization(&self) -> f64 {
         self.confirmed_utilization().min(self.utilization() - self.others_cut.1 / self.capacity_kb)
     }
@@ -90,6 +91,7 @@
         self.measured_kb.map(|kb| (kb + self.own_change_kb()).max(0.0))
     }
 
+    /// What this front has changed since the latest measurement.
     pub(super) fn own_change_kb(&self) -> f64 {
         self.own_changes.iter().map(|c| c.1).sum()
     }
@@ -106,33 +108,42 @@
     pub(super) listing: Listing,
     pub(super) link: Link,
     pub(super) rack: usize,
-    /// Streams that the server runs at most, and those that it reported last.
+    /// Streams that the server runs at most.
     pub(super) max_streams: f64,
+    /// Streams that the server reported last.
     pub(super) streams: f64,
-    /// Latest results of allocations, newest first: whether each succeeded.
+    /// Latest results of allocations, newest first: whether each succeeded. Allocations that timed out, did not reach the
+    /// server or broke off are failures, and so are errors once the play is served elsewhere; other outcomes are not recorded.
     pub(super) results: VecDeque<bool>,
     /// Since when the server counts as cold: its start, or the last sign that its process may have been lost.
     pub(super) cold_since: f64,
     /// While the server is cold or doubted, its next play may be sent at this time.
     pub(super) next_play_at: f64,
-    /// Whether other fronts doubt the server, and the pace that they lend, in multiples of this front's part without loans.
+    /// Whether other fronts doubt the server.
     pub(super) doubted_by_others: bool,
+    /// The part of the server's pace that this front holds beyond its part without loans, in multiples of the latter;
+    /// negative where it lends.
     pub(super) borrowed_pace: f64,
-    /// Minimum distance between further allocations, and between probes, and when the next of each may be sent.
+    /// Minimum distance between further allocations (those after a play's first).
     pub(super) further_gap: f64,
+    /// When the next further allocation may be sent.
     pub(super) next_further_at: f64,
+    /// Minimum distance between probes.
     pub(super) probe_gap: f64,
+    /// When the next probe may be sent.
     pub(super) next_probe_at: f64,
-    /// Number of plays that could have been sent to the server, decaying over ELIGIBLE_MEMORY_MS, and when the last was
-    /// counted.
+    /// Number of plays that could have been sent to the server (it was one of their holders), decaying over
+    /// ELIGIBLE_MEMORY_MS, and when the last was counted.
     pub(super) eligible_plays: (f64, f64),
     /// This front's plays on the server, set-ups included.
     pub(super) plays: Vec<usize>,
-    /// Plays that wait for their turn at the server, ordered by arrival: time of arrival and play.
+    /// Plays that wait to be sent to the server while it is cold or doubted, ordered by arrival: time of arrival and play.
     pub(super) queue: Vec<(f64, usize)>,
 }
 
 impl Server {
+    /// Whether the server is suspected to be faulty: other fronts say so, or at least DOUBT_FAILURES of its latest results
+    /// here are failures. A doubted server gets plays only at a limited rate.
     pub(super) fn is_doubted(&self) -> bool {
         self.doubted_by_others || self.results.iter().filter(|ok| !**ok).count() >= DOUBT_FAILURES
     }
--- a/src/logic/rungs.rs
+++ b/src/logic/rungs.rs
@@ -3,19 +3,20 @@
 use super::{Policy, QUIET_JITTER_MS, QUIET_MS, room::Link, room::stream_key};
 use crate::{Placement, Play, RungChanges};
 
-/// A new play must gain this many times the importance per kB that a step down of another play loses.
+/// A new play's step up must gain this many times the worth per kB that a step down of other plays loses. A play's worth is
+/// its product's importance times the value of its rung.
 const MIN_GAIN_RATIO: f64 = 1.5;
 /// Of the fronts with plays on a server, the number assumed to set up plays there before the next measurement, at most.
 const MAX_CONCURRENT_FRONTS: f64 = 4.0;
 
 impl Policy {
-    /// The rung on which an adopted play runs.
+    /// Sets the rung on which an adopted play runs, at most the ladder's highest.
     pub fn set_adopted_rung(&mut self, plays: &mut [Play], play_index: usize, rung: usize) {
         plays[play_index].rung = rung.min(self.ladder_kb.len().saturating_sub(1));
     }
 
-    /// The step down that loses the least importance for what it frees: the loss per kB, the kB freed, and the plays (one
-    /// play, or all plays of this front that share a live stream).
+    /// The step down that loses the least worth for what it frees: the loss per kB, which includes the cost of a change, the
+    /// kB freed, and the plays (one play, or all plays of this front that share a live stream).
     pub(super) fn cheapest_step_down(
         &self,
         plays: &[Play],
@@ -74,8 +75,8 @@
     }
 
     /// The rung at set-up, and the plays stepped down for it. Where the new play would start low while plays of this front
-    /// hold rungs of less value for their rate, those step down: importance grows less than the rate, so the plays that
-    /// came first must not take all the room.
+    /// run on rungs of less worth per kB, those step down: rung values grow more slowly than rates, so the plays that came
+    /// first must not take all the room.
     pub(super) fn choose_rung(
         &mut self,
         now: f64,
@@ -107,7 +108,7 @@
                 room_kb -= added_kb;
                 continue;
             }
-            // Both are importance per kB.
+            // Both `gain` and `loss` are worth per kB.
             let gain =
                 importance * (self.rung_values[rung + 1] - self.rung_values[rung]) / added_kb.max(1e-9);
             let Some((loss, freed_kb, group)) = self.cheapest_step_down(plays, &servers) else { break };
--- a/src/logic/settings_view.rs
+++ b/src/logic/settings_view.rs
@@ -4,7 +4,9 @@
 use crate::{Settings, Value};
 
 impl Policy {
-    /// All settings in effect, under their flat names, with the defaults filled in for ladder and products.
+    /// All settings, under their flat names, as last overridden. The defaults and limits in effect are filled in for the
+    /// ladder's rates and values, and for each product's importance, first-frame target, repeat window, lowest rung, rate
+    /// scale and seat limit.
     pub fn active_settings(&self) -> Settings {
         let mut active = self.settings.clone();
         let mut insert = |name: String, value: f64| active.insert(name, Value::Number(value));
@@ -23,7 +25,9 @@
         active
     }
 
-    /// Uses another value for a setting from now on: one that is read at each use, or a product's lowest rung.
+    /// Uses another value for a setting from now on. This takes effect for settings that are read at each use, and for a
+    /// product's lowest rung. A setting that is read only at the start keeps its former effect;
+    /// [`Policy::active_settings`] shows its new value, unless it is one of those that are filled in.
     pub fn override_setting(&mut self, name: &str, value: f64) {
         let product_index = name.strip_prefix("extra.class_floor.").and_then(|i| i.parse::<usize>().ok());
         if let Some(product) = product_index.and_then(|i| self.products.get_mut(i)) {
--- a/tests/hints_and_candidates.rs
+++ b/tests/hints_and_candidates.rs
@@ -5,6 +5,7 @@
 use host::Host;
 use pulleystair::{Outcome, Placement, ServerHint};
 
+/// A hint with which the front acts as without any hint.
 const NEUTRAL_HINT: ServerHint =
     ServerHint { server: 0, doubted: false, pace: 1.0, further_gap: 0.0, probe_gap: 0.0 };
 
@@ -60,7 +61,7 @@
     host.now += 120_000.0;
     host.report_utilization(0, 0.1);
     let (_, server) = host.start_play(0, 1);
-    assert_eq!(server, 0, "the turn for its trial has come");
+    assert_eq!(server, 0, "its next trial is due");
     let play_index = host.add_play(0, 1);
     assert_eq!(host.server_for(play_index), Some(0), "it served a play: the doubt is over");
 }
--- a/tests/load_and_rungs.rs
+++ b/tests/load_and_rungs.rs
@@ -275,11 +275,13 @@
         let play_index = host.add_play(0, 1);
         sent += usize::from(host.server_for(play_index).is_some());
     }
-    // 24 streams over 12 s at half the pace; twice that overloads it: 12 in 6 s, of which 0.6 is 7.
+    // 24 streams in 12 s at half pace: 1 play a second. Overload factor 2 allows 12 in 6 s; all fronts send PACED_SHARE (0.6)
+    // of that, 7.
     assert!(sent <= 7, "{sent} of 20 in 6 s");
 }
 
-/// Guards against a flood late in a warm-up: the first turn of every front has long come, and no front has used it.
+/// Late in a warm-up every front has passed its first send time, and one that has sent nothing yet may send at once. In a
+/// flood, all of them together would overload the server.
 #[test]
 fn in_a_flood_late_in_a_warm_up_only_some_fronts_send_to_the_cold_server() {
     let mut sent = 0;
@@ -288,7 +290,8 @@
         let mut host = Host::new(&settings);
         host.entries[0].started_at = host.now - 10_000.0;
         host.update_list();
-        // This front's part of 1500 plays in a second, 15 of them for each of a hundred servers.
+        // This front's part (1/50) of 1500 plays in 0.9 s: 15 for each of a hundred servers, as `extra.fleet_kb` is a hundred
+        // times a server's link.
         for _ in 0..30 {
             host.now += 30.0;
             let other_play = host.add_play(1, 3);
@@ -297,7 +300,7 @@
         let play_index = host.add_play(0, 1);
         sent += usize::from(host.server_for(play_index).is_some());
     }
-    // 24 streams over 12 s, almost warm; twice that overloads it: 4 in a second, and a few more by chance.
+    // 24 streams in 12 s, almost warm: 2 plays a second. Overload factor 2 allows 4, and a few more come by chance.
     assert!(sent <= 7, "{sent} of 16 in a second");
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -22,7 +22,11 @@
     assert_eq!(host.server_for(first), Some(0), "the first is sent as a trial");
     assert_eq!(host.place(second), Placement::Wait { probe: vec![] });
     host.now += host.policy.time_to_recheck(host.now, &host.plays[second]).unwrap();
-    assert_eq!(host.server_for(second), Some(0), "the second is sent in its turn");
+    assert_eq!(
+        host.server_for(second),
+        Some(0),
+        "the second is sent once the server may be sent another play"
+    );
 }
 
 #[test_case(true; "listed as just started")]
@@ -43,7 +47,8 @@
         sent += usize::from(host.server_for(play_index).is_some());
         host.now += 10.0;
     }
-    // 24 streams over 12 s at half the pace; twice that overloads it: 2 plays a second, of which 2 fronts take 0.6.
+    // 24 streams in 12 s at half pace: 1 play a second. Overload factor 2 allows 2; all fronts send PACED_SHARE (0.6) of that,
+    // 1.2; this is one of two fronts, so 0.6.
     assert!(sent <= 1, "{sent} in a second");
 }
 
@@ -136,6 +141,7 @@
         host.now += 4000.0;
         host.report_utilization(0, 1.3);
     }
+    // The plays have stepped down as far as they can, and the server is still overloaded.
     assert!(plays.iter().all(|p| host.plays[*p].rung == 0));
     let play_index = host.add_play(0, 1);
     assert_eq!(
@@ -189,15 +195,20 @@
         host.now = host.plays[play_index].deadline;
         play_index
     });
-    refuse("its turn at a cold server is too late", &[("balancers", 30.0), ("rank", 29.0)], |host| {
-        host.entries[0].started_at = host.now;
-        host.update_list();
-        host.add_play(0, 1)
-    });
-    refuse("too many plays wait for that turn before it", &[], |host| {
+    refuse(
+        "a cold server may be sent it only after its deadline",
+        &[("balancers", 30.0), ("rank", 29.0)],
+        |host| {
+            host.entries[0].started_at = host.now;
+            host.update_list();
+            host.add_play(0, 1)
+        },
+    );
+    refuse("too many plays wait for a cold server before it", &[], |host| {
         host.entries[0].started_at = host.now;
         host.update_list();
-        // 24 streams over 12 s at half the pace; twice that overloads it, of which 0.6: a turn each 0.8 s.
+        // 24 streams in 12 s at half pace: 1 play a second. Overload factor 2 allows 2; PACED_SHARE (0.6) of that is one play
+        // each 0.8 s.
         while let Placement::Wait { .. } | Placement::Send { .. } = {
             let play_index = host.add_play(0, 1);
             host.now += 1.0;
@@ -205,7 +216,7 @@
         } {
             assert!(host.plays.len() < 10, "the queue for a cold server is bounded");
         }
-        assert!(host.plays.len() > 4, "plays wait for turns that come in time");
+        assert!(host.plays.len() > 4, "plays wait that can be sent before their deadlines");
         host.add_play(0, 1)
     });
     for (reason, answer) in answers {
@@ -254,7 +265,7 @@
     }
     assert!(
         send_times[0] < send_times[1] && send_times[1] < send_times[2],
-        "each has a turn of its own: {send_times:?}"
+        "each has a send time of its own: {send_times:?}"
     );
     host.now = send_times[0];
     let late = host.add_play(0, 1);
