--- a/src/lib.rs
+++ b/src/lib.rs
@@ -86,6 +86,7 @@
 /// A holder that could have been drawn: its chance, and the room (kB) that it was weighted by.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HolderChance {
+    /// Index of the server.
     pub server: usize,
     pub chance: f64,
     pub room: f64,
@@ -94,6 +95,7 @@
 /// What other fronts let this one know of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerHint {
+    /// Index of the server.
     pub server: usize,
     /// Other fronts doubt the server.
     pub doubted: bool,
@@ -152,6 +154,7 @@
 pub enum Next {
     /// Place the play again at once.
     Place,
+    /// Leave the play as it is: it runs, or is finished.
     Nothing,
 }
 
@@ -194,9 +197,13 @@
 /// An entry of the server list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Listing {
+    /// Index of the server.
     pub server: usize,
+    /// Number of the zone.
     pub zone: usize,
+    /// Number of the kind of server, by which the setting `extra.places_by_kind` limits its streams.
     pub kind: usize,
+    /// Number of the cell. Cells are assigned to racks in rotation.
     pub cell: usize,
     pub standing: Standing,
     /// Capacity of the server's link, in multiples of the setting `extra.link_unit_kb`.
--- a/src/logic/facts.rs
+++ b/src/logic/facts.rs
@@ -106,7 +106,8 @@
             }
             LoadMetric::Delivered(_) => {
                 // An overloaded uplink affects all servers of the rack: a server that delivers too little on an uplink
-                // with room is itself overloaded. Guards against the notes of a silent server cutting its whole rack.
+                // with room is itself overloaded. Guards against the notes of a silent server stepping down
+                // the plays of its whole rack.
                 let by_uplink = self.uplinks[rack].utilization() > link_utilization.max(0.9);
                 let link =
                     if by_uplink { &mut self.uplinks[rack] } else { &mut self.servers[server_index].link };
--- a/src/logic/pace.rs
+++ b/src/logic/pace.rs
@@ -78,8 +78,8 @@
         let watched_ms = ELIGIBLE_MEMORY_MS
             * (1.0 - (-(now - self.listing_since).max(warm_up_ms) / ELIGIBLE_MEMORY_MS).exp());
         let rate = (server.eligible_plays.0 / watched_ms).max(recent_rate);
-        let requesting_share = if is_warming_up { 1.0 - (-rate * warm_up_ms).exp() } else { 0.0 };
-        let front_count = (self.front_count * requesting_share).max(server.link.front_count);
+        let active_share = if is_warming_up { 1.0 - (-rate * warm_up_ms).exp() } else { 0.0 };
+        let front_count = (self.front_count * active_share).max(server.link.front_count);
         // On a server doubted by other fronts, all fronts together make as many trials as one front would. A borrowed
         // pace of 1 is 1/n of the server's pace, where n is the number of fronts; a negative one reduces this front's part.
         let front_count = if server.doubted_by_others { front_count * self.front_count } else { front_count };
--- a/src/logic/room.rs
+++ b/src/logic/room.rs
@@ -112,8 +112,9 @@
     pub(super) max_streams: f64,
     /// Streams that the server reported last.
     pub(super) streams: f64,
-    /// Latest results of allocations, newest first: whether each succeeded. Allocations that timed out, did not reach the
-    /// server or broke off are failures, and so are errors once the play is served elsewhere; other outcomes are not recorded.
+    /// Latest results of allocations, newest first: whether each succeeded. An allocation that plays is a success; those that
+    /// timed out, did not reach the server or broke off are failures, and so are errors once the play is served elsewhere.
+    /// Other outcomes are not recorded.
     pub(super) results: VecDeque<bool>,
     /// Since when the server counts as cold: its start, or the last sign that its process may have been lost.
     pub(super) cold_since: f64,
