--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,5 +1,5 @@
-//! The dispatcher of one front: keeps the open plays, their timers and their small indices, asks the placement logic
-//! where plays go, and has the host carry the answers out through [`Actions`].
+//! The dispatcher of one front: keeps the open plays, their timers and the indices of plays, servers and titles, asks the
+//! placement logic where plays go, and has the host carry the answers out through [`Actions`].
 //!
 //! It is the only caller of [`pulleystair::logic`], and serves the simulator's adapter and the real front alike. It does no
 //! I/O and makes no decisions: its host calls it with the time and what happened. All times are milliseconds as
@@ -14,31 +14,36 @@
 use pulleystair::{Listing, LoadMetric, Next, Outcome, Placement, Play, RungChanges, ServerHint, Settings};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// The timer after which discovery is asked for the server list again. Other timers are numbers of play slots.
+/// The timer after which discovery is asked for the server list again. Other timers are indices of plays.
 const LIST_TIMER: u32 = u32::MAX;
-/// The timer after which the rest of the waiting plays is placed again.
+/// The timer after which the next of the waiting plays are placed again.
 const RECHECK_TIMER: u32 = u32::MAX - 1;
-/// Limits on how many waiting plays are placed again in one turn and per ms, so that many waiting plays do not delay
+/// Limit on how many waiting plays are placed again in one turn of the event loop, so that many waiting plays do not delay
 /// other work.
 const MAX_RECHECKS_PER_TURN: f64 = 32.0;
+/// Limit on how many waiting plays are placed again per ms, for the same reason.
 const RECHECKS_PER_MS: f64 = 1.0;
 
 /// The open plays of one front, and the placement logic that decides about them.
 pub struct Dispatcher {
     policy: Policy,
+    /// The plays by index; out of date at free indices.
     plays: Vec<Play>,
-    /// For each slot of `plays`: the host's id of the play, and when the play's timer is due.
+    /// For each index of `plays`: the host's id of the play, and when the play's timer is due.
     slots: Vec<(u64, Option<f64>)>,
-    free_slots: Vec<usize>,
+    /// Indices of `plays` without an open play, to be used again.
+    free_indices: Vec<usize>,
+    /// The index of each open play, by the host's id.
     by_id: HashMap<u64, usize>,
-    /// Plays without an answer and without an allocation out, and whether a fact has come in since they were last queued to
-    /// be placed again.
+    /// Plays without an answer and without an allocation in flight.
     waiting: BTreeSet<usize>,
+    /// Whether a fact has come in since the waiting plays were last queued to be placed again.
     has_new_facts: bool,
-    /// Waiting plays still to be placed again, whether the timer for them is set, and how many may be placed now with the
-    /// time at which that number was computed.
+    /// Waiting plays still to be placed again.
     recheck_queue: VecDeque<usize>,
+    /// Whether RECHECK_TIMER is set.
     recheck_timer_set: bool,
+    /// How many waiting plays may be placed again now, and the time at which that number was computed.
     recheck_allowance: (f64, f64),
     servers: Indices<u32>,
     titles: Titles,
@@ -51,7 +56,7 @@
             policy: Policy::new(settings, seed),
             plays: Vec::new(),
             slots: Vec::new(),
-            free_slots: Vec::new(),
+            free_indices: Vec::new(),
             by_id: HashMap::new(),
             waiting: BTreeSet::new(),
             has_new_facts: false,
@@ -93,7 +98,7 @@
     pub fn update_list(&mut self, now: f64, is_whole: bool, is_cached: bool, entries: &[(u32, Listing)]) {
         let entries: Vec<Listing> = entries
             .iter()
-            .map(|(id, entry)| Listing { server: self.servers.get_or_assign(*id), ..*entry })
+            .map(|(server_id, entry)| Listing { server: self.servers.get_or_assign(*server_id), ..*entry })
             .collect();
         self.policy.update_list(now, is_whole, is_cached, &entries);
         self.has_new_facts = true;
@@ -101,19 +106,20 @@
 
     /// Takes what other fronts let this one know of servers. The index within a hint is ignored.
     pub fn apply_hints(&mut self, now: f64, hints: &[(u32, ServerHint)]) {
-        for (id, hint) in hints {
-            let server = self.servers.get_or_assign(*id);
-            self.policy.apply_hint(now, &ServerHint { server, ..*hint });
+        for (server_id, hint) in hints {
+            let server_index = self.servers.get_or_assign(*server_id);
+            self.policy.apply_hint(now, &ServerHint { server: server_index, ..*hint });
             self.has_new_facts = true;
         }
     }
 
-    /// All settings in effect.
+    /// All settings, with the defaults in effect filled in as [`Policy::active_settings`] describes.
     pub fn active_settings(&self) -> Settings {
         self.policy.active_settings()
     }
 
-    /// Uses another value for a setting from now on.
+    /// Uses another value for a setting from now on, within the limits of [`Policy::override_setting`]: a setting that is read
+    /// only at the start keeps its former effect.
     pub fn override_setting(&mut self, name: &str, value: f64) {
         self.policy.override_setting(name, value);
         self.has_new_facts = true;
@@ -127,12 +133,12 @@
             .collect()
     }
 
-    /// Numbers of set-ups under way and of running plays, by server and product.
+    /// Numbers of set-ups in flight and of running plays, by server and product.
     pub fn play_counts(&self) -> BTreeMap<(u32, usize), (u32, u32)> {
         let mut counts: BTreeMap<(u32, usize), (u32, u32)> = BTreeMap::new();
         for play in self.by_id.values().map(|play_index| &self.plays[*play_index]) {
-            let Some(server) = play.server else { continue };
-            let count = counts.entry((self.servers.ids[server], play.product)).or_default();
+            let Some(server_index) = play.server else { continue };
+            let count = counts.entry((self.servers.ids[server_index], play.product)).or_default();
             if play.playing { count.1 += 1 } else { count.0 += 1 }
         }
         counts
@@ -145,7 +151,7 @@
         let refers_to_server = |play: &Play| {
             play.server == Some(server_index)
                 || play.tried.contains(&server_index)
-                || play.may_have_run.is_some_and(|(server, _)| server == server_index)
+                || play.may_have_run.is_some_and(|(ran_index, _)| ran_index == server_index)
         };
         if self.by_id.values().any(|play_index| refers_to_server(&self.plays[*play_index])) {
             return false;
@@ -174,17 +180,17 @@
         now: f64,
         play_id: u64,
         request: &PlayRequest,
-        server: u32,
+        server_id: u32,
         actions: &mut impl Actions,
     ) {
-        let server = self.servers.get_or_assign(server);
+        let server_index = self.servers.get_or_assign(server_id);
         let play_index = self.insert_play(play_id, request);
-        self.plays[play_index].server = Some(server);
+        self.plays[play_index].server = Some(server_index);
         self.policy.adopt(now, &mut self.plays, play_index);
         self.update_timer(now, play_index, actions);
     }
 
-    /// The allocation that was out has succeeded: the play runs.
+    /// The allocation in flight has succeeded: the play runs.
     pub fn on_playing(&mut self, now: f64, play_id: u64, actions: &mut impl Actions) {
         if let Some(&play_index) = self.by_id.get(&play_id) {
             self.policy.after_outcome(now, &mut self.plays, play_index, Outcome::Playing, false);
@@ -199,13 +205,13 @@
         &mut self,
         now: f64,
         play_id: u64,
-        server: u32,
+        server_id: u32,
         outcome: Outcome,
         closed: bool,
         load: &[LoadMetric],
         actions: &mut impl Actions,
     ) {
-        let server_index = self.servers.get_or_assign(server);
+        let server_index = self.servers.get_or_assign(server_id);
         let play_index = self.by_id.get(&play_id).copied();
         let next = play_index.map(|play_index| {
             (play_index, self.policy.after_outcome(now, &mut self.plays, play_index, outcome, closed))
@@ -222,7 +228,7 @@
     /// The viewer has left, or the play's end was reported from elsewhere.
     pub fn on_viewer_left(&mut self, play_id: u64, actions: &mut impl Actions) {
         if let Some(&play_index) = self.by_id.get(&play_id) {
-            self.policy.on_viewer_left(&mut self.plays, play_index);
+            self.policy.finish_play(&mut self.plays, play_index);
             if self.plays[play_index].server.is_some() {
                 actions.withdraw(play_id);
             }
@@ -230,12 +236,13 @@
         }
     }
 
-    /// Ends the time of all plays without an answer, because the host stops and can hold nothing any longer.
+    /// Called when the host shuts down: sets the deadline of all plays that do not run yet to now. Set-ups in flight are
+    /// withdrawn, and waiting plays get their final answer.
     pub fn expire_pending(&mut self, now: f64, actions: &mut impl Actions) {
-        let mut pending: Vec<usize> =
+        let mut unanswered: Vec<usize> =
             self.by_id.values().copied().filter(|play_index| !self.plays[*play_index].playing).collect();
-        pending.sort_unstable();
-        for play_index in pending {
+        unanswered.sort_unstable();
+        for play_index in unanswered {
             self.plays[play_index].deadline = now;
             if self.plays[play_index].server.is_some() {
                 actions.withdraw(self.slots[play_index].0);
@@ -260,7 +267,7 @@
 
     /// To be called at the end of each turn of the host's event loop. The facts of the turn may have made a wait hopeless or
     /// ended it, so all waiting plays are placed again, once for all facts of the turn; many waiting plays are spread over
-    /// several turns. Returns whether any play was placed.
+    /// several turns. Returns whether any play was placed again, whatever the decision.
     pub fn end_turn(&mut self, now: f64, actions: &mut impl Actions) -> bool {
         if self.recheck_queue.is_empty() && std::mem::take(&mut self.has_new_facts) {
             self.recheck_queue.extend(&self.waiting);
@@ -286,10 +293,16 @@
         any_placed
     }
 
-    /// Takes a server's load, reported in an answer to a set-up or a probe.
-    pub fn on_load_report(&mut self, now: f64, server: u32, load: &[LoadMetric], actions: &mut impl Actions) {
-        let server = self.servers.get_or_assign(server);
-        self.apply_load(now, server, None, load, actions);
+    /// Takes a server's load, reported in an answer to a set-up or to [`Actions::probe`].
+    pub fn on_load_report(
+        &mut self,
+        now: f64,
+        server_id: u32,
+        load: &[LoadMetric],
+        actions: &mut impl Actions,
+    ) {
+        let server_index = self.servers.get_or_assign(server_id);
+        self.apply_load(now, server_index, None, load, actions);
     }
 
     /// Takes a server's note about one of its running plays.
@@ -297,13 +310,13 @@
         &mut self,
         now: f64,
         play_id: u64,
-        server: u32,
+        server_id: u32,
         metric: LoadMetric,
         actions: &mut impl Actions,
     ) {
-        let server = self.servers.get_or_assign(server);
+        let server_index = self.servers.get_or_assign(server_id);
         if let Some(&play_index) = self.by_id.get(&play_id) {
-            self.apply_load(now, server, Some(play_index), &[metric], actions);
+            self.apply_load(now, server_index, Some(play_index), &[metric], actions);
         }
     }
 
@@ -314,13 +327,23 @@
         }
     }
 
-    /// Stores a new play and returns its slot.
+    /// Stores a new play and returns its index.
     fn insert_play(&mut self, play_id: u64, request: &PlayRequest) -> usize {
-        let PlayRequest { product, first_cell, holders, max_rung, arrived_at, deadline, .. } = *request;
+        let PlayRequest {
+            product, first_cell, holders: holder_cells, max_rung, arrived_at, deadline, ..
+        } = *request;
         let title = self.titles.add_play(request.title);
-        let play =
-            Play { product, title, first_cell, holders, max_rung, arrived_at, deadline, ..Play::default() };
-        let play_index = self.free_slots.pop().unwrap_or(self.plays.len());
+        let play = Play {
+            product,
+            title,
+            first_cell,
+            holder_cells,
+            max_rung,
+            arrived_at,
+            deadline,
+            ..Play::default()
+        };
+        let play_index = self.free_indices.pop().unwrap_or(self.plays.len());
         if play_index == self.plays.len() {
             self.plays.push(play);
             self.slots.push((play_id, None));
@@ -348,7 +371,7 @@
             Placement::Keep { rung } if rung != old_rung => actions.set_rung(play_id, rung),
             Placement::Keep { .. } => {}
             Placement::Wait { probe } => {
-                probe.iter().for_each(|server| actions.probe(self.servers.ids[*server]));
+                probe.iter().for_each(|server_index| actions.probe(self.servers.ids[*server_index]));
             }
             Placement::Declined { retry_after } => actions.decline(play_id, retry_after),
             Placement::Failed => actions.fail(play_id),
@@ -367,14 +390,15 @@
     fn apply_load(
         &mut self,
         now: f64,
-        server: usize,
+        server_index: usize,
         noted_play: Option<usize>,
         load: &[LoadMetric],
         actions: &mut impl Actions,
     ) {
         self.has_new_facts |= !load.is_empty();
         for metric in load {
-            let rung_changes = self.policy.on_load_metric(now, &mut self.plays, server, noted_play, *metric);
+            let rung_changes =
+                self.policy.on_load_metric(now, &mut self.plays, server_index, noted_play, *metric);
             self.apply_rung_changes(now, &rung_changes, actions);
         }
     }
@@ -398,7 +422,7 @@
         }
     }
 
-    /// Frees the slot of a play that is finished and has no allocation out.
+    /// Releases the index of a play that is finished and has no allocation in flight.
     fn release_if_finished(&mut self, play_index: usize) {
         if self.plays[play_index].finished
             && self.plays[play_index].server.is_none()
@@ -407,7 +431,7 @@
             self.slots[play_index].1 = None;
             self.waiting.remove(&play_index);
             self.titles.remove_play(self.plays[play_index].title);
-            self.free_slots.push(play_index);
+            self.free_indices.push(play_index);
         }
     }
 }
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -1,29 +1,30 @@
 //! All decisions of one front. The caller creates a [`Policy`] from its settings and a seed, passes it facts
-//! (`update_list`, `apply_hint`, `add_play`, `adopt`, `on_load_metric`, `on_viewer_left`, ...), and asks it three questions:
+//! (`update_list`, `apply_hint`, `add_play`, `adopt`, `on_load_metric`, `finish_play`, ...), and asks it three questions:
 //! `place` (where to send this play, or that it has to wait, or that it is refused), `after_outcome` (what to do after an
 //! allocation's outcome) and `time_to_recheck` (how long until the play is to be placed again).
 //!
 //! `placing` holds the ordinary path of a play, `facts` takes in the facts and draws the consequences, `room` models links
 //! and their load, `pace` limits the rate of plays to cold and doubted servers, `rungs` chooses and changes rungs, and
-//! `shown` shows and overrides settings and decides nothing. Times are in ms, rates and capacities in kB.
+//! `settings_view` shows and overrides settings and decides nothing. Times are in ms, rates and capacities in kB.
 
 mod facts;
 mod pace;
 mod placing;
 mod room;
 mod rungs;
-mod shown;
+mod settings_view;
 
 use crate::{Settings, Value, number};
 use room::{Link, Server, fronts_on_link};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Quiet period before a step up, and the random addition to it.
+/// How long a play keeps its rung at least before it may step up.
 const QUIET_MS: f64 = 5_000.0;
+/// Upper bound of the random addition to that.
 const QUIET_JITTER_MS: f64 = 5_000.0;
 
-/// Time constant with which a front forgets which servers its plays requested.
-const REQUEST_MEMORY_MS: f64 = 60_000.0;
+/// Time constant of the count of plays that could have been sent to a server.
+const ELIGIBLE_MEMORY_MS: f64 = 60_000.0;
 
 /// One product's settings.
 struct Product {
@@ -60,33 +61,36 @@
     /// The part of its rate that a further viewer adds to a live stream.
     join_share: f64,
     servers: Vec<Server>,
-    /// The listed servers of each cell, and the uplink of each rack.
+    /// The listed servers of each cell.
     cells: Vec<Vec<usize>>,
+    /// The uplink of each rack.
     uplinks: Vec<Link>,
     /// Running mean of the reported link utilizations, assumed for servers without a measurement.
     mean_utilization: f64,
     /// Capacity of all servers' links.
     total_capacity_kb: f64,
-    /// Load that this front set up recently (kB) and the time up to which it has decayed, and the number of recent
-    /// requests for a server; both decay over RECENT_MS.
+    /// Load that this front set up recently (kB), decaying over FLOOD_MEMORY_MS, and the time up to which it has decayed.
     recent_set_up_kb: (f64, f64),
-    recent_requests: f64,
+    /// Number of plays that this front was recently asked to place, decaying over FLOOD_MEMORY_MS up to the same time.
+    recent_plays: f64,
     /// Seats taken, by product and title.
     seats_taken: BTreeMap<(usize, usize), usize>,
-    /// When plays arrived and when further allocations were sent, within the span of the allocation budget.
+    /// When plays arrived, within the span of the allocation budget.
     arrivals: VecDeque<f64>,
+    /// When further allocations (those after a play's first) were sent, within the same span.
     further_allocations: VecDeque<f64>,
     /// When a cached list made all servers count as cold; -1 for never.
     cached_list_at: f64,
-    /// Since when this front has had a server list, and so counts the requests for servers.
+    /// Since when this front has had a server list, and so has counted the plays that could be sent to each server.
     listing_since: f64,
 }
 
+/// The text setting of this name; empty where the settings have no text of that name.
 fn text_setting(settings: &Settings, name: &str) -> String {
     if let Some(Value::Text(t)) = settings.get(name) { t.clone() } else { String::new() }
 }
 
-/// The numbers `name.0`, `name.1`, ... up to the first that is not set.
+/// The numbers `name.0`, `name.1`, ... up to the first that is not set; one that is set to a text counts as 0.
 fn number_list(settings: &Settings, name: &str) -> Vec<f64> {
     let indices = (0..).take_while(|i| settings.contains_key(&format!("{name}.{i}")));
     indices.map(|i| number(settings, &format!("{name}.{i}"), 0.0)).collect()
@@ -100,21 +104,21 @@
         ladder_kb.resize(ladder_kb.len().max(1), 0.0);
         rung_values.resize(ladder_kb.len(), 0.0);
         let product = |i: usize| {
-            let number_of =
+            let product_number =
                 |part: &str, default: f64| number(&settings, &format!("products.{i}.{part}"), default);
-            let extra_of =
+            let extra_number =
                 |part: &str, default: f64| number(&settings, &format!("extra.{part}.{i}"), default);
             Product {
-                importance: number_of("importance", 1.0),
-                first_frame_target: number_of("first_frame_target", 1000.0),
+                importance: product_number("importance", 1.0),
+                first_frame_target: product_number("first_frame_target", 1000.0),
                 effect: text_setting(&settings, &format!("products.{i}.effect")),
                 key_scope: text_setting(&settings, &format!("products.{i}.key_scope")),
-                repeat_window: number_of("repeat_window", 0.0),
-                min_rung: (extra_of("class_floor", 0.0) as usize).min(ladder_kb.len() - 1),
-                max_rung: extra_of("top_by_class", 99.0) as usize,
-                rate_scale: extra_of("class_scale", 1.0),
-                is_live: extra_of("class_live", 0.0) > 0.0,
-                seat_limit: extra_of("seats", 0.0) as usize,
+                repeat_window: product_number("repeat_window", 0.0),
+                min_rung: (extra_number("class_floor", 0.0) as usize).min(ladder_kb.len() - 1),
+                max_rung: extra_number("top_by_class", 99.0) as usize,
+                rate_scale: extra_number("class_scale", 1.0),
+                is_live: extra_number("class_live", 0.0) > 0.0,
+                seat_limit: extra_number("seats", 0.0) as usize,
             }
         };
         let has_name = |i: &usize| settings.contains_key(&format!("products.{i}.name"));
@@ -148,7 +152,7 @@
             cells: vec![Vec::new(); cell_count.clamp(1.0, 65_536.0) as usize],
             mean_utilization: 0.5,
             recent_set_up_kb: (0.0, 0.0),
-            recent_requests: 0.0,
+            recent_plays: 0.0,
             total_capacity_kb: number(&settings, "extra.fleet_kb", 1.0).max(1.0),
             seats_taken: BTreeMap::new(),
             arrivals: VecDeque::new(),
@@ -164,8 +168,8 @@
         product < self.products.len()
     }
 
-    /// Delay (ms) until discovery is to be asked for changes, where it has to be asked: none at first, 1 s after a
-    /// failed call.
+    /// Delay (ms) until discovery is to be asked for changes: 0 at first, 1000 after a failed call; none where discovery sends
+    /// changes without being asked.
     pub fn list_watch_delay(&self, failed: bool) -> Option<f64> {
         let must_subscribe = text_setting(&self.settings, "discovery") == "subscribe";
         must_subscribe.then_some(if failed { 1000.0 } else { 0.0 })
@@ -183,6 +187,7 @@
         }
     }
 
+    /// The numeric setting of this name, or `default`.
     fn number_setting(&self, name: &str, default: f64) -> f64 {
         number(&self.settings, name, default)
     }
