--- a/crates/edge/src/actions.rs
+++ b/crates/edge/src/actions.rs
@@ -17,10 +17,10 @@
     /// Sends the play's set-up to this server, on a connection of its own.
     fn send(&mut self, play: u64, server: u32, rung: usize, time_out: f64) {
         let now = self.now();
-        let Some(n) = self.sessions.start_allocation(now, play, server, rung) else {
+        let Some(allocation_number) = self.sessions.start_allocation(now, play, server, rung) else {
             // Rule 2: no allocation is sent that the session table does not allow.
             error!(target: "play", play, server = self.server_name(server), "allocation not sent: the session's phase does not allow it");
-            return self.finished_allocations.push_back(AllocationEnd {
+            return self.pending_allocation_ends.push_back(AllocationEnd {
                 play,
                 server,
                 outcome: Outcome::NeverSent,
@@ -28,7 +28,7 @@
         };
         self.pending_set_ups += 1;
         self.stats.allocations += 1;
-        self.fleet_on_sent(now, play, n, server);
+        self.fleet_on_sent(now, play, allocation_number, server);
         let Some(session) = self.sessions.get(play) else { return };
         let product = session.product;
         let body = serde_json::json!({
@@ -37,7 +37,7 @@
             "rung": rung,
             "session": session.session_id,
         });
-        let target = self.allocation_path(play, n);
+        let target = self.allocation_path(play, allocation_number);
         let request = self.format_request(server, "POST", &target, &body.to_string());
         match self.connect_to_server(
             server,
@@ -49,14 +49,14 @@
                     connection.flush();
                 }
                 if let Some(session) = self.sessions.get_mut(play) {
-                    session.connection = Some(connection_id);
+                    session.allocation_connection = Some(connection_id);
                 }
                 self.set_connection_deadline(connection_id, now + self.config.limits.dial_ms);
-                self.schedule(now + time_out, Timer::SetUpTimeout(play, n));
+                self.schedule(now + time_out, Timer::SetUpTimeout(play, allocation_number));
             }
             Err(e) => {
                 debug!(target: "server", server = self.server_name(server), "can't connect to the media server: {e}");
-                self.finished_allocations.push_back(AllocationEnd {
+                self.pending_allocation_ends.push_back(AllocationEnd {
                     play,
                     server,
                     outcome: Outcome::Unreachable,
@@ -68,7 +68,7 @@
     /// Ends the play's allocation. The dispatcher hears of it once it is no longer busy.
     fn withdraw(&mut self, play: u64) {
         let Some(server) = self.sessions.get(play).and_then(|s| s.server) else { return };
-        self.finished_allocations.push_back(AllocationEnd { play, server, outcome: Outcome::Withdrawn });
+        self.pending_allocation_ends.push_back(AllocationEnd { play, server, outcome: Outcome::Withdrawn });
     }
 
     /// Records the play's new rung and notifies its server.
--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/answers.rs
@@ -35,7 +35,7 @@
         let keep_alive =
             self.connections.get_mut(connection_id).is_some_and(|connection| !connection.options.close);
         self.write_answer(connection_id, answer, keep_alive);
-        self.after_answer(connection_id);
+        self.on_answer_written(connection_id);
     }
 
     /// Answers a player's request, then closes the connection.
@@ -44,7 +44,7 @@
         if let Some(connection) = self.connections.get_mut(connection_id) {
             connection.options.close = true;
         }
-        self.after_answer(connection_id);
+        self.on_answer_written(connection_id);
     }
 
     /// Writes the head and the body of an answer to a player's connection.
@@ -85,7 +85,7 @@
 
     /// The answer on this connection is written, or is in its write buffer: sets the connection to read the next
     /// request or to close, and its deadline.
-    pub(crate) fn after_answer(&mut self, connection_id: ConnectionId) {
+    pub(crate) fn on_answer_written(&mut self, connection_id: ConnectionId) {
         let now = self.now();
         let limits = &self.config.limits;
         let (idle_ms, slow_reader_ms, slow_reader_kb) =
@@ -94,7 +94,7 @@
         let pending = connection.pending();
         let is_closing = connection.options.close;
         if !connection.input.is_empty() {
-            self.players_to_resume.push(connection_id);
+            self.connections_with_buffered_request.push(connection_id);
         }
         connection.role =
             Role::Player(if is_closing { PlayerState::Closing } else { PlayerState::ReadingRequest });
@@ -119,10 +119,10 @@
 
     /// Closes a player's connection: it no longer waits for its play's answer, and a segment fetched for it is
     /// aborted.
-    pub(crate) fn close_player(&mut self, connection_id: ConnectionId) {
+    pub(crate) fn close_player_connection(&mut self, connection_id: ConnectionId) {
         let now = self.now();
         let Some(Role::Player(player_state)) = self.connections.close(connection_id) else { return };
-        self.player_count -= 1;
+        self.player_connection_count -= 1;
         match player_state {
             PlayerState::AwaitingManifest(play) if self.sessions.remove_waiter(now, play, connection_id) => {
                 self.schedule_session_timer(play)
@@ -141,7 +141,7 @@
 
     /// Answers 503 to a play that was not admitted in time, or that had to make room in the admission queue. No
     /// allocation was sent for it.
-    pub(crate) fn evict_from_queue(&mut self, play: u64) {
+    pub(crate) fn decline_queued_play(&mut self, play: u64) {
         let answer = self.retry_later_answer("too many plays are asked for now");
         self.end_play(play, "crowded out", answer);
     }
@@ -235,14 +235,14 @@
             set_up_ms,
             played_ms,
         );
-        for connection_id in self.sessions.end_play(now, play, answer.clone()) {
+        for connection_id in self.sessions.record_end(now, play, answer.clone()) {
             self.send_answer(connection_id, &answer);
         }
         self.schedule_session_timer(play);
     }
 
     /// How long the player of this play may be silent before the play is finished.
-    pub(crate) fn allowed_silence(&self, play: u64) -> f64 {
+    pub(crate) fn play_idle_timeout(&self, play: u64) -> f64 {
         let complete = self.sessions.get(play).filter(|s| s.is_complete);
         match complete {
             // The last segment may be requested once more.
@@ -253,9 +253,9 @@
 
     /// Schedules the session's timer at its next deadline, if it has one.
     pub(crate) fn schedule_session_timer(&mut self, play: u64) {
-        let allowed_silence = self.allowed_silence(play);
+        let play_idle_timeout = self.play_idle_timeout(play);
         if let Some(deadline) =
-            self.sessions.next_deadline(play, allowed_silence, self.config.limits.come_back_ms)
+            self.sessions.next_deadline(play, play_idle_timeout, self.config.limits.come_back_ms)
         {
             self.schedule(deadline, Timer::Session(play));
         }
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -94,9 +94,9 @@
             Ok(PostAction::Continue)
         })?;
     edge.state.listener = Some(registration);
-    if let Some(at) = edge.state.config.sharing.ask.filter(|_| edge.state.fleet.is_some()) {
-        let operator_listener =
-            TcpListener::bind(at).map_err(|e| anyhow::anyhow!("sharing.ask: {at} can't be had: {e}"))?;
+    if let Some(operator_address) = edge.state.config.sharing.ask.filter(|_| edge.state.fleet.is_some()) {
+        let operator_listener = TcpListener::bind(operator_address)
+            .map_err(|e| anyhow::anyhow!("sharing.ask: {operator_address} can't be had: {e}"))?;
         operator_listener.set_nonblocking(true)?;
         info!(target: "fleet", address = %operator_listener.local_addr()?, "answers operators' requests");
         handle.insert_source(
@@ -113,7 +113,7 @@
         _ => edge.begin_stop(),
     })?;
     info!(target: "front", %address, servers = edge.state.servers.len(), "listens");
-    while !edge.state.is_finished() {
+    while !edge.state.should_exit() {
         let timeout = edge.state.timers.time_to_next();
         event_loop.dispatch(timeout, &mut edge)?;
         edge.run_due_timers();
@@ -202,11 +202,11 @@
             servers: Vec::new(),
             server_numbers: HashMap::new(),
             timers,
-            finished_allocations: VecDeque::new(),
-            player_count: 0,
+            pending_allocation_ends: VecDeque::new(),
+            player_connection_count: 0,
             fetch_connections: HashMap::new(),
             open_requests: 0,
-            players_to_resume: Vec::new(),
+            connections_with_buffered_request: Vec::new(),
             run_id: format!("{:x}-{:x}", started_at.as_millis() as u64, std::process::id()),
             stats: Stats::default(),
             last_logged_stats: (Stats::default(), 0),
@@ -232,11 +232,12 @@
     /// from the queue, until nothing is left to do.
     pub(crate) fn process_pending(&mut self) {
         loop {
-            if let Some(AllocationEnd { play, server, outcome }) = self.state.finished_allocations.pop_front()
+            if let Some(AllocationEnd { play, server, outcome }) =
+                self.state.pending_allocation_ends.pop_front()
             {
                 self.on_allocation_ended(play, server, outcome, &[]);
-            } else if let Some(player) = self.state.players_to_resume.pop() {
-                self.on_player_connection(player);
+            } else if let Some(connection_id) = self.state.connections_with_buffered_request.pop() {
+                self.on_player_connection(connection_id);
             } else if !self.state.admission_queue.is_empty()
                 && self.state.pending_set_ups < self.state.set_up_limit.current()
             {
@@ -258,9 +259,11 @@
             self.state.loop_lag.timer_fired(now, due_at);
             match timer {
                 Timer::Dispatcher(number) => self.dispatcher.on_timer(now, number, &mut self.state),
-                Timer::SetUpTimeout(play, n) => self.on_set_up_timeout(now, play, n),
+                Timer::SetUpTimeout(play, allocation_number) => {
+                    self.on_set_up_timeout(now, play, allocation_number)
+                }
                 Timer::Connection(connection_id) => self.on_connection_deadline(now, connection_id),
-                Timer::RungRetry(play) => self.state.retry_rung_notice(play),
+                Timer::RungNotificationRetry(play) => self.state.retry_rung_notification(play),
                 Timer::AdmissionQueue => self.admit_queued(),
                 Timer::Session(play) => self.on_session_timer(now, play),
                 Timer::ListPoll => {
@@ -287,13 +290,15 @@
     }
 
     /// Ends the play's `n`-th allocation, if it is still under way.
-    fn on_set_up_timeout(&mut self, now: f64, play: u64, n: usize) {
+    fn on_set_up_timeout(&mut self, now: f64, play: u64, allocation_number: usize) {
         let state = &mut self.state;
         let Some(session) = state.sessions.get(play) else { return };
-        if session.allocation_count() != n || session.phase() != SessionPhase::Allocating {
+        if session.allocation_count() != allocation_number || session.phase() != SessionPhase::Allocating {
             return;
         }
-        let (Some(server), Some(connection_id)) = (session.server, session.connection) else { return };
+        let (Some(server), Some(connection_id)) = (session.server, session.allocation_connection) else {
+            return;
+        };
         let is_connected =
             state.connections.get_mut(connection_id).and_then(|connection| connection.connected());
         let outcome = if is_connected == Some(true) { Outcome::TimedOut } else { Outcome::Unreachable };
@@ -323,7 +328,7 @@
                 if connection.pending() > 0 {
                     info!(target: "front", "closed a player's connection: it read the answer too slowly");
                 }
-                state.close_player(connection_id);
+                state.close_player_connection(connection_id);
             }
             // The set-up has a time-out of its own; this deadline is for connecting.
             Role::Allocation { play, server, stage: AllocationStage::AwaitingResponse } if !is_connected => {
@@ -344,16 +349,16 @@
     fn on_session_timer(&mut self, now: f64, play: u64) {
         let state = &mut self.state;
         let Some(session) = state.sessions.get(play) else { return };
-        let allowed_silence = state.allowed_silence(play);
+        let play_idle_timeout = state.play_idle_timeout(play);
         if state
             .sessions
-            .next_deadline(play, allowed_silence, state.config.limits.come_back_ms)
+            .next_deadline(play, play_idle_timeout, state.config.limits.come_back_ms)
             .is_none_or(|deadline| deadline > now)
         {
             return state.schedule_session_timer(play);
         }
         match session.phase() {
-            SessionPhase::Ending | SessionPhase::Ended => state.sessions.forget(play),
+            SessionPhase::Ending | SessionPhase::Ended => state.sessions.remove(play),
             SessionPhase::Requested | SessionPhase::Allocating => {
                 let answer = text_answer(410, "the viewer left before the play was set up");
                 self.cancel_undecided_play(play, "viewer gone", answer);
@@ -366,7 +371,7 @@
             }
             SessionPhase::Playing => {
                 let cause = if session.is_complete { "watched to the end" } else { "viewer silent" };
-                self.finish_play(play, cause);
+                self.end_running_play(play, cause);
             }
         }
     }
@@ -398,7 +403,7 @@
         self.dispatcher.expire_pending(self.state.now(), &mut self.state);
         self.process_pending();
         for play in self.state.sessions.open_plays() {
-            self.finish_play(play, "front stopped");
+            self.end_running_play(play, "front stopped");
             self.process_pending();
         }
     }
--- a/crates/edge/src/players.rs
+++ b/crates/edge/src/players.rs
@@ -38,14 +38,14 @@
             };
             let state = &mut self.state;
             let limits = &state.config.limits;
-            if state.player_count >= 2 * limits.connections {
+            if state.player_connection_count >= 2 * limits.connections {
                 continue;
             }
             if limits.send_buffer_bytes > 0 {
                 let _ = socket2::SockRef::from(&stream).set_send_buffer_size(limits.send_buffer_bytes);
             }
-            let loaded = state.tls.players.as_ref().filter(|_| !is_operator);
-            let tls = loaded.map(|s| rustls::ServerConnection::new(s.config.clone()));
+            let certificates = state.tls.players.as_ref().filter(|_| !is_operator);
+            let tls = certificates.map(|c| rustls::ServerConnection::new(c.config.clone()));
             let Ok(tls) = tls.transpose() else { continue };
             let uses_tls = tls.is_some();
             let tls = tls.map(rustls::Connection::from);
@@ -54,13 +54,13 @@
             else {
                 continue;
             };
-            state.player_count += 1;
+            state.player_connection_count += 1;
             state
                 .connections
                 .get_mut(connection_id)
                 .into_iter()
                 .for_each(|connection| connection.options.is_operator = is_operator);
-            if state.player_count > state.config.limits.connections {
+            if state.player_connection_count > state.config.limits.connections {
                 let answer = state.retry_later_answer("this front has all the connections it takes");
                 state.send_answer_and_close(connection_id, &answer);
             } else {
@@ -92,14 +92,14 @@
                     connection.shutdown_write();
                 }
                 if connection.closed {
-                    state.close_player(connection_id);
+                    state.close_player_connection(connection_id);
                 }
                 return;
             }
             let length_before = connection.input.len();
             let has_read = connection.read(header_bytes);
             if connection.closed {
-                state.close_player(connection_id);
+                state.close_player_connection(connection_id);
                 return;
             }
             match player_state {
@@ -191,7 +191,7 @@
             ("DELETE", Some(Route::Session { pass })) => match self.state.authorize_pass(connection_id, pass)
             {
                 Ok(play) => {
-                    self.finish_play(play, "viewer left");
+                    self.end_running_play(play, "viewer left");
                     text_answer(200, "ended")
                 }
                 Err(answer) => answer,
@@ -303,7 +303,7 @@
         let deadline = state.sessions.get(play).map_or(now, |s| s.deadline);
         let admit_by = deadline - state.config.admission.reserve_ms;
         if let Some(evicted) = state.admission_queue.push(now, play, admit_by) {
-            state.evict_from_queue(evicted);
+            state.decline_queued_play(evicted);
         }
         if let Some(next_deadline) = state.admission_queue.next_deadline() {
             state.schedule(next_deadline, Timer::AdmissionQueue);
@@ -331,7 +331,7 @@
     pub(crate) fn admit_queued(&mut self) {
         let now = self.state.now();
         for expired in self.state.admission_queue.take_expired(now) {
-            self.state.evict_from_queue(expired);
+            self.state.decline_queued_play(expired);
         }
         while self.state.pending_set_ups < self.state.set_up_limit.current() {
             let Some(play) = self.state.admission_queue.pop(now) else { return };
@@ -387,8 +387,8 @@
         };
         session.active_fetches += 1;
         let rung = rung.min(session.rung);
-        let n = session.allocation_count();
-        let target = format!("{}/{rung}/{number}", state.allocation_path(play, n));
+        let allocation_number = session.allocation_count();
+        let target = format!("{}/{rung}/{number}", state.allocation_path(play, allocation_number));
         if let Some(connection) = state.connections.get_mut(connection_id) {
             connection.role = Role::Player(PlayerState::FetchingSegment(play));
         }
@@ -407,19 +407,19 @@
 
     /// Ends a running play from this side, for example because the viewer left or is silent, and notifies its
     /// server.
-    pub(crate) fn finish_play(&mut self, play: u64, cause: &'static str) {
+    pub(crate) fn end_running_play(&mut self, play: u64, cause: &'static str) {
         let state = &mut self.state;
         let now = state.now();
         let Some(session) = state.sessions.get_mut(play) else { return };
-        let (Some(server), connection, n) =
-            (session.server, session.connection.take(), session.allocation_count())
+        let (Some(server), connection, allocation_number) =
+            (session.server, session.allocation_connection.take(), session.allocation_count())
         else {
             return;
         };
         if let Some(connection) = connection {
             state.connections.close(connection);
         }
-        let target = state.allocation_path(play, n);
+        let target = state.allocation_path(play, allocation_number);
         let request = state.format_request(server, "DELETE", &target, "");
         state.run_request(server, ServerRequest::new(RequestKind::Word, request));
         state.end_play(play, cause, text_answer(410, "this play has ended"));
@@ -440,7 +440,7 @@
             Some(SessionPhase::Requested | SessionPhase::Allocating) => {
                 self.cancel_undecided_play(play, "revoked", text_answer(403, "this session was revoked"));
             }
-            Some(SessionPhase::Playing) => self.finish_play(play, "revoked"),
+            Some(SessionPhase::Playing) => self.end_running_play(play, "revoked"),
             _ => {}
         }
     }
--- a/crates/edge/src/segment_read.rs
+++ b/crates/edge/src/segment_read.rs
@@ -23,7 +23,7 @@
     /// The server's validator of the bytes that are being relayed.
     etag: Option<String>,
     /// The bytes being relayed, first and one past the last, once the player has a head.
-    response_range: Option<(u64, u64)>,
+    relay_span: Option<(u64, u64)>,
     /// The next byte to be relayed.
     next_byte: u64,
 }
@@ -50,7 +50,7 @@
             tries: 1,
             deadline,
             etag: None,
-            response_range: None,
+            relay_span: None,
             next_byte: 0,
         }
     }
@@ -63,7 +63,7 @@
     /// The range and precondition headers of the next try, each with its line end. The rest of a response is
     /// requested only if it is still the rest of the same bytes (`If-Range`, RFC 9110, section 13.1.5).
     pub fn request_headers(&self) -> String {
-        let mut out = match (self.response_range, self.requested_range) {
+        let mut out = match (self.relay_span, self.requested_range) {
             (Some((_, end)), _) if self.next_byte > 0 => {
                 format!("Range: bytes={}-{}\r\n", self.next_byte, end - 1)
             }
@@ -71,7 +71,7 @@
             (None, Some((first, None))) => format!("Range: bytes={first}-\r\n"),
             _ => String::new(),
         };
-        if self.response_range.is_none() {
+        if self.relay_span.is_none() {
             out.extend(self.if_none_match.iter().map(|etag| format!("If-None-Match: {etag}\r\n")));
         } else if !out.is_empty() {
             // A weak validator does not guarantee that the bytes are the same.
@@ -88,7 +88,7 @@
 
     /// The progress so far, on which the decision after a failure depends.
     pub fn progress(&self) -> ReadProgress {
-        let bytes_relayed = self.response_range.map(|(first, _)| self.next_byte - first);
+        let bytes_relayed = self.relay_span.map(|(first, _)| self.next_byte - first);
         ReadProgress { tries: self.tries, deadline: self.deadline, bytes_relayed }
     }
 
@@ -102,7 +102,7 @@
     pub fn accept_response_head(&mut self, response: &Response) -> Result<Option<SegmentHead>, ReadError> {
         let Body::Length(length) = response.body else { return Err(ReadError::Malformed) };
         let etag = response.etag.clone();
-        if response.status == 304 && self.if_none_match.is_some() && self.response_range.is_none() {
+        if response.status == 304 && self.if_none_match.is_some() && self.relay_span.is_none() {
             return Ok(Some(SegmentHead { status: 304, length: 0, range: None, etag }));
         }
         if !matches!(response.status, 200 | 206) {
@@ -113,13 +113,13 @@
             (_, Some((first, last, _))) if last.checked_sub(first) == length.checked_sub(1) => first,
             _ => return Err(ReadError::Malformed),
         };
-        match self.response_range {
+        match self.relay_span {
             None => {
                 let requested_first = self.requested_range.map_or(0, |p| p.0);
                 if response.status == 206 && (self.requested_range.is_none() || first != requested_first) {
                     return Err(ReadError::Malformed);
                 }
-                self.response_range = Some((first, first + length));
+                self.relay_span = Some((first, first + length));
                 self.next_byte = first;
                 self.etag = etag.clone();
                 let range = response.range.filter(|_| response.status == 206);
--- a/crates/edge/src/server_requests.rs
+++ b/crates/edge/src/server_requests.rs
@@ -15,8 +15,8 @@
 impl EdgeState {
     /// The path of a play's `n`-th allocation at its server. It contains the id of this run, so no path is ever
     /// used again, by this run or another.
-    pub(crate) fn allocation_path(&self, play: u64, n: usize) -> String {
-        format!("/plays/{}-{play}-{n}", self.run_id)
+    pub(crate) fn allocation_path(&self, play: u64, allocation_number: usize) -> String {
+        format!("/plays/{}-{play}-{allocation_number}", self.run_id)
     }
 
     /// The bytes of an HTTP request to this server. Without a body no `Content-Length` is written.
@@ -32,12 +32,12 @@
         let address = self.servers[server as usize].address;
         let stream = pulleystair_connections::connect(address)?;
         let tls = match &self.tls.servers {
-            Some(loaded) => {
+            Some(certificates) => {
                 let name =
                     rustls::pki_types::ServerName::try_from(self.servers[server as usize].name.clone());
                 let name = name.map_err(io::Error::other)?;
-                let session = rustls::ClientConnection::new(loaded.config.clone(), name);
-                Some(session.map_err(io::Error::other)?.into())
+                let tls_connection = rustls::ClientConnection::new(certificates.config.clone(), name);
+                Some(tls_connection.map_err(io::Error::other)?.into())
             }
             None => None,
         };
@@ -130,10 +130,10 @@
         if let Some(Role::ServerPool { server, request, .. }) = self.connections.close(connection_id) {
             let media_server = &mut self.servers[server as usize];
             media_server.connection_count -= 1;
-            media_server.idle_connections.retain(|k| *k != connection_id);
+            media_server.idle_connections.retain(|id| *id != connection_id);
             if let Some(request) = request {
                 self.on_request_done(server);
-                self.on_rung_notified(request.kind, true);
+                self.on_rung_notification_done(request.kind, true);
             }
         }
     }
@@ -148,7 +148,7 @@
         let now = self.now();
         let media_server = &mut self.servers[server as usize];
         media_server.connection_count -= 1;
-        media_server.idle_connections.retain(|k| *k != connection_id);
+        media_server.idle_connections.retain(|id| *id != connection_id);
         let Some(mut request) = request else { return };
         let has_head = request.body_bytes_left.is_some();
         let is_stale = !is_fresh
@@ -207,13 +207,13 @@
     /// incomplete.
     pub(crate) fn abort_player_response(&mut self, player: ConnectionId) {
         self.fetch_connections.remove(&player);
-        self.close_player(player);
+        self.close_player_connection(player);
     }
 
     /// Gives the request up. A player that waits for it gets this answer, or is disconnected where a part of the
     /// response has gone out.
     pub(crate) fn abandon_request(&mut self, request: ServerRequest, status: u16, why: &str) {
-        self.on_rung_notified(request.kind, false);
+        self.on_rung_notification_done(request.kind, false);
         let RequestKind::Segment { player, play, .. } = request.kind else { return };
         if request.segment_read.is_some_and(|r| r.progress().bytes_relayed.is_some()) {
             return self.abort_player_response(player);
@@ -224,11 +224,11 @@
             503 => self.retry_later_answer(why),
             _ => text_answer(status, why),
         };
-        self.answer_segment_request(player, play, &answer);
+        self.refuse_segment_request(player, play, &answer);
     }
 
     /// Answers a player's request for a segment without a segment, and counts its fetch off.
-    pub(crate) fn answer_segment_request(&mut self, player: ConnectionId, play: u64, answer: &Answer) {
+    pub(crate) fn refuse_segment_request(&mut self, player: ConnectionId, play: u64, answer: &Answer) {
         self.fetch_connections.remove(&player);
         // The fetch of a closed connection was counted off when it was closed.
         if self.connections.get_mut(player).is_none() {
@@ -244,7 +244,7 @@
     /// it plays: a notification that overtakes the set-up would find no play there.
     pub(crate) fn notify_rung(&mut self, play: u64) {
         let Some(session) = self.sessions.get_mut(play) else { return };
-        let (SessionPhase::Playing, Some(server), n) =
+        let (SessionPhase::Playing, Some(server), allocation_number) =
             (session.phase(), session.server, session.allocation_count())
         else {
             return;
@@ -254,7 +254,7 @@
             return;
         }
         (session.notified_rung, session.is_notifying_rung) = (Some(rung), true);
-        let target = self.allocation_path(play, n);
+        let target = self.allocation_path(play, allocation_number);
         let request = self.format_request(server, "PATCH", &target, &format!("{{\"rung\":{rung}}}"));
         self.run_request(server, ServerRequest::new(RequestKind::Step { play }, request));
     }
@@ -262,7 +262,7 @@
     /// A rung notification is over; other kinds of request are ignored. A rung that changed meanwhile is notified
     /// now. A notification that was not answered is repeated after a while, since the server may still run the
     /// play on the previous rung.
-    pub(crate) fn on_rung_notified(&mut self, kind: RequestKind, is_answered: bool) {
+    pub(crate) fn on_rung_notification_done(&mut self, kind: RequestKind, is_answered: bool) {
         let RequestKind::Step { play } = kind else { return };
         let retry_at = self.now() + self.config.limits.segment_ms;
         let Some(session) = self.sessions.get_mut(play) else { return };
@@ -270,12 +270,12 @@
         if is_answered {
             self.notify_rung(play);
         } else {
-            self.schedule(retry_at, Timer::RungRetry(play));
+            self.schedule(retry_at, Timer::RungNotificationRetry(play));
         }
     }
 
     /// Repeats a rung notification that was lost.
-    pub(crate) fn retry_rung_notice(&mut self, play: u64) {
+    pub(crate) fn retry_rung_notification(&mut self, play: u64) {
         let Some(session) = self.sessions.get_mut(play) else { return };
         (session.notified_rung, session.is_notifying_rung) = (None, false);
         self.notify_rung(play);
--- a/crates/edge/src/servers.rs
+++ b/crates/edge/src/servers.rs
@@ -163,7 +163,7 @@
             self.state.fleet_on_result(now, play, server, outcome);
         }
         if let Some(session) = self.state.sessions.get_mut(play) {
-            if let Some(connection) = session.connection.take() {
+            if let Some(connection) = session.allocation_connection.take() {
                 self.state.connections.close(connection);
             }
             was_playing = self.state.sessions.get(play).is_some_and(|s| s.phase() == SessionPhase::Playing);
@@ -328,7 +328,7 @@
             state.servers[server as usize].idle_connections.push(connection_id);
         }
         state.on_request_done(server);
-        state.on_rung_notified(kind, true);
+        state.on_rung_notification_done(kind, true);
         if let RequestKind::Segment { player, play, number } = kind {
             state.fetch_connections.remove(&player);
             state.stats.segments += 1;
@@ -338,7 +338,7 @@
                 session.is_complete |= session.title.presentation.segments() == Some(number);
                 state.schedule_session_timer(play);
             }
-            state.after_answer(player);
+            state.on_answer_written(player);
             self.on_player_connection(player);
         }
     }
--- a/crates/edge/src/sessions.rs
+++ b/crates/edge/src/sessions.rs
@@ -50,7 +50,7 @@
     /// It gets its final answer, or the running play has ended.
     End,
     /// Its answer is no longer kept.
-    Forget,
+    Remove,
 }
 
 /// Every change of phase: the phase before, the event, and the phase after; none where the session is removed.
@@ -62,7 +62,7 @@
     (SessionPhase::Allocating, Transition::End, Some(SessionPhase::Ending)),
     (SessionPhase::Playing, Transition::End, Some(SessionPhase::Ended)),
     (SessionPhase::Ending, Transition::AllocationEnded, Some(SessionPhase::Ended)),
-    (SessionPhase::Ended, Transition::Forget, None),
+    (SessionPhase::Ended, Transition::Remove, None),
 ];
 
 impl SessionPhase {
@@ -101,13 +101,13 @@
     /// Connections that wait for the answer.
     pub waiters: Vec<u64>,
     /// Since when no connection has waited, while the session is being decided.
-    pub alone_since: f64,
+    pub no_waiters_since: f64,
     /// The server of the latest allocation, the number of allocations so far, when the latest was sent, and the
     /// connection that carries it.
     pub server: Option<u32>,
     allocation_count: usize,
     pub sent_at: f64,
-    pub connection: Option<u64>,
+    pub allocation_connection: Option<u64>,
     /// The rung that the play has now.
     pub rung: usize,
     /// The rung of which the server was last notified, and whether that notification is under way or waits to be
@@ -336,11 +336,11 @@
             phase: SessionPhase::Requested,
             answer: None,
             waiters: vec![waiter],
-            alone_since: now,
+            no_waiters_since: now,
             server: None,
             allocation_count: 0,
             sent_at: 0.0,
-            connection: None,
+            allocation_connection: None,
             rung: 0,
             notified_rung: None,
             is_notifying_rung: false,
@@ -359,7 +359,7 @@
     pub fn remove_waiter(&mut self, now: f64, play: u64, waiter: u64) -> bool {
         let Some(session) = self.sessions.get_mut(&play) else { return false };
         session.waiters.retain(|w| *w != waiter);
-        session.alone_since = now;
+        session.no_waiters_since = now;
         session.waiters.is_empty() && session.phase.is_deciding()
     }
 
@@ -376,7 +376,7 @@
 
     /// Ends the play with this answer, which later requests get too. Returns the connections that still wait. A
     /// play that has ended already is left as it is.
-    pub fn end_play(&mut self, now: f64, play: u64, answer: Answer) -> Vec<u64> {
+    pub fn record_end(&mut self, now: f64, play: u64, answer: Answer) -> Vec<u64> {
         if !self.apply_transition(play, Transition::End) {
             return Vec::new();
         }
@@ -386,22 +386,22 @@
         std::mem::take(&mut session.waiters)
     }
 
-    /// When the session's timer is to fire next: a running play may be silent for `allowed_silence`, an undecided
-    /// one may have no connection that waits for `allowed_absence`.
-    pub fn next_deadline(&self, play: u64, allowed_silence: f64, allowed_absence: f64) -> Option<f64> {
+    /// When the session's timer is to fire next: a running play may be silent for `play_idle_timeout`, an undecided
+    /// one may have no connection that waits for `reconnect_timeout`.
+    pub fn next_deadline(&self, play: u64, play_idle_timeout: f64, reconnect_timeout: f64) -> Option<f64> {
         let session = self.sessions.get(&play)?;
         match session.phase {
             SessionPhase::Requested | SessionPhase::Allocating => {
-                session.waiters.is_empty().then_some(session.alone_since + allowed_absence)
+                session.waiters.is_empty().then_some(session.no_waiters_since + reconnect_timeout)
             }
-            SessionPhase::Playing => Some(session.last_request_at + allowed_silence),
+            SessionPhase::Playing => Some(session.last_request_at + play_idle_timeout),
             SessionPhase::Ending | SessionPhase::Ended => Some(session.expires_at),
         }
     }
 
     /// Removes a session that has ended.
-    pub fn forget(&mut self, play: u64) {
-        self.apply_transition(play, Transition::Forget);
+    pub fn remove(&mut self, play: u64) {
+        self.apply_transition(play, Transition::Remove);
     }
 }
 
@@ -458,10 +458,10 @@
         assert_eq!(sessions.start_playing(2.0, 1, answer(200)), [1, 2]);
         assert!(sessions.start_playing(2.0, 1, answer(200)).is_empty(), "answered once");
         assert_eq!(sessions.request_play(3.0, &request("a"), 4), RequestResult::Answered(answer(200)));
-        assert!(sessions.end_play(4.0, 1, answer(410)).is_empty());
+        assert!(sessions.record_end(4.0, 1, answer(410)).is_empty());
         assert_eq!(sessions.request_play(5.0, &request("a"), 5), RequestResult::Answered(answer(410)));
         assert_eq!(sessions.next_deadline(1, 50.0, 50.0), Some(104.0));
-        sessions.forget(1);
+        sessions.remove(1);
         assert_eq!(sessions.request_play(105.0, &request("a"), 6), RequestResult::New(2));
     }
 
@@ -491,9 +491,9 @@
         sessions.start_allocation(0.0, 2, 0, 0);
         sessions.start_playing(0.0, 2, answer(200));
         assert_eq!(sessions.request_play(0.0, &request("d"), 4), RequestResult::LimitReached("plays"));
-        sessions.end_play(0.0, 3, answer(503));
+        sessions.record_end(0.0, 3, answer(503));
         assert_eq!(sessions.request_play(0.0, &request("d"), 4), RequestResult::New(4));
-        sessions.end_play(0.0, 4, answer(503));
+        sessions.record_end(0.0, 4, answer(503));
         assert_eq!(sessions.request_play(0.0, &request("e"), 5), RequestResult::LimitReached("sessions"));
         assert_eq!(
             sessions.request_play(0.0, &request("a"), 6),
@@ -531,7 +531,7 @@
             Transition::AllocationEnded,
             Transition::StartPlaying,
             Transition::End,
-            Transition::Forget,
+            Transition::Remove,
         ]);
         prop_oneof![
             3 => (0u8..6, 0u64..30).prop_map(|(s, c)| Operation::Request(s, c)),
@@ -585,9 +585,9 @@
                                 Vec::new()
                             }
                             Transition::StartPlaying => sessions.start_playing(now, play, answer(200)),
-                            Transition::End => sessions.end_play(now, play, answer(500 + index as u16)),
-                            Transition::Forget => {
-                                sessions.forget(play);
+                            Transition::End => sessions.record_end(now, play, answer(500 + index as u16)),
+                            Transition::Remove => {
+                                sessions.remove(play);
                                 Vec::new()
                             }
                         };
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -1,6 +1,6 @@
 //! A front's state beside the dispatcher: connections, sessions, servers and their connection pools, timers, and
 //! the answers written to players. The dispatcher's actions (`actions`) work on it. It never calls the dispatcher;
-//! what it finds while the dispatcher is busy goes to [`EdgeState::finished_allocations`], which [`crate::edge`]
+//! what it finds while the dispatcher is busy goes to [`EdgeState::pending_allocation_ends`], which [`crate::edge`]
 //! reports to the dispatcher afterwards. Times are in ms.
 
 use crate::config::Config;
@@ -39,7 +39,7 @@
     /// A session's next deadline, by its play.
     Session(u64),
     /// A rung notification of this play was lost and is to be repeated.
-    RungRetry(u64),
+    RungNotificationRetry(u64),
     /// The deadline of a play in the admission queue.
     AdmissionQueue,
     ListPoll,
@@ -111,14 +111,14 @@
     pub(crate) servers: Vec<MediaServer>,
     pub(crate) server_numbers: HashMap<String, u32>,
     pub(crate) timers: Timers<Timer>,
-    pub(crate) finished_allocations: VecDeque<AllocationEnd>,
-    pub(crate) player_count: usize,
+    pub(crate) pending_allocation_ends: VecDeque<AllocationEnd>,
+    pub(crate) player_connection_count: usize,
     /// By player connection: the pooled connection that fetches a segment for it.
     pub(crate) fetch_connections: HashMap<ConnectionId, ConnectionId>,
     /// Requests to servers that are under way or wait.
     pub(crate) open_requests: usize,
     /// Players whose next request was already received when their answer was written.
-    pub(crate) players_to_resume: Vec<ConnectionId>,
+    pub(crate) connections_with_buffered_request: Vec<ConnectionId>,
     /// Identifies this run of this front in the paths of its allocations.
     pub(crate) run_id: String,
     pub(crate) stats: Stats,
@@ -156,7 +156,7 @@
 
     /// Whether the event loop is to end: on a second signal, or once a stopping front has no play, no request and
     /// nothing left to write.
-    pub(crate) fn is_finished(&self) -> bool {
+    pub(crate) fn should_exit(&self) -> bool {
         let is_idle =
             self.sessions.deciding_count() + self.sessions.playing_count() == 0 && self.open_requests == 0;
         self.is_halted
