--- a/crates/edge/benches/http.rs
+++ b/crates/edge/benches/http.rs
@@ -81,7 +81,7 @@
         }
         Ok(PostAction::Continue)
     };
-    events.handle().insert_source(source, accepted).expect("connections are taken");
+    events.handle().insert_source(source, accepted).expect("the listener is registered");
     loop {
         events.dispatch(None, &mut ()).expect("the loop runs");
     }
@@ -118,7 +118,7 @@
         }
         Ok(PostAction::Continue)
     };
-    events.handle().insert_source(source, accepted).expect("connections are taken");
+    events.handle().insert_source(source, accepted).expect("the listener is registered");
     loop {
         events.dispatch(None, &mut ()).expect("the loop runs");
     }
--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/answers.rs
@@ -83,8 +83,8 @@
         }
     }
 
-    /// The answer on this connection is written, or is in its write buffer: sets the connection to read the next
-    /// request or to close, and its deadline.
+    /// An answer to a player was written, or is in the write buffer: sets the connection to read the next request or
+    /// to close, and its deadline.
     pub(crate) fn on_answer_written(&mut self, connection_id: ConnectionId) {
         let now = self.now();
         let limits = &self.config.limits;
@@ -109,7 +109,7 @@
         self.set_connection_deadline(connection_id, deadline);
     }
 
-    /// The connection waits for the answer to this play, without a deadline of its own.
+    /// Sets the connection to wait for the manifest of this play, without a deadline of its own.
     pub(crate) fn await_manifest(&mut self, connection_id: ConnectionId, play: u64) {
         if let Some(connection) = self.connections.get_mut(connection_id) {
             connection.role = Role::Player(PlayerState::AwaitingManifest(play));
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Answers 503 to a play that was not admitted in time, or that had to make room in the admission queue. No
+    /// Ends with 503 a queued play that was not admitted: its time ran out, or the full queue displaced it. No
     /// allocation was sent for it.
     pub(crate) fn decline_queued_play(&mut self, play: u64) {
         let answer = self.retry_later_answer("too many plays are asked for now");
@@ -205,13 +205,13 @@
     pub(crate) fn refresh_manifest(&mut self, play: u64) -> Answer {
         let now = self.now();
         if let Some(session) = self.sessions.get_mut(play) {
-            session.last_request_at = now;
+            session.last_active_at = now;
         }
         self.manifest_answer(play).unwrap_or_else(|| text_answer(410, "this session does not play here"))
     }
 
-    /// Ends a play: connections that wait get the answer, and the play's line is logged. A play that has ended
-    /// already is left as it is.
+    /// Ends a play: counts and logs the end, sends the answer to the connections that wait, and keeps it as the final
+    /// answer. Does nothing where the play has ended already.
     pub(crate) fn end_play(&mut self, play: u64, cause: &'static str, answer: Answer) {
         let now = self.now();
         let Some(session) = self.sessions.get(play).filter(|s| !s.phase().is_over()) else { return };
@@ -241,11 +241,13 @@
         self.schedule_session_timer(play);
     }
 
-    /// How long the player of this play may be silent before the play is finished.
+    /// How long this play may go without a request before it is ended: `play_idle_ms`, or the duration of its longest
+    /// segment once its last segment has been delivered.
     pub(crate) fn play_idle_timeout(&self, play: u64) -> f64 {
-        let complete = self.sessions.get(play).filter(|s| s.is_complete);
-        match complete {
-            // The last segment may be requested once more.
+        let complete_session = self.sessions.get(play).filter(|s| s.is_complete);
+        match complete_session {
+            // After the last segment, only a repeated request for it can still come: one segment's duration is
+            // enough.
             Some(session) => session.title.presentation.longest_segment() as f64,
             None => self.config.limits.play_idle_ms,
         }
--- a/crates/edge/src/connections.rs
+++ b/crates/edge/src/connections.rs
@@ -24,10 +24,10 @@
 pub enum Role {
     /// A player's connection.
     Player(PlayerState),
-    /// An allocation: its set-up and, once that is answered, the notes on the play. It has a connection of its own,
-    /// so that a refused connection can be distinguished from one that breaks during the set-up.
+    /// An allocation: its set-up and, after a successful response, the notes on the play. Each has a connection of
+    /// its own, so that a refused connection can be distinguished from one that breaks during the set-up.
     Allocation { play: u64, server: u32, stage: AllocationStage },
-    /// A pooled connection to a server, with a request or idle. It is fresh until its first response is complete.
+    /// A pooled connection to a server, with a request or idle. `is_fresh` until its first response is complete.
     ServerPool { server: u32, request: Option<ServerRequest>, is_fresh: bool },
 }
 
@@ -38,9 +38,10 @@
     ReadingRequest,
     /// Waits for the answer to the manifest of this play.
     AwaitingManifest(u64),
-    /// Receives a segment of this play.
+    /// Waits for or receives a segment of this play. A fetch is a player's segment request under way; a read
+    /// ([`SegmentRead`]) is the request for it to the server, over all its tries.
     FetchingSegment(u64),
-    /// Closes once all is written.
+    /// Closes once the answer is written.
     Closing,
 }
 
@@ -57,9 +58,9 @@
     pub kind: RequestKind,
     /// The request as it is sent, without the headers that a segment's read adds.
     pub bytes: Vec<u8>,
-    /// For a segment: the progress of its read over all tries.
+    /// For a segment: its read, with the progress over all tries.
     pub segment_read: Option<SegmentRead>,
-    /// Bytes of the response's body still to come, once its head was read.
+    /// Bytes of the response's body still to be received; none until its head was read.
     pub body_bytes_left: Option<u64>,
     /// The server closes the connection after the response.
     pub close_after: bool,
@@ -75,13 +76,13 @@
 /// What a request to a server is for. The log shows the names of the variants and their fields.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestKind {
-    /// Reads a segment for a player.
+    /// Reads a segment for a player; `player` is its connection, `number` the segment's number.
     Segment { player: ConnectionId, play: u64, number: u64 },
     /// Requests a load report.
     Probe,
-    /// Notifies the server of a play's rung. A play has at most one of these under way, so that none overtakes
-    /// another.
+    /// A rung notification: sends a play's rung to its server. A play has at most one under way, so that none
+    /// overtakes another.
     Step { play: u64 },
-    /// Notifies the server of a play's end; its response changes nothing.
+    /// Notifies the server of a play's end; the response has no effect.
     Word,
 }
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -33,10 +33,12 @@
 use tracing::{debug, info, warn};
 use tracing_appender::non_blocking::ErrorCounter;
 
-/// File descriptors needed beside those of players and plays: for servers, the log, the list and the event loop.
-const SPARE_FILES: u64 = 256;
-/// How often the final counts are logged again while the log drops lines, and the time between.
+/// File descriptors needed beside those of players and plays: for pooled connections to servers, the log, the list
+/// and the event loop.
+const SPARE_FILE_DESCRIPTORS: u64 = 256;
+/// The final counts are logged at most this often, until the log drops no line.
 const FINAL_STATS_TRIES: usize = 50;
+/// The time between two attempts to log the final counts.
 const FINAL_STATS_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running front: the dispatcher, and the state on which its actions work.
@@ -66,14 +68,16 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// Blocks the signals to stop and to read all files again, so that the event loop reads them. To be called before
-/// any thread starts: a thread in which they are not blocked would end the process.
+/// Blocks SIGTERM, SIGINT, SIGHUP and SIGXFSZ, so that the event loop receives them and their default action, which
+/// ends the process, is not taken. To be called before any thread starts: a thread in which they are not blocked
+/// would still end the process.
 pub fn stop_signals() -> anyhow::Result<Signals> {
-    // SIGXFSZ is sent when the log's file has reached its size limit; if not blocked, it would end the process.
+    // SIGTERM and SIGINT stop the front, SIGHUP has it read all files again. SIGXFSZ is sent when the log's file has
+    // reached its size limit, and is ignored.
     Ok(Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGXFSZ])?)
 }
 
-/// Starts a front and runs it until it is told to stop; `dropped` counts the lines that its log dropped.
+/// Starts a front and runs it until a signal stops it; `dropped` counts the lines that its log has dropped.
 pub fn run(config: Config, stop: Signals, dropped: ErrorCounter) -> anyhow::Result<()> {
     let mut event_loop: EventLoop<'static, Edge> = EventLoop::try_new()?;
     let handle = event_loop.handle();
@@ -84,7 +88,7 @@
     // One descriptor for each player's connection and each play, and some for connections to servers.
     let wanted = (config.limits.connections + config.limits.plays) as u64;
     let may_open = rlimit::increase_nofile_limit(u64::MAX)?;
-    if may_open < wanted + SPARE_FILES {
+    if may_open < wanted + SPARE_FILE_DESCRIPTORS {
         warn!(target: "front", may_open, wanted, "too few file descriptors for the limits of this front");
     }
     let mut edge = Edge::new(config, handle.clone(), dropped)?;
@@ -125,7 +129,7 @@
         edge.state.wall_clock.sync(now, since_1970().as_secs_f64() * 1000.0);
     }
     info!(target: "front", left = edge.state.sessions.open_plays().len(), "stopped");
-    // The counts are logged last. A log that is read slowly is given time to take them.
+    // The counts are logged last. If the line is dropped because the log is read slowly, it is written again.
     for _ in 0..FINAL_STATS_TRIES {
         let dropped_before = edge.state.dropped_log_lines.dropped_lines();
         edge.state.log_stats();
@@ -166,7 +170,8 @@
             waiters: limits.waiters,
             remember_ms: limits.remember_ms,
         };
-        // Checked before the files are read, so that a file that is replaced meanwhile is seen at the next poll.
+        // `check_replaced` records the present versions. It comes before the files are read, so that the next poll
+        // sees a file that is replaced in between.
         let mut keys_file = config.keys.clone().map(WatchedFiles::new);
         keys_file.iter_mut().for_each(|keys_file| {
             keys_file.check_replaced();
@@ -228,8 +233,8 @@
         Ok(edge)
     }
 
-    /// Reports to the dispatcher the allocations that ended while it was busy, resumes players, and admits plays
-    /// from the queue, until nothing is left to do.
+    /// Does what an event has left to be done, until nothing is left: reports ended allocations to the dispatcher,
+    /// handles requests that players have already sent, and admits plays from the queue.
     pub(crate) fn process_pending(&mut self) {
         loop {
             if let Some(AllocationEnd { play, server, outcome }) =
@@ -289,7 +294,8 @@
         }
     }
 
-    /// Ends the play's `n`-th allocation, if it is still under way.
+    /// Ends the play's allocation of this number if it still awaits its response: `TimedOut`, or `Unreachable` if its
+    /// connection is not made yet. An allocation that already plays is not affected.
     fn on_set_up_timeout(&mut self, now: f64, play: u64, allocation_number: usize) {
         let state = &mut self.state;
         let Some(session) = state.sessions.get(play) else { return };
@@ -302,11 +308,14 @@
         let is_connected =
             state.connections.get_mut(connection_id).and_then(|connection| connection.connected());
         let outcome = if is_connected == Some(true) { Outcome::TimedOut } else { Outcome::Unreachable };
+        // `waited` counts from the viewer's request, not from this allocation.
         debug!(target: "play", play, server = state.server_name(server), waited = now - session.arrived_at, "set-up timed out");
         self.on_allocation_ended(play, server, outcome, &[]);
     }
 
-    /// Ends what a connection was waiting for, if its deadline has passed.
+    /// Handles the deadline of a connection, if it has passed: a request that was received only in part is answered
+    /// 408, other player connections and idle pooled ones are closed, a request to a server fails, and an allocation
+    /// whose connection is not made yet ends.
     fn on_connection_deadline(&mut self, now: f64, connection_id: ConnectionId) {
         let state = &mut self.state;
         let Some(connection) = state.connections.get_mut(connection_id) else { return };
@@ -330,7 +339,7 @@
                 }
                 state.close_player_connection(connection_id);
             }
-            // The set-up has a time-out of its own; this deadline is for connecting.
+            // This deadline is for connecting; the response is awaited until `Timer::SetUpTimeout`.
             Role::Allocation { play, server, stage: AllocationStage::AwaitingResponse } if !is_connected => {
                 let (play, server) = (*play, *server);
                 self.on_allocation_ended(play, server, Outcome::Unreachable, &[]);
@@ -344,8 +353,8 @@
         }
     }
 
-    /// Forgets a session that has expired, cancels one for which no connection waits, and finishes a play whose
-    /// player is silent; schedules the next timer where none of that is due.
+    /// Removes an ended session whose answer is kept no longer, cancels an undecided one for which no connection
+    /// waits, and ends a running play without activity; schedules the session's next timer where none of that is due.
     fn on_session_timer(&mut self, now: f64, play: u64) {
         let state = &mut self.state;
         let Some(session) = state.sessions.get(play) else { return };
@@ -358,14 +367,16 @@
             return state.schedule_session_timer(play);
         }
         match session.phase() {
+            // A session in phase `Ending` stays until its allocation has ended, which schedules this timer again.
             SessionPhase::Ending | SessionPhase::Ended => state.sessions.remove(play),
             SessionPhase::Requested | SessionPhase::Allocating => {
                 let answer = text_answer(410, "the viewer left before the play was set up");
                 self.cancel_undecided_play(play, "viewer gone", answer);
             }
+            // A segment that is still being fetched counts as activity.
             SessionPhase::Playing if session.active_fetches > 0 => {
                 if let Some(session) = state.sessions.get_mut(play) {
-                    session.last_request_at = now;
+                    session.last_active_at = now;
                 }
                 state.schedule_session_timer(play);
             }
@@ -378,7 +389,8 @@
 
     // ---- stopping ----
 
-    /// A signal was received: no new plays are taken from now on. A second signal ends the front at once.
+    /// A signal to stop was received: no new plays are accepted from now on, and the open ones may run on for
+    /// `stop_ms`. A second such signal ends the process at once.
     fn begin_stop(&mut self) {
         if self.state.is_stopping {
             warn!(target: "front", "second signal received: stopping at once");
@@ -392,7 +404,8 @@
         state.schedule(state.now() + stop_ms, Timer::StopDeadline);
     }
 
-    /// The time that a stopping front may run on has passed: every open play gets its final answer.
+    /// Ends every open play of a stopping front: queued ones with 503, undecided ones as the dispatcher decides,
+    /// running ones as ended.
     fn end_all_plays(&mut self) {
         for play in self.state.sessions.open_plays() {
             if self.state.admission_queue.remove(play) {
--- a/crates/edge/src/http.rs
+++ b/crates/edge/src/http.rs
@@ -144,7 +144,9 @@
 /// How a response's body is framed (RFC 9112, section 6.3).
 #[derive(Debug, PartialEq, Eq)]
 pub enum Body {
+    /// This many bytes.
     Length(u64),
+    /// Chunks, and the state of their decoding.
     Chunked(Chunks),
 }
 
@@ -156,13 +158,13 @@
     pub body: Body,
     /// The value of its load report's header, not parsed.
     pub load_report: Option<String>,
-    /// First and last byte, and the length of the whole, of a partial response.
+    /// `Content-Range` of a partial response: first and last byte, both included, and the length of the whole.
     pub range: Option<(u64, u64, u64)>,
     /// `ETag` (RFC 9110, section 8.8.3).
     pub etag: Option<String>,
 }
 
-/// Why a response can't be used.
+/// Why a media server's response can't be used.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResponseError {
     #[error("response head longer than {ANSWER_HEAD} bytes")]
@@ -177,7 +179,7 @@
     Line(usize),
 }
 
-/// Parses a response's head. Returns the head and its length in bytes, or none while it is incomplete.
+/// Parses a media server's response head. Returns the head and its length in bytes, or none while it is incomplete.
 pub fn parse_response(input: &[u8]) -> Result<Option<(Response, usize)>, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
@@ -206,7 +208,8 @@
             "transfer-encoding" => return Err(ResponseError::Malformed("Transfer-Encoding".into())),
             "connection" if list_contains(value, "close") => keep_alive = false,
             "content-range" => {
-                range = Some(content_range(value).ok_or(ResponseError::Malformed("Content-Range".into()))?);
+                range =
+                    Some(parse_content_range(value).ok_or(ResponseError::Malformed("Content-Range".into()))?);
             }
             "etag" if (2..=MAX_ETAG_BYTES).contains(&value.len()) => etag = Some(value.to_string()),
             pulleystair_orca::HEADER => load_report = Some(value.to_string()),
@@ -226,7 +229,7 @@
 }
 
 /// Parses `Content-Range`: `bytes FIRST-LAST/LENGTH` (RFC 9110, section 14.4).
-fn content_range(value: &str) -> Option<(u64, u64, u64)> {
+fn parse_content_range(value: &str) -> Option<(u64, u64, u64)> {
     let (part, whole) = value.strip_prefix("bytes ")?.split_once('/')?;
     let (first, last) = part.split_once('-')?;
     let (first, last, whole) = (first.parse().ok()?, last.parse().ok()?, whole.parse().ok()?);
@@ -246,7 +249,7 @@
     (first <= last).then_some((first, Some(last)))
 }
 
-/// Decodes a chunked body (RFC 9112, section 7.1).
+/// The state of decoding a chunked body (RFC 9112, section 7.1).
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Chunks {
     /// Bytes of the current chunk still to come, its line end included.
--- a/crates/edge/src/players.rs
+++ b/crates/edge/src/players.rs
@@ -20,8 +20,8 @@
 const ACCEPT_RETRY_DELAY_MS: f64 = 100.0;
 
 impl Edge {
-    /// Accepts the connections that wait at a listening socket. Up to twice the configured number are accepted:
-    /// those beyond the number are answered 503 and closed, those beyond twice the number are closed unanswered.
+    /// Accepts the connections that wait at a listening socket. Connections beyond the configured number are answered
+    /// 503 and closed; those beyond twice that number are closed unanswered.
     pub(crate) fn accept(&mut self, listener: &TcpListener, is_operator: bool) {
         loop {
             let stream = match listener.accept() {
@@ -72,8 +72,8 @@
         }
     }
 
-    /// A player's connection can be read or written: reads and answers its requests, or goes on relaying its
-    /// segment.
+    /// Handles a player's connection that can be read or written: reads and answers its requests, or resumes the
+    /// relay of its segment.
     pub(crate) fn on_player_connection(&mut self, connection_id: ConnectionId) {
         loop {
             let state = &mut self.state;
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Answers one request, or begins to: a play that is being decided and a segment that is being fetched are
-    /// answered later.
+    /// Handles one request of a player or an operator. A manifest whose play is undecided and a segment are answered
+    /// later.
     pub(crate) fn handle_request(&mut self, connection_id: ConnectionId, request: &http::Request) {
         if self
             .state
@@ -213,7 +213,8 @@
         let state = &mut self.state;
         let now = state.now();
         let viewer_ip = state.connections.get_mut(connection_id).and_then(|connection| connection.peer_ip());
-        // A token is not refused as expired before its time is over by the slowest clock that the skew allows, s.
+        // The wall clock less `skew_ms`, seconds: the issuer's clock may be that much slower, and a token that is
+        // still valid by it is not refused as expired.
         let earliest_now_s =
             ((state.wall_clock_now() - state.config.limits.skew_ms) / 1000.0).max(0.0) as u64;
         let entry = match state.entry_keys.verify_entry(token, earliest_now_s, product, title) {
@@ -237,6 +238,7 @@
             return Some(text_answer(404, "that title is listed no more"));
         }
         let deadline = now + config.products[product].time_limit_ms;
+        // A session of a product with such an effect is served only by its home front; others are redirected there.
         let has_effect = config.products[product].effect != Effect::ReadLike;
         if has_effect && !is_known && state.home_addresses.len() == config.fronts {
             let home = home_front(&entry.jti, config.fronts);
@@ -276,7 +278,7 @@
                 Some(state.retry_later_answer(&format!("this front is at its limit of {limit}")))
             }
             RequestResult::Answered(answer) if answer.status != 200 => Some(answer),
-            // The manifest of the same play, with a new pass.
+            // The play runs: its manifest again, with a new pass.
             RequestResult::Answered(answer) => {
                 let play = state.sessions.by_id(&entry.jti);
                 Some(play.and_then(|play| state.manifest_answer(play)).unwrap_or(answer))
@@ -294,7 +296,8 @@
         }
     }
 
-    /// Admits a play to a decision, or queues it where as many set-ups are under way as the limit allows.
+    /// Passes a new play to the dispatcher, or queues it where others are queued or as many set-ups are under way as
+    /// the limit allows.
     pub(crate) fn admit_or_queue(&mut self, now: f64, play: u64) {
         let state = &mut self.state;
         if state.admission_queue.is_empty() && state.pending_set_ups < state.set_up_limit.current() {
@@ -310,7 +313,7 @@
         }
     }
 
-    /// Passes the play to the dispatcher, which decides it.
+    /// Passes the play to the dispatcher, which decides where it is set up.
     pub(crate) fn admit(&mut self, play: u64) {
         let now = self.state.now();
         let Some(session) = self.state.sessions.get(play) else { return };
@@ -327,7 +330,8 @@
         self.state.set_up_limit.on_decided(self.state.now() - now);
     }
 
-    /// Answers the queued plays whose time has run out, and admits as many of the others as the limit allows.
+    /// Answers the queued plays whose time has run out with 503, and admits as many of the others as the limit
+    /// allows.
     pub(crate) fn admit_queued(&mut self) {
         let now = self.state.now();
         for expired in self.state.admission_queue.take_expired(now) {
@@ -339,7 +343,8 @@
         }
     }
 
-    /// Handles a request for a segment by its pass. Returns the answer, or none while the segment is fetched.
+    /// Handles a request for a segment by its pass, a session token. Returns the answer that refuses it, or none
+    /// where the segment is fetched from the play's server.
     pub(crate) fn handle_segment_request(
         &mut self,
         connection_id: ConnectionId,
@@ -374,7 +379,7 @@
             }
             _ => return Some(text_answer(404, "no such segment")),
         }
-        session.last_request_at = now;
+        session.last_active_at = now;
         if session.active_fetches >= state.config.limits.fetches {
             return Some(Answer {
                 retry_after: Some(1),
@@ -405,8 +410,8 @@
         None
     }
 
-    /// Ends a running play from this side, for example because the viewer left or is silent, and notifies its
-    /// server.
+    /// Ends a running play from this side, for example because the viewer left: closes its allocation's connection,
+    /// sends a DELETE to its server, and reports the end to the dispatcher.
     pub(crate) fn end_running_play(&mut self, play: u64, cause: &'static str) {
         let state = &mut self.state;
         let now = state.now();
@@ -426,7 +431,7 @@
         self.dispatcher.on_allocation_ended(now, play, server, Outcome::Finished, true, &[], &mut self.state);
     }
 
-    /// Cancels an undecided play, which waits in the admission queue or is being decided by the dispatcher.
+    /// Cancels an undecided play with this final answer, and takes it out of the admission queue or the dispatcher.
     pub(crate) fn cancel_undecided_play(&mut self, play: u64, cause: &'static str, answer: Answer) {
         self.state.end_play(play, cause, answer);
         if !self.state.admission_queue.remove(play) {
@@ -434,7 +439,7 @@
         }
     }
 
-    /// Ends a session that was revoked.
+    /// Ends the play of a session that was revoked, whether undecided or running.
     pub(crate) fn revoke(&mut self, play: u64) {
         match self.state.sessions.get(play).map(|s| s.phase()) {
             Some(SessionPhase::Requested | SessionPhase::Allocating) => {
--- a/crates/edge/src/segment_read.rs
+++ b/crates/edge/src/segment_read.rs
@@ -1,5 +1,6 @@
 //! The read of a segment from its server over all its tries: what is requested, and whether a response continues
-//! what was already relayed to the player. What happens after a failed try is decided by
+//! what was already relayed to the player. Byte ranges are as in HTTP, with the last byte included, unless said
+//! otherwise. What happens after a failed try is decided by
 //! [`pulleystair_admission::read_retries`].
 
 use crate::http::{Body, Response};
@@ -16,13 +17,15 @@
     pub head_only: bool,
     /// The player's `If-None-Match`: the validator of the segment that it already has.
     pub if_none_match: Option<String>,
-    /// The number of tries so far, the current one included. A try on a stale connection does not count.
+    /// The number of tries so far, the current one included. A try on a connection that the server had already closed
+    /// does not count.
     pub tries: usize,
     /// Until when the player is assumed to wait, ms since 1970; no retry begins later.
     pub deadline: f64,
     /// The server's validator of the bytes that are being relayed.
     etag: Option<String>,
-    /// The bytes being relayed, first and one past the last, once the player has a head.
+    /// The bytes that are relayed to the player: the first, and the one past the last. Set once a response's head was
+    /// accepted.
     relay_span: Option<(u64, u64)>,
     /// The next byte to be relayed.
     next_byte: u64,
@@ -97,8 +100,8 @@
         self.next_byte += bytes;
     }
 
-    /// Takes the head of a try's response. Returns the head for the player at the first try, and none at a later one
-    /// that continues what was relayed; an error where the response can't be used.
+    /// Checks the head of a try's response, and records which bytes are relayed. Returns the head for the player, or
+    /// none where the player has a head and this response continues it; an error where the response can't be used.
     pub fn accept_response_head(&mut self, response: &Response) -> Result<Option<SegmentHead>, ReadError> {
         let Body::Length(length) = response.body else { return Err(ReadError::Malformed) };
         let etag = response.etag.clone();
@@ -125,6 +128,7 @@
                 let range = response.range.filter(|_| response.status == 206);
                 Ok(Some(SegmentHead { status: response.status, length, range, etag }))
             }
+            // Another version of the segment, reported as `Length`: its bytes can't follow those already relayed.
             Some(_) if self.etag.is_some() && etag.is_some() && etag != self.etag => Err(ReadError::Length),
             Some((_, end)) if first == self.next_byte && first + length == end => Ok(None),
             Some(_) => Err(ReadError::Length),
@@ -150,7 +154,7 @@
 
     #[test_case(200, 1000, None, Ok(Some(SegmentHead { status: 200, length: 1000, range: None, etag: None })); "whole")]
     #[test_case(404, 0, None, Err(ReadError::Status(404)); "not there")]
-    #[test_case(206, 10, Some((0, 9, 1000)), Err(ReadError::Malformed); "a part nobody asked for")]
+    #[test_case(206, 10, Some((0, 9, 1000)), Err(ReadError::Malformed); "a range although none was requested")]
     fn the_first_response_gives_the_players_head_or_an_error(
         status: u16,
         length: u64,
@@ -164,11 +168,11 @@
     }
 
     #[test_case(206, 700, Some((300, 999, 1000)), Ok(None); "the rest")]
-    #[test_case(200, 1000, None, Err(ReadError::Length); "all of it again")]
+    #[test_case(200, 1000, None, Err(ReadError::Length); "the whole again")]
     #[test_case(206, 700, Some((299, 998, 1000)), Err(ReadError::Length); "from another byte")]
-    #[test_case(206, 800, Some((300, 1099, 1100)), Err(ReadError::Length); "of a longer one")]
+    #[test_case(206, 800, Some((300, 1099, 1100)), Err(ReadError::Length); "the rest of a longer segment")]
     #[test_case(206, 700, Some((300, 1000, 1000)), Err(ReadError::Malformed); "a length that is not its range's")]
-    #[test_case(206, 700, None, Err(ReadError::Malformed); "a part without a range")]
+    #[test_case(206, 700, None, Err(ReadError::Malformed); "206 without Content-Range")]
     fn a_retry_after_300_of_1000_bytes_must_be_the_rest(
         status: u16,
         length: u64,
--- a/crates/edge/src/server_requests.rs
+++ b/crates/edge/src/server_requests.rs
@@ -1,4 +1,4 @@
-//! Requests to media servers on pooled connections: segments, rung changes, ends of plays and probes. The
+//! Requests to media servers on pooled connections: segments, rung notifications, ends of plays and probes. The
 //! handlers of players' requests and the dispatcher's actions start them; `servers` reads the responses.
 //! Times are in ms.
 
@@ -13,8 +13,8 @@
 use crate::state::{EdgeState, Timer, text_answer};
 
 impl EdgeState {
-    /// The path of a play's `n`-th allocation at its server. It contains the id of this run, so no path is ever
-    /// used again, by this run or another.
+    /// The path of a play's allocation of this number at its server. It contains the id of this run, so no path is
+    /// ever used again, by this run or another.
     pub(crate) fn allocation_path(&self, play: u64, allocation_number: usize) -> String {
         format!("/plays/{}-{play}-{allocation_number}", self.run_id)
     }
@@ -27,7 +27,7 @@
         format!("{method} {target} HTTP/1.1\r\nHost: {address}\r\n{length}\r\n{body}").into_bytes()
     }
 
-    /// Begins a connection to this server, with TLS where certificates for servers are configured.
+    /// Starts to connect to this server, with TLS where certificates for servers are configured.
     pub(crate) fn connect_to_server(&mut self, server: u32, role: Role) -> io::Result<ConnectionId> {
         let address = self.servers[server as usize].address;
         let stream = pulleystair_connections::connect(address)?;
@@ -44,7 +44,8 @@
         self.connections.open(stream, tls, role)
     }
 
-    /// Runs the request on an idle connection or a new one, or queues it until a connection is free.
+    /// Runs the request on an idle connection or a new one, or queues it until a connection is free. It is abandoned
+    /// where the queue is full or no connection can be opened.
     pub(crate) fn run_request(&mut self, server: u32, request: ServerRequest) {
         let media_server = &mut self.servers[server as usize];
         if let Some(connection_id) = media_server.idle_connections.pop() {
@@ -102,7 +103,7 @@
         self.set_connection_deadline(connection_id, deadline);
     }
 
-    /// Counts off a request that is over, and runs the next that waits for this server.
+    /// Decrements `open_requests` for a request that is over, and runs the next that waits for this server.
     pub(crate) fn on_request_done(&mut self, server: u32) {
         self.open_requests = self.open_requests.saturating_sub(1);
         self.run_waiting_requests(server);
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Closes a pooled connection. A request that it carries is no longer wanted, and counts as done.
+    /// Closes a pooled connection. A request that it carries is no longer needed, and counts as done.
     pub(crate) fn close_pooled_connection(&mut self, connection_id: ConnectionId) {
         if let Some(Role::ServerPool { server, request, .. }) = self.connections.close(connection_id) {
             let media_server = &mut self.servers[server as usize];
@@ -138,8 +139,9 @@
         }
     }
 
-    /// The request got no response, or only a part of one. A segment's read may go on, on a new connection; any
-    /// other request is repeated only if it was sent on a connection that the server had already closed.
+    /// The request got no response, an invalid one, or only a part of one. A segment's read may be retried on a new
+    /// connection; any other request is repeated only if the server probably closed the connection before it arrived
+    /// (`is_stale`: a connection that was used before breaks without a response).
     pub(crate) fn on_request_failed(&mut self, connection_id: ConnectionId, error: read_retries::ReadError) {
         let Some(Role::ServerPool { server, request, is_fresh }) = self.connections.close(connection_id)
         else {
@@ -172,8 +174,8 @@
                 if let Some(segment_read) = request.segment_read.as_mut().filter(|_| !is_stale) {
                     segment_read.tries += 1;
                 }
-                // It goes on as the same request, so no waiting request is run, unless no connection can be
-                // opened and it has ended here.
+                // The request stays open, so no waiting request is run, unless no connection could be opened and the
+                // request was abandoned.
                 if !self.run_on_new_connection(server, request) {
                     self.run_waiting_requests(server);
                 }
@@ -203,15 +205,15 @@
         }
     }
 
-    /// A segment broke off in the middle: the player's connection is closed, so that it sees that the response is
+    /// Closes the player's connection in the middle of a segment, so that the player sees that the response is
     /// incomplete.
     pub(crate) fn abort_player_response(&mut self, player: ConnectionId) {
         self.fetch_connections.remove(&player);
         self.close_player_connection(player);
     }
 
-    /// Gives the request up. A player that waits for it gets this answer, or is disconnected where a part of the
-    /// response has gone out.
+    /// Gives the request up. A player that waits for its segment gets an answer of this status and text, or 410 where
+    /// the play has ended; it is disconnected where a part of the response has been relayed to it.
     pub(crate) fn abandon_request(&mut self, request: ServerRequest, status: u16, why: &str) {
         self.on_rung_notification_done(request.kind, false);
         let RequestKind::Segment { player, play, .. } = request.kind else { return };
@@ -227,10 +229,11 @@
         self.refuse_segment_request(player, play, &answer);
     }
 
-    /// Answers a player's request for a segment without a segment, and counts its fetch off.
+    /// Answers a player's segment request with this answer in place of the segment, and decrements the play's
+    /// `active_fetches`.
     pub(crate) fn refuse_segment_request(&mut self, player: ConnectionId, play: u64, answer: &Answer) {
         self.fetch_connections.remove(&player);
-        // The fetch of a closed connection was counted off when it was closed.
+        // The fetch of a closed connection was already subtracted in `close_player_connection`.
         if self.connections.get_mut(player).is_none() {
             return;
         }
@@ -240,8 +243,9 @@
         self.send_answer(player, answer);
     }
 
-    /// Notifies the server of a play of its current rung. A play whose set-up is still under way is notified once
-    /// it plays: a notification that overtakes the set-up would find no play there.
+    /// Sends the play's current rung to its server, unless the server has it or a notification is under way. Before
+    /// the play runs nothing is sent, since the notification could arrive before the set-up; `on_play_started` calls
+    /// this again.
     pub(crate) fn notify_rung(&mut self, play: u64) {
         let Some(session) = self.sessions.get_mut(play) else { return };
         let (SessionPhase::Playing, Some(server), allocation_number) =
@@ -259,9 +263,9 @@
         self.run_request(server, ServerRequest::new(RequestKind::Step { play }, request));
     }
 
-    /// A rung notification is over; other kinds of request are ignored. A rung that changed meanwhile is notified
-    /// now. A notification that was not answered is repeated after a while, since the server may still run the
-    /// play on the previous rung.
+    /// A rung notification is over; other kinds of request are ignored. `is_answered` says that a response was
+    /// received, whatever its status: a rung that changed meanwhile is then sent now. Without a response the
+    /// notification is repeated after `segment_ms`, since the server may still run the play on the previous rung.
     pub(crate) fn on_rung_notification_done(&mut self, kind: RequestKind, is_answered: bool) {
         let RequestKind::Step { play } = kind else { return };
         let retry_at = self.now() + self.config.limits.segment_ms;
@@ -274,14 +278,15 @@
         }
     }
 
-    /// Repeats a rung notification that was lost.
+    /// Sends the play's current rung again after a notification that got no response.
     pub(crate) fn retry_rung_notification(&mut self, play: u64) {
         let Some(session) = self.sessions.get_mut(play) else { return };
         (session.notified_rung, session.is_notifying_rung) = (None, false);
         self.notify_rung(play);
     }
 
-    /// Writes the head of a segment's response to the player, and sets the time in which it must read all of it.
+    /// Writes the head of a segment's response to the player, and sets the deadline by which the player must have
+    /// read all of the response.
     pub(crate) fn write_segment_head(&mut self, player: ConnectionId, play: u64, head: &SegmentHead) {
         let Some(session) = self.sessions.get(play) else { return };
         let product = &self.config.products[session.product];
--- a/crates/edge/src/servers.rs
+++ b/crates/edge/src/servers.rs
@@ -20,7 +20,8 @@
 const MAX_DISCARDED_BYTES: u64 = 64 << 10;
 
 impl Edge {
-    /// An allocation's connection can be read or written: reads the response to the set-up, then the notes.
+    /// Handles an allocation's connection that can be read or written: reads the response to the set-up, then the
+    /// notes.
     pub(crate) fn on_allocation_connection(&mut self, connection_id: ConnectionId) {
         let now = self.state.now();
         let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
@@ -71,8 +72,8 @@
         self.read_notes(connection_id, play, server);
     }
 
-    /// The play's first frame is ready: answers the connections that wait, and reports the play and its metrics to
-    /// the dispatcher.
+    /// The play's first frame is ready: answers the connections that wait with the manifest, and reports to the
+    /// dispatcher that the play runs, and the metrics of the response's load report.
     pub(crate) fn on_play_started(&mut self, now: f64, play: u64, server: u32, load: &[LoadMetric]) {
         let state = &mut self.state;
         state.fleet_on_result(now, play, server, Outcome::Playing);
@@ -146,8 +147,8 @@
         }
     }
 
-    /// An allocation has ended: its connection is closed before the dispatcher may send the play again. Ends the
-    /// play if it was running.
+    /// An allocation has ended: closes its connection, before the dispatcher may start a further allocation, ends the
+    /// play if it was running, and reports the end to the dispatcher.
     pub(crate) fn on_allocation_ended(
         &mut self,
         play: u64,
@@ -188,7 +189,8 @@
         self.state.set_up_limit.on_decided(self.state.now() - now);
     }
 
-    /// A player has read what was buffered for it: goes on reading its segment from the server.
+    /// Resumes reading a segment from its server once the player has read enough of what was buffered for it.
+    /// `player` is the player's connection.
     pub(crate) fn resume_relay(&mut self, player: ConnectionId) {
         let state = &mut self.state;
         let Some(connection) = state.connections.get_mut(player) else { return };
@@ -198,8 +200,8 @@
         }
     }
 
-    /// A pooled connection can be read or written: reads the response to its request, and relays a segment's body to
-    /// the player.
+    /// Handles a pooled connection that can be read or written: reads the response to its request, and relays a
+    /// segment's body to the player.
     pub(crate) fn on_server_connection(&mut self, connection_id: ConnectionId) {
         loop {
             let state = &mut self.state;
@@ -302,8 +304,8 @@
         }
     }
 
-    /// A response was read completely: puts the connection back into the pool or closes it, and finishes what the
-    /// request was for.
+    /// A response was read completely: returns the connection to the pool or closes it, and completes the player's
+    /// segment request or the rung notification for which the request was sent.
     pub(crate) fn on_response_complete(
         &mut self,
         connection_id: ConnectionId,
@@ -334,7 +336,7 @@
             state.stats.segments += 1;
             if let Some(session) = state.sessions.get_mut(play) {
                 session.active_fetches = session.active_fetches.saturating_sub(1);
-                session.last_request_at = now;
+                session.last_active_at = now;
                 session.is_complete |= session.title.presentation.segments() == Some(number);
                 state.schedule_session_timer(play);
             }
--- a/crates/edge/src/sessions.rs
+++ b/crates/edge/src/sessions.rs
@@ -2,16 +2,17 @@
 //! answer, and what the answer was. It does no I/O; the caller passes the time (ms) and the ids of waiting
 //! connections.
 //!
-//! A session is requested, then plays or not, then ends. It is answered once; a further request for the same
-//! session within `remember_ms` gets the same answer. [`TRANSITIONS`] lists every change of phase; no other change
-//! is made.
+//! A session is requested, then plays or not, then ends. Each connection that waits for it is answered once. While
+//! the session plays, a repeated request gets its manifest again with a new pass; for `remember_ms` after the end it
+//! gets the final answer. [`TRANSITIONS`] lists every change of phase; no other change is made. A running play is one
+//! whose session is in phase [`SessionPhase::Playing`].
 
 use crate::server_list::Title;
 use std::collections::{HashMap, HashSet};
 use std::net::IpAddr;
 use std::rc::Rc;
 
-/// An answer to a player's request that is sent whole; the final answer where it is a session's.
+/// A complete answer to a player's request, in contrast to a segment, which is relayed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     pub status: u16,
@@ -28,13 +29,13 @@
 pub enum SessionPhase {
     /// Not answered yet, and no allocation is under way.
     Requested,
-    /// Not answered yet, and one allocation is under way.
+    /// Not answered yet, and one allocation awaits its response.
     Allocating,
-    /// Its first frame was ready; the answer is the manifest.
+    /// The play runs: its first frame was ready, and the answer is the manifest.
     Playing,
-    /// It has its final answer, and an allocation that is still to be withdrawn.
+    /// The final answer is set, and an allocation is still to be withdrawn.
     Ending,
-    /// It has its final answer, which is kept for a while.
+    /// No allocation is left; the final answer is kept for `remember_ms`.
     Ended,
 }
 
@@ -47,9 +48,9 @@
     AllocationEnded,
     /// The first frame is ready.
     StartPlaying,
-    /// It gets its final answer, or the running play has ended.
+    /// The final answer is set: the play was not set up, or the running play has ended.
     End,
-    /// Its answer is no longer kept.
+    /// The session and its final answer are removed.
     Remove,
 }
 
@@ -71,7 +72,7 @@
         matches!(self, SessionPhase::Requested | SessionPhase::Allocating)
     }
 
-    /// Whether the session has its final answer, and does not play or plays no more.
+    /// Whether the session has its final answer; it has not played, or plays no longer.
     pub fn is_over(self) -> bool {
         matches!(self, SessionPhase::Ending | SessionPhase::Ended)
     }
@@ -86,44 +87,50 @@
     pub viewer: String,
     /// The address from which it was first requested.
     pub viewer_ip: Option<IpAddr>,
+    /// The product's index in the configuration.
     pub product: usize,
-    /// The title's number, and the title as it was listed when the play was requested.
+    /// The title's number at this front, which is never reused.
     pub title_number: usize,
+    /// The title as it was listed when the play was requested.
     pub title: Rc<Title>,
     /// The highest rung that the entry token allows.
     pub max_rung: usize,
-    /// When the play was requested, and when its set-up must have succeeded.
+    /// When the play was requested.
     pub arrived_at: f64,
+    /// When the play's set-up must have succeeded.
     pub deadline: f64,
     phase: SessionPhase,
-    /// The answer; none while the session is being decided.
+    /// The manifest while the play runs, then the final answer; none while the session is being decided.
     answer: Option<Answer>,
     /// Connections that wait for the answer.
     pub waiters: Vec<u64>,
-    /// Since when no connection has waited, while the session is being decided.
+    /// Since when no connection has waited for the answer. Used only while the session is being decided and `waiters`
+    /// is empty.
     pub no_waiters_since: f64,
-    /// The server of the latest allocation, the number of allocations so far, when the latest was sent, and the
-    /// connection that carries it.
+    /// The server of the latest allocation; none before the first, and once an allocation has ended without playing.
     pub server: Option<u32>,
     allocation_count: usize,
+    /// When the latest allocation was sent.
     pub sent_at: f64,
+    /// The connection of the latest allocation, while it is open.
     pub allocation_connection: Option<u64>,
     /// The rung that the play has now.
     pub rung: usize,
-    /// The rung of which the server was last notified, and whether that notification is under way or waits to be
-    /// repeated.
+    /// The rung last sent to the server, in the set-up or a notification; none where it has to be sent again.
     pub notified_rung: Option<usize>,
+    /// Whether a rung notification is under way or waits to be repeated.
     pub is_notifying_rung: bool,
-    /// When the play's first frame was ready (0 before that), when its player last requested something, and the
-    /// segment requests under way.
+    /// When the play's first frame was ready; 0 before that.
     pub started_at: f64,
-    pub last_request_at: f64,
+    /// When the running play was last active: its player made a request, or a segment response to it ended.
+    pub last_active_at: f64,
+    /// The player's segment requests under way.
     pub active_fetches: usize,
     /// Until when its pass is valid, as renewed by the pass's last use, ms since 1970 of the wall clock.
     pub pass_valid_until: f64,
     /// Whether its last segment has been delivered.
     pub is_complete: bool,
-    /// When its answer is forgotten.
+    /// When the session and its final answer are removed; set at its end.
     expires_at: f64,
 }
 
@@ -133,12 +140,12 @@
         self.phase
     }
 
-    /// The answer; none while the session is being decided.
+    /// The manifest while the play runs, then the final answer; none while the session is being decided.
     pub fn answer(&self) -> Option<&Answer> {
         self.answer.as_ref()
     }
 
-    /// The number of allocations so far.
+    /// The number of allocations so far, which is also the number of the latest one in paths and timers.
     pub fn allocation_count(&self) -> usize {
         self.allocation_count
     }
@@ -147,19 +154,19 @@
 /// The result of a manifest request.
 #[derive(Debug, PartialEq)]
 pub enum RequestResult {
-    /// A new play, which the caller has decided under this number.
+    /// A new play with this number; the caller must have the dispatcher decide it.
     New(u64),
-    /// The play is being decided already; the connection will get its answer too.
+    /// The play is being decided already; the connection waits for the same answer.
     Joined,
-    /// The session was answered before.
+    /// The session was answered before: the manifest of a running play, or the final answer.
     Answered(Answer),
     /// The session belongs to another viewer, product or title.
     Mismatch,
-    /// The limit of this name is reached.
+    /// The limit of this name (a field of [`SessionLimits`]) is reached.
     LimitReached(&'static str),
 }
 
-/// A request for a session's manifest.
+/// A request for a session's manifest; the fields are those of [`Session`].
 pub struct ManifestRequest<'a> {
     pub session_id: &'a str,
     pub viewer: &'a str,
@@ -171,18 +178,22 @@
     pub deadline: f64,
 }
 
-/// The limits of a [`SessionTable`]: undecided plays, undecided and running plays, sessions, connections that wait
-/// for one session, and how long the answer of a session that has ended is kept.
+/// The limits of a [`SessionTable`].
 #[derive(Clone, Copy, Debug)]
 pub struct SessionLimits {
+    /// Undecided plays.
     pub deciding: usize,
+    /// Undecided and running plays.
     pub plays: usize,
+    /// Sessions, those that have ended included.
     pub sessions: usize,
+    /// Connections that wait for one session's answer.
     pub waiters: usize,
+    /// How long a session and its final answer are kept after its end.
     pub remember_ms: f64,
 }
 
-/// All sessions, by play. A play has the number of its session.
+/// All sessions. A session is found by the number of its play, or by the id in its entry token.
 pub struct SessionTable {
     limits: SessionLimits,
     by_id: HashMap<String, u64>,
@@ -230,7 +241,8 @@
         self.playing_count
     }
 
-    /// Changes a session's phase, and nothing else does. Returns false where [`TRANSITIONS`] has no such change.
+    /// Changes a session's phase; no other function does. Returns false where the session is unknown or
+    /// [`TRANSITIONS`] has no such change.
     fn apply_transition(&mut self, play: u64, transition: Transition) -> bool {
         let Some(session) = self.sessions.get_mut(&play) else { return false };
         let phase_before = session.phase;
@@ -256,8 +268,8 @@
         true
     }
 
-    /// Records that an allocation is sent to this server. Returns its number among the play's allocations, or none
-    /// where the session's phase does not allow it.
+    /// Records that an allocation is sent to this server. Returns its number among the play's allocations, from 1, or
+    /// none where the session is unknown or its phase is not `Requested`.
     pub fn start_allocation(&mut self, now: f64, play: u64, server: u32, rung: usize) -> Option<usize> {
         if !self.apply_transition(play, Transition::SendAllocation) {
             return None;
@@ -269,7 +281,8 @@
         Some(session.allocation_count)
     }
 
-    /// Records that the allocation under way has ended without playing. Returns false where none was under way.
+    /// Records that the allocation that awaited its response, or was to be withdrawn, has ended without playing.
+    /// Returns false where there was none; a running play is ended by [`SessionTable::record_end`].
     pub fn end_allocation(&mut self, play: u64) -> bool {
         let has_ended = self.apply_transition(play, Transition::AllocationEnded);
         if let Some(session) = self.sessions.get_mut(&play).filter(|_| has_ended) {
@@ -291,7 +304,8 @@
         plays
     }
 
-    /// Takes a manifest request from connection `waiter`.
+    /// Handles a manifest request from connection `waiter`: opens a session, has the connection wait for the answer
+    /// of an undecided one, or returns the answer that the session has.
     pub fn request_play(&mut self, now: f64, request: &ManifestRequest, waiter: u64) -> RequestResult {
         if let Some(play) = self.by_id(request.session_id) {
             let session = self.sessions.get_mut(&play).expect("a known id has its session");
@@ -301,7 +315,7 @@
             }
             if let Some(answer) = &session.answer {
                 if session.phase == SessionPhase::Playing {
-                    session.last_request_at = now;
+                    session.last_active_at = now;
                 }
                 return RequestResult::Answered(answer.clone());
             }
@@ -345,7 +359,7 @@
             notified_rung: None,
             is_notifying_rung: false,
             started_at: 0.0,
-            last_request_at: now,
+            last_active_at: now,
             active_fetches: 0,
             pass_valid_until: 0.0,
             is_complete: false,
@@ -355,7 +369,8 @@
         RequestResult::New(play)
     }
 
-    /// A connection that waited was closed. Returns true if no other waits for the undecided session.
+    /// Removes a connection that was closed from those that wait. Returns true if the session is undecided and no
+    /// other connection waits for it.
     pub fn remove_waiter(&mut self, now: f64, play: u64, waiter: u64) -> bool {
         let Some(session) = self.sessions.get_mut(&play) else { return false };
         session.waiters.retain(|w| *w != waiter);
@@ -363,19 +378,20 @@
         session.waiters.is_empty() && session.phase.is_deciding()
     }
 
-    /// Records that the play plays, and its answer. Returns the connections that wait for the answer.
+    /// Records that the play runs, and its answer, the manifest. Returns the connections that wait for the answer;
+    /// none where the session is unknown or its phase is not `Allocating`.
     pub fn start_playing(&mut self, now: f64, play: u64, answer: Answer) -> Vec<u64> {
         if !self.apply_transition(play, Transition::StartPlaying) {
             return Vec::new();
         }
         let Some(session) = self.sessions.get_mut(&play) else { return Vec::new() };
-        (session.started_at, session.last_request_at) = (now, now);
+        (session.started_at, session.last_active_at) = (now, now);
         session.answer = Some(answer);
         std::mem::take(&mut session.waiters)
     }
 
-    /// Ends the play with this answer, which later requests get too. Returns the connections that still wait. A
-    /// play that has ended already is left as it is.
+    /// Records the end of the play with its final answer, which later requests get too. Returns the connections that
+    /// still wait. Does nothing where the session has its final answer already.
     pub fn record_end(&mut self, now: f64, play: u64, answer: Answer) -> Vec<u64> {
         if !self.apply_transition(play, Transition::End) {
             return Vec::new();
@@ -386,20 +402,21 @@
         std::mem::take(&mut session.waiters)
     }
 
-    /// When the session's timer is to fire next: a running play may be silent for `play_idle_timeout`, an undecided
-    /// one may have no connection that waits for `reconnect_timeout`.
+    /// When the session's timer is to fire next: a running play ends after `play_idle_timeout` without activity, an
+    /// undecided one is cancelled after `reconnect_timeout` without a connection that waits for it, and an ended
+    /// session is removed.
     pub fn next_deadline(&self, play: u64, play_idle_timeout: f64, reconnect_timeout: f64) -> Option<f64> {
         let session = self.sessions.get(&play)?;
         match session.phase {
             SessionPhase::Requested | SessionPhase::Allocating => {
                 session.waiters.is_empty().then_some(session.no_waiters_since + reconnect_timeout)
             }
-            SessionPhase::Playing => Some(session.last_request_at + play_idle_timeout),
+            SessionPhase::Playing => Some(session.last_active_at + play_idle_timeout),
             SessionPhase::Ending | SessionPhase::Ended => Some(session.expires_at),
         }
     }
 
-    /// Removes a session that has ended.
+    /// Removes a session in phase `Ended`; does nothing in any other phase.
     pub fn remove(&mut self, play: u64) {
         self.apply_transition(play, Transition::Remove);
     }
@@ -546,7 +563,7 @@
         #[test]
         fn any_order_of_operations_keeps_the_invariants(operations in prop::collection::vec(operation(), 1..300)) {
             let mut sessions = SessionTable::new(LIMITS);
-            // By play: allocations under way, ends, the answer. Then which connections wait for which play.
+            // By play: allocations under way, ends, the latest answer. `waiting` holds pairs of play and connection.
             let (mut under_way, mut ended, mut answers) = (HashMap::new(), HashMap::new(), HashMap::<u64, Answer>::new());
             let mut waiting: Vec<(u64, u64)> = Vec::new();
             for (index, operation) in operations.into_iter().enumerate() {
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -1,7 +1,7 @@
 //! A front's state beside the dispatcher: connections, sessions, servers and their connection pools, timers, and
 //! the answers written to players. The dispatcher's actions (`actions`) work on it. It never calls the dispatcher;
-//! what it finds while the dispatcher is busy goes to [`EdgeState::pending_allocation_ends`], which [`crate::edge`]
-//! reports to the dispatcher afterwards. Times are in ms.
+//! an allocation that ends during a call by the dispatcher is put into [`EdgeState::pending_allocation_ends`], which
+//! [`crate::edge`] reports to the dispatcher after that call has returned. Times are in ms.
 
 use crate::config::Config;
 use crate::connections::{ConnectionId, Connections, Role, ServerRequest};
@@ -32,24 +32,27 @@
 pub(crate) enum Timer {
     /// A timer that the dispatcher asked for, by its number.
     Dispatcher(u32),
-    /// The time-out of a play's set-up: the play, and which of its allocations.
+    /// The time-out of a set-up: the play, and the number of its allocation.
     SetUpTimeout(u64, usize),
     /// The deadline of a connection.
     Connection(ConnectionId),
-    /// A session's next deadline, by its play.
+    /// A session's next deadline ([`SessionTable::next_deadline`]), by its play.
     Session(u64),
-    /// A rung notification of this play was lost and is to be repeated.
+    /// A rung notification of this play got no response and is to be repeated.
     RungNotificationRetry(u64),
     /// The deadline of a play in the admission queue.
     AdmissionQueue,
+    /// The poll of the list of servers and titles.
     ListPoll,
     /// The poll of keys, certificates, homes and approved versions.
     FilePoll,
     /// Connections are accepted again after accepting one failed.
     AcceptRetry,
+    /// The counts are logged.
     StatsLog,
+    /// The exchange with the other fronts is due.
     FleetSync,
-    /// The time that a stopping front may run on is over.
+    /// A stopping front ends the plays that are still open.
     StopDeadline,
 }
 
@@ -57,20 +60,20 @@
 pub(crate) struct MediaServer {
     pub(crate) name: String,
     pub(crate) address: SocketAddr,
-    /// Its number, the same at all fronts.
+    /// Identifies the server at all fronts; its index in [`EdgeState::servers`] is this front's own.
     pub(crate) stable_id: u64,
     pub(crate) zone: String,
-    /// When its process started, ms since 1970.
+    /// When the server's process started, ms since 1970.
     pub(crate) started_at: u64,
     pub(crate) idle_connections: Vec<ConnectionId>,
-    /// Pooled connections to it, idle or in use.
+    /// Pooled connections to the server, idle or in use.
     pub(crate) connection_count: usize,
     pub(crate) waiting_requests: VecDeque<ServerRequest>,
     /// Limits the retries of segment reads at this server.
     pub(crate) retry_budget: RetryBudget,
 }
 
-/// An allocation's end that was found while the dispatcher was busy.
+/// The end of an allocation, to be reported to the dispatcher.
 pub(crate) struct AllocationEnd {
     pub(crate) play: u64,
     pub(crate) server: u32,
@@ -80,7 +83,9 @@
 /// Everything that a front holds beside the dispatcher.
 pub(crate) struct EdgeState {
     pub(crate) config: Config,
+    /// The keys that verify entry tokens.
     pub(crate) entry_keys: KeyRing,
+    /// The keys that sign and verify passes (session tokens).
     pub(crate) pass_keys: KeyRing,
     pub(crate) keys_file: Option<WatchedFiles>,
     pub(crate) tls: TlsConfigs,
@@ -91,45 +96,56 @@
     /// The registration of the players' listening socket at the event loop.
     pub(crate) listener: Option<RegistrationToken>,
     pub(crate) sessions: SessionTable,
-    /// Plays that wait until another set-up may begin.
+    /// Plays that wait to be passed to the dispatcher until another set-up may begin.
     pub(crate) admission_queue: AdmissionQueue,
-    /// How many set-ups may be under way at once, and how many are.
+    /// How many set-ups may be under way at once.
     pub(crate) set_up_limit: ConcurrencyLimit,
+    /// How many set-ups are under way.
     pub(crate) pending_set_ups: usize,
     pub(crate) loop_lag: LoopLag,
     pub(crate) wall_clock: WallClock,
-    /// The addresses at which players reach the fronts of this fleet, by rank, and the file that lists them. Empty
-    /// where every front may set up any session.
+    /// The addresses at which players reach the fronts of this fleet, by rank. A session of a product whose effect
+    /// is not read-like is served only by its home front, which [`pulleystair_admission::homes::home_front`] assigns.
+    /// Empty where every front may set up any session.
     pub(crate) home_addresses: Vec<String>,
+    /// The file that lists the home addresses.
     pub(crate) homes_file: Option<WatchedFiles>,
     pub(crate) list_file: WatchedFiles,
-    /// Every title has a number that is never reused. Beside each title stands whether it is listed now; one that
-    /// is no longer listed is kept while a session refers to it.
+    /// The number of each title, by product and name. A number is never reused.
     pub(crate) title_numbers: HashMap<(usize, String), usize>,
+    /// Each title and whether it is listed now. A title that is no longer listed is kept while a session refers to
+    /// it.
     pub(crate) titles_by_number: HashMap<usize, (Rc<Title>, bool)>,
+    /// The number that the next new title gets.
     pub(crate) next_title_number: usize,
+    /// Every media server that has been listed, by its number at this front.
     pub(crate) servers: Vec<MediaServer>,
+    /// The number of each server, by its name.
     pub(crate) server_numbers: HashMap<String, u32>,
     pub(crate) timers: Timers<Timer>,
+    /// Ends of allocations that occurred during a call by the dispatcher, to be reported to it after that call
+    /// returns.
     pub(crate) pending_allocation_ends: VecDeque<AllocationEnd>,
+    /// Open connections that were accepted, those on the operators' address included.
     pub(crate) player_connection_count: usize,
     /// By player connection: the pooled connection that fetches a segment for it.
     pub(crate) fetch_connections: HashMap<ConnectionId, ConnectionId>,
-    /// Requests to servers that are under way or wait.
+    /// Requests to servers that are under way or wait for a connection.
     pub(crate) open_requests: usize,
-    /// Players whose next request was already received when their answer was written.
+    /// Player connections on which more input had been received when an answer was written; their next requests are
+    /// handled after the current event.
     pub(crate) connections_with_buffered_request: Vec<ConnectionId>,
     /// Identifies this run of this front in the paths of its allocations.
     pub(crate) run_id: String,
     pub(crate) stats: Stats,
-    /// The counts as they were last logged, and the number of dropped log lines at that time.
+    /// The counts that were logged last, with the number of dropped log lines at that time.
     pub(crate) last_logged_stats: (Stats, usize),
     pub(crate) dropped_log_lines: ErrorCounter,
     /// The exchange with other fronts, where the configuration names any.
     pub(crate) fleet: Option<Box<Fleet>>,
-    /// No new plays are taken.
+    /// A signal to stop was received: no new plays are accepted.
     pub(crate) is_stopping: bool,
-    /// A second signal was received: the front ends at once.
+    /// A second signal to stop was received: the process exits at once.
     pub(crate) is_halted: bool,
 }
 
@@ -154,8 +170,8 @@
         self.timers.schedule(due_at, timer);
     }
 
-    /// Whether the event loop is to end: on a second signal, or once a stopping front has no play, no request and
-    /// nothing left to write.
+    /// Whether the event loop is to end: on a second signal to stop, or once a stopping front has no undecided or
+    /// running play, no request to a server, and nothing left to write to players.
     pub(crate) fn should_exit(&self) -> bool {
         let is_idle =
             self.sessions.deciding_count() + self.sessions.playing_count() == 0 && self.open_requests == 0;
@@ -178,7 +194,7 @@
         }
     }
 
-    /// Starts or stops accepting players' connections.
+    /// Starts or stops accepting players' connections; those on the operators' address are not affected.
     pub(crate) fn set_accepting(&self, is_accepting: bool) {
         let Some(listener) = &self.listener else { return };
         let result =
--- a/crates/edge/src/stats.rs
+++ b/crates/edge/src/stats.rs
@@ -7,24 +7,31 @@
 /// Counts since the start; none ever decreases. The log shows the names of the fields.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Plays accepted for a decision, and requests for a play that a limit of this front refused before that.
+    /// Plays accepted for a decision.
     pub taken: u64,
+    /// Manifest requests refused with 503 without a decision: a limit of this front is reached, or the front is
+    /// stopping or overloaded.
     pub away: u64,
-    /// The results of the plays taken: answered with a manifest, with 503, with 502 or 504, or ended because the
-    /// viewer left or the session was revoked.
+    /// Plays that were answered with a manifest.
     pub played: u64,
+    /// Plays that were answered with 503.
     pub declined: u64,
+    /// Plays that were answered with 502 or 504.
     pub failed: u64,
+    /// Plays that ended undecided because the viewer left or the session was revoked.
     pub left: u64,
-    /// Of the plays that played: those that have ended, and those that ended because the server was lost.
+    /// Running plays that have ended, for any cause.
     pub ended: u64,
+    /// Running plays that ended because the server was lost.
     pub lost: u64,
+    /// Allocations that were sent, or failed to be sent because no connection could be opened.
     pub allocations: u64,
+    /// Segment requests of players whose response was received completely from the server.
     pub segments: u64,
 }
 
 impl Stats {
-    /// Counts a play that got its final answer without having played.
+    /// Counts a play that ended undecided, by the status of its final answer.
     pub fn record_final_answer(&mut self, status: u16) {
         *match status {
             503 => &mut self.declined,
@@ -33,12 +40,12 @@
         } += 1;
     }
 
-    /// Counts the end of a play that had started.
+    /// Counts the end of a running play.
     pub fn record_end(&mut self, cause: &str) {
         self.ended += 1;
         self.lost += u64::from(cause == SERVER_LOST);
     }
 }
 
-/// The cause of end of a play whose server was lost.
+/// The cause of a running play's end where its server was lost, as it is logged.
 pub const SERVER_LOST: &str = "server lost";
