--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/answers.rs
@@ -35,7 +35,7 @@
         let keep_alive =
             self.connections.get_mut(connection_id).is_some_and(|connection| !connection.options.close);
         self.write_answer(connection_id, answer, keep_alive);
-        self.after_answer(connection_id);
+        self.on_answer_written(connection_id);
     }
 
     /// Answers a player's request, then closes the connection.
@@ -44,7 +44,7 @@
         if let Some(connection) = self.connections.get_mut(connection_id) {
             connection.options.close = true;
         }
-        self.after_answer(connection_id);
+        self.on_answer_written(connection_id);
     }
 
     /// Writes the head and the body of an answer to a player's connection.
@@ -83,9 +83,9 @@
         }
     }
 
-    /// The answer on this connection is written, or is in its write buffer: sets the connection to read the next
-    /// request or to close, and its deadline.
-    pub(crate) fn after_answer(&mut self, connection_id: ConnectionId) {
+    /// An answer to a player was written, or is in the write buffer: sets the connection to read the next request or
+    /// to close, and its deadline.
+    pub(crate) fn on_answer_written(&mut self, connection_id: ConnectionId) {
         let now = self.now();
         let limits = &self.config.limits;
         let (idle_ms, slow_reader_ms, slow_reader_kb) =
@@ -94,7 +94,7 @@
         let pending = connection.pending();
         let is_closing = connection.options.close;
         if !connection.input.is_empty() {
-            self.players_to_resume.push(connection_id);
+            self.connections_with_buffered_request.push(connection_id);
         }
         connection.role =
             Role::Player(if is_closing { PlayerState::Closing } else { PlayerState::ReadingRequest });
@@ -109,7 +109,7 @@
         self.set_connection_deadline(connection_id, deadline);
     }
 
-    /// The connection waits for the answer to this play, without a deadline of its own.
+    /// Sets the connection to wait for the manifest of this play, without a deadline of its own.
     pub(crate) fn await_manifest(&mut self, connection_id: ConnectionId, play: u64) {
         if let Some(connection) = self.connections.get_mut(connection_id) {
             connection.role = Role::Player(PlayerState::AwaitingManifest(play));
@@ -119,10 +119,10 @@
 
     /// Closes a player's connection: it no longer waits for its play's answer, and a segment fetched for it is
     /// aborted.
-    pub(crate) fn close_player(&mut self, connection_id: ConnectionId) {
+    pub(crate) fn close_player_connection(&mut self, connection_id: ConnectionId) {
         let now = self.now();
         let Some(Role::Player(player_state)) = self.connections.close(connection_id) else { return };
-        self.player_count -= 1;
+        self.player_connection_count -= 1;
         match player_state {
             PlayerState::AwaitingManifest(play) if self.sessions.remove_waiter(now, play, connection_id) => {
                 self.schedule_session_timer(play)
@@ -139,9 +139,9 @@
         }
     }
 
-    /// Answers 503 to a play that was not admitted in time, or that had to make room in the admission queue. No
+    /// Ends with 503 a queued play that was not admitted: its time ran out, or the full queue displaced it. No
     /// allocation was sent for it.
-    pub(crate) fn evict_from_queue(&mut self, play: u64) {
+    pub(crate) fn decline_queued_play(&mut self, play: u64) {
         let answer = self.retry_later_answer("too many plays are asked for now");
         self.end_play(play, "crowded out", answer);
     }
@@ -205,13 +205,13 @@
     pub(crate) fn refresh_manifest(&mut self, play: u64) -> Answer {
         let now = self.now();
         if let Some(session) = self.sessions.get_mut(play) {
-            session.last_request_at = now;
+            session.last_active_at = now;
         }
         self.manifest_answer(play).unwrap_or_else(|| text_answer(410, "this session does not play here"))
     }
 
-    /// Ends a play: connections that wait get the answer, and the play's line is logged. A play that has ended
-    /// already is left as it is.
+    /// Ends a play: counts and logs the end, sends the answer to the connections that wait, and keeps it as the final
+    /// answer. Does nothing where the play has ended already.
     pub(crate) fn end_play(&mut self, play: u64, cause: &'static str, answer: Answer) {
         let now = self.now();
         let Some(session) = self.sessions.get(play).filter(|s| !s.phase().is_over()) else { return };
@@ -235,17 +235,19 @@
             set_up_ms,
             played_ms,
         );
-        for connection_id in self.sessions.end_play(now, play, answer.clone()) {
+        for connection_id in self.sessions.record_end(now, play, answer.clone()) {
             self.send_answer(connection_id, &answer);
         }
         self.schedule_session_timer(play);
     }
 
-    /// How long the player of this play may be silent before the play is finished.
-    pub(crate) fn allowed_silence(&self, play: u64) -> f64 {
-        let complete = self.sessions.get(play).filter(|s| s.is_complete);
-        match complete {
-            // The last segment may be requested once more.
+    /// How long this play may go without a request before it is ended: `play_idle_ms`, or the duration of its longest
+    /// segment once its last segment has been delivered.
+    pub(crate) fn play_idle_timeout(&self, play: u64) -> f64 {
+        let complete_session = self.sessions.get(play).filter(|s| s.is_complete);
+        match complete_session {
+            // After the last segment, only a repeated request for it can still come: one segment's duration is
+            // enough.
             Some(session) => session.title.presentation.longest_segment() as f64,
             None => self.config.limits.play_idle_ms,
         }
@@ -253,9 +255,9 @@
 
     /// Schedules the session's timer at its next deadline, if it has one.
     pub(crate) fn schedule_session_timer(&mut self, play: u64) {
-        let allowed_silence = self.allowed_silence(play);
+        let play_idle_timeout = self.play_idle_timeout(play);
         if let Some(deadline) =
-            self.sessions.next_deadline(play, allowed_silence, self.config.limits.come_back_ms)
+            self.sessions.next_deadline(play, play_idle_timeout, self.config.limits.come_back_ms)
         {
             self.schedule(deadline, Timer::Session(play));
         }
