--- a/crates/admission/src/concurrency.rs
+++ b/crates/admission/src/concurrency.rs
@@ -38,7 +38,7 @@
 const MIN_GRADIENT: f64 = 0.5;
 /// Share of lost plays in a sample from which the limit does not grow at all. The work on a lost play was done in
 /// vain: a limit that grows despite losses settles where much of the servers' work is for nobody.
-const NO_GROWTH_LOSS_SHARE: f64 = 0.1;
+const NO_GROWTH_FAILURE_SHARE: f64 = 0.1;
 /// Weight of one decision in the mean time per decision, which thus covers about a hundred decisions.
 const DECISION_SMOOTHING: f64 = 0.02;
 
@@ -54,7 +54,7 @@
     /// The most plays that were in progress during the sample.
     max_in_progress: usize,
     /// Plays of the sample that were lost for lack of time.
-    lost_count: usize,
+    failed_count: usize,
     /// Mean time per decision, ms.
     decision_ms: f64,
 }
@@ -71,7 +71,7 @@
             delay_sum: 0.0,
             outcome_count: 0,
             max_in_progress: 0,
-            lost_count: 0,
+            failed_count: 0,
             decision_ms: 0.0,
         }
     }
@@ -84,23 +84,23 @@
     }
 
     /// Records a decision that took `duration` ms.
-    pub fn on_decided(&mut self, duration: f64) {
-        if duration.is_finite() && duration >= 0.0 {
-            self.decision_ms += DECISION_SMOOTHING * (duration - self.decision_ms);
+    pub fn on_decided(&mut self, duration_ms: f64) {
+        if duration_ms.is_finite() && duration_ms >= 0.0 {
+            self.decision_ms += DECISION_SMOOTHING * (duration_ms - self.decision_ms);
         }
     }
 
     /// Records a play that was set up after `delay` ms, while `in_progress` plays were being decided.
-    pub fn on_set_up(&mut self, delay: f64, in_progress: usize) {
-        if delay.is_finite() && delay >= 0.0 {
-            self.delay_sum += delay.max(0.1);
+    pub fn on_set_up(&mut self, delay_ms: f64, in_progress: usize) {
+        if delay_ms.is_finite() && delay_ms >= 0.0 {
+            self.delay_sum += delay_ms.max(0.1);
             self.record_outcome(in_progress);
         }
     }
 
     /// Records a play that was lost for lack of time. It counts like a long delay of unknown length.
     pub fn on_lost(&mut self, in_progress: usize) {
-        self.lost_count += 1;
+        self.failed_count += 1;
         self.record_outcome(in_progress);
     }
 
@@ -114,8 +114,8 @@
 
     /// Moves the limit by the sample and starts the next sample.
     fn finish_sample(&mut self) {
-        let set_up_count = self.outcome_count - self.lost_count;
-        let lost_share = self.lost_count as f64 / self.outcome_count as f64;
+        let set_up_count = self.outcome_count - self.failed_count;
+        let failed_share = self.failed_count as f64 / self.outcome_count as f64;
         let gradient = if set_up_count == 0 {
             MIN_GRADIENT
         } else {
@@ -126,16 +126,16 @@
             };
             self.baseline_delay = Some(baseline);
             let allowed_delay = self.config.tolerance * baseline + self.config.slack_ms;
-            (allowed_delay / delay * (1.0 - lost_share)).clamp(MIN_GRADIENT, 1.0)
+            (allowed_delay / delay * (1.0 - failed_share)).clamp(MIN_GRADIENT, 1.0)
         };
-        let queue_room = self.limit.sqrt() * (1.0 - lost_share / NO_GROWTH_LOSS_SHARE).max(0.0);
+        let queue_room = self.limit.sqrt() * (1.0 - failed_share / NO_GROWTH_FAILURE_SHARE).max(0.0);
         let target = self.limit * gradient + queue_room;
         // A limit that is not used up shows nothing about the capacity: it may fall, but not rise.
         if target < self.limit || self.max_in_progress as f64 * 2.0 > self.limit {
             self.limit += SMOOTHING * (target - self.limit);
         }
         self.limit = self.limit.clamp(self.config.min_limit, self.config.max_limit);
-        (self.delay_sum, self.outcome_count, self.max_in_progress, self.lost_count) = (0.0, 0, 0, 0);
+        (self.delay_sum, self.outcome_count, self.max_in_progress, self.failed_count) = (0.0, 0, 0, 0);
     }
 }
 
@@ -178,7 +178,7 @@
     }
 
     #[test]
-    fn losses_lower_the_limit_within_its_bounds() {
+    fn failures_lower_the_limit_within_its_bounds() {
         let mut limit = ConcurrencyLimit::new(CONFIG);
         (0..2000).for_each(|_| limit.on_lost(limit.clone().current()));
         // The room for a small queue lets a few plays through, by which the fleet's recovery is noticed.
--- a/crates/admission/src/loop_lag.rs
+++ b/crates/admission/src/loop_lag.rs
@@ -59,7 +59,7 @@
     }
 
     #[test]
-    fn a_late_timer_is_lag() {
+    fn a_late_timer_is_lag_that_a_punctual_timer_does_not_clear() {
         let mut lag = LoopLag::default();
         lag.timer_fired(1000.0, 999.0);
         assert!(!lag.exceeds(1000.0, 50.0));
--- a/crates/admission/src/read_retries.rs
+++ b/crates/admission/src/read_retries.rs
@@ -109,7 +109,7 @@
         read: &ReadProgress,
         error: ReadError,
     ) -> ReadAction {
-        let final_action = match (read.bytes_relayed, error) {
+        let action_without_retry = match (read.bytes_relayed, error) {
             (Some(_), _) => ReadAction::Cut,
             (None, ReadError::Stalled) => ReadAction::Answer(504),
             // A retry won't find a segment that the server does not have.
@@ -121,14 +121,14 @@
         };
         // A body of another length is another body: its bytes can't follow those already relayed.
         if error == ReadError::Length && read.bytes_relayed.is_some() {
-            return final_action;
+            return action_without_retry;
         }
         let retry = ReadAction::Again { from: read.bytes_relayed.unwrap_or(0) };
         if error == ReadError::Stale {
             return retry;
         }
         let may_retry = read.tries < config.max_tries && now < read.deadline;
-        if may_retry && self.take_retry(now, config) { retry } else { final_action }
+        if may_retry && self.take_retry(now, config) { retry } else { action_without_retry }
     }
 }
 
@@ -169,7 +169,7 @@
     }
 
     #[test]
-    fn the_budget_bounds_retries_and_stale_connections_are_free() {
+    fn the_budget_bounds_retries_and_stale_connections_are_not_counted() {
         let mut budget = RetryBudget::default();
         (0..100).for_each(|i| budget.record_first(f64::from(i), &CONFIG));
         let mut retries = 0;
--- a/crates/edge/src/approved_versions.rs
+++ b/crates/edge/src/approved_versions.rs
@@ -71,7 +71,7 @@
         if !watched.check_replaced() {
             return;
         }
-        let loaded = read(watched.file(), &state.config).map_err(|e| e.to_string());
+        let loaded = read(watched.first_file(), &state.config).map_err(|e| e.to_string());
         let accepted = loaded.and_then(|chain| {
             let number = chain.head().map(|version| version.number);
             fleet.member.set_approved(chain).map(|()| number)
--- a/crates/edge/src/config/check.rs
+++ b/crates/edge/src/config/check.rs
@@ -141,7 +141,7 @@
         for (name, value) in counts {
             count(&format!("limits.{name}"), value, 10_000_000)?;
         }
-        let times = [
+        let positive_values = [
             ("header_ms", limits.header_ms),
             ("idle_ms", limits.idle_ms),
             ("slow_reader_ms", limits.slow_reader_ms),
@@ -160,7 +160,7 @@
             ("stop_ms", limits.stop_ms),
             ("tally_ms", limits.tally_ms),
         ];
-        for (name, value) in times {
+        for (name, value) in positive_values {
             positive(&format!("limits.{name}"), value)?;
         }
         non_negative("limits.skew_ms", limits.skew_ms)?;
--- a/crates/edge/src/config/keys.rs
+++ b/crates/edge/src/config/keys.rs
@@ -41,8 +41,9 @@
             KeyRing::new(&secrets).map_err(|e| value_error(e.to_string()))?;
             Ok(secrets)
         };
-        let (entry, pass) = (checked_secrets("entry", &keys.entry)?, checked_secrets("pass", &keys.pass)?);
-        Ok((keys, entry, pass))
+        let (entry_secrets, session_secrets) =
+            (checked_secrets("entry", &keys.entry)?, checked_secrets("pass", &keys.pass)?);
+        Ok((keys, entry_secrets, session_secrets))
     }
 }
 
@@ -97,8 +98,13 @@
     pub fn key_rings(&self) -> Result<(KeyRing, KeyRing, Vec<String>), (&'static str, String)> {
         let key_ring = |path, secrets: &Secrets| KeyRing::new(secrets).map_err(|e| (path, e.to_string()));
         if let Some(file) = &self.keys {
-            let (keys, entry, pass) = Keys::load(file).map_err(|e| ("keys", e.to_string()))?;
-            return Ok((key_ring("keys", &entry)?, key_ring("keys", &pass)?, keys.revoked));
+            let (keys, entry_secrets, session_secrets) =
+                Keys::load(file).map_err(|e| ("keys", e.to_string()))?;
+            return Ok((
+                key_ring("keys", &entry_secrets)?,
+                key_ring("keys", &session_secrets)?,
+                keys.revoked,
+            ));
         }
         let load_ring = |path, keys: &[KeyFile]| {
             let secrets = load_secrets(Path::new(""), keys).map_err(|e| (path, e))?;
--- a/crates/edge/src/config/mod.rs
+++ b/crates/edge/src/config/mod.rs
@@ -12,7 +12,7 @@
 pub use limits::{Admission, Limits, Reads};
 use pulleystair_jsonnet::{LoadError, invalid_value, load};
 use serde::{Deserialize, Serialize};
-pub use sharing::{Peer, Sharing};
+pub use sharing::{FrontAddress, Sharing};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -169,7 +169,7 @@
     pub listen: Option<SocketAddr>,
     /// All fronts with the addresses at which they are reached, by rank, including this one.
     #[serde(default)]
-    pub peers: Vec<Peer>,
+    pub peers: Vec<FrontAddress>,
     /// Number of cells, which hold the titles.
     pub cells: usize,
     /// Number of racks; the rack of a cell is its number modulo `racks`.
--- a/crates/edge/src/config/sharing.rs
+++ b/crates/edge/src/config/sharing.rs
@@ -9,7 +9,7 @@
 /// A front and the address at which the other fronts reach it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Peer {
+pub struct FrontAddress {
     /// Its name, unique among the fronts.
     pub name: String,
     /// Its UDP address.
--- a/crates/edge/src/server_list.rs
+++ b/crates/edge/src/server_list.rs
@@ -102,7 +102,7 @@
 
 impl Title {
     /// The title with a presentation of equal segments, as its own fields state it.
-    pub fn with_even_segments(self) -> Title {
+    pub fn with_uniform_segments(self) -> Title {
         let mut presentation = Presentation::plain(self.name.clone(), self.duration_ms, self.segment_ms);
         if let Some(live) = self.live {
             presentation.duration_ms = Some(self.duration_ms).filter(|ms| *ms > 0);
@@ -158,7 +158,7 @@
         list.check(context).map_err(|(path, found, allowed)| invalid_value(file, &path, found, allowed))?;
         let folder = file.parent().unwrap_or(Path::new(""));
         let titles = list.titles.into_iter().enumerate().map(|(i, title)| match title.manifest.clone() {
-            None => Ok(title.with_even_segments()),
+            None => Ok(title.with_uniform_segments()),
             Some(manifest) => title.with_manifest(folder, &manifest).map_err(|found| {
                 invalid_value(file, &format!("titles[{i}].manifest"), found, "a manifest that can be read")
             }),
@@ -319,7 +319,7 @@
     }
 
     /// The first file.
-    pub fn file(&self) -> &Path {
+    pub fn first_file(&self) -> &Path {
         &self.files[0]
     }
 
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -35,12 +35,12 @@
         }
     }
 
-    /// Puts a list into effect. `may_be_outdated` is true if nothing shows that the list is current, as at start.
-    pub(crate) fn apply_list(&mut self, list: List, may_be_outdated: bool) {
+    /// Puts a list into effect. `is_cached` is true if nothing shows that the list is current, as at start.
+    pub(crate) fn apply_list(&mut self, list: List, is_cached: bool) {
         let now = self.state.now();
         let state = &mut self.state;
         let (servers, numbers) = (&mut state.servers, &mut state.server_numbers);
-        let mut outdated_connections = Vec::new();
+        let mut connections_to_old_address = Vec::new();
         let entries = list.entries(&list_context(&state.config), |server| {
             let next = servers.len() as u32;
             let number = *numbers.entry(server.name.clone()).or_insert(next);
@@ -58,13 +58,15 @@
                 });
             } else if servers[number as usize].address != server.address {
                 servers[number as usize].address = server.address;
-                outdated_connections.append(&mut servers[number as usize].idle_connections);
+                connections_to_old_address.append(&mut servers[number as usize].idle_connections);
             }
             let media_server = &mut servers[number as usize];
             (media_server.zone, media_server.started_at) = (server.zone.clone(), server.started_ms as u64);
             number
         });
-        outdated_connections.into_iter().for_each(|connection| state.close_pooled_connection(connection));
+        connections_to_old_address
+            .into_iter()
+            .for_each(|connection| state.close_pooled_connection(connection));
         state.titles_by_number.values_mut().for_each(|(_, listed)| *listed = false);
         for title in &list.titles {
             let product = state.config.products.iter().position(|p| p.name == title.product);
@@ -83,7 +85,7 @@
         state.fleet_update_list(&list);
         let draining = list.servers.iter().filter(|s| s.state == crate::server_list::State::Draining).count();
         info!(target: "list", servers = list.servers.len(), draining, titles = list.titles.len(), "list taken");
-        self.dispatcher.update_list(now, true, may_be_outdated, &entries);
+        self.dispatcher.update_list(now, true, is_cached, &entries);
     }
 
     /// Puts replaced certificates into effect. Connections of players stay open; idle connections to servers are closed,
@@ -104,7 +106,7 @@
         let state = &mut self.state;
         let Some(watched) = state.homes_file.as_mut() else { return };
         if watched.check_replaced() {
-            match load_home_addresses(watched.file(), state.config.fronts) {
+            match load_home_addresses(watched.first_file(), state.config.fronts) {
                 Ok(homes) => {
                     info!(target: "list", ?homes, "homes taken");
                     state.home_addresses = homes;
@@ -147,18 +149,19 @@
             return;
         }
         let now_s = (now / 1000.0) as u64;
-        let replaced =
-            Keys::load(watched.file()).map_err(|e| e.to_string()).and_then(|(keys, entry, pass)| {
-                let (entry_ring, pass_ring) = (&mut state.entry_keys, &mut state.pass_keys);
+        let replaced = Keys::load(watched.first_file()).map_err(|e| e.to_string()).and_then(
+            |(keys, entry_secrets, session_secrets)| {
+                let (entry_ring, session_ring) = (&mut state.entry_keys, &mut state.pass_keys);
                 // Both are checked before either is changed.
                 entry_ring
-                    .may_replace(&entry, now_s)
-                    .and(pass_ring.may_replace(&pass, now_s))
+                    .may_replace(&entry_secrets, now_s)
+                    .and(session_ring.may_replace(&session_secrets, now_s))
                     .map_err(|e| e.to_string())?;
-                entry_ring.replace(&entry, now_s, overlap_s).map_err(|e| e.to_string())?;
-                pass_ring.replace(&pass, now_s, overlap_s).map_err(|e| e.to_string())?;
+                entry_ring.replace(&entry_secrets, now_s, overlap_s).map_err(|e| e.to_string())?;
+                session_ring.replace(&session_secrets, now_s, overlap_s).map_err(|e| e.to_string())?;
                 Ok(keys.revoked)
-            });
+            },
+        );
         let revoked = match replaced {
             Ok(revoked) => revoked,
             // The secrets are separate files, which may be written after the file that names them.
@@ -170,8 +173,8 @@
             }
         };
         watched.record_acceptance();
-        let (entry, pass) = (&state.entry_keys, &state.pass_keys);
-        info!(target: "keys", ?entry, ?pass, revoked = revoked.len(), "keys taken");
+        let (entry_ring, session_ring) = (&state.entry_keys, &state.pass_keys);
+        info!(target: "keys", entry = ?entry_ring, pass = ?session_ring, revoked = revoked.len(), "keys taken");
         state.revoked = revoked.into_iter().collect();
         let revoked_plays: Vec<u64> =
             state.revoked.iter().filter_map(|id| state.sessions.by_id(id)).collect();
--- a/crates/edge/tests/config.rs
+++ b/crates/edge/tests/config.rs
@@ -7,8 +7,8 @@
 use std::process::Command;
 use test_case::test_case;
 
-const GOOD: &str = include_str!("../../../examples/front/front.jsonnet");
-const LIST: &str = include_str!("../../../examples/front/list.json");
+const EXAMPLE_CONFIG: &str = include_str!("../../../examples/front/front.jsonnet");
+const EXAMPLE_LIST: &str = include_str!("../../../examples/front/list.json");
 
 /// A folder with a configuration, its server list and its keys.
 struct Folder(tempfile::TempDir);
@@ -41,7 +41,7 @@
 
 #[test]
 fn the_example_is_valid_and_converts_to_settings() {
-    let folder = Folder::new(GOOD, LIST);
+    let folder = Folder::new(EXAMPLE_CONFIG, EXAMPLE_LIST);
     let config = Config::read(&folder.file()).unwrap();
     assert!(read_list(&config).unwrap().servers.len() > 1);
     let settings = config.policy_settings();
@@ -82,7 +82,7 @@
 #[test_case("+ (local f(x) = f(x + 1); f(0))", "stack"; "endless recursion")]
 #[test_case("+ {", "front.jsonnet"; "a truncated file")]
 fn an_invalid_configuration_is_refused_with_place_and_cause(change: &str, cause: &str) {
-    let folder = Folder::new(&format!("({GOOD}) {change}"), LIST);
+    let folder = Folder::new(&format!("({EXAMPLE_CONFIG}) {change}"), EXAMPLE_LIST);
     let error = folder.load_error();
     assert!(error.contains(cause) && error.contains("front.jsonnet"), "{error}");
 }
@@ -100,14 +100,14 @@
 #[test_case("\"state\": \"ready\"", "\"state\": \"asleep\"", "servers[0].state: unknown variant"; "an unknown state")]
 #[test_case("\"address\": \"127.0.0.1:9100\"", "\"address\": \"m0\"", "servers[0].address"; "no address")]
 fn an_invalid_list_is_refused_with_place_and_cause(from: &str, to: &str, cause: &str) {
-    assert!(LIST.contains(from), "the example contains {from}");
-    let error = Folder::new(GOOD, &LIST.replacen(from, to, 1)).load_error();
+    assert!(EXAMPLE_LIST.contains(from), "the example contains {from}");
+    let error = Folder::new(EXAMPLE_CONFIG, &EXAMPLE_LIST.replacen(from, to, 1)).load_error();
     assert!(error.contains(cause) && error.contains("list.json"), "{error}");
 }
 
 #[test]
 fn an_empty_list_is_refused() {
-    let error = Folder::new(GOOD, r#"{ "servers": [], "titles": [] }"#).load_error();
+    let error = Folder::new(EXAMPLE_CONFIG, r#"{ "servers": [], "titles": [] }"#).load_error();
     assert!(error.contains("servers: found 0 of them"), "{error}");
 }
 
@@ -120,14 +120,14 @@
 
 #[test]
 fn check_and_show_print_result_or_error() {
-    let folder = Folder::new(GOOD, LIST);
+    let folder = Folder::new(EXAMPLE_CONFIG, EXAMPLE_LIST);
     let (succeeded, stdout, _) = run_command(&["check"], &folder.file());
     assert!(succeeded && stdout.contains("good;"), "{stdout}");
     let (succeeded, shown, _) = run_command(&["show"], &folder.file());
     let shown: serde_json::Value = serde_json::from_str(&shown).unwrap();
     assert!(succeeded && shown["limits"]["header_bytes"] == 8192, "defaults are filled in");
     assert!(!shown.to_string().contains("long enough"), "no key material is shown");
-    let folder = Folder::new(&format!("({GOOD}) + {{ rank: 9 }}"), LIST);
+    let folder = Folder::new(&format!("({EXAMPLE_CONFIG}) + {{ rank: 9 }}"), EXAMPLE_LIST);
     let (succeeded, _, stderr) = run_command(&["check"], &folder.file());
     assert!(
         !succeeded && stderr.contains("rank: found 9, allowed is a whole number under fronts"),
