--- a/crates/admission/src/concurrency.rs
+++ b/crates/admission/src/concurrency.rs
@@ -1,4 +1,4 @@
-//! Adaptive limit on how many plays may be decided at once. The set-up delay shows whether the servers keep up:
+//! Adaptive limit on how many set-ups may be in progress at once. The set-up delay shows whether the servers keep up:
 //! while it stays near its unloaded value the limit grows, and as the delay rises the limit shrinks.
 //!
 //! The limit follows the gradient form: it is scaled by unloaded delay over present delay, with room for a small
@@ -6,11 +6,13 @@
 //! oscillating, and it reacts to how much the delay grew and not only to the fact that it grew; see
 //! `docs/notes/dash-path.md`.
 //!
-//! The front's own work is a second bound. Each play in progress will need one more decision, in the worst case all
-//! of them at the same time, and they all wait for this front. The limit therefore never exceeds the number of plays
-//! that the front can decide within a configured time, at the measured time per decision.
+//! The front's own work is a second bound. A decision is one call of the placement logic; a play needs several. Each
+//! set-up in progress will need one more decision, in the worst case all of them at the same time, and they all wait
+//! for this front. The limit therefore never exceeds the number of decisions that the front can make within a
+//! configured time, at the measured time per decision; but it is at least 1.
 //!
-//! The front (`pulleystair-edge`) reports each outcome and reads the limit. Times are ms.
+//! The front (`pulleystair-edge`) reports the outcome of each set-up and the time of each decision, and reads the
+//! limit. Times are ms.
 
 /// Bounds and speed of adaptation of a [`ConcurrencyLimit`].
 #[derive(Clone, Copy, Debug)]
@@ -23,9 +25,9 @@
     pub tolerance: f64,
     /// The delay may grow by this many further ms: growth that no viewer notices is no reason to make others wait.
     pub slack_ms: f64,
-    /// Number of outcomes in a sample.
+    /// Number of outcomes of set-ups in a sample.
     pub sample_size: usize,
-    /// All plays in progress must be decidable once more within this many ms.
+    /// The front must be able to make one decision for each set-up in progress within this many ms.
     pub work_ms: f64,
 }
 
@@ -36,13 +38,14 @@
 const BASELINE_DRIFT: f64 = 0.002;
 /// Lowest gradient: one sample halves the limit at most.
 const MIN_GRADIENT: f64 = 0.5;
-/// Share of lost plays in a sample from which the limit does not grow at all. The work on a lost play was done in
-/// vain: a limit that grows despite losses settles where much of the servers' work is for nobody.
+/// Share of failed set-ups in a sample from which the limit does not grow at all. The work on a failed set-up was done
+/// in vain: a limit that grows despite failures settles where much of the servers' work is for nobody.
 const NO_GROWTH_FAILURE_SHARE: f64 = 0.1;
-/// Weight of one decision in the mean time per decision, which thus covers about a hundred decisions.
+/// Weight of the latest decision in the moving mean of the time per decision, which thus covers about a hundred
+/// decisions.
 const DECISION_SMOOTHING: f64 = 0.02;
 
-/// The limit on plays decided at once, adapted to the reported outcomes.
+/// The limit on set-ups in progress, adapted to the reported outcomes.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     config: LimitConfig,
@@ -51,11 +54,11 @@
     baseline_delay: Option<f64>,
     delay_sum: f64,
     outcome_count: usize,
-    /// The most plays that were in progress during the sample.
+    /// Highest number of set-ups that were in progress at an outcome of the sample.
     max_in_progress: usize,
-    /// Plays of the sample that were lost for lack of time.
+    /// Set-ups of the sample that failed because the servers are overloaded.
     failed_count: usize,
-    /// Mean time per decision, ms.
+    /// Moving mean of the time per decision, ms; 0 until a decision was recorded.
     decision_ms: f64,
 }
 
@@ -76,21 +79,23 @@
         }
     }
 
-    /// How many plays may be decided at once now; at least 1.
+    /// How many set-ups may be in progress now; at least 1.
     pub fn current(&self) -> usize {
         let limit_by_work =
             if self.decision_ms > 0.0 { self.config.work_ms / self.decision_ms } else { f64::INFINITY };
         self.limit.min(limit_by_work).floor().max(1.0) as usize
     }
 
-    /// Records a decision that took `duration` ms.
+    /// Records that the front spent `duration_ms` on one decision (one call of the placement logic), which is not the
+    /// set-up delay of a play.
     pub fn on_decided(&mut self, duration_ms: f64) {
         if duration_ms.is_finite() && duration_ms >= 0.0 {
             self.decision_ms += DECISION_SMOOTHING * (duration_ms - self.decision_ms);
         }
     }
 
-    /// Records a play that was set up after `delay` ms, while `in_progress` plays were being decided.
+    /// Records a set-up that succeeded after `delay_ms`, while `in_progress` set-ups, this one included, were in
+    /// progress.
     pub fn on_set_up(&mut self, delay_ms: f64, in_progress: usize) {
         if delay_ms.is_finite() && delay_ms >= 0.0 {
             self.delay_sum += delay_ms.max(0.1);
@@ -98,12 +103,14 @@
         }
     }
 
-    /// Records a play that was lost for lack of time. It counts like a long delay of unknown length.
+    /// Records a set-up that failed because the servers are overloaded: a full server refused it, or it timed out. It
+    /// counts like a long delay of unknown length. `in_progress` includes this set-up.
     pub fn on_lost(&mut self, in_progress: usize) {
         self.failed_count += 1;
         self.record_outcome(in_progress);
     }
 
+    /// Counts an outcome of a set-up, and finishes the sample if it is complete.
     fn record_outcome(&mut self, in_progress: usize) {
         self.outcome_count += 1;
         self.max_in_progress = self.max_in_progress.max(in_progress);
@@ -152,12 +159,12 @@
         work_ms: 200.0,
     };
 
-    /// Set-up delay of a fleet that sets up `capacity` plays at once in 20 ms and queues the others.
+    /// Set-up delay of a fleet that sets up `capacity` plays at once in 20 ms each and queues the others.
     fn fleet_delay(in_progress: usize, capacity: usize) -> f64 {
         20.0 * (in_progress as f64 / capacity as f64).max(1.0)
     }
 
-    /// Reports the set-ups of a fleet of this capacity while `offered` plays ask for one.
+    /// Reports `outcomes` successful set-ups of a fleet of this capacity, while `offered` plays ask for one.
     fn run(limit: &mut ConcurrencyLimit, capacity: usize, offered: usize, outcomes: usize) {
         for _ in 0..outcomes {
             let in_progress = limit.current().min(offered);
@@ -207,7 +214,7 @@
         (0..1000).for_each(|_| limit.on_decided(5.0));
         assert!((39..=41).contains(&limit.current()), "{}", limit.current());
         (0..1000).for_each(|_| limit.on_decided(5000.0));
-        assert_eq!(limit.current(), 1, "one play at a time is allowed, whatever the lower bound");
+        assert_eq!(limit.current(), 1, "one set-up at a time is allowed, whatever the lower bound");
     }
 
     #[test]
--- a/crates/admission/src/loop_lag.rs
+++ b/crates/admission/src/loop_lag.rs
@@ -1,5 +1,5 @@
-//! Lag of the front's event loop. A front whose loop is late refuses further plays before it takes them: it must
-//! answer in time what it took, and it can't while it is busy with more.
+//! Lag of the front's event loop. A front whose loop is late refuses further plays before it accepts them: it must
+//! answer the accepted ones in time, and it can't while it is busy with more.
 //!
 //! The loop of the front (`pulleystair-edge`) reports its turns and timers. Times are ms.
 
@@ -16,28 +16,31 @@
 const DECAY_MS: f64 = 200.0;
 
 impl LoopLag {
-    /// Records that the current turn does some work.
+    /// Records that the current turn does some work; only the first call of a turn has an effect.
     pub fn work_started(&mut self, now: f64) {
         self.work_started_at.get_or_insert(now);
     }
 
-    /// Records that a timer that was due at `due_at` fires now.
+    /// Records that a timer that was due at `due_at` fires now. A lag that is recorded already only decays: a timer
+    /// that fires in time does not clear it.
     pub fn timer_fired(&mut self, now: f64, due_at: f64) {
         (self.lag, self.measured_at) = ((now - due_at).max(self.decayed_lag(now)), now);
     }
 
-    /// Records the end of the turn. The next turn may begin much later, which is no lag.
+    /// Records the end of the turn. The time since its first work counts as lag, as with a timer that was due then; the
+    /// time until the next turn does not.
     pub fn turn_ended(&mut self, now: f64) {
         if let Some(started_at) = self.work_started_at.take() {
             self.timer_fired(now, started_at);
         }
     }
 
+    /// The last recorded lag, as far as it has not decayed by now.
     fn decayed_lag(&self, now: f64) -> f64 {
         self.lag * ((self.measured_at - now) / DECAY_MS).exp()
     }
 
-    /// Whether the loop is late by more than `max_lag` ms.
+    /// Whether the loop is late by more than `max_lag` ms, by the recorded lag or by the length of the current turn.
     pub fn exceeds(&self, now: f64, max_lag: f64) -> bool {
         self.decayed_lag(now).max(self.work_started_at.map_or(0.0, |started_at| now - started_at)) > max_lag
     }
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -1,7 +1,7 @@
-//! Queue of the plays that wait for a decision while the concurrency limit is reached.
+//! Queue of the plays that wait for admission while the limit on set-ups in progress is reached.
 //!
-//! Plays are taken in order of arrival while waits are short. Once the play at the head has waited too long, the
-//! newest play is taken first: under overload the oldest plays have the least time left, and serving them in order
+//! Plays are admitted in order of arrival while waits are short. Once the play at the head has waited too long, the
+//! newest play is admitted first: under overload the oldest plays have the least time left, and serving them in order
 //! would answer every play late. A play that can no longer be answered in time is returned at once, to be refused.
 //!
 //! The front (`pulleystair-edge`) owns the queue and gives the answers. Times are ms.
@@ -13,7 +13,7 @@
 pub struct QueueConfig {
     /// How many plays may wait.
     pub capacity: usize,
-    /// Once the oldest play has waited this long, ms, the newest are taken first.
+    /// Once the oldest play has waited this long, ms, the newest play is admitted first.
     pub newest_first_after_ms: f64,
 }
 
@@ -21,7 +21,7 @@
 struct WaitingPlay {
     play: u64,
     arrived_at: f64,
-    /// The latest time at which a decision is still of use.
+    /// The latest time at which its admission is still of use.
     deadline: f64,
 }
 
@@ -48,8 +48,8 @@
         self.waiting.is_empty()
     }
 
-    /// Adds a play that may wait until `deadline`. If the queue is over its bound, removes and returns the play with
-    /// the earliest deadline, which may be the added one.
+    /// Adds a play that arrives now and may wait until `deadline`. If the queue then holds more than its capacity,
+    /// evicts and returns the play with the earliest deadline, which may be the added one.
     pub fn push(&mut self, now: f64, play: u64, deadline: f64) -> Option<u64> {
         self.waiting.push_back(WaitingPlay { play, arrived_at: now, deadline });
         if self.waiting.len() <= self.config.capacity {
@@ -61,7 +61,8 @@
         self.waiting.remove(index).map(|w| w.play)
     }
 
-    /// Removes and returns the play that is to be decided now.
+    /// Removes and returns the play that is to be admitted now: the oldest one, or the newest one once the oldest has
+    /// waited too long.
     pub fn pop(&mut self, now: f64) -> Option<u64> {
         let overloaded =
             self.waiting.front().is_some_and(|w| now - w.arrived_at >= self.config.newest_first_after_ms);
@@ -97,7 +98,7 @@
     const CONFIG: QueueConfig = QueueConfig { capacity: 4, newest_first_after_ms: 100.0 };
 
     #[test]
-    fn plays_are_taken_in_order_and_newest_first_under_overload() {
+    fn plays_are_popped_in_order_and_newest_first_under_overload() {
         let mut queue = AdmissionQueue::new(CONFIG);
         (1..=3).for_each(|play| assert_eq!(queue.push(play as f64, play, 1000.0), None));
         assert_eq!(queue.pop(50.0), Some(1));
@@ -126,7 +127,7 @@
     }
 
     proptest! {
-        /// Each play leaves the queue exactly once: taken, evicted, expired or removed.
+        /// Each play leaves the queue exactly once: popped, evicted, expired or removed.
         #[test]
         fn each_play_leaves_the_queue_exactly_once(steps in prop::collection::vec((0u8..5, 0.0f64..50.0, 10.0f64..400.0), 1..200)) {
             let (mut queue, mut now, mut pushed) = (AdmissionQueue::new(CONFIG), 0.0, 0u64);
--- a/crates/admission/src/read_retries.rs
+++ b/crates/admission/src/read_retries.rs
@@ -1,6 +1,7 @@
 //! Retries of failed segment reads. A segment may be requested twice without harm, so a failed read is repeated, or
 //! resumed where it broke off, while three conditions hold: tries are left, time is left, and the server's retry
-//! budget is not used up. A read that can't go on ends in such a way that the player sees that it is incomplete.
+//! budget is not used up. A try on a connection that proved stale is repeated in any case. A read that can't go on ends
+//! in such a way that the player sees that it is incomplete.
 //!
 //! The front (`pulleystair-edge`) calls this for each read from a media server. Times are ms.
 
@@ -45,7 +46,7 @@
     Again { from: u64 },
     /// Answer the player with this status; nothing has been sent to it yet.
     Answer(u16),
-    /// Close the player's connection: part of the body has been sent, and the rest is not available.
+    /// Close the player's connection: the response head has been sent, and the rest of the body is not available.
     Cut,
 }
 
@@ -73,7 +74,7 @@
 const SLICES_PER_SPAN: f64 = 16.0;
 
 impl RetryBudget {
-    /// The slice of this moment; drops the slices that lie before the span.
+    /// Drops the slices that lie before the span, then returns the slice of this moment, which is created if absent.
     fn current_slice(&mut self, now: f64, span: f64) -> &mut (f64, f64, f64) {
         while self.slices.front().is_some_and(|s| s.0 <= now - span) {
             self.slices.pop_front();
@@ -90,8 +91,9 @@
         self.current_slice(now, config.span_ms).1 += 1.0;
     }
 
-    /// Whether a retry is within the budget; if so, records it.
+    /// If a retry is within the budget, records it and returns true.
     fn take_retry(&mut self, now: f64, config: &RetryConfig) -> bool {
+        // Drops the old slices, so that the totals (first tries, retries) cover the span only.
         self.current_slice(now, config.span_ms);
         let totals = self.slices.iter().fold((0.0, 0.0), |sum, s| (sum.0 + s.1, sum.1 + s.2));
         let allowed = totals.1 + 1.0 <= config.free_retries + config.retry_share * totals.0;
@@ -101,7 +103,7 @@
         allowed
     }
 
-    /// Decides what to do about a failed read; records a retry in the budget.
+    /// Decides what to do about a failed read. Records a retry in the budget, except one after a stale connection.
     pub fn next_action(
         &mut self,
         now: f64,
@@ -109,6 +111,8 @@
         read: &ReadProgress,
         error: ReadError,
     ) -> ReadAction {
+        // Some statuses are answered at once, but only while no response head was relayed. After that, every error
+        // except `Length` may be retried, these statuses included.
         let action_without_retry = match (read.bytes_relayed, error) {
             (Some(_), _) => ReadAction::Cut,
             (None, ReadError::Stalled) => ReadAction::Answer(504),
@@ -177,12 +181,12 @@
             let action = budget.next_action(100.0, &CONFIG, &read_progress(None), ReadError::Broken);
             retries += usize::from(action == ReadAction::Again { from: 0 });
         }
-        assert_eq!(retries, 22, "2 free ones and a fifth of 100 first tries");
+        assert_eq!(retries, 22, "free_retries (2) and a fifth of 100 first tries");
         assert_eq!(
             budget.next_action(100.0, &CONFIG, &read_progress(None), ReadError::Stale),
             ReadAction::Again { from: 0 }
         );
-        // Much later, only the free retries are left.
+        // Much later no first try is left in the span; `free_retries` allows this retry.
         assert_eq!(
             budget.next_action(
                 9000.0,
--- a/crates/admission/src/wall_clock.rs
+++ b/crates/admission/src/wall_clock.rs
@@ -5,7 +5,7 @@
 //! monotonic clock and follows the system time at a rate that no viewer notices: a step of 10 s is followed within
 //! 100 s, so a token with a minute left never expires at once, and an expired token never becomes valid again.
 //!
-//! The front (`pulleystair-edge`) syncs it regularly. Times are ms.
+//! The front (`pulleystair-edge`) calls [`WallClock::sync`] regularly. Times are ms.
 
 /// Share of the elapsed time by which the time of day may be slewed.
 const MAX_SLEW: f64 = 0.1;
--- a/crates/edge/src/active_config.rs
+++ b/crates/edge/src/active_config.rs
@@ -1,6 +1,6 @@
-//! The configuration in effect, read back from the running front: from the placement logic, the limits and the server list,
-//! never from the files that they were loaded from. It is divided into sections, by which drift from the approved version
-//! is detected. Names of sections and values are the same at all fronts.
+//! The configuration in effect, read back from the running front: from the placement logic, the limits and the server
+//! list, never from the files that they were loaded from. It is divided into sections, by which drift from the approved
+//! version is detected. Names of sections and values are the same at all fronts.
 
 use crate::config::{Budget, Config, Rung};
 use crate::edge::Edge;
@@ -20,7 +20,8 @@
     json!({ "revision": hex(&digest(&json!(servers)))[..16], "servers": list.servers.len(), "draining": draining })
 }
 
-/// The configuration `original` with the values that the settings of the placement logic contain.
+/// The configuration `original` with the values of the ladder, rules, prices and products that the placement logic's
+/// settings contain. The products' `top`, `live`, `effect` and `repeat_group` are kept from `original`.
 fn config_from_settings(original: &Config, settings: &Settings) -> Config {
     let mut config = original.clone();
     let value = |name: &str, default: f64| number(settings, name, default);
@@ -96,8 +97,9 @@
     ])
 }
 
-/// Name of the setting for a value of the rules, given by its path in the sections; none for a value that only this front
-/// itself uses.
+/// Name of the setting for a value that may be replaced by a stricter one, given by its path in the sections; `None`
+/// for any other path. Of the paths that the callers pass, only `rules.drain_grace_ms` has no setting: the front itself
+/// uses it.
 pub(crate) fn setting_name(config: &Config, path: &str) -> Option<String> {
     let name = match path {
         "rules.budget.share" => "rules.budget_share",
@@ -115,8 +117,8 @@
 }
 
 impl Edge {
-    /// The sections of the configuration in effect, with this front's own values in place of stricter ones that it applies
-    /// while adrift; empty without a fleet.
+    /// The sections of the configuration in effect; empty without a fleet. Where a stricter value is applied while
+    /// adrift, this front's own value is shown instead, so that the drift stays visible.
     pub(crate) fn active_sections(&self) -> Sections {
         let mut settings = self.dispatcher.active_settings();
         let mut config = self.state.config.clone();
@@ -126,14 +128,17 @@
                 Some(name) if number(&settings, &name, f64::NAN) == *stricter => {
                     settings.insert(name, pulleystair::Value::Number(*own));
                 }
+                // The value was changed since the stricter one was applied, and is shown as it is.
                 Some(_) => {}
+                // Only the path rules.drain_grace_ms has no setting.
                 None => config.rules.drain_grace_ms = *own,
             }
         }
         sections(&config_from_settings(&config, &settings), fleet.list_revision.clone())
     }
 
-    /// Applies the stricter values while this front is adrift, and its own values again once it is in step.
+    /// Applies the given stricter values, by path, and restores this front's own value for each path that is no longer
+    /// among them. `limits.list_poll_ms`, which a stricter `rules.drain_grace_ms` may shorten, is not restored.
     pub(crate) fn apply_stricter_values(&mut self, stricter: &[(String, f64)]) {
         let Some(fleet) = &self.state.fleet else { return };
         let applied = fleet.stricter_values.clone();
@@ -147,6 +152,7 @@
         for (path, value) in stricter {
             let own = match setting_name(&self.state.config, path) {
                 Some(name) => number(&self.dispatcher.active_settings(), &name, f64::NAN),
+                // Only the path rules.drain_grace_ms has no setting.
                 None => self.state.config.rules.drain_grace_ms,
             };
             if own == *value || applied.get(path).is_some_and(|applied| applied.1 == *value) {
@@ -161,11 +167,12 @@
         }
     }
 
-    /// Puts a value of the rules, given by its path, into effect.
+    /// Puts a value of the rules, given by its path, into effect. A path without a setting is taken for
+    /// `rules.drain_grace_ms`.
     fn apply_value(&mut self, path: &str, value: f64) {
         match setting_name(&self.state.config, path) {
             Some(name) => self.dispatcher.override_setting(&name, value),
-            // A drain is noticed by a poll of the list, so the interval of polls must not exceed the grace period.
+            // A drain is noticed when the list is polled, so the interval of polls must not exceed the grace period.
             None => {
                 let limits = &mut self.state.config.limits;
                 limits.list_poll_ms = limits.list_poll_ms.min(value);
--- a/crates/edge/src/approved_versions.rs
+++ b/crates/edge/src/approved_versions.rs
@@ -1,5 +1,5 @@
-//! The file of approved versions: loaded at start and polled while the front runs. It is refused if it is not a valid chain
-//! of versions, does not continue the chain loaded before, or approves a configuration that is invalid.
+//! The file of approved versions: loaded at start and polled while the front runs. It is refused if it is not a valid
+//! chain of versions, does not continue the chain loaded before, or approves a configuration that is invalid.
 
 use crate::config::Config;
 use crate::edge::Edge;
@@ -9,10 +9,10 @@
 use std::path::Path;
 use tracing::{info, warn};
 
-/// Size of the largest file of versions that is read.
+/// Size of the largest file of versions that is read, bytes.
 const MAX_BYTES: u64 = 64 << 20;
 
-/// Loads and checks the file; an error names the path and the cause.
+/// Loads and checks the file. An error names the file, the version and the path of the invalid value, and the cause.
 pub fn read(file: &Path, config: &Config) -> anyhow::Result<VersionChain> {
     let file_error = |cause: String| anyhow::anyhow!("sharing.approved: {}: {cause}", file.display());
     let size = std::fs::metadata(file).map_err(|e| file_error(e.to_string()))?.len();
@@ -29,8 +29,8 @@
     Ok(chain)
 }
 
-/// Checks that a front with this configuration could run with these sections. An error has the path of the invalid value,
-/// what was found, and what is allowed.
+/// Checks that a front with this configuration could run with the rules, prices, ladder, limits, floors and seats of
+/// these sections. An error has the path of the invalid value, what was found, and what is allowed.
 fn check_sections(config: &Config, sections: &Sections) -> Result<(), (String, String, &'static str)> {
     let mut changed = config.clone();
     let parse_error = |path: &str, e: serde_json::Error| {
--- a/crates/edge/src/config/check.rs
+++ b/crates/edge/src/config/check.rs
@@ -4,15 +4,24 @@
 use pulleystair_dash::address;
 
 impl Config {
-    /// Finds the first invalid value: its path in the file, what was found, what is allowed.
+    /// Checks the values that have bounds or refer to each other. The error is the first invalid value: its path in the
+    /// file, what was found, what is allowed.
     pub(crate) fn check(&self) -> Result<(), (String, String, &'static str)> {
         let positive = |path: &str, value: f64| {
             let is_valid = value.is_finite() && value > 0.0 && value <= 1e12;
-            is_valid.then_some(()).ok_or((path.to_string(), value.to_string(), "a number above 0"))
+            is_valid.then_some(()).ok_or((
+                path.to_string(),
+                value.to_string(),
+                "a number above 0, at most 1e12",
+            ))
         };
         let non_negative = |path: &str, value: f64| {
             let is_valid = value.is_finite() && (0.0..=1e12).contains(&value);
-            is_valid.then_some(()).ok_or((path.to_string(), value.to_string(), "a number from 0"))
+            is_valid.then_some(()).ok_or((
+                path.to_string(),
+                value.to_string(),
+                "a number of at least 0, at most 1e12",
+            ))
         };
         let fraction = |path: &str, value: f64| {
             let is_valid = (0.0..=1.0).contains(&value);
@@ -23,7 +32,7 @@
             is_valid.then_some(()).ok_or((
                 path.to_string(),
                 count.to_string(),
-                "a whole number from 1, within its upper bound",
+                "a whole number from 1 to the upper bound of this setting",
             ))
         };
         let valid_name = |path: String, name: &str| {
--- a/crates/edge/src/config/keys.rs
+++ b/crates/edge/src/config/keys.rs
@@ -26,7 +26,8 @@
 type Secrets = Vec<(String, Vec<u8>)>;
 
 impl Keys {
-    /// Loads the file, and the secrets that it names from its folder: those of entry tokens, then those of session tokens.
+    /// Loads and checks the file, and the files of secrets that it names. Returns its content, the secrets of entry
+    /// tokens, and the secrets of session tokens.
     pub fn load(file: &Path) -> Result<(Keys, Secrets, Secrets), LoadError> {
         let keys: Keys = load(file)?;
         if keys.revoked.len() > MAX_REVOKED {
@@ -94,7 +95,8 @@
 }
 
 impl Config {
-    /// The key rings of entry tokens and of session tokens, and the revoked sessions; an error comes with its path.
+    /// Loads the key ring of entry tokens, that of session tokens, and the revoked sessions, from the file of keys if
+    /// there is one. The error has the path of the invalid value in the configuration.
     pub fn key_rings(&self) -> Result<(KeyRing, KeyRing, Vec<String>), (&'static str, String)> {
         let key_ring = |path, secrets: &Secrets| KeyRing::new(secrets).map_err(|e| (path, e.to_string()));
         if let Some(file) = &self.keys {
--- a/crates/edge/src/config/limits.rs
+++ b/crates/edge/src/config/limits.rs
@@ -24,11 +24,11 @@
     pub send_buffer_bytes: usize,
     /// Bytes of a relayed response that may be queued for a player before the front stops reading from the server.
     pub relay_bytes: usize,
-    /// Plays being decided at the same time.
+    /// Plays that are not answered yet: those that wait for admission and those being set up.
     pub deciding: usize,
-    /// All plays that the front holds.
+    /// Plays that the front holds: those not answered yet and those running.
     pub plays: usize,
-    /// All sessions that the front knows, including ended ones.
+    /// Sessions that the front holds, including ended ones whose answer is still kept.
     pub sessions: usize,
     /// Requests that may wait for the answer of one session.
     pub waiters: usize,
@@ -63,7 +63,7 @@
     pub skew_ms: f64,
     /// A removed key is still accepted for this time.
     pub key_overlap_ms: f64,
-    /// A certificate that expires within this time is logged.
+    /// A warning is logged for a certificate that expires within this time.
     pub expiry_ms: f64,
     /// How often the totals since the start are logged, if they have changed.
     pub tally_ms: f64,
@@ -108,8 +108,8 @@
     }
 }
 
-/// Retries of failed segment reads: how often one read is tried, for how long the player is assumed to wait, and how many
-/// retries one server gets within any span.
+/// Retries of failed segment reads: how often one read is tried, for how long the player is assumed to wait, and how
+/// many retries one server gets within any span.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Reads {
@@ -132,7 +132,7 @@
 }
 
 impl Reads {
-    /// These limits as the admission package takes them.
+    /// These limits in the form that the admission package uses.
     pub fn retry_config(&self) -> read_retries::RetryConfig {
         read_retries::RetryConfig {
             max_tries: self.tries,
@@ -147,24 +147,25 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Admission {
-    /// Lower bound of the concurrency limit.
+    /// Lower bound of the limit on set-ups in progress. The limit may be lower because of `work_ms`.
     pub least: f64,
-    /// Upper bound of the concurrency limit.
+    /// Upper bound of the limit on set-ups in progress.
     pub most: f64,
     /// The set-up delay may grow by this factor, plus `slack_ms`, before the limit shrinks.
     pub tolerance: f64,
     pub slack_ms: f64,
-    /// Number of outcomes in a sample.
+    /// Number of set-ups in a sample, after which the limit is adapted.
     pub sample: usize,
-    /// Plays that may wait for a decision.
+    /// Plays that may wait for admission.
     pub queue: usize,
-    /// Once the oldest play has waited this long, the newest are decided first.
+    /// Once the oldest play has waited this long, the newest play is admitted first.
     pub crowded_ms: f64,
-    /// A play with no more time left than this is refused at once.
+    /// A waiting play with no more time left than this is refused at once.
     pub reserve_ms: f64,
-    /// While the front's event loop is late by more than this, it takes no further plays.
+    /// While the front's event loop is late by more than this, the front refuses further plays.
     pub behind_ms: f64,
-    /// No more set-ups are in progress than the front could decide once more within this time.
+    /// No more set-ups are in progress than the front could make one decision each for within this time; a decision is
+    /// one call of the placement logic.
     pub work_ms: f64,
 }
 
@@ -186,7 +187,7 @@
 }
 
 impl Admission {
-    /// The bounds of the concurrency limit as the admission package takes them.
+    /// The bounds of the concurrency limit in the form that the admission package uses.
     pub fn limit_config(&self) -> concurrency::LimitConfig {
         let Admission { least, most, tolerance, slack_ms: slack, sample, work_ms: work, .. } = *self;
         concurrency::LimitConfig {
@@ -199,7 +200,7 @@
         }
     }
 
-    /// The bounds of the queue as the admission package takes them.
+    /// The bounds of the queue in the form that the admission package uses.
     pub fn queue_config(&self) -> queue::QueueConfig {
         queue::QueueConfig { capacity: self.queue, newest_first_after_ms: self.crowded_ms }
     }
--- a/crates/edge/src/config/mod.rs
+++ b/crates/edge/src/config/mod.rs
@@ -42,7 +42,7 @@
     pub ladder: Vec<Rung>,
     /// The fleet of fronts and the media servers.
     pub fleet: Fleet,
-    /// How fronts exchange state; used if `fleet` names its peers.
+    /// How fronts exchange state; used if `fleet` has `name`, `listen` and `peers`.
     #[serde(default)]
     pub sharing: Sharing,
     /// The rules that every decision must keep.
@@ -56,11 +56,11 @@
     /// Retries of failed segment reads.
     #[serde(default)]
     pub reads: Reads,
-    /// How many plays this front takes on at once.
+    /// Admission of plays: how many set-ups may be in progress at once, and which plays wait.
     #[serde(default)]
     pub admission: Admission,
-    /// File of the addresses at which players reach the fronts, by rank, as a list of `HOST:PORT`; polled like the keys.
-    /// With it, a session of a product that must not be set up twice is accepted only by its home front.
+    /// File of the addresses at which players reach the fronts, by rank, as a list of `HOST:PORT`; polled like the
+    /// keys. With it, a session of a product that must not be set up twice is accepted only by its home front.
     pub homes: Option<PathBuf>,
     /// Keys of the portal's entry tokens.
     #[serde(default)]
@@ -91,7 +91,7 @@
 pub struct Product {
     /// Its name.
     pub name: String,
-    /// Weight of its plays in decisions.
+    /// Weight of its plays in decisions, relative to the other products.
     pub importance: f64,
     /// Within this time of its request a play should start.
     pub first_frame_target_ms: f64,
@@ -155,7 +155,7 @@
 pub struct Rung {
     /// Rate of a play at this rung.
     pub rate_kb: f64,
-    /// Value of one second at this rung, as a fraction of the importance.
+    /// Value of one second of a play at this rung, as a multiple of the product's importance.
     pub earns: f64,
 }
 
@@ -163,11 +163,12 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Name of the fleet. With `name`, `listen` and `peers` fronts exchange what they know; without them, nothing is sent.
+    /// Name of the fleet. With `name`, `listen` and `peers` fronts exchange what they know; without them, nothing is
+    /// sent.
     pub name: Option<String>,
     /// Address on which this front listens for other fronts.
     pub listen: Option<SocketAddr>,
-    /// All fronts with the addresses at which they are reached, by rank, including this one.
+    /// All fronts, this one included, by rank, with the addresses at which they reach each other.
     #[serde(default)]
     pub peers: Vec<FrontAddress>,
     /// Number of cells, which hold the titles.
@@ -185,11 +186,12 @@
     /// Load that a further viewer of a live title adds to a stream at the same server, as a fraction of the rate.
     #[serde(default = "one")]
     pub shared_part: f64,
-    /// Delay of the notes that servers send on their plays.
+    /// By this much the load metrics of servers are assumed to lag, as do their notes on running plays.
     pub notes_late_ms: f64,
-    /// Importance lost per missing unit of the rate.
+    /// Value that the plays on an overloaded link lose, as a multiple of their value (importance times `earns`), per
+    /// share of the link's capacity by which the load exceeds it.
     pub stall_cost: f64,
-    /// Cost of a change of rung, in seconds of importance.
+    /// Cost of a change of rung, as the number of seconds in which a play with `earns` 1 earns as much.
     pub change_costs_s: f64,
 }
 
@@ -211,9 +213,10 @@
     pub drain_grace_ms: f64,
     /// How long a server is cold after its start.
     pub cold_ms: f64,
-    /// Fraction of its full pace at which a cold server begins.
+    /// Fraction of its full pace at which a cold server begins. The full pace is as many set-ups within `cold_ms` as its
+    /// kind has `streams`.
     pub cold_from: f64,
-    /// A cold server breaks down when it is sent more than this multiple of its pace.
+    /// A cold server becomes overloaded when it is sent more than this multiple of its pace.
     pub overload_factor: f64,
     /// Maximum number of allocations of a play.
     pub allocations: usize,
@@ -233,19 +236,21 @@
 pub struct Budget {
     /// Length of the span.
     pub span_ms: f64,
-    /// Further allocations allowed, as a share of the plays taken.
+    /// Further allocations allowed, as a share of the plays admitted within the span.
     pub share: f64,
     /// Further allocations allowed in addition to that share.
     pub free: f64,
 }
 
-/// Costs that decisions weigh, in points of service; 0 for none.
+/// Costs that decisions weigh.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Prices {
-    /// Cost of a probe.
+    /// Cost of a probe, as a share of a play's value. The probes for one allocation may cost 0.025 together, so a lower
+    /// cost allows more of them. 0 counts as 0.025: at most one server is probed.
     pub probe: f64,
-    /// Cost of sending a play to a server in another zone.
+    /// Cost of sending a play to a server in another zone. Only whether it is above 0 matters: if so, servers of the
+    /// front's zone with ample room are preferred.
     pub cross_zone: f64,
 }
 
@@ -254,8 +259,8 @@
 }
 
 impl Config {
-    /// Loads and checks a configuration file. Its paths, which are relative to the folder of the file, are joined to that
-    /// folder.
+    /// Loads and checks a configuration file. Its paths, which are relative to the folder of the file, are joined to
+    /// that folder.
     pub fn read(file: &Path) -> Result<Config, LoadError> {
         let mut config: Config = load(file)?;
         config.check().map_err(|(path, found, allowed)| invalid_value(file, &path, found, allowed))?;
@@ -270,7 +275,12 @@
             key.file = folder.join(&key.file);
         }
         if config.keys.is_some() && !(config.entry_keys.is_empty() && config.pass_keys.is_empty()) {
-            return Err(invalid_value(file, "keys", "entry_keys or pass_keys beside it", "either, not both"));
+            return Err(invalid_value(
+                file,
+                "keys",
+                "entry_keys or pass_keys in addition",
+                "either keys, or entry_keys and pass_keys",
+            ));
         }
         let value_error = |path: &str, cause| LoadError::Value {
             file: file.display().to_string(),
--- a/crates/edge/src/config/sharing.rs
+++ b/crates/edge/src/config/sharing.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FrontAddress {
-    /// Its name, unique among the fronts.
+    /// Name of the front, unique among the fronts.
     pub name: String,
     /// Its UDP address.
     pub at: SocketAddr,
@@ -26,21 +26,25 @@
     pub fan_out: usize,
     /// Maximum rate at which this front sends to the others, bytes/s.
     pub bytes_s: f64,
-    /// A front that was not heard from for this time is doubted.
+    /// A front that was not heard from for longer than this is *doubted*. This affects no decision; it is the lower
+    /// bound of `unheard_ms`.
     pub doubted_ms: f64,
-    /// A front that was not heard from for this time counts as unheard.
+    /// A front that was not heard from for longer than this is *unheard*: no verdict on its configuration is possible,
+    /// and estimates leave out its results.
     pub unheard_ms: f64,
     /// How long a lease on part of a cold server's pace lasts.
     pub lend_ms: f64,
-    /// Further allocations (after a play's first) of all fronts together to one server, per second; 0 for no shared bound.
+    /// Further allocations (after a play's first) of all fronts together to one server, per second; 0 for no shared
+    /// bound.
     pub further_s: f64,
     /// Probes of all fronts together to one server, per second; 0 for no shared bound.
     pub probes_s: f64,
     /// Append-only file of the approved versions, polled like the keys.
     pub approved: Option<PathBuf>,
-    /// A verdict raises an alarm once it has lasted this long.
+    /// An alarm on a front is raised once the verdict on it has been a wrong or unknown one for this long.
     pub hold_ms: f64,
-    /// Whether a front that is adrift in a rule applies the stricter of the approved and its own value.
+    /// Whether this front, while the verdict on it is behind, ahead, adrift or torn, applies the stricter of the
+    /// approved and its own value of a rule.
     pub stricter: bool,
     /// Length of the buckets that estimates are made over: the current bucket and the one before.
     pub bucket_ms: f64,
@@ -72,7 +76,7 @@
 type InvalidValue = (String, String, &'static str);
 
 impl Config {
-    /// This front's name among its peers; none if it does not share.
+    /// This front's name in the list of fronts; none if it does not exchange state with others.
     pub fn own_name(&self) -> Option<&str> {
         self.fleet.peers.get(self.rank).map(|peer| peer.name.as_str())
     }
@@ -82,7 +86,7 @@
         let (fleet, sharing) = (&self.fleet, &self.sharing);
         let given = [fleet.name.is_some(), fleet.listen.is_some(), !fleet.peers.is_empty()];
         if given.contains(&true) && given.contains(&false) {
-            let found = "one without the others".to_string();
+            let found = "some of the three without the others".to_string();
             return Err(("fleet.name, listen, peers".into(), found, "all three, or none of them"));
         }
         if let Some(name) = fleet.name.as_ref().filter(|name| !address::is_valid_name(name)) {
@@ -116,7 +120,7 @@
         ];
         for (name, value, min, max) in bounds {
             if !(value.is_finite() && (min..=max).contains(&value)) {
-                let allowed = "a number within its bounds (docs/operate-fleet.md)";
+                let allowed = "a number within the bounds of this setting (docs/operate-fleet.md)";
                 return Err((format!("sharing.{name}"), value.to_string(), allowed));
             }
         }
--- a/crates/edge/src/fleet.rs
+++ b/crates/edge/src/fleet.rs
@@ -1,6 +1,6 @@
-//! The exchange with the other fronts of the fleet: this front's [`FleetMember`], its UDP socket, and the adapter between
-//! them and the front's state. All decisions are made by the fleet member's packages and the placement logic. Without
-//! peers in the configuration there is no [`Fleet`]. Times are ms.
+//! The exchange with the other fronts of the fleet: this front's [`FleetMember`], its UDP socket, and the adapter
+//! between them and the front's state. All decisions are made by the fleet member's packages and the placement logic.
+//! Without peers in the configuration there is no [`Fleet`]. Times are ms.
 
 use crate::config::Config;
 use crate::edge::Edge;
@@ -23,12 +23,13 @@
 
 /// Datagrams received in one turn of the event loop.
 const MAX_DATAGRAMS_PER_TURN: usize = 256;
-/// Size of the receive buffer, which exceeds the largest valid datagram, so that a longer one is recognised by its length.
+/// Size of the receive buffer, which exceeds the largest valid datagram, so that a longer one is recognised by its
+/// length.
 const RECEIVE_BUFFER_BYTES: usize = 2_048;
 /// Interval at which the active configuration is read back and the drift verdicts are evaluated.
 const VERDICT_INTERVAL_MS: f64 = 500.0;
 
-/// This front's side of the exchange.
+/// This front's side of the exchange with the other fronts.
 pub(crate) struct Fleet {
     pub(crate) member: FleetMember,
     socket: Rc<UdpSocket>,
@@ -40,11 +41,12 @@
     drawn_candidates: Vec<(u32, f64, f64)>,
     /// The file of approved versions.
     pub(crate) approved_file: Option<WatchedFiles>,
-    /// Revision of the server list, for the fleet member.
+    /// Revision of the server list in effect, for section `list` of the active configuration.
     pub(crate) list_revision: Value,
     /// Values that this front applies because it is adrift, by path: its own value and the stricter one.
     pub(crate) stricter_values: BTreeMap<String, (f64, f64)>,
-    /// What was logged last: doubted servers, the lost zone, and fronts under alarm with their verdicts.
+    /// What was logged last: `.0` the doubted servers, `.1` the lost zone, `.2` the fronts under alarm with their
+    /// verdicts.
     last_logged: (BTreeSet<u64>, Option<usize>, BTreeMap<String, String>),
     /// When the verdicts are evaluated next.
     next_verdicts_at: f64,
@@ -53,7 +55,8 @@
 }
 
 impl Fleet {
-    /// Joins the fleet that the configuration names, if it names one.
+    /// Joins the fleet that the configuration names, if it names one: loads the approved versions, binds the UDP socket
+    /// and adds it to the event loop.
     pub(crate) fn join(
         config: &Config,
         handle: &LoopHandle<'static, Edge>,
@@ -143,7 +146,8 @@
         self.servers.get(server as usize).map_or(0, |s| s.stable_id)
     }
 
-    /// Passes a new server list to the fleet member.
+    /// Passes the ready servers of a new list to the fleet member, and for each range of cells that holds titles, the
+    /// ready servers in it.
     pub(crate) fn fleet_update_list(&mut self, list: &List) {
         let config = &self.config;
         let zone = |name: &str| config.zones.iter().position(|z| z == name).unwrap_or(0);
@@ -186,7 +190,8 @@
         }
     }
 
-    /// Records that allocation number `n` of a play is sent to a server.
+    /// Records that allocation number `n` of a play, from 1, is sent to a server, and the candidates that it was drawn
+    /// from.
     pub(crate) fn fleet_on_sent(&mut self, now: f64, play: u64, n: usize, server: u32) {
         if self.fleet.is_none() {
             return;
@@ -217,6 +222,7 @@
         let Some(fleet) = self.fleet.as_mut() else { return };
         fleet.member.on_sent(now, id, n > 1);
         if let Some(chosen) = chosen {
+            // Title 0 stands for all titles that are not counted separately.
             fleet.member.outcomes.record_choice(play, n as u32, product, title.max(1), chosen, candidates);
         }
     }
@@ -244,7 +250,7 @@
 }
 
 impl Edge {
-    /// Receives datagrams of other fronts and sends the replies.
+    /// Receives the waiting datagrams of other fronts, sends the replies, and calls [`Edge::sync_fleet`].
     fn receive_datagrams(&mut self) {
         let now = self.state.now();
         let Some(fleet) = self.state.fleet.as_mut() else { return };
@@ -263,8 +269,8 @@
         self.sync_fleet();
     }
 
-    /// Ticks the fleet member if it is due, evaluates the verdicts if they are due, and schedules the next call. Runs before
-    /// any decision, so that no lease is used after its end.
+    /// Ticks the fleet member if it is due, evaluates the verdicts if they are due, and schedules the next call. Runs
+    /// before any decision, so that no lease is used after its end.
     pub(crate) fn sync_fleet(&mut self) {
         let state = &mut self.state;
         let (now, wall_clock) = (state.now(), state.wall_clock_now());
@@ -301,7 +307,8 @@
         }
     }
 
-    /// Reads back the active configuration, logs changes of the drift verdicts, and applies stricter values while adrift.
+    /// Reads back the active configuration, logs changes of the drift verdicts, and applies stricter values while
+    /// adrift.
     fn update_verdicts(&mut self, now: f64, wall_clock: f64) {
         let sections = self.active_sections();
         let Some(fleet) = self.state.fleet.as_mut() else { return };
@@ -335,7 +342,8 @@
 }
 
 impl Fleet {
-    /// Logs the doubted servers and the lost zone if they have changed.
+    /// Logs the doubted servers (other fronts report failures of them) and the lost zone, if they have changed since they
+    /// were last logged.
     fn log_health(&mut self) {
         let health = self.member.health();
         if health.doubted == self.last_logged.0 && health.lost == self.last_logged.1 {
@@ -343,7 +351,7 @@
         }
         let name = |id: &u64| self.server_names.get(id).cloned().unwrap_or_default();
         let doubted: Vec<String> = health.doubted.iter().map(name).collect();
-        info!(target: "fleet", ?doubted, zone_lost = health.lost, "doubted servers changed");
+        info!(target: "fleet", ?doubted, zone_lost = health.lost, "doubted servers or lost zone changed");
         (self.last_logged.0, self.last_logged.1) = (health.doubted.clone(), health.lost);
     }
 }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,4 +1,4 @@
-//! The front process: takes viewers' requests over HTTP, sets their plays up at media servers, and relays segments.
+//! The front process: accepts viewers' requests over HTTP, sets their plays up at media servers, and relays segments.
 //! `main.rs` is the command line.
 //!
 //! - [`edge`]: the event loop, and the start and stop of a front.
--- a/crates/edge/src/main.rs
+++ b/crates/edge/src/main.rs
@@ -60,7 +60,7 @@
 }
 
 /// Starts logging on a separate thread, which writes the remaining lines when the returned guard is dropped. A slow reader
-/// of the log must not stall viewers: lines that it does not take in time are dropped and counted.
+/// of the log must not stall viewers: lines that it does not read in time are dropped and counted.
 fn init_logging(command: &Command) -> anyhow::Result<(WorkerGuard, ErrorCounter)> {
     let filter = EnvFilter::try_new(&command.level)?;
     let writer_builder = NonBlockingBuilder::default().buffered_lines_limit(command.log_lines).lossy(true);
@@ -74,6 +74,7 @@
     Ok((guard, dropped_lines))
 }
 
+/// Runs a subcommand and returns the exit code.
 fn run(command: Command) -> anyhow::Result<ExitCode> {
     let stop = stop_signals()?;
     let (_guard, dropped_lines) = init_logging(&command)?;
@@ -97,7 +98,7 @@
                 approved_versions::read(file, &config)?;
             }
             println!(
-                "{}: good; {} products, {} rungs, {} servers, {} titles",
+                "{}: valid; {} products, {} rungs, {} servers, {} titles",
                 rundown.display(),
                 config.products.len(),
                 config.ladder.len(),
--- a/crates/edge/src/server_list.rs
+++ b/crates/edge/src/server_list.rs
@@ -1,6 +1,6 @@
-//! The list of servers and titles: a file that is polled and loaded again when it was replaced. Every other source of the
-//! list (a registry, xDS, a planner) would deliver the same type, a checked [`List`]. Also the polling of files for
-//! replacement, [`WatchedFiles`].
+//! The list of servers and titles: a file that is polled and loaded again when it was replaced. Every other source of
+//! the list (a registry, xDS, a planner) would deliver the same type, a checked [`List`]. Also contains
+//! [`WatchedFiles`], by which all files that may be replaced are checked for replacement.
 
 use pulleystair::{Listing, Standing};
 use pulleystair_dash::address;
@@ -35,19 +35,19 @@
     pub zone: String,
     /// Its kind, one of the configuration's `fleet.kinds`.
     pub kind: String,
-    /// Its cell; it holds the titles of that cell.
+    /// Its cell; the server holds the titles of that cell.
     pub cell: usize,
-    /// Its capacity relative to other servers.
+    /// Its capacity relative to other servers, in units of `fleet.link_unit_kb`.
     pub weight: f64,
-    /// Whether it takes new plays.
+    /// Whether new plays may be set up at the server.
     #[serde(default)]
     pub state: State,
-    /// When its process last started, ms since 1970; 0 if that was long ago.
+    /// When the process of the server last started, ms since 1970; 0 if that was long ago.
     #[serde(default)]
     pub started_ms: f64,
 }
 
-/// State of a server: takes new plays, or only continues those that it has.
+/// State of a server: new plays may be set up there, or it only continues those that it has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
@@ -95,13 +95,14 @@
     pub window_ms: u64,
 }
 
-/// Placeholder for the presentation of a title that was only parsed.
+/// Placeholder for the presentation of a title that was parsed, until [`List::load`] sets it.
 fn nothing() -> Rc<Presentation> {
     Rc::new(Presentation::plain(String::new(), 1, 1))
 }
 
 impl Title {
-    /// The title with a presentation of equal segments, as its own fields state it.
+    /// Sets the presentation of a title without a manifest, from `duration_ms`, `segment_ms` and `live`: all segments
+    /// are `segment_ms` long.
     pub fn with_uniform_segments(self) -> Title {
         let mut presentation = Presentation::plain(self.name.clone(), self.duration_ms, self.segment_ms);
         if let Some(live) = self.live {
@@ -116,7 +117,7 @@
         Title { presentation: Rc::new(presentation), ..self }
     }
 
-    /// The title with the presentation of its manifest; an error names the manifest and what is wrong with it.
+    /// Sets the presentation of a title from its manifest, a file in `folder`. An error names the file and the cause.
     fn with_manifest(self, folder: &Path, file: &Path) -> Result<Title, String> {
         let file = folder.join(file);
         let manifest_error = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
@@ -167,7 +168,8 @@
         Ok(list)
     }
 
-    /// Finds the first invalid value: its path in the file, what was found, what is allowed.
+    /// Checks the list against the configuration's values. The error is the first invalid value: its path in the file,
+    /// what was found, what is allowed.
     fn check(&self, context: &ListContext) -> Result<(), (String, String, &'static str)> {
         if self.servers.is_empty() || self.servers.len() > MAX_ENTRIES {
             return Err(("servers".into(), format!("{} of them", self.servers.len()), "1 to 100000"));
@@ -235,8 +237,8 @@
             }
             if title.manifest.is_some() {
                 if title.duration_ms > 0 || title.segment_ms > 0 || title.live.is_some() {
-                    let found = "duration_ms, segment_ms or live beside it".to_string();
-                    return Err((path("manifest"), found, "either, not both"));
+                    let found = "duration_ms, segment_ms or live in addition".to_string();
+                    return Err((path("manifest"), found, "either a manifest, or these keys"));
                 }
                 continue;
             }
@@ -245,7 +247,11 @@
             }
             let max_segment_ms = if title.duration_ms == 0 { MAX_TITLE_MS } else { title.duration_ms };
             if title.segment_ms == 0 || title.segment_ms > max_segment_ms {
-                return Err((path("segment_ms"), title.segment_ms.to_string(), "1 to duration_ms"));
+                return Err((
+                    path("segment_ms"),
+                    title.segment_ms.to_string(),
+                    "1 to duration_ms, or to 86400000 if that is 0",
+                ));
             }
             if let Some(live) = title.live {
                 if live.from_ms > MAX_TIME_MS {
@@ -266,7 +272,7 @@
         Ok(())
     }
 
-    /// The servers in the form that the dispatcher takes; `index` returns the number of a server.
+    /// The servers in the form that the dispatcher expects, each with its number, which `index` returns.
     pub fn entries(
         &self,
         context: &ListContext,
@@ -293,13 +299,14 @@
     }
 }
 
-/// Files that belong together and are polled for replacement.
+/// A file, or several files that belong together, polled for replacement.
 pub struct WatchedFiles {
-    /// The first file must exist: without it the others are not checked.
+    /// While the first file is missing, no file counts as replaced.
     files: Vec<PathBuf>,
     /// Inode, size and modification time of each file at the last check; none for a missing file.
     last_seen: Vec<Option<(u64, u64, i64, i64)>>,
-    /// Why the present content was refused, and whether it is to be read again although it was not replaced.
+    /// Why the current content was refused, and whether it is to be read again although it was not replaced; none if it
+    /// was not refused.
     refusal: Option<(String, bool)>,
 }
 
@@ -318,13 +325,14 @@
         }
     }
 
-    /// The first file.
+    /// The watched file; the first one if there are several.
     pub fn first_file(&self) -> &Path {
         &self.files[0]
     }
 
-    /// Whether a file was replaced since the last check, or is to be read again. A missing first file does not count as
-    /// replaced. Call this before the files are read, so that a replacement during the read is seen at the next check.
+    /// Whether a file was replaced, added or removed since the last check, or the files are to be read again. Always
+    /// false while the first file is missing. Call this before the files are read, so that a replacement during the
+    /// read is seen at the next check.
     pub fn check_replaced(&mut self) -> bool {
         let file_version = |file: &PathBuf| {
             let meta = std::fs::metadata(file).ok()?;
@@ -341,8 +349,8 @@
         self.refusal.as_ref().is_some_and(|(_, reread)| *reread)
     }
 
-    /// Records that the content was refused. With `reread` the files are read again at each check, even if they were not
-    /// replaced, because the cause may lie outside these files. Returns true if this cause is to be logged: once.
+    /// Records that the content was refused. With `reread` the files are read again at each check, even if they were
+    /// not replaced, because the cause may lie outside these files. Returns true if this cause is to be logged: once.
     pub fn record_refusal(&mut self, cause: &impl ToString, reread: bool) -> bool {
         let cause = cause.to_string();
         let is_logged = self.refusal.as_ref().is_some_and(|(logged, _)| *logged == cause);
@@ -355,7 +363,7 @@
         self.refusal = None;
     }
 
-    /// Makes the next check report a replacement in any case.
+    /// Makes the next check report a replacement, if the first file exists.
     pub fn force_reread(&mut self) {
         self.last_seen.clear();
     }
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// Exit code of a status report. 0: all fronts are in step or on their way; 1: one is adrift, torn, behind or ahead; 2: the
-/// state of some front is unknown.
+/// Exit code of a status report. 1: a front is adrift, torn, behind or ahead, and under alarm; else 2: the state of
+/// some front is unknown, or no version is approved; else 0: all are in step or on their way, or not yet under alarm.
 pub fn exit_code(report: &Value) -> u8 {
     report["status"].as_u64().map_or(2, |status| status.min(2) as u8)
 }
--- a/crates/edge/src/tls.rs
+++ b/crates/edge/src/tls.rs
@@ -1,6 +1,6 @@
 //! The certificates in effect, towards players and towards media servers: loaded at start, and again whenever a file of
-//! their folder was replaced. An invalid set is refused as a whole and the present one stays in effect; connections made
-//! under an earlier set stay open. Times are s since 1970.
+//! their folder was replaced. An invalid set is refused as a whole and the present one stays in effect; connections
+//! made under an earlier set stay open. Times are s since 1970.
 
 use crate::config::Tls;
 use crate::server_list::WatchedFiles;
@@ -25,16 +25,17 @@
 /// How near its expiry a certificate is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expiry {
-    /// Not within the time of the warning, or there is no certificate.
+    /// The warning period has not begun, or there is no certificate.
     Far,
-    /// Within the time of the warning.
+    /// Within the warning period, the moment of expiry included.
     Near,
-    /// Expired.
+    /// The moment of expiry has passed.
     Past,
 }
 
 impl Expiry {
-    /// State of a certificate that expires at `expires`; the last `warn_before_s` s before that count as near.
+    /// State at `now` of a certificate that expires at `expires`; the warning period is the last `warn_before_s` s
+    /// before.
     pub fn from_times(expires: Option<u64>, now: u64, warn_before_s: u64) -> Expiry {
         match expires {
             Some(expires) if expires < now => Expiry::Past,
@@ -75,8 +76,9 @@
         })
     }
 
-    /// Loads what was replaced. Returns true if media servers are now verified by another set, in which case idle
-    /// connections to them must not be used again.
+    /// Loads the folders in which a file was replaced, and logs certificates that expire soon or have expired. Returns
+    /// true if the set towards media servers was replaced, in which case idle connections to them must not be used
+    /// again.
     pub fn poll(&mut self, now: u64, warn_before_s: u64) -> bool {
         let (players, servers) = &mut self.sides;
         if let (Some(side), Some(loaded)) = (players, &mut self.players) {
@@ -96,6 +98,7 @@
 }
 
 impl<T> WatchedSide<T> {
+    /// Watches these files of a folder; none if the side does not use TLS.
     fn new(
         name: &'static str,
         folder: &Option<std::path::PathBuf>,
@@ -107,14 +110,15 @@
         Some(WatchedSide { name, folder, watched, load, logged_expiry: Expiry::Far })
     }
 
+    /// Loads the folder at start.
     fn load_first(&mut self, now: u64) -> Result<Loaded<T>, CertificateError> {
         // Checked before the files are read, so that a replacement during the read is seen at the next poll.
         self.watched.check_replaced();
         (self.load)(&self.folder, now)
     }
 
-    /// Loads the folder again if it was replaced, and logs a certificate that is near its expiry or past it. Returns true
-    /// if another set is now in effect.
+    /// Loads the folder again if it was replaced, and logs a certificate that is near its expiry or past it. Returns
+    /// true if another set is now in effect.
     fn poll(&mut self, loaded: &mut Loaded<T>, now: u64, warn_before_s: u64) -> bool {
         let mut replaced = false;
         if self.watched.check_replaced() {
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -1,6 +1,7 @@
-//! Polling of the files that may be replaced while the front runs: the server list, token keys, certificates and home
-//! addresses. Each is loaded and checked as a whole; an invalid one is logged and changes nothing. Called by the event
-//! loop's timers and on SIGHUP.
+//! Polling of the files that may be replaced while the front runs: the server list, token keys, certificates (with
+//! `tls`) and home addresses; SIGHUP also loads the approved versions again (`approved_versions`). Each is loaded
+//! and checked as a whole; an invalid one is logged and changes nothing. Called by the event loop's timers and on
+//! SIGHUP.
 
 use crate::config::{Keys, load_home_addresses};
 use crate::connections::ConnectionId;
@@ -14,7 +15,7 @@
 use tracing::{error, info};
 
 impl Edge {
-    /// Loads the server list if its file was replaced.
+    /// Loads the server list and puts it into effect, if its file was replaced or could not be read before.
     pub(crate) fn poll_list(&mut self) {
         let state = &mut self.state;
         if !state.list_file.check_replaced() {
@@ -25,8 +26,9 @@
                 state.list_file.record_acceptance();
                 self.apply_list(list, false);
             }
-            // An unreadable list may contain a drain, so it is read again at every check until that succeeds. A list that
-            // was read and is invalid stays invalid until it is replaced, and may be too large to be read at every check.
+            // An unreadable list may contain a drain, so it is read again at every check until that succeeds. A list
+            // that was read and is invalid stays invalid until it is replaced, and may be too large to be read at every
+            // check.
             Err(e) => {
                 if state.list_file.record_refusal(&e, matches!(e, LoadError::Unreadable { .. })) {
                     error!(target: "list", "list not taken, the current one stays in effect: {e}");
@@ -35,7 +37,8 @@
         }
     }
 
-    /// Puts a list into effect. `is_cached` is true if nothing shows that the list is current, as at start.
+    /// Puts a list into effect: adds and updates servers and titles, closes idle connections to a server's previous
+    /// address, and drops titles that are neither listed nor in use. `is_cached`: the list may be old, as at start.
     pub(crate) fn apply_list(&mut self, list: List, is_cached: bool) {
         let now = self.state.now();
         let state = &mut self.state;
@@ -88,8 +91,8 @@
         self.dispatcher.update_list(now, true, is_cached, &entries);
     }
 
-    /// Puts replaced certificates into effect. Connections of players stay open; idle connections to servers are closed,
-    /// because the servers were verified by the previous certificates.
+    /// Puts replaced certificates into effect, and logs those that expire soon. Connections of players stay open; idle
+    /// connections to servers are closed, because the servers were verified by the previous certificates.
     pub(crate) fn poll_tls(&mut self) {
         let state = &mut self.state;
         let warn_before_s = (state.config.limits.expiry_ms / 1000.0) as u64;
@@ -139,7 +142,8 @@
         self.poll_approved_versions();
     }
 
-    /// Puts replaced keys into effect. The whole set is checked first, so that an invalid set changes nothing.
+    /// Puts replaced keys into effect and ends the plays of sessions that are revoked now. The whole set is checked
+    /// first, so that an invalid set changes nothing.
     pub(crate) fn poll_keys(&mut self) {
         let state = &mut self.state;
         let now = state.wall_clock_now();
--- a/crates/edge/tests/config.rs
+++ b/crates/edge/tests/config.rs
@@ -1,4 +1,5 @@
-//! Valid and invalid configurations and server lists: an error names the file, the path, what was found and what is allowed.
+//! Valid and invalid configurations and server lists: an error names the file, the path, what was found and what is
+//! allowed.
 
 use pulleystair::Value;
 use pulleystair_edge::config::Config;
@@ -111,6 +112,7 @@
     assert!(error.contains("servers: found 0 of them"), "{error}");
 }
 
+/// Runs `pulleystair-edge` on a configuration file: whether it succeeded, its standard output and standard error.
 fn run_command(arguments: &[&str], file: &PathBuf) -> (bool, String, String) {
     let output =
         Command::new(env!("CARGO_BIN_EXE_pulleystair-edge")).args(arguments).arg(file).output().unwrap();
@@ -122,7 +124,7 @@
 fn check_and_show_print_result_or_error() {
     let folder = Folder::new(EXAMPLE_CONFIG, EXAMPLE_LIST);
     let (succeeded, stdout, _) = run_command(&["check"], &folder.file());
-    assert!(succeeded && stdout.contains("good;"), "{stdout}");
+    assert!(succeeded && stdout.contains(": valid;"), "{stdout}");
     let (succeeded, shown, _) = run_command(&["show"], &folder.file());
     let shown: serde_json::Value = serde_json::from_str(&shown).unwrap();
     assert!(succeeded && shown["limits"]["header_bytes"] == 8192, "defaults are filled in");
--- a/crates/jsonnet/src/lib.rs
+++ b/crates/jsonnet/src/lib.rs
@@ -1,5 +1,5 @@
 //! Evaluates Jsonnet files and deserialises them into typed values. Imports are allowed only from the folder of the
-//! loaded file and from below it. An error names the file, the path within it, and what was found.
+//! loaded file and from below it. An error names the file, the path within it (`.` for the whole), and the cause.
 //!
 //! The front and the lab load their configuration, server lists and scenarios this way.
 
@@ -17,7 +17,7 @@
 pub enum LoadError {
     #[error("{file}: can't be read: {cause}")]
     Unreadable { file: String, cause: std::io::Error },
-    #[error("{file}: does not evaluate: {cause}")]
+    #[error("{file}: can't be evaluated: {cause}")]
     Jsonnet { file: String, cause: String },
     #[error("{file}: {path}: {cause}")]
     Value { file: String, path: String, cause: String },
@@ -81,7 +81,7 @@
     match std::fs::metadata(file) {
         Err(cause) => Err(LoadError::Unreadable { file: name, cause }),
         Ok(meta) if meta.len() > max_bytes => {
-            let cause = format!("has {} bytes, more than {max_bytes}", meta.len());
+            let cause = format!("{} bytes; {max_bytes} at most", meta.len());
             Err(LoadError::Value { file: name, path: ".".into(), cause })
         }
         Ok(_) => Ok(()),
--- a/crates/orca/src/lib.rs
+++ b/crates/orca/src/lib.rs
@@ -1,7 +1,7 @@
 //! Load reports that media servers attach to their responses: the `endpoint-load-metrics` header of the Open Request
 //! Cost Aggregation format, in the forms that Envoy reads (`JSON {...}` and `TEXT k=v,...`; the fields are those of
-//! `xds.data.orca.v3.OrcaLoadReport`). The binary form is recognised but not supported. The front
-//! (`pulleystair-edge`) parses one for each response that has it.
+//! `xds.data.orca.v3.OrcaLoadReport`). The binary form (`BIN`) is refused, like any unknown form. The front
+//! (`pulleystair-edge`) parses one report for each response that has it.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 /// Length of the longest report that is read, bytes; one with a dozen named metrics has under 400.
 pub const MAX_BYTES: usize = 4096;
 
-/// A load report. Utilisations are fractions of 1; `application_utilization` may exceed 1.
+/// A load report. Utilisations are fractions of 1; none of them is checked against an upper bound.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Report {
@@ -25,7 +25,7 @@
     pub rps_fractional: Option<f64>,
     /// Errors per second.
     pub eps: Option<f64>,
-    /// Utilisation of named resources, 0 to 1.
+    /// Utilisation of named resources.
     pub utilization: BTreeMap<String, f64>,
     /// Metrics chosen by the server.
     pub named_metrics: BTreeMap<String, f64>,
@@ -42,11 +42,12 @@
     Json(String),
     #[error("load report field {0:?} is not name=number")]
     Field(String),
-    #[error("load report has {0} = {1}, which is not a finite number from 0")]
+    #[error("load report has {0} = {1}, which is not a finite number of at least 0")]
     Number(String, String),
 }
 
-/// Parses the value of the header.
+/// Parses the value of the [`HEADER`] header. Refuses one that is too long, has an unsupported form or an invalid
+/// number. A value without a form is parsed as JSON if it starts with `{`.
 pub fn parse(value: &str) -> Result<Report, ParseError> {
     if value.len() > MAX_BYTES {
         return Err(ParseError::TooLong(value.len()));
@@ -64,6 +65,7 @@
     validate(report)
 }
 
+/// Parses the fields of the text form; unknown fields are ignored.
 fn parse_text(fields: &str) -> Result<Report, ParseError> {
     let mut report = Report::default();
     for field in fields.split(',').map(str::trim).filter(|f| !f.is_empty()) {
--- a/crates/tls/src/lib.rs
+++ b/crates/tls/src/lib.rs
@@ -7,9 +7,10 @@
 //! Towards media servers ([`load_server_config`]): `authority.pem`, to which their certificates must lead; `chain.pem`
 //! and `key.pem` if they require a certificate of the front.
 //!
-//! A folder is read and checked as a whole before any of it is used: every file can be parsed, the key matches the
-//! certificate, nothing has expired or is not valid yet, and each chain is complete (RFC 5280, section 6.1). Configs
-//! loaded before are not affected, so a caller that gets a [`CertificateError`] continues with what it has. No error,
+//! A folder is read and checked as a whole before any of it is used: every file can be parsed, no certificate of an
+//! authority has expired (whether it is valid already is not checked), the key matches the front's certificate, and the
+//! front's chain is valid now and leads to the authority (RFC 5280, section 6.1). Configurations loaded before are not
+//! affected, so a caller that gets a [`CertificateError`] continues with what it has. No error,
 //! and no `Debug` output of this package's types, contains any part of a key.
 //!
 //! The front (`pulleystair-edge`) calls this at start, when its configuration is checked, and whenever a file of a
@@ -32,9 +33,10 @@
 /// Number of certificates that a file may contain.
 pub const MAX_CERTIFICATES: usize = 64;
 
-/// The files of a folder towards players; the first one must exist.
+/// The files of a folder towards players; all but `viewers.pem` must exist. Callers that watch the folder for changes
+/// rely on the order: while the first file is missing, nothing is read again.
 pub const PLAYER_FILES: [&str; 4] = ["chain.pem", "key.pem", "authority.pem", "viewers.pem"];
-/// The files of a folder towards media servers; the first one must exist.
+/// The files of a folder towards media servers; the first one must exist, the others both or neither.
 pub const SERVER_FILES: [&str; 3] = ["authority.pem", "chain.pem", "key.pem"];
 
 /// Why a file was refused.
@@ -53,7 +55,7 @@
 #[derive(Clone)]
 pub struct Loaded<T> {
     pub config: Arc<T>,
-    /// When the first of the presented certificates expires, s since 1970; none if no certificate is presented.
+    /// Earliest expiry of the presented certificates, s since 1970; none if no certificate is presented.
     pub expires: Option<u64>,
     /// Serial number of the presented certificate, in hex, by which operators tell sets of certificates apart.
     pub serial: String,
@@ -86,7 +88,8 @@
     }
 }
 
-/// When the first of these certificates expires, s since 1970, and the serial number of the chain's first.
+/// The earliest expiry of these certificates, s since 1970, and the serial number, in hex without leading zeros, of the
+/// first certificate of the file.
 fn expiry_and_serial(file: &Path, chain: &[CertificateDer]) -> Result<(u64, String), CertificateError> {
     let (mut expires, mut serial) = (u64::MAX, String::new());
     for (index, der) in chain.iter().enumerate() {
@@ -103,7 +106,7 @@
     Ok((expires, serial))
 }
 
-/// Loads the certificates of an authority; fails if one of them has expired.
+/// Loads the certificates of an authority, also as roots; fails if the expiry of one of them is not after `now`.
 fn load_authority(
     file: &Path,
     now: u64,
@@ -120,8 +123,9 @@
     Ok((certificates, Arc::new(roots)))
 }
 
-/// Loads a certificate chain and its key, and checks them against each other and against the authority (its
-/// certificates and its file) that the chain must lead to. Also returns the expiry, s since 1970, and the serial.
+/// Loads `chain.pem` and `key.pem` of a folder. Checks that the key fits the first certificate, and that the chain is
+/// valid at `now` for `usage` and leads to the authority, which is given by its certificates and, for error messages,
+/// its file. Returns the chain with its key, its earliest expiry (s since 1970), and its serial number.
 fn load_own_chain(
     folder: &Path,
     authority: &(Vec<CertificateDer>, PathBuf),
