--- a/crates/edge/src/config/check.rs
+++ b/crates/edge/src/config/check.rs
@@ -4,15 +4,24 @@
 use pulleystair_dash::address;
 
 impl Config {
-    /// Finds the first invalid value: its path in the file, what was found, what is allowed.
+    /// Checks the values that have bounds or refer to each other. The error is the first invalid value: its path in the
+    /// file, what was found, what is allowed.
     pub(crate) fn check(&self) -> Result<(), (String, String, &'static str)> {
         let positive = |path: &str, value: f64| {
             let is_valid = value.is_finite() && value > 0.0 && value <= 1e12;
-            is_valid.then_some(()).ok_or((path.to_string(), value.to_string(), "a number above 0"))
+            is_valid.then_some(()).ok_or((
+                path.to_string(),
+                value.to_string(),
+                "a number above 0, at most 1e12",
+            ))
         };
         let non_negative = |path: &str, value: f64| {
             let is_valid = value.is_finite() && (0.0..=1e12).contains(&value);
-            is_valid.then_some(()).ok_or((path.to_string(), value.to_string(), "a number from 0"))
+            is_valid.then_some(()).ok_or((
+                path.to_string(),
+                value.to_string(),
+                "a number of at least 0, at most 1e12",
+            ))
         };
         let fraction = |path: &str, value: f64| {
             let is_valid = (0.0..=1.0).contains(&value);
@@ -23,7 +32,7 @@
             is_valid.then_some(()).ok_or((
                 path.to_string(),
                 count.to_string(),
-                "a whole number from 1, within its upper bound",
+                "a whole number from 1 to the upper bound of this setting",
             ))
         };
         let valid_name = |path: String, name: &str| {
@@ -141,7 +150,7 @@
         for (name, value) in counts {
             count(&format!("limits.{name}"), value, 10_000_000)?;
         }
-        let times = [
+        let positive_values = [
             ("header_ms", limits.header_ms),
             ("idle_ms", limits.idle_ms),
             ("slow_reader_ms", limits.slow_reader_ms),
@@ -160,7 +169,7 @@
             ("stop_ms", limits.stop_ms),
             ("tally_ms", limits.tally_ms),
         ];
-        for (name, value) in times {
+        for (name, value) in positive_values {
             positive(&format!("limits.{name}"), value)?;
         }
         non_negative("limits.skew_ms", limits.skew_ms)?;
--- a/crates/edge/src/config/keys.rs
+++ b/crates/edge/src/config/keys.rs
@@ -26,7 +26,8 @@
 type Secrets = Vec<(String, Vec<u8>)>;
 
 impl Keys {
-    /// Loads the file, and the secrets that it names from its folder: those of entry tokens, then those of session tokens.
+    /// Loads and checks the file, and the files of secrets that it names. Returns its content, the secrets of entry
+    /// tokens, and the secrets of session tokens.
     pub fn load(file: &Path) -> Result<(Keys, Secrets, Secrets), LoadError> {
         let keys: Keys = load(file)?;
         if keys.revoked.len() > MAX_REVOKED {
@@ -41,8 +42,9 @@
             KeyRing::new(&secrets).map_err(|e| value_error(e.to_string()))?;
             Ok(secrets)
         };
-        let (entry, pass) = (checked_secrets("entry", &keys.entry)?, checked_secrets("pass", &keys.pass)?);
-        Ok((keys, entry, pass))
+        let (entry_secrets, session_secrets) =
+            (checked_secrets("entry", &keys.entry)?, checked_secrets("pass", &keys.pass)?);
+        Ok((keys, entry_secrets, session_secrets))
     }
 }
 
@@ -93,12 +95,18 @@
 }
 
 impl Config {
-    /// The key rings of entry tokens and of session tokens, and the revoked sessions; an error comes with its path.
+    /// Loads the key ring of entry tokens, that of session tokens, and the revoked sessions, from the file of keys if
+    /// there is one. The error has the path of the invalid value in the configuration.
     pub fn key_rings(&self) -> Result<(KeyRing, KeyRing, Vec<String>), (&'static str, String)> {
         let key_ring = |path, secrets: &Secrets| KeyRing::new(secrets).map_err(|e| (path, e.to_string()));
         if let Some(file) = &self.keys {
-            let (keys, entry, pass) = Keys::load(file).map_err(|e| ("keys", e.to_string()))?;
-            return Ok((key_ring("keys", &entry)?, key_ring("keys", &pass)?, keys.revoked));
+            let (keys, entry_secrets, session_secrets) =
+                Keys::load(file).map_err(|e| ("keys", e.to_string()))?;
+            return Ok((
+                key_ring("keys", &entry_secrets)?,
+                key_ring("keys", &session_secrets)?,
+                keys.revoked,
+            ));
         }
         let load_ring = |path, keys: &[KeyFile]| {
             let secrets = load_secrets(Path::new(""), keys).map_err(|e| (path, e))?;
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -1,6 +1,7 @@
-//! Polling of the files that may be replaced while the front runs: the server list, token keys, certificates and home
-//! addresses. Each is loaded and checked as a whole; an invalid one is logged and changes nothing. Called by the event
-//! loop's timers and on SIGHUP.
+//! Polling of the files that may be replaced while the front runs: the server list, token keys, certificates (with
+//! `tls`) and home addresses; SIGHUP also loads the approved versions again (`approved_versions`). Each is loaded
+//! and checked as a whole; an invalid one is logged and changes nothing. Called by the event loop's timers and on
+//! SIGHUP.
 
 use crate::config::{Keys, load_home_addresses};
 use crate::connections::ConnectionId;
@@ -14,7 +15,7 @@
 use tracing::{error, info};
 
 impl Edge {
-    /// Loads the server list if its file was replaced.
+    /// Loads the server list and puts it into effect, if its file was replaced or could not be read before.
     pub(crate) fn poll_list(&mut self) {
         let state = &mut self.state;
         if !state.list_file.check_replaced() {
@@ -25,8 +26,9 @@
                 state.list_file.record_acceptance();
                 self.apply_list(list, false);
             }
-            // An unreadable list may contain a drain, so it is read again at every check until that succeeds. A list that
-            // was read and is invalid stays invalid until it is replaced, and may be too large to be read at every check.
+            // An unreadable list may contain a drain, so it is read again at every check until that succeeds. A list
+            // that was read and is invalid stays invalid until it is replaced, and may be too large to be read at every
+            // check.
             Err(e) => {
                 if state.list_file.record_refusal(&e, matches!(e, LoadError::Unreadable { .. })) {
                     error!(target: "list", "list not taken, the current one stays in effect: {e}");
@@ -35,12 +37,13 @@
         }
     }
 
-    /// Puts a list into effect. `may_be_outdated` is true if nothing shows that the list is current, as at start.
-    pub(crate) fn apply_list(&mut self, list: List, may_be_outdated: bool) {
+    /// Puts a list into effect: adds and updates servers and titles, closes idle connections to a server's previous
+    /// address, and drops titles that are neither listed nor in use. `is_cached`: the list may be old, as at start.
+    pub(crate) fn apply_list(&mut self, list: List, is_cached: bool) {
         let now = self.state.now();
         let state = &mut self.state;
         let (servers, numbers) = (&mut state.servers, &mut state.server_numbers);
-        let mut outdated_connections = Vec::new();
+        let mut connections_to_old_address = Vec::new();
         let entries = list.entries(&list_context(&state.config), |server| {
             let next = servers.len() as u32;
             let number = *numbers.entry(server.name.clone()).or_insert(next);
@@ -58,13 +61,15 @@
                 });
             } else if servers[number as usize].address != server.address {
                 servers[number as usize].address = server.address;
-                outdated_connections.append(&mut servers[number as usize].idle_connections);
+                connections_to_old_address.append(&mut servers[number as usize].idle_connections);
             }
             let media_server = &mut servers[number as usize];
             (media_server.zone, media_server.started_at) = (server.zone.clone(), server.started_ms as u64);
             number
         });
-        outdated_connections.into_iter().for_each(|connection| state.close_pooled_connection(connection));
+        connections_to_old_address
+            .into_iter()
+            .for_each(|connection| state.close_pooled_connection(connection));
         state.titles_by_number.values_mut().for_each(|(_, listed)| *listed = false);
         for title in &list.titles {
             let product = state.config.products.iter().position(|p| p.name == title.product);
@@ -83,11 +88,11 @@
         state.fleet_update_list(&list);
         let draining = list.servers.iter().filter(|s| s.state == crate::server_list::State::Draining).count();
         info!(target: "list", servers = list.servers.len(), draining, titles = list.titles.len(), "list taken");
-        self.dispatcher.update_list(now, true, may_be_outdated, &entries);
+        self.dispatcher.update_list(now, true, is_cached, &entries);
     }
 
-    /// Puts replaced certificates into effect. Connections of players stay open; idle connections to servers are closed,
-    /// because the servers were verified by the previous certificates.
+    /// Puts replaced certificates into effect, and logs those that expire soon. Connections of players stay open; idle
+    /// connections to servers are closed, because the servers were verified by the previous certificates.
     pub(crate) fn poll_tls(&mut self) {
         let state = &mut self.state;
         let warn_before_s = (state.config.limits.expiry_ms / 1000.0) as u64;
@@ -104,7 +109,7 @@
         let state = &mut self.state;
         let Some(watched) = state.homes_file.as_mut() else { return };
         if watched.check_replaced() {
-            match load_home_addresses(watched.file(), state.config.fronts) {
+            match load_home_addresses(watched.first_file(), state.config.fronts) {
                 Ok(homes) => {
                     info!(target: "list", ?homes, "homes taken");
                     state.home_addresses = homes;
@@ -137,7 +142,8 @@
         self.poll_approved_versions();
     }
 
-    /// Puts replaced keys into effect. The whole set is checked first, so that an invalid set changes nothing.
+    /// Puts replaced keys into effect and ends the plays of sessions that are revoked now. The whole set is checked
+    /// first, so that an invalid set changes nothing.
     pub(crate) fn poll_keys(&mut self) {
         let state = &mut self.state;
         let now = state.wall_clock_now();
@@ -147,18 +153,19 @@
             return;
         }
         let now_s = (now / 1000.0) as u64;
-        let replaced =
-            Keys::load(watched.file()).map_err(|e| e.to_string()).and_then(|(keys, entry, pass)| {
-                let (entry_ring, pass_ring) = (&mut state.entry_keys, &mut state.pass_keys);
+        let replaced = Keys::load(watched.first_file()).map_err(|e| e.to_string()).and_then(
+            |(keys, entry_secrets, session_secrets)| {
+                let (entry_ring, session_ring) = (&mut state.entry_keys, &mut state.pass_keys);
                 // Both are checked before either is changed.
                 entry_ring
-                    .may_replace(&entry, now_s)
-                    .and(pass_ring.may_replace(&pass, now_s))
+                    .may_replace(&entry_secrets, now_s)
+                    .and(session_ring.may_replace(&session_secrets, now_s))
                     .map_err(|e| e.to_string())?;
-                entry_ring.replace(&entry, now_s, overlap_s).map_err(|e| e.to_string())?;
-                pass_ring.replace(&pass, now_s, overlap_s).map_err(|e| e.to_string())?;
+                entry_ring.replace(&entry_secrets, now_s, overlap_s).map_err(|e| e.to_string())?;
+                session_ring.replace(&session_secrets, now_s, overlap_s).map_err(|e| e.to_string())?;
                 Ok(keys.revoked)
-            });
+            },
+        );
         let revoked = match replaced {
             Ok(revoked) => revoked,
             // The secrets are separate files, which may be written after the file that names them.
@@ -170,8 +177,8 @@
             }
         };
         watched.record_acceptance();
-        let (entry, pass) = (&state.entry_keys, &state.pass_keys);
-        info!(target: "keys", ?entry, ?pass, revoked = revoked.len(), "keys taken");
+        let (entry_ring, session_ring) = (&state.entry_keys, &state.pass_keys);
+        info!(target: "keys", entry = ?entry_ring, pass = ?session_ring, revoked = revoked.len(), "keys taken");
         state.revoked = revoked.into_iter().collect();
         let revoked_plays: Vec<u64> =
             state.revoked.iter().filter_map(|id| state.sessions.by_id(id)).collect();
