--- a/crates/drift/src/approved.rs
+++ b/crates/drift/src/approved.rs
@@ -134,13 +134,13 @@
             }
             let mut value: Value = serde_json::from_str(line).map_err(|e| line_error(e.to_string()))?;
             let stated = value.as_object_mut().and_then(|object| object.remove("digest"));
-            let document: ApprovedVersion =
+            let version: ApprovedVersion =
                 serde_json::from_value(value).map_err(|e| line_error(e.to_string()))?;
-            let computed = document.digest();
+            let computed = version.digest();
             if stated.as_ref().and_then(Value::as_str) != Some(&computed) {
                 return Err(line_error(format!("digest: the line's content has the digest {computed}")));
             }
-            chain.append(document).map_err(line_error)?;
+            chain.append(version).map_err(line_error)?;
         }
         if chain.documents.is_empty() {
             return Err(ChainError { line: 1, cause: "the file has no approved version".into() });
@@ -149,11 +149,11 @@
     }
 
     /// Appends a version if it is valid after the present ones.
-    pub fn append(&mut self, document: ApprovedVersion) -> Result<(), String> {
+    pub fn append(&mut self, version: ApprovedVersion) -> Result<(), String> {
         let parent = self.documents.last().zip(self.digests.last().map(String::as_str));
-        document.validate(parent)?;
-        self.digests.push(document.digest());
-        self.documents.push(document);
+        version.validate(parent)?;
+        self.digests.push(version.digest());
+        self.documents.push(version);
         Ok(())
     }
 
@@ -197,8 +197,8 @@
     /// All sections of a version, including those that it takes from earlier ones.
     pub fn sections(&self, index: usize) -> Sections {
         let mut out = Sections::new();
-        for document in &self.documents[..=index.min(self.documents.len() - 1)] {
-            out.extend(document.sections.clone());
+        for version in &self.documents[..=index.min(self.documents.len() - 1)] {
+            out.extend(version.sections.clone());
         }
         out
     }
--- a/crates/drift/src/detector.rs
+++ b/crates/drift/src/detector.rs
@@ -2,7 +2,7 @@
 //! no alarm, so that a front that is briefly between two versions while it applies one does not alert anyone.
 
 use crate::approved::VersionChain;
-use crate::verdict::{FrontReport, Verdict, judge};
+use crate::verdict::{KnownFront, Verdict, judge};
 use crate::{Difference, RULE_SECTIONS};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -78,20 +78,20 @@
         by: &str,
         wall_clock: f64,
         chain: &VersionChain,
-        reports: &[FrontReport],
+        fronts: &[KnownFront],
     ) -> FleetStatus {
         let head = chain.head_id();
         let mut fleet =
             FleetStatus { by: by.to_string(), approved: head.map(|head| head.0), ..FleetStatus::default() };
-        for report in reports {
-            let (verdict, sections) = judge(chain, wall_clock, report);
-            let their_head = report.active.as_ref().and_then(|active| active.head);
+        for front in fronts {
+            let (verdict, sections) = judge(chain, wall_clock, front);
+            let their_head = front.config_report.as_ref().and_then(|report| report.head);
             fleet.forked |= their_head
                 .zip(head)
                 .is_some_and(|(theirs, ours)| theirs.0 <= ours.0 && !chain.contains(theirs));
             let is_bad = verdict.is_wrong() || verdict.is_unknown();
             let entry =
-                self.verdicts.entry(report.front.clone()).or_insert((verdict.clone(), wall_clock, None));
+                self.verdicts.entry(front.name.clone()).or_insert((verdict.clone(), wall_clock, None));
             if !is_same_kind(&entry.0, &verdict) {
                 entry.1 = wall_clock;
             }
@@ -102,23 +102,23 @@
                 let is_in_section =
                     |d: &Difference| d.name == name || d.name.starts_with(&format!("{name}."));
                 sections.iter().any(|(n, v)| *n == name && v.is_wrong())
-                    || report.active.iter().flat_map(|a| &a.differences).any(is_in_section)
+                    || front.config_report.iter().flat_map(|r| &r.differences).any(is_in_section)
             };
             *fleet.counts.entry(verdict.name()).or_default() += 1;
             fleet.unknown += usize::from(verdict.is_unknown());
-            let wrong_report = report.active.as_ref().filter(|_| verdict.is_wrong());
+            let wrong_report = front.config_report.as_ref().filter(|_| verdict.is_wrong());
             fleet.fronts.push(FrontStatus {
-                front: report.front.clone(),
+                front: front.name.clone(),
                 since: entry.1,
                 alarm,
                 rule: verdict.is_wrong() && RULE_SECTIONS.iter().any(|name| differs(name)),
                 sections: sections.iter().map(|(name, v)| (name.to_string(), v.clone())).collect(),
-                differences: wrong_report.map(|a| a.differences.clone()).unwrap_or_default(),
-                age: report.age.is_finite().then_some(report.age),
+                differences: wrong_report.map(|r| r.differences.clone()).unwrap_or_default(),
+                age: front.age.is_finite().then_some(front.age),
                 verdict,
             });
         }
-        let names: Vec<&str> = reports.iter().map(|w| w.front.as_str()).collect();
+        let names: Vec<&str> = fronts.iter().map(|f| f.name.as_str()).collect();
         self.verdicts.retain(|front, _| names.contains(&front.as_str()));
         fleet
     }
--- a/crates/drift/src/lib.rs
+++ b/crates/drift/src/lib.rs
@@ -1,7 +1,7 @@
 //! Drift detection: compares what each front runs with the version that was approved for it. The package does no I/O; the
 //! caller (`pulleystair-fleet-member`) passes in the wall clock's time (Unix ms) where rollout stages depend on it.
 //!
-//! [`approved`] holds the chain of approved versions. [`ActiveVersion`] is what one front runs, read back from the running
+//! [`approved`] holds the chain of approved versions. [`ConfigReport`] is what one front runs, read back from the running
 //! configuration. [`verdict`] gives a reader's verdict on one front. [`detector`] tracks how long a verdict has lasted, and
 //! summarises the fleet.
 
@@ -57,7 +57,7 @@
 
 /// What a front reports in its own row about its configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ActiveVersion {
+pub struct ConfigReport {
     /// The newest approved version that the front holds: its number and the start of its digest. `None` if it has none.
     pub head: Option<(u64, u64)>,
     /// A digest for each of [`SECTIONS`].
@@ -66,9 +66,9 @@
     pub differences: Vec<Difference>,
 }
 
-impl ActiveVersion {
+impl ConfigReport {
     /// Summarises the active sections. Differences beyond the maximum, and the ends of long texts, are cut off.
-    pub fn new(sections: &Sections, head: Option<(u64, u64)>, differences: Vec<Difference>) -> ActiveVersion {
+    pub fn new(sections: &Sections, head: Option<(u64, u64)>, differences: Vec<Difference>) -> ConfigReport {
         let section_digest = |name: &&str| short_digest(sections.get(*name).unwrap_or(&Value::Null));
         let mut differences = differences;
         differences.truncate(MAX_DIFFERENCES);
@@ -85,7 +85,7 @@
                 }
             }
         }
-        ActiveVersion { head, sections: SECTIONS.iter().map(section_digest).collect(), differences }
+        ConfigReport { head, sections: SECTIONS.iter().map(section_digest).collect(), differences }
     }
 
     /// The cell for the front's row.
@@ -94,9 +94,9 @@
     }
 
     /// Decodes a cell. `None` if it cannot be decoded, or does not have one digest per section.
-    pub fn decode(bytes: &[u8]) -> Option<ActiveVersion> {
-        let active_version: ActiveVersion = postcard::from_bytes(bytes).ok()?;
-        (active_version.sections.len() == SECTIONS.len()).then_some(active_version)
+    pub fn decode(bytes: &[u8]) -> Option<ConfigReport> {
+        let report: ConfigReport = postcard::from_bytes(bytes).ok()?;
+        (report.sections.len() == SECTIONS.len()).then_some(report)
     }
 }
 
--- a/crates/drift/src/verdict.rs
+++ b/crates/drift/src/verdict.rs
@@ -1,7 +1,7 @@
 //! A reader's verdict on one front, from that front's own report and the reader's chain of approved versions.
 
 use crate::approved::VersionChain;
-use crate::{ActiveVersion, SECTIONS};
+use crate::{ConfigReport, SECTIONS};
 use serde::Serialize;
 
 /// How a front's configuration compares with the approved versions.
@@ -57,9 +57,9 @@
 
 /// What a reader knows about a front.
 #[derive(Clone, Debug)]
-pub struct FrontReport {
+pub struct KnownFront {
     /// Name of the front.
-    pub front: String,
+    pub name: String,
     /// Upper bound on the time since the front reported this, ms; infinite if it never did.
     pub age: f64,
     /// Whether the front counts as unheard.
@@ -67,29 +67,29 @@
     /// Whether two different rows of the same version were received from it.
     pub contradictory: bool,
     /// What it reports about its configuration; `None` if nothing or nothing valid.
-    pub active: Option<ActiveVersion>,
+    pub config_report: Option<ConfigReport>,
 }
 
 /// The verdict on each section that was ever approved, and on the front as a whole, at a time (Unix ms).
 pub fn judge(
     chain: &VersionChain,
     wall_clock: f64,
-    report: &FrontReport,
+    front: &KnownFront,
 ) -> (Verdict, Vec<(&'static str, Verdict)>) {
-    let age = report.age.is_finite().then_some(report.age);
-    let Some(active) = report.active.as_ref().filter(|_| !report.unheard) else {
+    let age = front.age.is_finite().then_some(front.age);
+    let Some(report) = front.config_report.as_ref().filter(|_| !front.unheard) else {
         return (Verdict::Unheard { age }, Vec::new());
     };
-    if report.contradictory {
+    if front.contradictory {
         return (Verdict::Contradictory, Vec::new());
     }
     let newest = chain.head().map_or(0, |d| d.number);
-    match active.head {
+    match report.head {
         Some(head_id) if head_id.0 > newest => return (Verdict::Unknown { number: head_id.0 }, Vec::new()),
         Some(head_id) if !chain.contains(head_id) => return (Verdict::Contradictory, Vec::new()),
         _ => {}
     }
-    let (allowed, required) = chain.version_window(&report.front, wall_clock);
+    let (allowed, required) = chain.version_window(&front.name, wall_clock);
     let indices = 0..chain.documents.len();
     let approved_sections: Vec<(usize, &'static str)> = SECTIONS
         .iter()
@@ -98,19 +98,19 @@
         .map(|(i, name)| (i, *name))
         .collect();
     let section_matches = |index: usize, i: usize, name: &str| {
-        chain.section(index, name).is_none_or(|digest| digest == active.sections[i])
+        chain.section(index, name).is_none_or(|digest| digest == report.sections[i])
     };
     let judge_section = |i: usize, name: &str| {
         // The version before the first required one is in force from the start.
-        let first_in_force = required.or(allowed).unwrap_or(0);
+        let oldest_accepted = required.or(allowed).unwrap_or(0);
         if allowed.is_some_and(|allowed| section_matches(allowed, i, name)) {
             return Verdict::InStep;
         }
         let still_allowed = indices
             .clone()
-            .filter(|index| *index >= first_in_force && allowed.is_some_and(|allowed| *index < allowed));
+            .filter(|index| *index >= oldest_accepted && allowed.is_some_and(|allowed| *index < allowed));
         if let Some(index) = still_allowed.clone().rev().find(|index| section_matches(*index, i, name)) {
-            let next = chain.documents.get(index + 1).and_then(|d| d.stage_times(&report.front));
+            let next = chain.documents.get(index + 1).and_then(|d| d.stage_times(&front.name));
             return Verdict::OnItsWay { until: next.map_or(f64::INFINITY, |times| times.1) };
         }
         let matching = indices.clone().rev().find(|index| section_matches(*index, i, name));
--- a/crates/drift/tests/verdicts.rs
+++ b/crates/drift/tests/verdicts.rs
@@ -3,8 +3,8 @@
 use pulleystair_drift::approved::{ApprovedVersion, RolloutStage, VersionChain};
 use pulleystair_drift::detector::Detector;
 use pulleystair_drift::stricter::stricter;
-use pulleystair_drift::verdict::{FrontReport, Verdict, judge};
-use pulleystair_drift::{ActiveVersion, Sections, differences};
+use pulleystair_drift::verdict::{KnownFront, Verdict, judge};
+use pulleystair_drift::{ConfigReport, Sections, differences};
 use serde_json::{Value, json};
 use test_case::test_case;
 
@@ -50,14 +50,14 @@
 }
 
 /// The report of a front with these active sections.
-fn report(front: &str, active: &Sections, chain: &VersionChain) -> FrontReport {
-    let active = ActiveVersion::new(active, chain.head_id(), differences(&chain.sections(1), active));
-    FrontReport {
-        front: front.into(),
+fn known_front(front: &str, active: &Sections, chain: &VersionChain) -> KnownFront {
+    let report = ConfigReport::new(active, chain.head_id(), differences(&chain.sections(1), active));
+    KnownFront {
+        name: front.into(),
         age: 10.0,
         unheard: false,
         contradictory: false,
-        active: ActiveVersion::decode(&active.encode()),
+        config_report: ConfigReport::decode(&report.encode()),
     }
 }
 
@@ -80,7 +80,7 @@
 ) {
     let chain = chain();
     assert_eq!(
-        judge(&chain, wall_clock, &report(front, &sections(grace, ladder), &chain)).0.name(),
+        judge(&chain, wall_clock, &known_front(front, &sections(grace, ladder), &chain)).0.name(),
         expected
     );
 }
@@ -93,7 +93,7 @@
         .append(next_version(&chain, sections(400.0, 100.0), 2_600.0, all))
         .expect("it follows the previous version");
     let verdict = |wall_clock, grace, ladder| {
-        judge(&chain, wall_clock, &report("a", &sections(grace, ladder), &chain)).0.name()
+        judge(&chain, wall_clock, &known_front("a", &sections(grace, ladder), &chain)).0.name()
     };
     assert_eq!([verdict(2_700.0, 400.0, 100.0), verdict(2_700.0, 300.0, 150.0)], ["in step", "on its way"]);
     assert_eq!([verdict(3_000.0, 400.0, 100.0), verdict(3_000.0, 300.0, 150.0)], ["in step", "behind"]);
@@ -107,7 +107,7 @@
         .append(next_version(&chain, sections(350.0, 175.0), 1_500.0, all))
         .expect("it follows the previous version");
     let verdict = |wall_clock, grace, ladder| {
-        judge(&chain, wall_clock, &report("a", &sections(grace, ladder), &chain)).0.name()
+        judge(&chain, wall_clock, &known_front("a", &sections(grace, ladder), &chain)).0.name()
     };
     assert_eq!([verdict(1_800.0, 400.0, 100.0), verdict(1_800.0, 300.0, 150.0)], ["on its way"; 2]);
     assert_eq!([verdict(2_500.0, 400.0, 100.0), verdict(2_500.0, 350.0, 175.0)], ["behind", "in step"]);
@@ -116,10 +116,10 @@
 #[test]
 fn unheard_and_contradictory_fronts_are_never_in_step() {
     let chain = chain();
-    let in_step = report("a", &sections(300.0, 150.0), &chain);
-    let silent = FrontReport { unheard: true, age: f64::INFINITY, ..in_step.clone() };
+    let in_step = known_front("a", &sections(300.0, 150.0), &chain);
+    let silent = KnownFront { unheard: true, age: f64::INFINITY, ..in_step.clone() };
     assert_eq!(judge(&chain, 2_500.0, &silent).0, Verdict::Unheard { age: None });
-    let contradictory = FrontReport { contradictory: true, ..in_step };
+    let contradictory = KnownFront { contradictory: true, ..in_step };
     assert_eq!(judge(&chain, 2_500.0, &contradictory).0, Verdict::Contradictory);
 }
 
@@ -136,12 +136,12 @@
     for (ours, theirs, active) in
         [(&left, &right, sections(200.0, 100.0)), (&right, &left, sections(300.0, 150.0))]
     {
-        let fleet = Detector::new(0.0).observe("a", 2_500.0, ours, &[report("b", &active, theirs)]);
+        let fleet = Detector::new(0.0).observe("a", 2_500.0, ours, &[known_front("b", &active, theirs)]);
         assert!(fleet.forked && fleet.status() == 2, "{fleet:?}");
         assert_eq!(fleet.counts.get("contradictory"), Some(&1));
     }
     let fleet =
-        Detector::new(0.0).observe("a", 2_500.0, &left, &[report("a", &sections(300.0, 150.0), &left)]);
+        Detector::new(0.0).observe("a", 2_500.0, &left, &[known_front("a", &sections(300.0, 150.0), &left)]);
     assert!(!fleet.forked && fleet.status() == 0);
     assert!(!left.is_prefix_of(&right) && left.is_prefix_of(&left));
 }
@@ -152,7 +152,7 @@
     let mut short = VersionChain::default();
     short.append(long.documents[0].clone()).expect("it is valid as the first version");
     assert_eq!(
-        judge(&short, 2_500.0, &report("a", &sections(300.0, 150.0), &long)).0,
+        judge(&short, 2_500.0, &known_front("a", &sections(300.0, 150.0), &long)).0,
         Verdict::Unknown { number: 2 }
     );
 }
@@ -162,7 +162,7 @@
     let (chain, mut detector) = (chain(), Detector::new(1_000.0));
     let mut observe = |wall_clock, grace, ladder| {
         let fleet =
-            detector.observe("r", wall_clock, &chain, &[report("a", &sections(grace, ladder), &chain)]);
+            detector.observe("r", wall_clock, &chain, &[known_front("a", &sections(grace, ladder), &chain)]);
         (fleet.fronts[0].alarm, fleet.fronts[0].since, fleet.status())
     };
     assert_eq!(observe(2_500.0, 300.0, 100.0), (false, 2_500.0, 0));
@@ -176,8 +176,8 @@
 fn adrift_reports_the_differences_and_whether_a_rule_is_affected() {
     let chain = chain();
     let observe = |grace, ladder| {
-        let report = report("a", &sections(grace, ladder), &chain);
-        Detector::new(0.0).observe("r", 2_500.0, &chain, &[report]).fronts.remove(0)
+        let front = known_front("a", &sections(grace, ladder), &chain);
+        Detector::new(0.0).observe("r", 2_500.0, &chain, &[front]).fronts.remove(0)
     };
     let rule = observe(900.0, 150.0);
     assert!(rule.rule && rule.alarm);
--- a/crates/fleet-member/src/lib.rs
+++ b/crates/fleet-member/src/lib.rs
@@ -14,7 +14,7 @@
 use pulleystair_drift::detector::{Detector, FleetStatus};
 use pulleystair_drift::stricter::stricter;
 use pulleystair_drift::verdict::judge;
-use pulleystair_drift::{ActiveVersion, Sections, differences};
+use pulleystair_drift::{ConfigReport, Sections, differences};
 use pulleystair_gossip::message::Origin;
 use pulleystair_gossip::{FrontView, Gossip, PeerListError};
 use pulleystair_shared_state::budgets::{BudgetKind, Budgets, PARTS_PER_FRONT};
@@ -86,7 +86,7 @@
     config: FleetConfig,
     gossip: Gossip,
     incarnation: u64,
-    fronts: usize,
+    front_count: usize,
     budgets: Budgets,
     counts: PlayCounts,
     server_health: ServerHealth,
@@ -117,11 +117,11 @@
         seed: u64,
     ) -> Result<FleetMember, PeerListError> {
         let gossip = Gossip::new(config.gossip.clone(), now, incarnation, seed)?;
-        let fronts = config.gossip.peers.len() + 1;
+        let front_count = config.gossip.peers.len() + 1;
         let mut member = FleetMember {
             incarnation,
-            fronts,
-            budgets: Budgets::new(now, gossip.own(), incarnation, fronts, config.lease_ms),
+            front_count,
+            budgets: Budgets::new(now, gossip.own(), incarnation, front_count, config.lease_ms),
             counts: PlayCounts::default(),
             server_health: ServerHealth::new(now, config.zone),
             outcomes: OutcomeLog::new(config.zone, config.bucket, config.max_set_up),
@@ -157,25 +157,25 @@
 
     /// Notes that an allocation was sent to a server; `further` if it is not the first of its play.
     pub fn on_sent(&mut self, now: f64, server: u64, further: bool) {
-        self.budgets.request(now, (server, BudgetKind::Pace), false);
+        self.budgets.record_use(now, (server, BudgetKind::Pace), false);
         if further {
-            self.note_budget_use(now, server, BudgetKind::Further);
+            self.record_budget_use(now, server, BudgetKind::Further);
         }
     }
 
     /// Notes that a probe was sent to a server.
     pub fn on_probed(&mut self, now: f64, server: u64) {
-        self.note_budget_use(now, server, BudgetKind::Probes);
+        self.record_budget_use(now, server, BudgetKind::Probes);
     }
 
     /// Notes a use of a budget. Two uses within twice its gap mean that the front needs more of it.
-    fn note_budget_use(&mut self, now: f64, server: u64, kind: BudgetKind) {
+    fn record_budget_use(&mut self, now: f64, server: u64, kind: BudgetKind) {
         let gap = self.last_hints.get(&server).map_or(0.0, |hint| match kind {
             BudgetKind::Further => hint.further_gap,
             _ => hint.probe_gap,
         });
         let last_used_at = self.last_used_at.insert((server, kind), now);
-        self.budgets.request(
+        self.budgets.record_use(
             now,
             (server, kind),
             last_used_at.is_some_and(|last_used_at| now - last_used_at < 2.0 * gap),
@@ -186,7 +186,7 @@
     pub fn on_waiting(&mut self, now: f64, servers: impl IntoIterator<Item = u64>) {
         for id in servers {
             let is_cold = self.listed_servers.get(&id).is_some_and(|server| now < server.cold_until);
-            self.budgets.request(
+            self.budgets.record_use(
                 now,
                 (id, if is_cold { BudgetKind::Pace } else { BudgetKind::Further }),
                 true,
@@ -268,7 +268,7 @@
     pub fn tick(&mut self, now: f64, wall_clock: f64) -> (Vec<ServerHint>, Vec<Datagram>) {
         if self.gossip.incarnation() != self.incarnation {
             self.incarnation = self.gossip.incarnation();
-            self.budgets.restart(self.incarnation);
+            self.budgets.set_incarnation(self.incarnation);
         }
         self.budgets.expire(now);
         if now >= self.next_tick_at {
@@ -296,7 +296,7 @@
         for id in self.listed_servers.keys() {
             let share = |kind| f64::from(self.budgets.parts(now, (*id, kind))) / f64::from(PARTS_PER_FRONT);
             let gap = |fleet_rate: f64, kind| match fleet_rate {
-                _ if fleet_rate > 0.0 => 1_000.0 * self.fronts as f64 / (fleet_rate * share(kind)),
+                _ if fleet_rate > 0.0 => 1_000.0 * self.front_count as f64 / (fleet_rate * share(kind)),
                 _ => 0.0,
             };
             let hint = ServerHint {
@@ -327,9 +327,9 @@
     // ---- drift ----
 
     /// What this front reports about its own configuration.
-    fn own_active(&self, wall_clock: f64) -> ActiveVersion {
+    fn own_config_report(&self, wall_clock: f64) -> ConfigReport {
         let head = self.chain.as_ref().and_then(VersionChain::head_id);
-        ActiveVersion::new(&self.sections, head, self.own_differences(wall_clock))
+        ConfigReport::new(&self.sections, head, self.own_differences(wall_clock))
     }
 
     /// Differences of this front's configuration from the newest version that it may run.
@@ -342,8 +342,8 @@
     /// The stricter values that the front must use instead of its own, by path. Empty unless it is adrift and configured to.
     pub fn stricter(&self, wall_clock: f64) -> Vec<(String, f64)> {
         let Some(chain) = self.chain.as_ref().filter(|_| self.config.stricter) else { return Vec::new() };
-        let own_report = status::own_report(&self.config.gossip.name, self.own_active(wall_clock));
-        match judge(chain, wall_clock, &own_report).0 {
+        let own_front = status::own_front(&self.config.gossip.name, self.own_config_report(wall_clock));
+        match judge(chain, wall_clock, &own_front).0 {
             verdict if verdict.is_wrong() => stricter(&self.own_differences(wall_clock)),
             _ => Vec::new(),
         }
@@ -351,12 +351,12 @@
 
     /// The verdicts on all fronts and on the fleet; `None` without an approved version.
     pub fn drift(&mut self, now: f64, wall_clock: f64) -> Option<FleetStatus> {
-        let own_report = status::own_report(&self.config.gossip.name, self.own_active(wall_clock));
+        let own_front = status::own_front(&self.config.gossip.name, self.own_config_report(wall_clock));
         let chain = self.chain.as_ref()?;
-        let mut reports = status::peer_reports(&self.gossip, now);
-        reports.push(own_report);
-        reports.sort_by(|a, b| a.front.cmp(&b.front));
-        Some(self.detector.observe(&self.config.gossip.name, wall_clock, chain, &reports))
+        let mut fronts = status::peer_fronts(&self.gossip, now);
+        fronts.push(own_front);
+        fronts.sort_by(|a, b| a.name.cmp(&b.name));
+        Some(self.detector.observe(&self.config.gossip.name, wall_clock, chain, &fronts))
     }
 
     /// Counters of the gossip.
--- a/crates/fleet-member/src/row.rs
+++ b/crates/fleet-member/src/row.rs
@@ -8,7 +8,7 @@
 use std::ops::Range;
 
 const ZONE: u16 = 0;
-pub(crate) const ACTIVE_VERSION: u16 = 1;
+pub(crate) const CONFIG_REPORT: u16 = 1;
 const LOAN_REQUESTS: Range<u16> = 0x100..0x200;
 const GRANTS: Range<u16> = 0x200..0x400;
 const COUNTS: Range<u16> = 0x400..0x600;
@@ -57,13 +57,13 @@
         write_cells(gossip, cells_written, SERVER_RESULTS, server_results);
         // The sums for estimates are the largest and least urgent part of a row. The larger the fleet, the less often they
         // are sent.
-        let aggregate_ticks = SLOW_TICKS * (self.fronts as u64).div_ceil(10);
+        let aggregate_ticks = SLOW_TICKS * (self.front_count as u64).div_ceil(10);
         if self.ticks % aggregate_ticks == 1 {
             write_cells(gossip, cells_written, AGGREGATES, self.outcomes.cells());
         }
         if self.ticks % SLOW_TICKS == 1 {
-            let active = self.own_active(wall_clock).encode();
-            self.gossip.put(ACTIVE_VERSION, active);
+            let config_report = self.own_config_report(wall_clock).encode();
+            self.gossip.put(CONFIG_REPORT, config_report);
         }
     }
 }
--- a/crates/fleet-member/src/status.rs
+++ b/crates/fleet-member/src/status.rs
@@ -1,9 +1,9 @@
 //! Status of the fleet as this front sees it: verdicts, estimates, and which fronts are heard.
 
 use crate::FleetMember;
-use crate::row::{ACTIVE_VERSION, AGGREGATES, peer_state};
-use pulleystair_drift::ActiveVersion;
-use pulleystair_drift::verdict::FrontReport;
+use crate::row::{AGGREGATES, CONFIG_REPORT, peer_state};
+use pulleystair_drift::ConfigReport;
+use pulleystair_drift::verdict::KnownFront;
 use pulleystair_gossip::{Gossip, Liveness};
 use pulleystair_shared_state::counts::{Interval, PlayBounds};
 use pulleystair_whatif::aggregates::{Aggregates, StratumKey};
@@ -15,27 +15,27 @@
 const MAX_TITLES: usize = 20;
 
 /// The report of this front on itself.
-pub(crate) fn own_report(name: &str, active: ActiveVersion) -> FrontReport {
-    FrontReport {
-        front: name.to_string(),
+pub(crate) fn own_front(name: &str, config_report: ConfigReport) -> KnownFront {
+    KnownFront {
+        name: name.to_string(),
         age: 0.0,
         unheard: false,
         contradictory: false,
-        active: Some(active),
+        config_report: Some(config_report),
     }
 }
 
 /// What every other front reports about its configuration.
-pub(crate) fn peer_reports(gossip: &Gossip, now: f64) -> Vec<FrontReport> {
+pub(crate) fn peer_fronts(gossip: &Gossip, now: f64) -> Vec<KnownFront> {
     let others = gossip.fronts(now).filter(|row| row.origin != gossip.own());
-    let report_from = |row: pulleystair_gossip::FrontView| FrontReport {
-        front: gossip.name(row.origin).to_string(),
+    let front_from = |row: pulleystair_gossip::FrontView| KnownFront {
+        name: gossip.name(row.origin).to_string(),
         age: row.age,
         unheard: row.liveness == Liveness::Unheard,
         contradictory: row.contradictory,
-        active: row.cell(ACTIVE_VERSION).and_then(ActiveVersion::decode),
+        config_report: row.cell(CONFIG_REPORT).and_then(ConfigReport::decode),
     };
-    others.map(report_from).collect()
+    others.map(front_from).collect()
 }
 
 /// Names of the fronts that are unheard now.
@@ -54,7 +54,7 @@
     /// Whose sums the estimates include.
     fn scope(&self, now: f64) -> Scope {
         let unheard: Vec<String> = self.unheard(now).into_iter().collect();
-        Scope { fronts: self.fronts, heard: self.fronts - unheard.len(), unheard }
+        Scope { fronts: self.front_count, heard: self.front_count - unheard.len(), unheard }
     }
 
     /// The sums of this front and of each other front that is heard, each added once.
@@ -117,7 +117,7 @@
                     "server": server_name(id),
                     "doubted": hint.is_some_and(|hint| hint.doubted),
                     "pace": hint.map(|hint| hint.pace),
-                    "plays_heard": plays.middle,
+                    "plays_heard": plays.best_estimate,
                 })
             })
             .collect();
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -207,7 +207,7 @@
                 known,
                 changes: Vec::new(),
             };
-            self.send(now, to, &question, &mut out);
+            self.push_datagram(now, to, &question, &mut out);
         }
         out
     }
@@ -291,7 +291,7 @@
     fn apply_change(&mut self, now: f64, asked_at: f64, change: &Change) {
         let known = &change.known;
         if known.origin == self.own_origin {
-            return self.overtake_claim(known);
+            return self.raise_incarnation(known);
         }
         let Some(row) = self.rows.get_mut(&known.origin) else {
             self.stats.unknown += 1;
@@ -307,7 +307,7 @@
     /// Uses a peer's report that it knows a row at this version: it bounds the row's age, or reveals a contradiction.
     fn confirm(&mut self, now: f64, asked_at: f64, known: &RowVersion) {
         if known.origin == self.own_origin {
-            self.overtake_claim(known);
+            self.raise_incarnation(known);
         } else if let Some(row) = self.rows.get_mut(&known.origin) {
             row.confirm(now, asked_at, known);
         }
@@ -316,7 +316,7 @@
     /// Handles a peer that knows a newer version of this front's own row than this front does. Either that row was written
     /// before a restart, under a clock that ran ahead, or by another process with the same name. A higher incarnation
     /// replaces it in both cases.
-    fn overtake_claim(&mut self, known: &RowVersion) {
+    fn raise_incarnation(&mut self, known: &RowVersion) {
         let Some(row) = self.rows.get_mut(&self.own_origin) else { return };
         if (known.incarnation, known.version) > (row.incarnation, row.version) {
             row.incarnation = known.incarnation.saturating_add(1);
@@ -343,7 +343,7 @@
             let newer = (ours.incarnation, ours.version) > (theirs.incarnation, theirs.version);
             let older = (ours.incarnation, ours.version) < (theirs.incarnation, theirs.version);
             if older && theirs.origin == self.own_origin {
-                self.overtake_claim(theirs);
+                self.raise_incarnation(theirs);
                 continue;
             }
             if older && may_ask_back {
@@ -367,12 +367,12 @@
         }
         let empty = |m: &Message| m.known.is_empty() && m.changes.is_empty();
         for answer in answers.iter().take(MAX_ANSWERS).filter(|m| !empty(m)) {
-            self.send(now, message.from, answer, out);
+            self.push_datagram(now, message.from, answer, out);
         }
     }
 
     /// Queues a datagram, unless the rate limit is used up.
-    fn send(&mut self, now: f64, to: Origin, message: &Message, out: &mut Vec<Datagram>) {
+    fn push_datagram(&mut self, now: f64, to: Origin, message: &Message, out: &mut Vec<Datagram>) {
         let bytes = message.encode(self.fleet);
         let rate = self.config.bytes_s;
         self.token_bucket =
--- a/crates/gossip/tests/exchange.rs
+++ b/crates/gossip/tests/exchange.rs
@@ -49,11 +49,11 @@
         net.run(70.0, |net| {
             for reader in &net.fronts {
                 for row in reader.fronts(net.now).filter(|row| row.age.is_finite()) {
-                    let Some(claimed_at) = row.cell(1).and_then(|v| v.try_into().ok()) else { continue };
-                    let claimed_at = u64::from_be_bytes(claimed_at) as f64;
+                    let Some(cell_written_at) = row.cell(1).and_then(|v| v.try_into().ok()) else { continue };
+                    let cell_written_at = u64::from_be_bytes(cell_written_at) as f64;
                     let origin = net.index(row.origin);
                     // The origin has written a newer value since then, so the reader's row is out of date since that moment.
-                    if claimed_at < written_at[origin].floor() {
+                    if cell_written_at < written_at[origin].floor() {
                         checked += 1;
                         let passed = net.now - written_at[origin];
                         assert!(
@@ -75,15 +75,15 @@
     net.fronts[4].put(1, b"lent".to_vec());
     net.run(3_000.0, |_| {});
     net.link_open = |from, to| from != 4 && to != 4;
-    let mut states = Vec::new();
+    let mut liveness_changes = Vec::new();
     net.run(8_000.0, |net| {
         let row = net.fronts[0].front(net.now, origin_of(&front_name(4))).expect("the front is a peer");
-        if states.last() != Some(&row.liveness) {
-            states.push(row.liveness);
+        if liveness_changes.last() != Some(&row.liveness) {
+            liveness_changes.push(row.liveness);
         }
         assert_eq!(row.cell(1), Some(b"lent".as_slice()));
     });
-    assert_eq!(states, [Liveness::Heard, Liveness::Doubted, Liveness::Unheard]);
+    assert_eq!(liveness_changes, [Liveness::Heard, Liveness::Doubted, Liveness::Unheard]);
     net.link_open = |_, _| true;
     net.run(2_000.0, |_| {});
     assert_eq!(
--- a/crates/shared-state/src/budgets.rs
+++ b/crates/shared-state/src/budgets.rs
@@ -8,12 +8,12 @@
 //! - A front holds `PARTS_PER_FRONT - lent + borrowed`, and keeps [`RESERVED_PARTS`] whatever it lends. Only a grant adds to
 //!   what it holds; nothing else that it receives does, and neither does receiving nothing.
 //! - A grant names the number of the loan request that it answers, and counts once: the borrower counts only the newest
-//!   grant of each giver, while the giver deducts the largest grant that the borrower may still count. Duplicated and
+//!   grant of each lender, while the lender deducts the largest grant that the borrower may still count. Duplicated and
 //!   reordered messages therefore add nothing.
-//! - The giver deducts a grant before it announces it. The borrower counts the grant until `lease_ms` after it *asked*, on
-//!   its own clock. The giver takes it back `lease_ms x (1 + LEASE_MARGIN)` after it *gave*, on its own clock. The asking
+//! - The lender deducts a grant before it announces it. The borrower counts the grant until `lease_ms` after it *asked*, on
+//!   its own clock. The lender takes it back `lease_ms x (1 + LEASE_MARGIN)` after it *gave*, on its own clock. The asking
 //!   precedes the giving, and the clocks drift apart by at most [`MAX_CLOCK_DRIFT`]. With
-//!   (1 + LEASE_MARGIN)/(1 + MAX_CLOCK_DRIFT) >= 1/(1 - MAX_CLOCK_DRIFT), the borrower's use ends before the giver's loan
+//!   (1 + LEASE_MARGIN)/(1 + MAX_CLOCK_DRIFT) >= 1/(1 - MAX_CLOCK_DRIFT), the borrower's use ends before the lender's loan
 //!   ends, however late, duplicated or lost the messages are. A grant that arrives after its lease has ended counts nothing.
 //! - A front that restarts cannot know what it lent before. It holds RESERVED_PARTS and lends nothing until
 //!   `lease_ms x (1 + LEASE_MARGIN)` after its start. What it had borrowed ends with its incarnation, which grants name.
@@ -29,7 +29,7 @@
 pub const RESERVED_PARTS: u32 = 250;
 /// Maximum relative drift between the clocks of two fronts.
 pub const MAX_CLOCK_DRIFT: f64 = 0.01;
-/// The giver's end of a loan is later than the borrower's by this fraction of the lease. It is twice the required
+/// The lender's end of a loan is later than the borrower's by this fraction of the lease. It is twice the required
 /// 2 x MAX_CLOCK_DRIFT / (1 - MAX_CLOCK_DRIFT).
 pub const LEASE_MARGIN: f64 = 0.04;
 /// Maximum number of loan requests, and of grants, in a row. Up to three are needed for each cold server.
@@ -60,7 +60,7 @@
     number: u32,
 }
 
-/// Parts lent to another front, as announced in the giver's row.
+/// Parts lent to another front, as announced in the lender's row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Grant {
     to: u32,
@@ -89,7 +89,7 @@
     /// The latest loan requests: their numbers, and when they were made.
     requests: Vec<(u32, f64)>,
     leases: Vec<Lease>,
-    /// By giver: the number of the request, the parts, and when they expire.
+    /// By lender: the number of the request, the parts, and when they expire.
     borrowed: BTreeMap<u32, (u32, u32, f64)>,
 }
 
@@ -117,7 +117,7 @@
     origin: u32,
     incarnation: u64,
     lease_ms: f64,
-    fronts: u32,
+    front_count: u32,
     /// Until then there may be loans of an earlier start that this front does not know of.
     loans_unknown_until: f64,
     last_request_number: u32,
@@ -126,14 +126,14 @@
 
 impl Budgets {
     /// For a fleet of `fronts` fronts, with loans of `lease_ms`.
-    pub fn new(now: f64, origin: u32, incarnation: u64, fronts: usize, lease_ms: f64) -> Budgets {
+    pub fn new(now: f64, origin: u32, incarnation: u64, front_count: usize, lease_ms: f64) -> Budgets {
         let loans_unknown_until = now + lease_ms * (1.0 + LEASE_MARGIN);
-        let fronts = fronts.clamp(1, 1_000_000) as u32;
+        let front_count = front_count.clamp(1, 1_000_000) as u32;
         Budgets {
             origin,
             incarnation,
             lease_ms,
-            fronts,
+            front_count,
             loans_unknown_until,
             last_request_number: 0,
             states: BTreeMap::new(),
@@ -142,11 +142,11 @@
 
     /// Parts of a budget that all fronts together may hold.
     pub fn total_parts(&self) -> u32 {
-        self.fronts * PARTS_PER_FRONT
+        self.front_count * PARTS_PER_FRONT
     }
 
     /// This front's row has a new incarnation: requests of the former one, and what they were granted, no longer count.
-    pub fn restart(&mut self, incarnation: u64) {
+    pub fn set_incarnation(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
         for state in self.states.values_mut() {
             state.requests.clear();
@@ -155,7 +155,7 @@
     }
 
     /// Notes that this front uses a budget, and with `needs_more` that what it holds is too little.
-    pub fn request(&mut self, now: f64, budget: BudgetId, needs_more: bool) {
+    pub fn record_use(&mut self, now: f64, budget: BudgetId, needs_more: bool) {
         if self.states.len() < MAX_LOANS || self.states.contains_key(&budget) {
             let state = self.states.entry(budget).or_default();
             state.used_at = Some(now);
@@ -220,14 +220,14 @@
         self.states.retain(|_, state| !state.is_idle());
     }
 
-    /// Counts a grant if it answers a recent request and is newer than the giver's previous one.
-    fn apply_grant(&mut self, now: f64, giver: u32, grant: Grant) {
+    /// Counts a grant if it answers a recent request and is newer than the lender's previous one.
+    fn apply_grant(&mut self, now: f64, lender: u32, grant: Grant) {
         let Some(state) = self.states.get_mut(&grant.budget) else { return };
         let Some((_, asked_at)) = state.requests.iter().find(|a| a.0 == grant.number) else { return };
         let expires_at = asked_at + self.lease_ms;
-        let newer = state.borrowed.get(&giver).is_none_or(|h| h.0 < grant.number);
+        let newer = state.borrowed.get(&lender).is_none_or(|h| h.0 < grant.number);
         if newer && now < expires_at {
-            state.borrowed.insert(giver, (grant.number, grant.parts, expires_at));
+            state.borrowed.insert(lender, (grant.number, grant.parts, expires_at));
         }
     }
 
--- a/crates/shared-state/src/counts.rs
+++ b/crates/shared-state/src/counts.rs
@@ -8,7 +8,8 @@
 //!   had already come. A server that is not paced holds no more plays than it has places.
 //! - A front that was never heard, or was last heard before its restart, is counted by its budget alone.
 //!
-//! Rules use the upper bound. Quality decisions use the middle, which is the reported number, limited to the interval.
+//! Rules use the upper bound. Decisions that only affect quality use the best estimate, which
+//! is the reported number, limited to the interval.
 
 use crate::{PeerState, decode_cells, encode_cells};
 use serde::{Deserialize, Serialize};
@@ -19,7 +20,7 @@
 
 /// One front's plays of a product at a server: being set up, and playing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Row {
+struct PlayCount {
     server: u64,
     product: u16,
     setting_up: u32,
@@ -32,7 +33,7 @@
     /// Lower bound.
     pub low: f64,
     /// The reported number, limited to the bounds.
-    pub middle: f64,
+    pub best_estimate: f64,
     /// Upper bound.
     pub high: f64,
 }
@@ -71,7 +72,7 @@
 
     /// The cells for this front's row.
     pub fn cells(&self) -> Vec<Vec<u8>> {
-        let row = |(key, counts): (&(u64, u16), &(u32, u32))| Row {
+        let row = |(key, counts): (&(u64, u16), &(u32, u32))| PlayCount {
             server: key.0,
             product: key.1,
             setting_up: counts.0,
@@ -92,23 +93,23 @@
         let matches = |s: u64, p: u16| s == server && product.is_none_or(|product| product == p);
         let own_plays = self.own_counts.iter().filter(|(k, _)| matches(k.0, k.1));
         let own_plays: f64 = own_plays.map(|(_, n)| f64::from(n.0 + n.1)).sum();
-        let (mut low, mut middle, mut oldest) = (own_plays, own_plays, 0.0f64);
+        let (mut low, mut reported_total, mut oldest_age) = (own_plays, own_plays, 0.0f64);
         for peer in peers {
-            let rows = decode_cells::<Row>(&peer.counts);
+            let rows = decode_cells::<PlayCount>(&peer.counts);
             let reported = rows.iter().filter(|r| matches(r.server, r.product));
             let reported: f64 = reported.map(|r| f64::from(r.setting_up) + f64::from(r.playing)).sum();
             let reported = if peer.age.is_finite() { reported } else { 0.0 };
             low += bounds
                 .max_ended_per_ms
                 .map_or(0.0, |max_ended_per_ms| (reported - (max_ended_per_ms * peer.age).ceil()).max(0.0));
-            middle += reported;
-            oldest = oldest.max(peer.age);
+            reported_total += reported;
+            oldest_age = oldest_age.max(peer.age);
         }
         let added = bounds.max_added_per_ms.map_or(f64::INFINITY, |max_added_per_ms| {
-            (max_added_per_ms * oldest).ceil() + peers.len() as f64
+            (max_added_per_ms * oldest_age).ceil() + peers.len() as f64
         });
-        let high = (middle + added).min(bounds.max_plays).max(own_plays);
+        let high = (reported_total + added).min(bounds.max_plays).max(own_plays);
         let low = low.min(high);
-        Interval { low, middle: middle.clamp(low, high), high }
+        Interval { low, best_estimate: reported_total.clamp(low, high), high }
     }
 }
--- a/crates/shared-state/src/server_health.rs
+++ b/crates/shared-state/src/server_health.rs
@@ -93,25 +93,25 @@
 
 /// A front's results at one server, as sent in a cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Row {
+struct ServerResults {
     server: u64,
     counts: ResultCounts,
     /// How long ago it last served, and last timed out or refused, in tenths of a second.
     served_ago: Option<u8>,
-    failed_ago: Option<u8>,
+    unreachable_ago: Option<u8>,
 }
 
-/// A front's results at a server. `served_at` is the latest moment that it may have last served, and `failed_at` the
+/// A front's results at a server. `served_at` is the latest moment that it may have last served, and `unreachable_at` the
 /// earliest that it may have last failed, on this front's clock.
 #[derive(Clone, Copy, Debug)]
 struct ServerReport {
     zone: Option<usize>,
     counts: ResultCounts,
     served_at: Option<f64>,
-    failed_at: Option<f64>,
+    unreachable_at: Option<f64>,
 }
 
-/// ms in the unit of [`Row`]'s times.
+/// ms in the unit of [`ServerResults`]'s times.
 const TENTH_MS: f64 = 100.0;
 
 /// Time since a moment, in tenths of a second, at most 255.
@@ -136,7 +136,7 @@
     half_began_at: f64,
     /// By server: when it last served this front, and when it last timed out or refused.
     served_at: BTreeMap<u64, f64>,
-    failed_at: BTreeMap<u64, f64>,
+    unreachable_at: BTreeMap<u64, f64>,
 }
 
 impl ServerHealth {
@@ -147,7 +147,7 @@
             halves: Default::default(),
             half_began_at: now,
             served_at: BTreeMap::new(),
-            failed_at: BTreeMap::new(),
+            unreachable_at: BTreeMap::new(),
         }
     }
 
@@ -164,7 +164,7 @@
         }
         match result {
             AllocationResult::Success => self.served_at.insert(server, now),
-            AllocationResult::TimedOut | AllocationResult::Refused => self.failed_at.insert(server, now),
+            AllocationResult::TimedOut | AllocationResult::Refused => self.unreachable_at.insert(server, now),
             AllocationResult::Error => None,
         };
     }
@@ -181,7 +181,7 @@
             self.halves[0].clear();
         }
         self.served_at.retain(|_, at| now < *at + WINDOW_MS);
-        self.failed_at.retain(|_, at| now < *at + WINDOW_MS);
+        self.unreachable_at.retain(|_, at| now < *at + WINDOW_MS);
     }
 
     /// This front's results in the window, by server.
@@ -196,11 +196,11 @@
     /// The cells for this front's row.
     pub fn cells(&mut self, now: f64) -> Vec<Vec<u8>> {
         self.advance_window(now);
-        let row = |(server, counts): (u64, ResultCounts)| Row {
+        let row = |(server, counts): (u64, ResultCounts)| ServerResults {
             server,
             counts,
             served_ago: tenths_ago(now, self.served_at.get(&server)),
-            failed_ago: tenths_ago(now, self.failed_at.get(&server)),
+            unreachable_ago: tenths_ago(now, self.unreachable_at.get(&server)),
         };
         encode_cells(self.own_results().into_iter().map(row), MAX_CELL_BYTES)
     }
@@ -219,7 +219,7 @@
         let mut reports: BTreeMap<u64, Vec<ServerReport>> = BTreeMap::new();
         for peer in peers.iter().filter(|p| p.age < WINDOW_MS / 2.0) {
             let mut by_server = BTreeMap::new();
-            for row in decode_cells::<Row>(&peer.server_results) {
+            for row in decode_cells::<ServerResults>(&peer.server_results) {
                 by_server.insert(row.server, row);
             }
             for row in by_server.into_values().filter(|row| row.counts.is_plausible()) {
@@ -228,7 +228,7 @@
                     zone: peer.zone,
                     counts: row.counts,
                     served_at: at(row.served_ago, 0.0),
-                    failed_at: at(row.failed_ago, peer.age + TENTH_MS),
+                    unreachable_at: at(row.unreachable_ago, peer.age + TENTH_MS),
                 });
             }
         }
@@ -244,11 +244,11 @@
         let mut links = 0.0;
         for (_, server) in suspects {
             let has_server = |title: &&Vec<u64>| title.contains(&server.id);
-            let has_room = titles.iter().filter(has_server).all(|title| {
+            let holders_allow_doubt = titles.iter().filter(has_server).all(|title| {
                 let doubted_holders = title.iter().filter(|s| doubted.contains(*s)).count();
                 doubted_holders < (title.len() as f64 * MAX_DOUBTED_HOLDERS) as usize
             });
-            if has_room && links + server.link <= total_link * MAX_DOUBTED_LINKS {
+            if holders_allow_doubt && links + server.link <= total_link * MAX_DOUBTED_LINKS {
                 links += server.link;
                 doubted.insert(server.id);
             }
@@ -296,17 +296,20 @@
         let looks_lost = |zone_servers: &[&Server]| {
             let last_served_at = last_served(zone_servers);
             let is_newer = |at: f64| at > last_served_at;
-            let own_failure = |s: &Server| self.failed_at.get(&s.id).is_some_and(|at| is_newer(*at));
-            let peer_failures =
-                |s: &Server| own_zone_reports(s.id).filter(|r| r.failed_at.is_some_and(is_newer)).count();
-            let failed_count = zone_servers.iter().filter(|s| own_failure(s) || peer_failures(s) > 0).count();
+            let is_unreachable_here =
+                |s: &Server| self.unreachable_at.get(&s.id).is_some_and(|at| is_newer(*at));
+            let unreachable_reports = |s: &Server| {
+                own_zone_reports(s.id).filter(|r| r.unreachable_at.is_some_and(is_newer)).count()
+            };
+            let unreachable_count =
+                zone_servers.iter().filter(|s| is_unreachable_here(s) || unreachable_reports(s) > 0).count();
             // A single peer with false reports must not be enough.
             let is_confirmed =
-                zone_servers.iter().any(|s| own_failure(s) || peer_failures(s) >= MIN_AGREEING);
-            let min_failed =
+                zone_servers.iter().any(|s| is_unreachable_here(s) || unreachable_reports(s) >= MIN_AGREEING);
+            let min_unreachable =
                 ((zone_servers.len() as f64 * LOST_ZONE_SHARE).ceil() as usize).max(LOST_ZONE_MIN);
             let links: f64 = zone_servers.iter().map(|s| s.link).sum();
-            is_confirmed && failed_count >= min_failed && links <= total_link * MAX_LOST_ZONE_LINKS
+            is_confirmed && unreachable_count >= min_unreachable && links <= total_link * MAX_LOST_ZONE_LINKS
         };
         let mut lost_zones =
             zones.iter().filter(|(_, zone_servers)| looks_lost(zone_servers)).map(|(zone, _)| *zone);
--- a/crates/shared-state/tests/budgets.rs
+++ b/crates/shared-state/tests/budgets.rs
@@ -108,9 +108,9 @@
             let now = fleet.local_time(front);
             match fleet.rng.rand_range(0..100) {
                 0 => fleet.restart(front),
-                1..=5 => fleet.fronts[front].request(now, BUDGET, false),
+                1..=5 => fleet.fronts[front].record_use(now, BUDGET, false),
                 // Two of them need more than they have.
-                _ if front < 2 => fleet.fronts[front].request(now, BUDGET, true),
+                _ if front < 2 => fleet.fronts[front].record_use(now, BUDGET, true),
                 _ => {}
             }
             fleet.exchange(front, loss_rate, stale_rate);
@@ -126,7 +126,7 @@
     fleet.now = 2.0 * LEASE_MS;
     for _ in 0..40 {
         let now = fleet.local_time(0);
-        fleet.fronts[0].request(now, BUDGET, true);
+        fleet.fronts[0].record_use(now, BUDGET, true);
         (0..4).for_each(|front| fleet.exchange(front, 0.0, 0.0));
         fleet.now += 50.0;
     }
@@ -162,7 +162,7 @@
     for _ in 0..100 {
         fleet.now += 50.0;
         let now = fleet.local_time(0);
-        fleet.fronts[0].request(now, BUDGET, true);
+        fleet.fronts[0].record_use(now, BUDGET, true);
         fleet.exchange(0, 1.0, 0.0);
         assert_eq!(fleet.fronts[0].parts(fleet.local_time(0), BUDGET), PARTS_PER_FRONT);
     }
--- a/crates/shared-state/tests/conclusions.rs
+++ b/crates/shared-state/tests/server_health_and_counts.rs
@@ -185,8 +185,8 @@
         assert!(
             interval.low <= total
                 && total <= interval.high
-                && interval.low <= interval.middle
-                && interval.middle <= interval.high,
+                && interval.low <= interval.best_estimate
+                && interval.best_estimate <= interval.high,
             "{interval:?} {total}"
         );
     }
--- a/crates/whatif/tests/estimates.rs
+++ b/crates/whatif/tests/estimates.rs
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn intervals_widen_as_fronts_are_lost_until_half_are_undecided() {
+fn intervals_widen_as_fronts_go_unheard_and_half_heard_is_undecided() {
     let logs: Vec<OutcomeLog> = (0..8).map(|seed| simulate_plays(seed, 100, 60.0, 1e9).0).collect();
     let width = |count: usize| {
         let estimates = combined_report(&logs.iter().take(count).collect::<Vec<_>>(), count);
