--- a/crates/drift/src/approved.rs
+++ b/crates/drift/src/approved.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Maximum number of versions in a file, and of fronts named in the stages of a version.
+/// Maximum number of versions in a file, and of fronts named in all stages of a version together.
 const MAX_VERSIONS: usize = 10_000;
 const MAX_STAGE_FRONTS: usize = 100_000;
 
@@ -18,7 +18,9 @@
     /// Names of the fronts. If empty, the stage is for all fronts that no stage names.
     #[serde(default)]
     pub fronts: Vec<String>,
+    /// From when the fronts may run the version.
     pub from_ms: f64,
+    /// By when the fronts must run the version.
     pub by_ms: f64,
 }
 
@@ -34,8 +36,9 @@
     pub sections: Sections,
     /// The stages of its rollout; at least one.
     pub stages: Vec<RolloutStage>,
-    /// Who approved it, and when (Unix ms).
+    /// Who approved it.
     pub by: String,
+    /// When it was approved, Unix ms.
     pub at_ms: f64,
 }
 
@@ -70,7 +73,8 @@
         format!("{value}\n")
     }
 
-    /// From when a front may run this version, and by when it must. `None` if no stage includes the front.
+    /// From when a front may run this version, and by when it must, Unix ms. A stage that names the front takes precedence
+    /// over the one for all other fronts. `None` if no stage includes the front.
     pub fn stage_times(&self, front: &str) -> Option<(f64, f64)> {
         let named = self.stages.iter().find(|s| s.fronts.iter().any(|f| f == front));
         let stage = named.or_else(|| self.stages.iter().find(|s| s.fronts.is_empty()))?;
@@ -92,10 +96,13 @@
         }
         let next_number = parent.map_or(1, |(p, _)| p.number.saturating_add(1));
         if self.number != next_number {
-            return Err(format!("number: {}; {next_number} comes next", self.number));
+            return Err(format!("number: found {}, expected {next_number}", self.number));
         }
         if !self.at_ms.is_finite() || parent.is_some_and(|(p, _)| self.at_ms < p.at_ms) {
-            return Err(format!("at_ms: {} is before the approval of the previous version", self.at_ms));
+            return Err(format!(
+                "at_ms: {} is not finite or is before the approval of the previous version",
+                self.at_ms
+            ));
         }
         if self.by.trim().is_empty() {
             return Err("by: nobody approved it".into());
@@ -112,7 +119,9 @@
             let is_finite = stage.from_ms.is_finite() && stage.by_ms.is_finite();
             if !is_finite || stage.from_ms < self.at_ms {
                 let from_ms = stage.from_ms;
-                return Err(format!("stages[{i}].from_ms: {from_ms} lies in the past of its approval"));
+                return Err(format!(
+                    "stages[{i}].from_ms: {from_ms} lies in the past (before at_ms), or a time of the stage is not finite"
+                ));
             }
             if stage.by_ms < stage.from_ms {
                 return Err(format!("stages[{i}].by_ms: {} is before from_ms", stage.by_ms));
@@ -138,7 +147,9 @@
                 serde_json::from_value(value).map_err(|e| line_error(e.to_string()))?;
             let computed = version.digest();
             if stated.as_ref().and_then(Value::as_str) != Some(&computed) {
-                return Err(line_error(format!("digest: the line's content has the digest {computed}")));
+                return Err(line_error(format!(
+                    "digest: does not match the line, whose digest is {computed}"
+                )));
             }
             chain.append(version).map_err(line_error)?;
         }
@@ -148,7 +159,7 @@
         Ok(chain)
     }
 
-    /// Appends a version if it is valid after the present ones.
+    /// Appends a version if it may follow the last one. The error names the field and what is wrong with it.
     pub fn append(&mut self, version: ApprovedVersion) -> Result<(), String> {
         let parent = self.documents.last().zip(self.digests.last().map(String::as_str));
         version.validate(parent)?;
@@ -179,7 +190,8 @@
         digest.and_then(|digest| u64::from_str_radix(digest.get(..16)?, 16).ok()) == Some(id.1)
     }
 
-    /// Indices of the newest version that a front may run at a time, and of the newest that it must run by then.
+    /// Indices of the newest version that a front may run at a time (Unix ms), and of the newest whose deadline for the
+    /// front has passed by then. `None` if there is none.
     pub fn version_window(&self, front: &str, wall_clock: f64) -> (Option<usize>, Option<usize>) {
         let latest = |time: fn((f64, f64)) -> f64| {
             self.documents
@@ -190,7 +202,7 @@
     }
 
     /// Short digest of a section in a version. A section that the version omits is as in the previous one.
-    pub fn section(&self, index: usize, name: &str) -> Option<u64> {
+    pub fn section_digest(&self, index: usize, name: &str) -> Option<u64> {
         self.documents[..=index].iter().rev().find_map(|d| d.sections.get(name)).map(short_digest)
     }
 
--- a/crates/drift/src/detector.rs
+++ b/crates/drift/src/detector.rs
@@ -1,5 +1,6 @@
-//! Tracks how long each verdict has lasted, and summarises the fleet. A verdict that changes within the alarm delay raises
-//! no alarm, so that a front that is briefly between two versions while it applies one does not alert anyone.
+//! Tracks how long each verdict has lasted, and summarises the fleet. A front raises an alarm once its verdicts have been
+//! wrong or unknown without a break for the alarm delay, even if they change from one such verdict to another. A front that
+//! is briefly between two versions while it applies one therefore does not alert anyone.
 
 use crate::approved::VersionChain;
 use crate::verdict::{KnownFront, Verdict, judge};
@@ -14,10 +15,11 @@
     pub front: String,
     /// The verdict on the front as a whole.
     pub verdict: Verdict,
-    /// Since when the verdict has applied, Unix ms on the reader's clock, and whether a person must look into it.
+    /// Since when the verdict has applied, Unix ms on the reader's clock.
     pub since: f64,
+    /// Whether the verdicts have been wrong or unknown without a break for the alarm delay.
     pub alarm: bool,
-    /// Whether any difference is in a section on which one of the six rules depends.
+    /// Whether the verdict is wrong and any difference is in one of [`RULE_SECTIONS`].
     pub rule: bool,
     /// The verdict on each section.
     pub sections: Vec<(String, Verdict)>,
@@ -30,8 +32,9 @@
 /// The state of the fleet as one front sees it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct FleetStatus {
-    /// The front that reports this, and the number of the newest approved version that it holds.
+    /// Name of the front that reports this.
     pub by: String,
+    /// Number of the newest approved version that it holds.
     pub approved: Option<u64>,
     /// Whether some front holds a different version with the same number.
     pub forked: bool,
@@ -44,7 +47,8 @@
 }
 
 impl FleetStatus {
-    /// Exit status: 0 if all fronts are in step or on their way, 1 if one has an alarm, 2 if some are unknown.
+    /// Exit status: 1 if a front with a wrong verdict has an alarm, else 2 if no verdict is possible on some front, else 0.
+    /// A wrong verdict without an alarm does not count.
     pub fn status(&self) -> u8 {
         if self.fronts.iter().any(|s| s.alarm && s.verdict.is_wrong()) {
             1
@@ -67,12 +71,13 @@
 }
 
 impl Detector {
-    /// A verdict becomes an alarm once it has been wrong or unknown for `alarm_delay` ms.
+    /// A front raises an alarm once its verdicts have been wrong or unknown without a break for `alarm_delay` ms.
     pub fn new(alarm_delay: f64) -> Detector {
         Detector { alarm_delay, verdicts: BTreeMap::new() }
     }
 
-    /// Judges all reports at a time, and updates how long each verdict has lasted. `by` is this front's name.
+    /// Judges all fronts at a time (Unix ms), and updates how long each verdict has lasted. `by` is this front's name.
+    /// Fronts that are not in `fronts` are forgotten.
     pub fn observe(
         &mut self,
         by: &str,
--- a/crates/drift/src/lib.rs
+++ b/crates/drift/src/lib.rs
@@ -1,9 +1,9 @@
 //! Drift detection: compares what each front runs with the version that was approved for it. The package does no I/O; the
 //! caller (`pulleystair-fleet-member`) passes in the wall clock's time (Unix ms) where rollout stages depend on it.
 //!
-//! [`approved`] holds the chain of approved versions. [`ConfigReport`] is what one front runs, read back from the running
-//! configuration. [`verdict`] gives a reader's verdict on one front. [`detector`] tracks how long a verdict has lasted, and
-//! summarises the fleet.
+//! [`approved`] holds the chain of approved versions. [`ConfigReport`] is what one front reports that it runs, read back
+//! from its running configuration. [`verdict`] gives a reader's verdict on one front. [`detector`] tracks how long a
+//! verdict has lasted, and summarises the fleet.
 
 pub mod approved;
 pub mod detector;
@@ -19,11 +19,12 @@
 pub const SECTIONS: [&str; 10] =
     ["ladder", "products", "floors", "seats", "rules", "prices", "limits", "list", "parts", "policy"];
 
-/// Sections on which the six rules depend.
+/// Sections on which the six rules of `pulleystair-rule-checker` depend.
 pub const RULE_SECTIONS: [&str; 5] = ["products", "floors", "seats", "rules", "policy"];
 
-/// Maximum number of differences that a front reports, and maximum length of each text in them, bytes.
+/// Maximum number of differences that a front reports.
 const MAX_DIFFERENCES: usize = 6;
+/// Maximum length of each text in a difference, bytes.
 const MAX_VALUE_BYTES: usize = 40;
 
 /// Sections of a configuration by name.
@@ -50,8 +51,9 @@
 pub struct Difference {
     /// Path of the value.
     pub name: String,
-    /// The approved value and the active one, as JSON text.
+    /// The approved value, as JSON text.
     pub approved: String,
+    /// The value that the front runs, as JSON text.
     pub active: String,
 }
 
@@ -60,14 +62,15 @@
 pub struct ConfigReport {
     /// The newest approved version that the front holds: its number and the start of its digest. `None` if it has none.
     pub head: Option<(u64, u64)>,
-    /// A digest for each of [`SECTIONS`].
+    /// The short digest of each of [`SECTIONS`] as the front runs it.
     pub sections: Vec<u64>,
-    /// Differences that the front itself found from its approved version.
+    /// Differences from the newest version that the front may run, as the front itself found them.
     pub differences: Vec<Difference>,
 }
 
 impl ConfigReport {
-    /// Summarises the active sections. Differences beyond the maximum, and the ends of long texts, are cut off.
+    /// Summarises the active sections. Keeps at most `MAX_DIFFERENCES` differences, and `MAX_VALUE_BYTES` of each text in
+    /// them. A missing section counts as null.
     pub fn new(sections: &Sections, head: Option<(u64, u64)>, differences: Vec<Difference>) -> ConfigReport {
         let section_digest = |name: &&str| short_digest(sections.get(*name).unwrap_or(&Value::Null));
         let mut differences = differences;
--- a/crates/drift/src/stricter.rs
+++ b/crates/drift/src/stricter.rs
@@ -1,8 +1,9 @@
-//! Lets a front that is adrift in a rule apply the stricter of its own and the approved value, where one of them is.
+//! For a front with a wrong verdict: the stricter of its own and the approved value of each rule value that can be ordered.
 
 use crate::Difference;
 
-/// Values of the rules, by path or by prefix of the path, and whether the smaller one is the stricter.
+/// Values of the rules that can be ordered: the path (or, if it ends with a dot, its prefix), and whether the smaller value
+/// is the stricter one.
 const RULE_VALUES: [(&str, bool); 8] = [
     ("rules.drain_grace_ms", true),
     ("rules.budget.share", true),
@@ -14,7 +15,8 @@
     ("floors.", false),
 ];
 
-/// The values to apply, by path: the stricter one of each pair. Differences in other values are left out.
+/// The values to apply, by path: the stricter one of each pair. Differences in other values, or in values
+/// that are not numbers, are left out.
 pub fn stricter(differences: &[Difference]) -> Vec<(String, f64)> {
     let stricter_value = |d: &Difference| {
         let is_listed = |entry: &&(&str, bool)| {
--- a/crates/drift/src/verdict.rs
+++ b/crates/drift/src/verdict.rs
@@ -10,21 +10,22 @@
 pub enum Verdict {
     /// It runs the newest version that it may run.
     InStep,
-    /// It runs a version that it may still run until then, Unix ms.
+    /// It runs an earlier version that it may still run. `until` is the deadline of the version after that one, Unix ms
+    /// (infinite if no stage of that version includes the front). A still later version may become required before then.
     OnItsWay { until: f64 },
-    /// It runs a version that it must no longer run.
+    /// It runs this earlier version, which is no longer accepted.
     Behind { number: u64 },
-    /// It runs a version that it may not run yet.
+    /// It runs this later version, which it may not run yet.
     Ahead { number: u64 },
     /// It runs something that was never approved.
     Adrift,
     /// Each section belongs to some version, but not all of them to a single one.
     Torn,
-    /// Not heard for this time, ms; `None` if it was never heard. It never counts as in step.
+    /// Not heard for this time (ms; `None` if it was never heard), or heard without a valid report of its configuration.
     Unheard { age: Option<f64> },
     /// It reported two things for the same row version, or holds a different approved version with the same number.
     Contradictory,
-    /// It holds an approved version that the reader does not have.
+    /// It holds an approved version that is newer than the reader's newest.
     Unknown { number: u64 },
 }
 
@@ -49,7 +50,7 @@
         matches!(self, Verdict::Unheard { .. } | Verdict::Contradictory | Verdict::Unknown { .. })
     }
 
-    /// Whether a person must look into it if it lasts.
+    /// Whether it is known that the front runs what it must not.
     pub fn is_wrong(&self) -> bool {
         matches!(self, Verdict::Behind { .. } | Verdict::Ahead { .. } | Verdict::Adrift | Verdict::Torn)
     }
@@ -60,17 +61,18 @@
 pub struct KnownFront {
     /// Name of the front.
     pub name: String,
-    /// Upper bound on the time since the front reported this, ms; infinite if it never did.
+    /// Upper bound on the time since the front's row was current, ms; infinite if it was never heard.
     pub age: f64,
     /// Whether the front counts as unheard.
     pub unheard: bool,
-    /// Whether two different rows of the same version were received from it.
+    /// Whether two different rows of this front with the same version were received recently.
     pub contradictory: bool,
     /// What it reports about its configuration; `None` if nothing or nothing valid.
     pub config_report: Option<ConfigReport>,
 }
 
-/// The verdict on each section that was ever approved, and on the front as a whole, at a time (Unix ms).
+/// The verdict on the front as a whole, and on each section that was ever approved, at a time (Unix ms). There are no
+/// verdicts on sections if the front is unheard, contradictory or unknown.
 pub fn judge(
     chain: &VersionChain,
     wall_clock: f64,
@@ -94,14 +96,15 @@
     let approved_sections: Vec<(usize, &'static str)> = SECTIONS
         .iter()
         .enumerate()
-        .filter(|(_, name)| indices.clone().any(|index| chain.section(index, name).is_some()))
+        .filter(|(_, name)| indices.clone().any(|index| chain.section_digest(index, name).is_some()))
         .map(|(i, name)| (i, *name))
         .collect();
     let section_matches = |index: usize, i: usize, name: &str| {
-        chain.section(index, name).is_none_or(|digest| digest == report.sections[i])
+        chain.section_digest(index, name).is_none_or(|digest| digest == report.sections[i])
     };
     let judge_section = |i: usize, name: &str| {
-        // The version before the first required one is in force from the start.
+        // Of the versions before the newest allowed one, those from the newest required one on are accepted as on their way.
+        // While no version is required yet, none of them is.
         let oldest_accepted = required.or(allowed).unwrap_or(0);
         if allowed.is_some_and(|allowed| section_matches(allowed, i, name)) {
             return Verdict::InStep;
--- a/crates/drift/tests/verdicts.rs
+++ b/crates/drift/tests/verdicts.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// The report of a front with these active sections.
+/// A front that reports these active sections.
 fn known_front(front: &str, active: &Sections, chain: &VersionChain) -> KnownFront {
     let report = ConfigReport::new(active, chain.head_id(), differences(&chain.sections(1), active));
     KnownFront {
@@ -222,7 +222,7 @@
 #[test_case(&text(&chain()).replace("200", "201"), "line 1: digest: "; "content changed")]
 #[test_case(&chain_with_change(|d| d["parent"] = json!(null)), "line 2: parent: missing"; "no parent")]
 #[test_case(&chain_with_change(|d| d["parent"] = json!("ab")), "line 2: parent: ab, but"; "another parent")]
-#[test_case(&chain_with_change(|d| d["number"] = json!(1)), "line 2: number: 1; 2 comes next"; "a number twice")]
+#[test_case(&chain_with_change(|d| d["number"] = json!(1)), "line 2: number: found 1, expected 2"; "a number twice")]
 #[test_case(&chain_with_change(|d| d["at_ms"] = json!(-5.0)), "line 2: at_ms: -5"; "approved before its parent")]
 #[test_case(&chain_with_change(|d| d["stages"][0]["from_ms"] = json!(10.0)), "line 2: stages[0].from_ms: 10 "; "a date in the past")]
 #[test_case(&chain_with_change(|d| d["stages"][0]["by_ms"] = json!(2_999.0)), "line 2: stages[0].by_ms"; "required before it is allowed")]
--- a/crates/fleet-member/src/lib.rs
+++ b/crates/fleet-member/src/lib.rs
@@ -3,8 +3,8 @@
 //! and estimates. It decides nothing about plays, does no I/O, and gets the time from its caller; times are in ms. The real
 //! front (`pulleystair-edge`) and the tests' fleets use the same code.
 //!
-//! [`FleetMember::next_deadline`] gives the next moment at which [`FleetMember::tick`] must be called. The end of a loan is
-//! handed out at that moment, so the caller must tick before it does anything else.
+//! [`FleetMember::next_deadline`] gives the next moment at which [`FleetMember::tick`] must be called. The hints change
+//! when a loan ends, so the caller must tick at that moment, before it uses any hint.
 
 mod row;
 mod status;
@@ -29,9 +29,9 @@
 pub use pulleystair_shared_state::server_health::AllocationResult;
 pub use pulleystair_whatif::{Candidate, SetUpResult};
 
-/// Time between two ticks that write this front's row and read the others', ms. What changes seldom or is expensive is
-/// written every `SLOW_TICKS` ticks.
+/// Time between two ticks that write this front's row and read the others', ms.
 const TICK_MS: f64 = 100.0;
+/// What changes seldom or is expensive to write is written once in this many ticks.
 const SLOW_TICKS: u64 = 10;
 
 /// Identifier of a server or title that is the same at all fronts: SipHash 1-3 of its name.
@@ -41,7 +41,8 @@
     hasher.finish()
 }
 
-/// The hint as the placement policy takes it. The caller sets its server, which has another number there.
+/// Converts a hint to the placement policy's type. `server` is left 0: the caller must set it to the policy's own number of
+/// the server.
 pub fn policy_hint(hint: &ServerHint) -> pulleystair::ServerHint {
     let ServerHint { doubted, pace, further_gap, probe_gap, .. } = *hint;
     pulleystair::ServerHint { server: 0, doubted, pace, further_gap, probe_gap }
@@ -61,12 +62,14 @@
     /// Maximum number of further allocations, and of probes, of all fronts to one server per second; 0 for no limit.
     pub further_s: f64,
     pub probes_s: f64,
-    /// A verdict becomes an alarm once it has lasted for this time, ms.
+    /// A front raises an alarm once its verdicts have been wrong or unknown without a break for this time, ms.
     pub alarm_delay: f64,
-    /// Whether the front uses the stricter value while it is adrift in a rule.
+    /// Whether the front uses the stricter of its own and the approved values while its verdict is wrong (behind, ahead,
+    /// adrift or torn).
     pub stricter: bool,
-    /// Length of the time buckets of the estimates, and longest set-up that is told apart, ms.
+    /// Length of the time buckets of the estimates, ms.
     pub bucket: f64,
+    /// Set-ups that take longer than this count as this long in the estimates, ms.
     pub max_set_up: f64,
 }
 
@@ -90,7 +93,7 @@
     budgets: Budgets,
     counts: PlayCounts,
     server_health: ServerHealth,
-    /// Choices and their results; the host records the choices directly.
+    /// Choices and their results; the caller records the choices directly.
     pub outcomes: OutcomeLog,
     detector: Detector,
     chain: Option<VersionChain>,
@@ -109,7 +112,8 @@
 }
 
 impl FleetMember {
-    /// `incarnation` must be above that of any earlier start of this front.
+    /// Joins the fleet as a front without a server list and without approved versions. `incarnation` must be higher than in
+    /// any earlier start of this front; see [`Gossip::new`].
     pub fn new(
         config: FleetConfig,
         now: f64,
@@ -155,7 +159,7 @@
         self.last_hints.retain(|id, _| listed_servers.contains_key(id));
     }
 
-    /// Notes that an allocation was sent to a server; `further` if it is not the first of its play.
+    /// Records that an allocation was sent to a server; `further` if it is not the first of its play.
     pub fn on_sent(&mut self, now: f64, server: u64, further: bool) {
         self.budgets.record_use(now, (server, BudgetKind::Pace), false);
         if further {
@@ -163,12 +167,12 @@
         }
     }
 
-    /// Notes that a probe was sent to a server.
+    /// Records that a probe was sent to a server.
     pub fn on_probed(&mut self, now: f64, server: u64) {
         self.record_budget_use(now, server, BudgetKind::Probes);
     }
 
-    /// Notes a use of a budget. Two uses within twice its gap mean that the front needs more of it.
+    /// Records a use of a budget. Two uses within twice its gap mean that the front needs more of it.
     fn record_budget_use(&mut self, now: f64, server: u64, kind: BudgetKind) {
         let gap = self.last_hints.get(&server).map_or(0.0, |hint| match kind {
             BudgetKind::Further => hint.further_gap,
@@ -182,7 +186,8 @@
         );
     }
 
-    /// Notes the servers at which plays are waiting.
+    /// Records the servers for which plays are waiting: this front needs more of their pace if they are cold, else more
+    /// further allocations.
     pub fn on_waiting(&mut self, now: f64, servers: impl IntoIterator<Item = u64>) {
         for id in servers {
             let is_cold = self.listed_servers.get(&id).is_some_and(|server| now < server.cold_until);
@@ -228,7 +233,8 @@
         self.counts.replace(own_counts);
     }
 
-    /// Sets the sections that the front runs, as read back from it, without the stricter values that it uses while adrift.
+    /// Sets the sections that the front runs, as read back from it, without the stricter values of
+    /// [`FleetMember::stricter`].
     pub fn set_active(&mut self, sections: Sections) {
         self.sections = sections;
     }
@@ -263,8 +269,8 @@
         self.gossip.receive(now, bytes)
     }
 
-    /// Writes this front's row, reads the others' rows, and asks some of them. Returns the hints that have changed, and the
-    /// datagrams to send.
+    /// Reads the others' rows and writes this front's row if a regular tick is due, and asks some other fronts if a gossip
+    /// round is due. Returns the hints that have changed, and the datagrams to send.
     pub fn tick(&mut self, now: f64, wall_clock: f64) -> (Vec<ServerHint>, Vec<Datagram>) {
         if self.gossip.incarnation() != self.incarnation {
             self.incarnation = self.gossip.incarnation();
@@ -314,7 +320,7 @@
         out
     }
 
-    /// What this front currently concludes on the servers.
+    /// The servers that this front doubts, and the zone that counts as lost, as of the last regular tick.
     pub fn health(&self) -> &HealthView {
         &self.health
     }
@@ -339,7 +345,8 @@
         index.map(|index| differences(&chain.sections(index), &self.sections)).unwrap_or_default()
     }
 
-    /// The stricter values that the front must use instead of its own, by path. Empty unless it is adrift and configured to.
+    /// The stricter values that the front must use instead of its own, by path. Empty unless `config.stricter` is set and
+    /// the verdict on this front is wrong (behind, ahead, adrift or torn).
     pub fn stricter(&self, wall_clock: f64) -> Vec<(String, f64)> {
         let Some(chain) = self.chain.as_ref().filter(|_| self.config.stricter) else { return Vec::new() };
         let own_front = status::own_front(&self.config.gossip.name, self.own_config_report(wall_clock));
--- a/crates/fleet-member/src/status.rs
+++ b/crates/fleet-member/src/status.rs
@@ -14,7 +14,7 @@
 /// Maximum number of titles in the status report: those with the most plays.
 const MAX_TITLES: usize = 20;
 
-/// The report of this front on itself.
+/// This front, as it knows itself.
 pub(crate) fn own_front(name: &str, config_report: ConfigReport) -> KnownFront {
     KnownFront {
         name: name.to_string(),
@@ -25,7 +25,7 @@
     }
 }
 
-/// What every other front reports about its configuration.
+/// All other fronts, with what they report about their configurations.
 pub(crate) fn peer_fronts(gossip: &Gossip, now: f64) -> Vec<KnownFront> {
     let others = gossip.fronts(now).filter(|row| row.origin != gossip.own());
     let front_from = |row: pulleystair_gossip::FrontView| KnownFront {
@@ -51,7 +51,7 @@
         report(self.scope(now), &self.aggregates(now), include)
     }
 
-    /// Whose sums the estimates include.
+    /// Which fronts' sums the estimates include.
     fn scope(&self, now: f64) -> Scope {
         let unheard: Vec<String> = self.unheard(now).into_iter().collect();
         Scope { fronts: self.front_count, heard: self.front_count - unheard.len(), unheard }
@@ -70,7 +70,7 @@
         aggregates
     }
 
-    /// Number of plays at a server over the whole fleet.
+    /// Number of plays at a server over the whole fleet, of one product or of all.
     pub fn plays_at(&self, now: f64, server: u64, product: Option<u16>, bounds: PlayBounds) -> Interval {
         let others = self.gossip.fronts(now).filter(|row| row.origin != self.gossip.own());
         let others: Vec<_> = others.map(|row| peer_state(&row, &self.config.zones)).collect();
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -23,11 +23,14 @@
 use std::collections::{BTreeMap, VecDeque};
 pub use view::{Datagram, FrontView, GossipStats, Liveness};
 
-/// Maximum relative drift between the clocks of two fronts. Durations that must not be too short are extended by it.
+/// Maximum relative error of one front's clock. Durations that must not be too short are extended by it.
 pub const MAX_CLOCK_DRIFT: f64 = 0.01;
-/// Questions that are remembered; answers to older questions are discarded.
+/// Number of remembered questions above which a round drops the oldest one for each that it adds, or the questions of four
+/// rounds if they are more. A question that goes out with an answer is remembered as well and drops none. Answers to
+/// questions that are no longer remembered are discarded.
 const MAX_OPEN_QUESTIONS: usize = 64;
-/// Rows listed in one question: the `LATEST_ROWS` that changed last, and `ROTATING_ROWS` others in rotation.
+/// Rows listed in one question beside this front's own: at most the `LATEST_ROWS` that changed last, and `ROTATING_ROWS`
+/// others in rotation.
 const LATEST_ROWS: usize = 14;
 const ROTATING_ROWS: usize = 18;
 /// Maximum number of datagrams that answer one datagram.
@@ -44,13 +47,15 @@
     pub name: String,
     /// Names of all other fronts.
     pub peers: Vec<String>,
-    /// Time between two rounds, ms, and the number of peers asked in each.
+    /// Mean time between two rounds, ms.
     pub interval: f64,
+    /// Number of peers asked in each round.
     pub fan_out: usize,
     /// Maximum number of bytes sent per second, questions and answers together.
     pub bytes_s: f64,
-    /// A front is doubted, or unheard, once its row is older than this, ms.
+    /// A front is doubted once its row is older than this, ms.
     pub doubted_after: f64,
+    /// A front is unheard once its row is older than this, ms.
     pub unheard_after: f64,
 }
 
@@ -60,7 +65,7 @@
     /// A peer occurs twice, or has this front's own name.
     #[error("peers: {0:?} is listed twice or is this front itself")]
     Duplicate(String),
-    /// Two names have the same CRC-32C and cannot be told apart.
+    /// Two names have the same CRC-32C, so the fronts cannot be distinguished.
     #[error("peers: {0:?} and {1:?} have the same checksum; rename one of them")]
     SameChecksum(String, String),
 }
@@ -93,8 +98,9 @@
 }
 
 impl Gossip {
-    /// `incarnation` must be above that of any earlier start of this front; a reading of the wall clock is. If it is not,
-    /// it is raised as soon as a peer reports a newer one.
+    /// Starts with an empty row of this front, and with none of the others' rows known. `incarnation` must be higher than
+    /// in any earlier start of this front, e.g. the wall clock's Unix ms. If it is not, it is raised once a peer reports a
+    /// newer row of this front. Fails if two names are equal or have the same checksum.
     pub fn new(config: GossipConfig, now: f64, incarnation: u64, seed: u64) -> Result<Gossip, PeerListError> {
         let own_origin = origin_of(&config.name);
         let mut names = BTreeMap::from([(own_origin, config.name.clone())]);
@@ -139,8 +145,8 @@
         self.names.get(&origin).map_or("?", String::as_str)
     }
 
-    /// Writes a cell of this front's own row. A value equal to the present one is no change. Returns false if the value is
-    /// too long.
+    /// Writes a cell of this front's own row. Writing the same value again changes nothing. Returns false, and writes
+    /// nothing, if the value is too long.
     pub fn put(&mut self, key: u16, value: Vec<u8>) -> bool {
         let fits = value.len() <= MAX_CELL_BYTES;
         if let Some(row) = self.rows.get_mut(&self.own_origin).filter(|_| fits)
@@ -162,6 +168,7 @@
         self.rows.get(&origin).map(|row| self.view(now, origin, row))
     }
 
+    /// A row with its age, and the liveness and contradiction that follow from the time.
     fn view<'a>(&self, now: f64, origin: Origin, row: &'a Row) -> FrontView<'a> {
         let age = row.age(now);
         let liveness = match age {
@@ -304,7 +311,8 @@
         }
     }
 
-    /// Uses a peer's report that it knows a row at this version: it bounds the row's age, or reveals a contradiction.
+    /// Uses a peer's report that it knows a row at this version: the report bounds the row's age, or reveals a
+    /// contradiction.
     fn confirm(&mut self, now: f64, asked_at: f64, known: &RowVersion) {
         if known.origin == self.own_origin {
             self.raise_incarnation(known);
@@ -313,9 +321,9 @@
         }
     }
 
-    /// Handles a peer that knows a newer version of this front's own row than this front does. Either that row was written
-    /// before a restart, under a clock that ran ahead, or by another process with the same name. A higher incarnation
-    /// replaces it in both cases.
+    /// Raises this front's incarnation above the one that a peer knows, if the peer knows a newer version of this front's
+    /// own row than this front does. That row was written before a restart, under a clock that ran ahead, or by another
+    /// process with the same name. The higher incarnation replaces it in both cases.
     fn raise_incarnation(&mut self, known: &RowVersion) {
         let Some(row) = self.rows.get_mut(&self.own_origin) else { return };
         if (known.incarnation, known.version) > (row.incarnation, row.version) {
@@ -340,21 +348,21 @@
                 continue;
             };
             let ours = row.row_version(now, theirs.origin);
-            let newer = (ours.incarnation, ours.version) > (theirs.incarnation, theirs.version);
-            let older = (ours.incarnation, ours.version) < (theirs.incarnation, theirs.version);
-            if older && theirs.origin == self.own_origin {
+            let is_newer = (ours.incarnation, ours.version) > (theirs.incarnation, theirs.version);
+            let is_older = (ours.incarnation, ours.version) < (theirs.incarnation, theirs.version);
+            if is_older && theirs.origin == self.own_origin {
                 self.raise_incarnation(theirs);
                 continue;
             }
-            if older && may_ask_back {
+            if is_older && may_ask_back {
                 answers[0].wants_answer = true;
                 answers[0].known.push(row.received_version(now, theirs.origin));
             }
-            let fresher = ours.age.is_some_and(|age| theirs.age.is_none_or(|t| t > age));
-            if !newer && !older && (fresher || ours.sum != theirs.sum) {
+            let is_fresher = ours.age.is_some_and(|age| theirs.age.is_none_or(|t| t > age));
+            if !is_newer && !is_older && (is_fresher || ours.sum != theirs.sum) {
                 answers[0].known.push(ours);
             }
-            if newer {
+            if is_newer {
                 let after_version = if ours.incarnation == theirs.incarnation { theirs.version } else { 0 };
                 self.rows[&theirs.origin].append_changes(ours, after_version, &mut answers);
             }
@@ -365,13 +373,13 @@
             answers[0].nonce = self.nonce;
             self.open_questions.push_back((self.nonce, message.from, now));
         }
-        let empty = |m: &Message| m.known.is_empty() && m.changes.is_empty();
-        for answer in answers.iter().take(MAX_ANSWERS).filter(|m| !empty(m)) {
+        let is_empty = |m: &Message| m.known.is_empty() && m.changes.is_empty();
+        for answer in answers.iter().take(MAX_ANSWERS).filter(|m| !is_empty(m)) {
             self.push_datagram(now, message.from, answer, out);
         }
     }
 
-    /// Queues a datagram, unless the rate limit is used up.
+    /// Appends a datagram to `out`, unless it is too long or the rate limit is used up.
     fn push_datagram(&mut self, now: f64, to: Origin, message: &Message, out: &mut Vec<Datagram>) {
         let bytes = message.encode(self.fleet);
         let rate = self.config.bytes_s;
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -14,7 +14,7 @@
 /// Maximum age of a row, ms (a week). A row that claims to be older is invalid.
 const MAX_AGE_MS: u32 = 7 * 86_400_000;
 
-/// Identifier of a front: the checksum of its name.
+/// Identifier of a front, the CRC-32C of its name: the owner of a row, or the sender or receiver of a datagram.
 pub type Origin = u32;
 
 /// Why a datagram was rejected.
@@ -37,7 +37,7 @@
     ImpossibleAge,
 }
 
-/// Up to which version a front knows a row.
+/// The version at which a front knows a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowVersion {
     /// The front whose row it is.
@@ -70,7 +70,8 @@
     pub known: RowVersion,
     /// Version after which the change begins; 0 for the whole row.
     pub from: u64,
-    /// Version of the sender's row when the change was cut from it. If it is above `known.version`, more parts follow.
+    /// Version of the row at the sender when the change was taken from it. If it is above `known.version`, more parts
+    /// follow.
     pub source_version: u64,
     /// The changed cells.
     pub cells: Vec<Cell>,
@@ -139,7 +140,7 @@
         Ok(message)
     }
 
-    /// Size of the datagram, bytes.
+    /// Size of the datagram, bytes; more than [`MAX_BYTES`] if it can't be computed.
     pub fn size(&self) -> usize {
         HEADER_BYTES + postcard::experimental::serialized_size(self).unwrap_or(MAX_BYTES)
     }
--- a/crates/gossip/src/row.rs
+++ b/crates/gossip/src/row.rs
@@ -19,7 +19,7 @@
     /// Cells of a change that is still incomplete, and up to which version they go.
     pub(crate) staged: BTreeMap<u16, (u64, Vec<u8>)>,
     pub(crate) staged_version: u64,
-    /// Newest version of the row that any part was cut from. Parts of an older version would not complete it.
+    /// Newest version of the row from which any staged part was taken. Parts of an older version would not complete it.
     pub(crate) staged_source_version: u64,
     /// When a different row with this incarnation and version was last received.
     pub(crate) contradicted_at: f64,
@@ -36,7 +36,7 @@
     Accepted,
     /// It belongs to an earlier incarnation.
     Outdated,
-    /// An earlier change is missing.
+    /// A change before it is missing.
     Gap,
     /// The resulting row does not have the stated checksum.
     ChecksumMismatch,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Upper bound on the row's age, ms. It is extended by the drift, because this front's clock may run slow.
+    /// Upper bound on the row's age, ms. It is extended by the maximum clock drift, because this front's clock may run slow.
     pub(crate) fn age(&self, now: f64) -> f64 {
         (now - self.as_of).max(0.0) * (1.0 + 2.0 * MAX_CLOCK_DRIFT)
     }
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The version reported in a question for the rest. Staged parts count, so that they are not sent again.
+    /// The version reported in a question. It includes staged parts, so that they are not sent again.
     pub(crate) fn received_version(&self, now: f64, origin: Origin) -> RowVersion {
         let row_version = self.row_version(now, origin);
         if self.staged.is_empty() {
@@ -149,8 +149,8 @@
         ChangeResult::Accepted
     }
 
-    /// Discards the row, as either the received or the known one is not its origin's. It can't be told which of them, so all
-    /// of the row is requested again.
+    /// Discards the row after a contradiction: two rows of one version differ, and nothing shows which of them is the
+    /// origin's. The whole row is requested again.
     fn discard(&mut self, now: f64) {
         *self =
             Row { incarnation: self.incarnation, contradicted_at: now, changed_at: now, ..Row::default() };
@@ -187,6 +187,7 @@
             let Some(last) = answers.last() else { return };
             let mut bytes_left = MAX_BYTES.saturating_sub(last.size() + CHANGE_HEADER_BYTES);
             let mut part = Vec::new();
+            // Key, version and length of a cell take up to 16 bytes.
             while let Some(cell) = cells.next_if(|c| c.value.len() + 16 <= bytes_left) {
                 bytes_left -= cell.value.len() + 16;
                 part.push(cell);
--- a/crates/gossip/src/view.rs
+++ b/crates/gossip/src/view.rs
@@ -17,8 +17,9 @@
 /// Counters of datagrams and changes that were sent, accepted and rejected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GossipStats {
-    /// Datagrams sent, and their bytes.
+    /// Datagrams sent.
     pub sent: u64,
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
     /// Datagrams accepted.
     pub taken: u64,
@@ -29,14 +30,15 @@
     pub foreign: u64,
     pub spoilt: u64,
     pub ages: u64,
-    /// `unknown`: datagrams from, or rows of, a front that is not a peer. `late`: answers to no recent question. `gaps`:
-    /// changes before which another is missing.
+    /// Datagrams from, or rows of, a front that is not a peer.
     pub unknown: u64,
+    /// Answers to no recent question of this front.
     pub late: u64,
+    /// Changes before which another is missing.
     pub gaps: u64,
     /// Changes that did not result in the stated checksum.
     pub altered: u64,
-    /// Datagrams not sent because the rate limit was used up.
+    /// Datagrams not sent because the rate limit was used up, or because they were too long.
     pub held_back: u64,
     /// Times that another process claimed to be this front, or this front's earlier incarnation was ahead of it.
     pub claimed: u64,
--- a/crates/gossip/tests/exchange.rs
+++ b/crates/gossip/tests/exchange.rs
@@ -38,6 +38,7 @@
 #[test_case(3)]
 fn a_rows_age_is_never_underestimated(seed: u64) {
     let mut net = Network::new(6, seed, BAD_NETWORK);
+    // Front 3 receives nothing from front 2 directly, only through the others.
     net.link_open = |from, to| !(from == 2 && to == 3);
     let mut written_at = [0.0; 6];
     let mut checked = 0;
@@ -52,7 +53,7 @@
                     let Some(cell_written_at) = row.cell(1).and_then(|v| v.try_into().ok()) else { continue };
                     let cell_written_at = u64::from_be_bytes(cell_written_at) as f64;
                     let origin = net.index(row.origin);
-                    // The origin has written a newer value since then, so the reader's row is out of date since that moment.
+                    // The origin replaced this value at `written_at`, so the reader's row has been out of date since.
                     if cell_written_at < written_at[origin].floor() {
                         checked += 1;
                         let passed = net.now - written_at[origin];
@@ -202,8 +203,8 @@
     assert_eq!((row.cell(2), net.fronts[0].stats.gaps), (None, 1));
 }
 
-/// Two processes run under the same name with the same incarnation. Readers must report the contradiction, until one has
-/// been away for a while.
+/// Two processes run under the same name with the same incarnation. Readers must report the contradiction, until no
+/// further one was received for `unheard_after`.
 #[test]
 fn two_processes_with_one_name_and_incarnation_are_detected() {
     let mut net = Network::new(3, 7, Faults::default());
--- a/crates/shared-state/src/budgets.rs
+++ b/crates/shared-state/src/budgets.rs
@@ -2,6 +2,9 @@
 //! probes. The scheme follows escrow and bounded counters (O'Neil 1986; Balegas et al. 2015), with leases (Gray and
 //! Cheriton 1989). `pulleystair-fleet-member` calls it; times are in ms.
 //!
+//! A loan is a number of parts that one front (the lender) lets another (the borrower) use for a limited time. The borrower
+//! publishes a loan request; the lender keeps a lease, and publishes it as a grant; the borrower counts the grant.
+//!
 //! Each of N fronts has [`PARTS_PER_FRONT`] parts of each budget, so the whole budget is N x PARTS_PER_FRONT. **At no time
 //! do all fronts together hold more than the whole:**
 //!
@@ -11,8 +14,8 @@
 //!   grant of each lender, while the lender deducts the largest grant that the borrower may still count. Duplicated and
 //!   reordered messages therefore add nothing.
 //! - The lender deducts a grant before it announces it. The borrower counts the grant until `lease_ms` after it *asked*, on
-//!   its own clock. The lender takes it back `lease_ms x (1 + LEASE_MARGIN)` after it *gave*, on its own clock. The asking
-//!   precedes the giving, and the clocks drift apart by at most [`MAX_CLOCK_DRIFT`]. With
+//!   its own clock. The lender takes it back `lease_ms x (1 + LEASE_MARGIN)` after it *lent*, on its own clock. The
+//!   borrower asks before the lender lends, and each clock is fast or slow by at most [`MAX_CLOCK_DRIFT`]. With
 //!   (1 + LEASE_MARGIN)/(1 + MAX_CLOCK_DRIFT) >= 1/(1 - MAX_CLOCK_DRIFT), the borrower's use ends before the lender's loan
 //!   ends, however late, duplicated or lost the messages are. A grant that arrives after its lease has ended counts nothing.
 //! - A front that restarts cannot know what it lent before. It holds RESERVED_PARTS and lends nothing until
@@ -24,19 +27,21 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Parts that each front has of each budget, and how many of them it never lends.
+/// Parts that each front has of each budget.
 pub const PARTS_PER_FRONT: u32 = 1_000;
+/// How many of its parts a front never lends.
 pub const RESERVED_PARTS: u32 = 250;
-/// Maximum relative drift between the clocks of two fronts.
+/// Maximum relative error of one front's clock.
 pub const MAX_CLOCK_DRIFT: f64 = 0.01;
-/// The lender's end of a loan is later than the borrower's by this fraction of the lease. It is twice the required
+/// The lender's end of a loan is later than the borrower's by this fraction of the lease. It is about twice the required
 /// 2 x MAX_CLOCK_DRIFT / (1 - MAX_CLOCK_DRIFT).
 pub const LEASE_MARGIN: f64 = 0.04;
-/// Maximum number of loan requests, and of grants, in a row. Up to three are needed for each cold server.
+/// Maximum number of budgets with a state, and of loan requests and of grants in this front's gossip row. Up to three are
+/// needed for each cold server.
 const MAX_LOANS: usize = 2_048;
-/// Loan requests whose grants may still arrive.
+/// Maximum number of loan requests of one budget whose grants are still counted.
 const MAX_OPEN_REQUESTS: usize = 4;
-/// Maximum size of a cell, bytes.
+/// Size up to which entries are packed into one cell, bytes. It is below the gossip's maximum size of a cell.
 const MAX_CELL_BYTES: usize = 900;
 
 /// What a budget limits: the pace of allocations to a cold server, further allocations of a play, or probes.
@@ -60,7 +65,7 @@
     number: u32,
 }
 
-/// Parts lent to another front, as announced in the lender's row.
+/// A loan as announced in the lender's row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Grant {
     to: u32,
@@ -71,7 +76,7 @@
     parts: u32,
 }
 
-/// Parts that this front has lent, until `expires_at` on its own clock.
+/// The lender's record of a loan: parts that this front has lent, until `expires_at` on its own clock.
 struct Lease {
     to: u32,
     incarnation: u64,
@@ -83,8 +88,9 @@
 /// This front's state of one budget.
 #[derive(Default)]
 struct BudgetState {
-    /// When it last needed any of the budget, and when it last needed more than it holds.
+    /// When this front last used the budget.
     used_at: Option<f64>,
+    /// When this front last needed more of the budget than it holds.
     wanted_more_at: Option<f64>,
     /// The latest loan requests: their numbers, and when they were made.
     requests: Vec<(u32, f64)>,
@@ -145,7 +151,8 @@
         self.front_count * PARTS_PER_FRONT
     }
 
-    /// This front's row has a new incarnation: requests of the former one, and what they were granted, no longer count.
+    /// Sets the new incarnation of this front's row. Drops its open loan requests and the parts that it has borrowed; its
+    /// loans to others go on.
     pub fn set_incarnation(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
         for state in self.states.values_mut() {
@@ -154,7 +161,7 @@
         }
     }
 
-    /// Notes that this front uses a budget, and with `needs_more` that what it holds is too little.
+    /// Records that this front uses a budget, and with `needs_more` that what it holds is too little.
     pub fn record_use(&mut self, now: f64, budget: BudgetId, needs_more: bool) {
         if self.states.len() < MAX_LOANS || self.states.contains_key(&budget) {
             let state = self.states.entry(budget).or_default();
@@ -180,7 +187,7 @@
         parts
     }
 
-    /// When the next loan ends, given or taken; infinite if there is none.
+    /// When the next loan ends, lent or borrowed; infinite if there is none.
     pub fn next_expiry(&self) -> f64 {
         let expiries = self
             .states
@@ -225,13 +232,15 @@
         let Some(state) = self.states.get_mut(&grant.budget) else { return };
         let Some((_, asked_at)) = state.requests.iter().find(|a| a.0 == grant.number) else { return };
         let expires_at = asked_at + self.lease_ms;
-        let newer = state.borrowed.get(&lender).is_none_or(|h| h.0 < grant.number);
-        if newer && now < expires_at {
+        let is_newer = state.borrowed.get(&lender).is_none_or(|h| h.0 < grant.number);
+        if is_newer && now < expires_at {
             state.borrowed.insert(lender, (grant.number, grant.parts, expires_at));
         }
     }
 
-    /// Lends half of what is left to each peer that asks, so that one that asks a little later still gets some.
+    /// Lends half of what is left, of each budget that this front does not use itself, to each peer that asks, so that a
+    /// peer that asks a little later still gets some. A peer that renews its request is granted the parts that are already
+    /// lent to it, plus half of what is left.
     fn grant_loans(&mut self, now: f64, peers: &[PeerState]) {
         if now < self.loans_unknown_until {
             return;
@@ -244,8 +253,8 @@
                 }
                 let state = self.states.entry(budget).or_default();
                 let is_theirs = |l: &Lease| (l.to, l.incarnation) == (peer.origin, peer.incarnation);
-                let answered = state.leases.iter().filter(|l| is_theirs(l)).any(|l| l.number >= number);
-                if state.used_at.is_some() || answered {
+                let is_answered = state.leases.iter().filter(|l| is_theirs(l)).any(|l| l.number >= number);
+                if state.used_at.is_some() || is_answered {
                     continue;
                 }
                 let already_lent =
--- a/crates/shared-state/src/counts.rs
+++ b/crates/shared-state/src/counts.rs
@@ -1,21 +1,21 @@
 //! How many plays are being set up or run at a server, over all fronts, as an interval that **always contains the true
 //! number**:
 //!
-//! - Lower bound: this front's own plays, plus for each other front what it reported less what may have ended since, by
-//!   the stated maximum rate. If no rate is stated, all of them may have ended.
+//! - Lower bound: this front's own plays, plus for each other front the plays that it reported less those that may have
+//!   ended since, by the stated maximum rate. If no rate is stated, all of them may have ended.
 //! - Upper bound: what was reported, plus what each front's budget allows it to have added since. A cold server is paced:
-//!   all fronts together add no more than the whole pace over the age of the oldest row, plus one set-up each whose turn
-//!   had already come. A server that is not paced holds no more plays than it has places.
+//!   all fronts together add no more than the whole pace over the age of the oldest row, plus one set-up each that was
+//!   already due. A server that is not paced holds no more plays than `max_plays`.
 //! - A front that was never heard, or was last heard before its restart, is counted by its budget alone.
 //!
-//! Rules use the upper bound. Decisions that only affect quality use the best estimate, which
-//! is the reported number, limited to the interval.
+//! Rules use the upper bound. Decisions that only affect quality use the best estimate, which is the reported
+//! number, limited to the interval.
 
 use crate::{PeerState, decode_cells, encode_cells};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Maximum size of a cell, bytes.
+/// Size up to which entries are packed into one cell, bytes. It is below the gossip's maximum size of a cell.
 const MAX_CELL_BYTES: usize = 900;
 
 /// One front's plays of a product at a server: being set up, and playing.
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -40,7 +40,8 @@
     pub id: u64,
     /// Index of its zone.
     pub zone: usize,
-    /// Index of its cell; the holders of a title are the servers of consecutive cells.
+    /// Index of its placement cell (not a cell of a gossip row): the holders of a title are the servers of consecutive
+    /// placement cells. This package does not use it.
     pub cell: usize,
     /// Capacity of its link, in any unit that is the same for all servers.
     pub link: f64,
--- a/crates/shared-state/src/server_health.rs
+++ b/crates/shared-state/src/server_health.rs
@@ -12,10 +12,11 @@
 //!   false reports, or a fleet that hears nothing, can cost.
 //! - A zone counts as lost if at least [`LOST_ZONE_SHARE`] of its servers timed out or refused since any of them last
 //!   served, as seen by this front and those of its zone, while servers elsewhere serve. This front must have seen such a
-//!   failure there itself, or [`MIN_AGREEING`] fronts of its zone must have. For old reports, failures count as that much
-//!   older and successes do not. At most one zone counts as lost, with no more than [`MAX_LOST_ZONE_LINKS`] of the total
-//!   link capacity. Its servers are doubted in addition to those above, and none of them is any longer once the first one
-//!   serves.
+//!   failure there itself, or [`MIN_AGREEING`] fronts of its zone must have. A report is at most `age` old: a failure in
+//!   it is dated as early as possible and a success as late as possible, so that a failure is never taken to be later than
+//!   a reported success that followed it. A zone with more than [`MAX_LOST_ZONE_LINKS`] of the total link capacity does
+//!   not count as lost, and if several zones would, none does. The servers of the lost zone are doubted in addition to
+//!   those above. Once one of them serves, the zone no longer counts as lost.
 //!
 //! A doubted server is still tried at its pace, so that a wrong doubt is discovered.
 
@@ -23,19 +24,23 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Minimum number of fronts that must agree.
+/// Minimum number of fronts that must report failures before a server is doubted because of reports, or before a zone counts
+/// as lost in which this front has seen no failure itself.
 pub const MIN_AGREEING: usize = 3;
-/// Maximum share of the total link capacity, and of each title's holders, that is doubted because of reports.
+/// Maximum share of the total link capacity that is doubted because of reports.
 pub const MAX_DOUBTED_LINKS: f64 = 0.25;
+/// Maximum share of each title's holders that is doubted because of reports.
 pub const MAX_DOUBTED_HOLDERS: f64 = 0.5;
-/// A lost zone: minimum share of its servers that fail, and their minimum number.
+/// Minimum share of a lost zone's servers that time out or refuse.
 pub const LOST_ZONE_SHARE: f64 = 0.5;
+/// Minimum number of a lost zone's servers that time out or refuse.
 pub const LOST_ZONE_MIN: usize = 3;
 /// Maximum share of the total link capacity in a zone that counts as lost.
 pub const MAX_LOST_ZONE_LINKS: f64 = 0.6;
-/// Results within this time count, ms, in two halves. A report older than half of it no longer counts.
+/// Length of the window in which results count, ms. The window moves on by half its length. A report that is older than half
+/// of it no longer counts.
 pub const WINDOW_MS: f64 = 5_000.0;
-/// Maximum size of a cell, bytes.
+/// Size up to which entries are packed into one cell, bytes. It is below the gossip's maximum size of a cell.
 const MAX_CELL_BYTES: usize = 900;
 
 /// The result of an allocation, as far as it concerns the server.
@@ -63,6 +68,7 @@
 }
 
 impl ResultCounts {
+    /// Adds other numbers, saturating.
     fn add(&mut self, other: &ResultCounts) {
         self.tries = self.tries.saturating_add(other.tries);
         self.successes = self.successes.saturating_add(other.successes);
@@ -71,6 +77,7 @@
         self.refused = self.refused.saturating_add(other.refused);
     }
 
+    /// Errors, time-outs and refusals.
     fn failures(&self) -> u32 {
         self.errors.saturating_add(self.timed_out).saturating_add(self.refused)
     }
@@ -96,13 +103,14 @@
 struct ServerResults {
     server: u64,
     counts: ResultCounts,
-    /// How long ago it last served, and last timed out or refused, in tenths of a second.
+    /// How long ago the server last served this front, in tenths of a second.
     served_ago: Option<u8>,
+    /// How long ago it last timed out or refused (not: answered with an error), in tenths of a second.
     unreachable_ago: Option<u8>,
 }
 
-/// A front's results at a server. `served_at` is the latest moment that it may have last served, and `unreachable_at` the
-/// earliest that it may have last failed, on this front's clock.
+/// A peer's results at a server. `served_at` is the latest moment that it may have last served, and `unreachable_at` the
+/// earliest that it may have last timed out or refused, on this front's clock.
 #[derive(Clone, Copy, Debug)]
 struct ServerReport {
     zone: Option<usize>,
@@ -119,7 +127,7 @@
     at.map(|at| ((now - at) / TENTH_MS).clamp(0.0, 255.0) as u8)
 }
 
-/// This front's conclusions on the servers.
+/// What this front concludes about the servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HealthView {
     /// Identifiers of the servers that are doubted.
@@ -134,8 +142,9 @@
     /// The current half of the window and the one before it, and when the current one began.
     halves: [BTreeMap<u64, ResultCounts>; 2],
     half_began_at: f64,
-    /// By server: when it last served this front, and when it last timed out or refused.
+    /// By server: when it last served this front.
     served_at: BTreeMap<u64, f64>,
+    /// By server: when it last timed out or refused for this front.
     unreachable_at: BTreeMap<u64, f64>,
 }
 
@@ -205,7 +214,8 @@
         encode_cells(self.own_results().into_iter().map(row), MAX_CELL_BYTES)
     }
 
-    /// Draws conclusions from own results and the peers' reports. `titles` holds the ids of each title's holders.
+    /// Evaluates the servers' health from this front's own results and the peers' reports. `titles` holds the ids of each
+    /// title's holders.
     pub fn evaluate(
         &mut self,
         now: f64,
@@ -257,7 +267,7 @@
         HealthView { doubted, lost }
     }
 
-    /// Number of fronts that report failures of a server, if they are enough to doubt it.
+    /// Number of fronts (possibly including this one) at which a server is failing, if they are enough to doubt it.
     fn count_agreeing(&self, own_counts: Option<&ResultCounts>, reports: &[ServerReport]) -> Option<usize> {
         let own_report = own_counts.map(|counts| (Some(self.zone), *counts));
         let all: Vec<(Option<usize>, ResultCounts)> =
@@ -279,7 +289,7 @@
             .then_some(failing)
     }
 
-    /// The zone whose servers all failed this front and others of its zone since any of them last served.
+    /// The zone that counts as lost, if there is exactly one; see the module's rules.
     fn lost_zone(&self, reports: &BTreeMap<u64, Vec<ServerReport>>, servers: &[Server]) -> Option<usize> {
         let own_zone_reports =
             |id: u64| reports.get(&id).into_iter().flatten().filter(|r| r.zone == Some(self.zone));
--- a/crates/shared-state/tests/budgets.rs
+++ b/crates/shared-state/tests/budgets.rs
@@ -59,12 +59,12 @@
                 continue;
             }
             let count = self.histories[other].len();
-            let age_index = if self.rng.rand_float() < stale_rate {
+            let reports_back = if self.rng.rand_float() < stale_rate {
                 self.rng.rand_range(0..count as u64) as usize
             } else {
                 0
             };
-            received.push((other, self.histories[other][count - 1 - age_index].clone()));
+            received.push((other, self.histories[other][count - 1 - reports_back].clone()));
         }
         let peers: Vec<PeerState> = received
             .iter()
--- a/crates/shared-state/tests/server_health_and_counts.rs
+++ b/crates/shared-state/tests/server_health_and_counts.rs
@@ -1,5 +1,5 @@
-//! Tests of what a front concludes on servers and play counts from other fronts' reports: false reports, isolated zones, old
-//! rows.
+//! Tests of what a front concludes about servers and play counts from other fronts' reports: false reports, isolated zones,
+//! old rows.
 
 use pulleystair_shared_state::counts::{PlayBounds, PlayCounts};
 use pulleystair_shared_state::server_health::{AllocationResult, HealthView, ServerHealth, WINDOW_MS};
@@ -29,7 +29,7 @@
     health.cells(100.0)
 }
 
-/// What a front concludes from its own results and the others' reports of this age.
+/// What a front concludes about the servers from its own results and the others' reports of this age.
 fn evaluate(own_results: &Front, others: &[Front], age: f64) -> HealthView {
     let report_cells: Vec<Vec<Vec<u8>>> = others.iter().map(cells).collect();
     let mut peers = Vec::new();
@@ -129,7 +129,7 @@
 
 #[test]
 fn a_report_with_more_results_than_tries_is_ignored() {
-    // A row of one server with 0 tries and 9 time-outs.
+    // Postcard: 1 server, with id 2, 0 tries, 0 successes, 0 errors, 9 time-outs, 0 refusals, and neither time.
     let row: &[u8] = &[1, 2, 0, 0, 0, 9, 0, 0, 0];
     let peer = |i| PeerState {
         origin: i,
--- a/crates/whatif/src/aggregates.rs
+++ b/crates/whatif/src/aggregates.rs
@@ -15,7 +15,8 @@
     Uniform,
     /// As drawn, among the holders in the front's own zone.
     OwnZone,
-    /// In proportion to room, without the half of the chance that the draw gives to the holder with the most.
+    /// In proportion to room only. (The actual draw gives half of the chance to the holder with the most room, and the rest
+    /// in proportion.)
     Weighted,
 }
 
@@ -120,13 +121,16 @@
     }
 }
 
-/// Sums for one policy: the estimates by inverse chances, by the model alone ("direct"), doubly robust, and the doubly
-/// robust one less the actual time ("gain").
+/// Sums for one policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PolicySums {
+    /// Set-up times by inverse propensity weights.
     pub inverse: WeightedSum,
+    /// Expected times by the model of the servers alone.
     pub direct: PlainSum,
+    /// Doubly robust values: `direct`, corrected by the weighted error of the model.
     pub robust: PlainSum,
+    /// The doubly robust value less the actual set-up time.
     pub gain: PlainSum,
 }
 
@@ -189,14 +193,14 @@
     }
 }
 
-/// Sums over one server's set-ups, weighted by inverse chances.
+/// Sums over one server's set-ups.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServerSums {
     /// Number of set-ups.
     pub set_ups: u32,
     /// How many of them were given up.
     pub given_up: u32,
-    /// Their times, weighted by inverse chances.
+    /// Their times by inverse propensity weights.
     pub times: WeightedSum,
 }
 
@@ -238,8 +242,9 @@
 /// The sums of one front or of several. Each front's may be added only once.
 #[derive(Clone, Debug, Default)]
 pub struct Aggregates {
-    /// By server and the start of its process.
+    /// By bucket of time, product and title.
     pub strata: BTreeMap<StratumKey, Stratum>,
+    /// By server and the start of its process.
     pub servers: BTreeMap<(u64, u64), ServerSums>,
 }
 
--- a/crates/whatif/src/censored.rs
+++ b/crates/whatif/src/censored.rs
@@ -20,7 +20,7 @@
         CensoredTimes { max_ms, histograms: new_histogram().zip(new_histogram()) }
     }
 
-    /// The longest time that is told apart.
+    /// Longer times count as this, ms.
     pub fn max_ms(&self) -> f64 {
         self.max_ms
     }
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Expected time of a set-up that was given up after `waited_ms`: the mean of the longer ones, as far as any were waited
-    /// for longer. If none was, it is `waited_ms`.
+    /// Expected total time of a set-up that was given up after `waited_ms`: the Kaplan-Meier mean of longer times, up to the
+    /// longest recorded one. It is `waited_ms` if no longer time was recorded.
     pub fn expected_after(&self, waited_ms: f64) -> f64 {
         let waited_ms = waited_ms.min(self.max_ms);
         let Some((completed, censored)) = &self.histograms else { return waited_ms };
--- a/crates/whatif/src/lib.rs
+++ b/crates/whatif/src/lib.rs
@@ -1,14 +1,14 @@
 //! Estimates how long set-ups would have taken had plays gone to other holders than those drawn. Holders are drawn at
-//! random, so the chance of each choice is known exactly and results can be weighted by it. No request is ever sent for the
-//! purpose of these estimates.
+//! random, so the chance of each choice is known exactly and results can be weighted by its inverse (inverse propensity
+//! weighting). No request is ever sent for the purpose of these estimates.
 //!
-//! [`OutcomeLog`] belongs to one front: the choices whose results are open, and bounded [`aggregates`] of the finished ones.
-//! [`report`] computes estimates from the sums of all fronts that are heard: set-up times under several policies, overall
-//! and by title, the servers that are slower than the others, and what the actual routing lost. The package does no I/O;
-//! times are in ms.
+//! [`OutcomeLog`] belongs to one front: the choices whose results are open, and bounded [`aggregates`] of the finished
+//! ones. [`report`] computes estimates from the sums of all fronts that are heard: set-up times under several policies,
+//! overall and by title, the servers that are slower than the others, and how much better another policy would have been.
+//! The package does no I/O; times are in ms.
 //!
-//! - A set-up that was given up or withdrawn is censored. It counts as the time waited plus the additional time that those
-//!   that were waited for longer took on average (Buckley and James, on the Kaplan-Meier estimate of all set-ups).
+//! - A set-up that was given up or withdrawn is censored. It counts as its expected total time, given the time waited: the
+//!   mean of the longer times by the Kaplan-Meier estimate of all set-ups (Buckley and James).
 //! - An allocation of a play counts once, at its front. A front's sums are in its own cells, which are replaced as a whole.
 //!   Nothing counts twice, however often a row arrives and however two parts of a partitioned fleet are joined again.
 //! - A server that restarted counts as a different server.
@@ -21,12 +21,13 @@
 use censored::CensoredTimes;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Maximum numbers of open choices, of strata per bucket, and of servers. Beyond them, choices and servers are not counted,
-/// and titles are counted for their product as a whole.
+/// Maximum number of open choices. Beyond it, the oldest open choice is dropped.
 const MAX_OPEN_CHOICES: usize = 10_000;
+/// Maximum number of strata per bucket. Beyond it, further titles are counted together, as title 0 of their product.
 const MAX_STRATA: usize = 64;
+/// Maximum number of servers. Beyond it, further servers get no sums of their own.
 const MAX_SERVERS: usize = 4_096;
-/// Inverse chances are cut off at this weight.
+/// Maximum weight of a set-up; inverse propensity weights (1 / chance) are cut off at it.
 pub const MAX_WEIGHT: f64 = 10.0;
 /// Weight of the overall mean against a server's own mean, in set-ups.
 const PRIOR_SET_UPS: f64 = 8.0;
@@ -40,7 +41,7 @@
     pub born: u64,
     /// Index of its zone.
     pub zone: usize,
-    /// The chance with which it was drawn.
+    /// The probability that the draw chooses it.
     pub chance: f64,
     /// Free capacity by which the draw is weighted.
     pub room: f64,
@@ -185,7 +186,7 @@
             return;
         }
         let given_up = matches!(result, SetUpResult::GivenUp(_));
-        // Computed before this result enters the model, so that it does not support itself.
+        // Computed before this result enters the model, so that a result does not influence its own estimate.
         let set_up_ms = if given_up {
             self.times.expected_after(elapsed_ms)
         } else {
--- a/crates/whatif/src/report.rs
+++ b/crates/whatif/src/report.rs
@@ -8,8 +8,9 @@
 /// Standard errors by which a server must be slower than the others, or an alternative better, to be named. At this value,
 /// chance names one of 36 servers in one report of twenty.
 const SIGNIFICANT_ERRORS: f64 = 3.0;
-/// No estimate is given for fewer plays, or if more than this share of them was given up.
+/// No estimate is given for fewer plays than this.
 const MIN_PLAYS: f64 = 20.0;
+/// No estimate is given if more than this share of the plays was given up.
 const MAX_GIVEN_UP_SHARE: f64 = 0.5;
 
 /// How many fronts there are, and whose sums are included.
@@ -26,9 +27,10 @@
 /// A mean in ms with its 90% interval.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Estimate {
-    /// The interval contains the true mean in nine of ten cases.
     pub mean: f64,
+    /// Lower bound: the interval contains the true mean in nine of ten cases.
     pub low: f64,
+    /// Upper bound.
     pub high: f64,
 }
 
@@ -38,13 +40,13 @@
     pub policy: Policy,
     /// The doubly robust estimate; `None` if the data does not allow one.
     pub robust: Option<Estimate>,
-    /// The estimate by inverse chances.
+    /// The estimate by inverse propensity weights.
     pub inverse: Option<Estimate>,
     /// The estimate by the model of the servers alone, without an interval.
     pub direct: Option<f64>,
     /// Change of the set-up time under this policy, ms. Below 0, the actual routing was worse.
     pub gain: Option<Estimate>,
-    /// Effective number of plays behind the estimate by inverse chances.
+    /// Effective number of plays behind the estimate by inverse propensity weights.
     pub effective: f64,
 }
 
