--- a/crates/fleet-member/src/lib.rs
+++ b/crates/fleet-member/src/lib.rs
@@ -88,7 +88,9 @@
 pub struct FleetMember {
     config: FleetConfig,
     gossip: Gossip,
+    /// Incarnation of this front's row that the budgets use.
     incarnation: u64,
+    /// Number of fronts in the fleet, including this one.
     front_count: usize,
     budgets: Budgets,
     counts: PlayCounts,
@@ -96,9 +98,13 @@
     /// Choices and their results; the caller records the choices directly.
     pub outcomes: OutcomeLog,
     detector: Detector,
+    /// The approved versions.
     chain: Option<VersionChain>,
+    /// The sections that this front runs.
     sections: Sections,
+    /// The servers in this front's list, by id.
     listed_servers: BTreeMap<u64, ListedServer>,
+    /// The ids of each title's holders.
     titles: Vec<Vec<u64>>,
     health: HealthView,
     /// The hints that were last handed out, by server.
--- a/crates/fleet-member/src/row.rs
+++ b/crates/fleet-member/src/row.rs
@@ -7,12 +7,16 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
+/// Key of the cell with the front's zone.
 const ZONE: u16 = 0;
+/// Key of the cell with the front's configuration report.
 pub(crate) const CONFIG_REPORT: u16 = 1;
+/// Keys of the cells with lists; see [`PeerState`].
 const LOAN_REQUESTS: Range<u16> = 0x100..0x200;
 const GRANTS: Range<u16> = 0x200..0x400;
 const COUNTS: Range<u16> = 0x400..0x600;
 const SERVER_RESULTS: Range<u16> = 0x600..0x800;
+/// Keys of the cells with the sums for estimates.
 pub(crate) const AGGREGATES: Range<u16> = 0x800..0xC00;
 
 /// The cell with the name of the front's zone.
@@ -21,7 +25,8 @@
     zone: String,
 }
 
-/// Writes a list of cells under its keys. Cells of a previous, longer list are emptied.
+/// Writes a list of cells under its keys. Cells beyond the range of keys are dropped, and cells of a previous, longer list
+/// are emptied.
 fn write_cells(
     gossip: &mut Gossip,
     cells_written: &mut BTreeMap<u16, usize>,
--- a/crates/shared-state/src/budgets.rs
+++ b/crates/shared-state/src/budgets.rs
@@ -110,6 +110,7 @@
         max_by_borrower.values().sum()
     }
 
+    /// Whether nothing is recorded, so that the state may be dropped.
     fn is_idle(&self) -> bool {
         self.used_at.is_none()
             && self.leases.is_empty()
--- a/crates/whatif/src/aggregates.rs
+++ b/crates/whatif/src/aggregates.rs
@@ -47,6 +47,7 @@
 }
 
 impl WeightedSum {
+    /// Adds one value with its weight.
     fn record(&mut self, y: f64, w: f64) {
         self.w += w;
         self.w2 += w * w;
@@ -55,6 +56,7 @@
         self.w2yy += w * w * y * y;
     }
 
+    /// Adds other sums.
     fn add(&mut self, other: &WeightedSum) {
         self.w += other.w;
         self.w2 += other.w2;
@@ -95,11 +97,13 @@
 }
 
 impl PlainSum {
+    /// Adds one value.
     fn record(&mut self, y: f64) {
         self.sum += y;
         self.squares += y * y;
     }
 
+    /// Adds other sums.
     fn add(&mut self, other: &PlainSum) {
         self.sum += other.sum;
         self.squares += other.squares;
@@ -135,6 +139,7 @@
 }
 
 impl PolicySums {
+    /// Adds one set-up: its time and inverse propensity weight, and its direct and doubly robust values.
     pub(crate) fn record(&mut self, set_up_ms: f64, weight: f64, direct: f64, robust: f64) {
         self.inverse.record(set_up_ms, weight);
         self.direct.record(direct);
@@ -142,6 +147,7 @@
         self.gain.record(robust - set_up_ms);
     }
 
+    /// Adds other sums.
     fn add(&mut self, other: &PolicySums) {
         self.inverse.add(&other.inverse);
         self.direct.add(&other.direct);
@@ -164,12 +170,14 @@
 }
 
 impl Stratum {
+    /// Adds one set-up, without the sums by policy.
     pub(crate) fn record(&mut self, set_up_ms: f64, given_up: bool) {
         self.set_ups += 1;
         self.given_up += u32::from(given_up);
         self.set_up_times.record(set_up_ms);
     }
 
+    /// Adds another stratum's sums, including those by policy.
     pub(crate) fn add(&mut self, other: &Stratum) {
         self.set_ups = self.set_ups.saturating_add(other.set_ups);
         self.given_up = self.given_up.saturating_add(other.given_up);
@@ -205,12 +213,14 @@
 }
 
 impl ServerSums {
+    /// Adds one set-up with its inverse propensity weight.
     pub(crate) fn record(&mut self, set_up_ms: f64, weight: f64, given_up: bool) {
         self.set_ups += 1;
         self.given_up += u32::from(given_up);
         self.times.record(set_up_ms, weight);
     }
 
+    /// Adds other sums.
     pub(crate) fn add(&mut self, other: &ServerSums) {
         self.set_ups = self.set_ups.saturating_add(other.set_ups);
         self.given_up = self.given_up.saturating_add(other.given_up);
--- a/crates/whatif/src/lib.rs
+++ b/crates/whatif/src/lib.rs
@@ -27,7 +27,7 @@
 const MAX_STRATA: usize = 64;
 /// Maximum number of servers. Beyond it, further servers get no sums of their own.
 const MAX_SERVERS: usize = 4_096;
-/// Maximum weight of a set-up; inverse propensity weights (1 / chance) are cut off at it.
+/// Maximum inverse propensity weight of a set-up: a policy's chance (for a server: 1) divided by the chance in the draw.
 pub const MAX_WEIGHT: f64 = 10.0;
 /// Weight of the overall mean against a server's own mean, in set-ups.
 const PRIOR_SET_UPS: f64 = 8.0;
