--- a/crates/shared-state/src/budgets.rs
+++ b/crates/shared-state/src/budgets.rs
@@ -2,18 +2,21 @@
 //! probes. The scheme follows escrow and bounded counters (O'Neil 1986; Balegas et al. 2015), with leases (Gray and
 //! Cheriton 1989). `pulleystair-fleet-member` calls it; times are in ms.
 //!
+//! A loan is a number of parts that one front (the lender) lets another (the borrower) use for a limited time. The borrower
+//! publishes a loan request; the lender keeps a lease, and publishes it as a grant; the borrower counts the grant.
+//!
 //! Each of N fronts has [`PARTS_PER_FRONT`] parts of each budget, so the whole budget is N x PARTS_PER_FRONT. **At no time
 //! do all fronts together hold more than the whole:**
 //!
 //! - A front holds `PARTS_PER_FRONT - lent + borrowed`, and keeps [`RESERVED_PARTS`] whatever it lends. Only a grant adds to
 //!   what it holds; nothing else that it receives does, and neither does receiving nothing.
 //! - A grant names the number of the loan request that it answers, and counts once: the borrower counts only the newest
-//!   grant of each giver, while the giver deducts the largest grant that the borrower may still count. Duplicated and
+//!   grant of each lender, while the lender deducts the largest grant that the borrower may still count. Duplicated and
 //!   reordered messages therefore add nothing.
-//! - The giver deducts a grant before it announces it. The borrower counts the grant until `lease_ms` after it *asked*, on
-//!   its own clock. The giver takes it back `lease_ms x (1 + LEASE_MARGIN)` after it *gave*, on its own clock. The asking
-//!   precedes the giving, and the clocks drift apart by at most [`MAX_CLOCK_DRIFT`]. With
-//!   (1 + LEASE_MARGIN)/(1 + MAX_CLOCK_DRIFT) >= 1/(1 - MAX_CLOCK_DRIFT), the borrower's use ends before the giver's loan
+//! - The lender deducts a grant before it announces it. The borrower counts the grant until `lease_ms` after it *asked*, on
+//!   its own clock. The lender takes it back `lease_ms x (1 + LEASE_MARGIN)` after it *lent*, on its own clock. The
+//!   borrower asks before the lender lends, and each clock is fast or slow by at most [`MAX_CLOCK_DRIFT`]. With
+//!   (1 + LEASE_MARGIN)/(1 + MAX_CLOCK_DRIFT) >= 1/(1 - MAX_CLOCK_DRIFT), the borrower's use ends before the lender's loan
 //!   ends, however late, duplicated or lost the messages are. A grant that arrives after its lease has ended counts nothing.
 //! - A front that restarts cannot know what it lent before. It holds RESERVED_PARTS and lends nothing until
 //!   `lease_ms x (1 + LEASE_MARGIN)` after its start. What it had borrowed ends with its incarnation, which grants name.
@@ -24,19 +27,21 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Parts that each front has of each budget, and how many of them it never lends.
+/// Parts that each front has of each budget.
 pub const PARTS_PER_FRONT: u32 = 1_000;
+/// How many of its parts a front never lends.
 pub const RESERVED_PARTS: u32 = 250;
-/// Maximum relative drift between the clocks of two fronts.
+/// Maximum relative error of one front's clock.
 pub const MAX_CLOCK_DRIFT: f64 = 0.01;
-/// The giver's end of a loan is later than the borrower's by this fraction of the lease. It is twice the required
+/// The lender's end of a loan is later than the borrower's by this fraction of the lease. It is about twice the required
 /// 2 x MAX_CLOCK_DRIFT / (1 - MAX_CLOCK_DRIFT).
 pub const LEASE_MARGIN: f64 = 0.04;
-/// Maximum number of loan requests, and of grants, in a row. Up to three are needed for each cold server.
+/// Maximum number of budgets with a state, and of loan requests and of grants in this front's gossip row. Up to three are
+/// needed for each cold server.
 const MAX_LOANS: usize = 2_048;
-/// Loan requests whose grants may still arrive.
+/// Maximum number of loan requests of one budget whose grants are still counted.
 const MAX_OPEN_REQUESTS: usize = 4;
-/// Maximum size of a cell, bytes.
+/// Size up to which entries are packed into one cell, bytes. It is below the gossip's maximum size of a cell.
 const MAX_CELL_BYTES: usize = 900;
 
 /// What a budget limits: the pace of allocations to a cold server, further allocations of a play, or probes.
@@ -60,7 +65,7 @@
     number: u32,
 }
 
-/// Parts lent to another front, as announced in the giver's row.
+/// A loan as announced in the lender's row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Grant {
     to: u32,
@@ -71,7 +76,7 @@
     parts: u32,
 }
 
-/// Parts that this front has lent, until `expires_at` on its own clock.
+/// The lender's record of a loan: parts that this front has lent, until `expires_at` on its own clock.
 struct Lease {
     to: u32,
     incarnation: u64,
@@ -83,13 +88,14 @@
 /// This front's state of one budget.
 #[derive(Default)]
 struct BudgetState {
-    /// When it last needed any of the budget, and when it last needed more than it holds.
+    /// When this front last used the budget.
     used_at: Option<f64>,
+    /// When this front last needed more of the budget than it holds.
     wanted_more_at: Option<f64>,
     /// The latest loan requests: their numbers, and when they were made.
     requests: Vec<(u32, f64)>,
     leases: Vec<Lease>,
-    /// By giver: the number of the request, the parts, and when they expire.
+    /// By lender: the number of the request, the parts, and when they expire.
     borrowed: BTreeMap<u32, (u32, u32, f64)>,
 }
 
@@ -104,6 +110,7 @@
         max_by_borrower.values().sum()
     }
 
+    /// Whether nothing is recorded, so that the state may be dropped.
     fn is_idle(&self) -> bool {
         self.used_at.is_none()
             && self.leases.is_empty()
@@ -117,7 +124,7 @@
     origin: u32,
     incarnation: u64,
     lease_ms: f64,
-    fronts: u32,
+    front_count: u32,
     /// Until then there may be loans of an earlier start that this front does not know of.
     loans_unknown_until: f64,
     last_request_number: u32,
@@ -126,14 +133,14 @@
 
 impl Budgets {
     /// For a fleet of `fronts` fronts, with loans of `lease_ms`.
-    pub fn new(now: f64, origin: u32, incarnation: u64, fronts: usize, lease_ms: f64) -> Budgets {
+    pub fn new(now: f64, origin: u32, incarnation: u64, front_count: usize, lease_ms: f64) -> Budgets {
         let loans_unknown_until = now + lease_ms * (1.0 + LEASE_MARGIN);
-        let fronts = fronts.clamp(1, 1_000_000) as u32;
+        let front_count = front_count.clamp(1, 1_000_000) as u32;
         Budgets {
             origin,
             incarnation,
             lease_ms,
-            fronts,
+            front_count,
             loans_unknown_until,
             last_request_number: 0,
             states: BTreeMap::new(),
@@ -142,11 +149,12 @@
 
     /// Parts of a budget that all fronts together may hold.
     pub fn total_parts(&self) -> u32 {
-        self.fronts * PARTS_PER_FRONT
+        self.front_count * PARTS_PER_FRONT
     }
 
-    /// This front's row has a new incarnation: requests of the former one, and what they were granted, no longer count.
-    pub fn restart(&mut self, incarnation: u64) {
+    /// Sets the new incarnation of this front's row. Drops its open loan requests and the parts that it has borrowed; its
+    /// loans to others go on.
+    pub fn set_incarnation(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
         for state in self.states.values_mut() {
             state.requests.clear();
@@ -154,8 +162,8 @@
         }
     }
 
-    /// Notes that this front uses a budget, and with `needs_more` that what it holds is too little.
-    pub fn request(&mut self, now: f64, budget: BudgetId, needs_more: bool) {
+    /// Records that this front uses a budget, and with `needs_more` that what it holds is too little.
+    pub fn record_use(&mut self, now: f64, budget: BudgetId, needs_more: bool) {
         if self.states.len() < MAX_LOANS || self.states.contains_key(&budget) {
             let state = self.states.entry(budget).or_default();
             state.used_at = Some(now);
@@ -180,7 +188,7 @@
         parts
     }
 
-    /// When the next loan ends, given or taken; infinite if there is none.
+    /// When the next loan ends, lent or borrowed; infinite if there is none.
     pub fn next_expiry(&self) -> f64 {
         let expiries = self
             .states
@@ -220,18 +228,20 @@
         self.states.retain(|_, state| !state.is_idle());
     }
 
-    /// Counts a grant if it answers a recent request and is newer than the giver's previous one.
-    fn apply_grant(&mut self, now: f64, giver: u32, grant: Grant) {
+    /// Counts a grant if it answers a recent request and is newer than the lender's previous one.
+    fn apply_grant(&mut self, now: f64, lender: u32, grant: Grant) {
         let Some(state) = self.states.get_mut(&grant.budget) else { return };
         let Some((_, asked_at)) = state.requests.iter().find(|a| a.0 == grant.number) else { return };
         let expires_at = asked_at + self.lease_ms;
-        let newer = state.borrowed.get(&giver).is_none_or(|h| h.0 < grant.number);
-        if newer && now < expires_at {
-            state.borrowed.insert(giver, (grant.number, grant.parts, expires_at));
+        let is_newer = state.borrowed.get(&lender).is_none_or(|h| h.0 < grant.number);
+        if is_newer && now < expires_at {
+            state.borrowed.insert(lender, (grant.number, grant.parts, expires_at));
         }
     }
 
-    /// Lends half of what is left to each peer that asks, so that one that asks a little later still gets some.
+    /// Lends half of what is left, of each budget that this front does not use itself, to each peer that asks, so that a
+    /// peer that asks a little later still gets some. A peer that renews its request is granted the parts that are already
+    /// lent to it, plus half of what is left.
     fn grant_loans(&mut self, now: f64, peers: &[PeerState]) {
         if now < self.loans_unknown_until {
             return;
@@ -244,8 +254,8 @@
                 }
                 let state = self.states.entry(budget).or_default();
                 let is_theirs = |l: &Lease| (l.to, l.incarnation) == (peer.origin, peer.incarnation);
-                let answered = state.leases.iter().filter(|l| is_theirs(l)).any(|l| l.number >= number);
-                if state.used_at.is_some() || answered {
+                let is_answered = state.leases.iter().filter(|l| is_theirs(l)).any(|l| l.number >= number);
+                if state.used_at.is_some() || is_answered {
                     continue;
                 }
                 let already_lent =
--- a/crates/whatif/src/aggregates.rs
+++ b/crates/whatif/src/aggregates.rs
@@ -15,7 +15,8 @@
     Uniform,
     /// As drawn, among the holders in the front's own zone.
     OwnZone,
-    /// In proportion to room, without the half of the chance that the draw gives to the holder with the most.
+    /// In proportion to room only. (The actual draw gives half of the chance to the holder with the most room, and the rest
+    /// in proportion.)
     Weighted,
 }
 
@@ -46,6 +47,7 @@
 }
 
 impl WeightedSum {
+    /// Adds one value with its weight.
     fn record(&mut self, y: f64, w: f64) {
         self.w += w;
         self.w2 += w * w;
@@ -54,6 +56,7 @@
         self.w2yy += w * w * y * y;
     }
 
+    /// Adds other sums.
     fn add(&mut self, other: &WeightedSum) {
         self.w += other.w;
         self.w2 += other.w2;
@@ -94,11 +97,13 @@
 }
 
 impl PlainSum {
+    /// Adds one value.
     fn record(&mut self, y: f64) {
         self.sum += y;
         self.squares += y * y;
     }
 
+    /// Adds other sums.
     fn add(&mut self, other: &PlainSum) {
         self.sum += other.sum;
         self.squares += other.squares;
@@ -120,17 +125,21 @@
     }
 }
 
-/// Sums for one policy: the estimates by inverse chances, by the model alone ("direct"), doubly robust, and the doubly
-/// robust one less the actual time ("gain").
+/// Sums for one policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PolicySums {
+    /// Set-up times by inverse propensity weights.
     pub inverse: WeightedSum,
+    /// Expected times by the model of the servers alone.
     pub direct: PlainSum,
+    /// Doubly robust values: `direct`, corrected by the weighted error of the model.
     pub robust: PlainSum,
+    /// The doubly robust value less the actual set-up time.
     pub gain: PlainSum,
 }
 
 impl PolicySums {
+    /// Adds one set-up: its time and inverse propensity weight, and its direct and doubly robust values.
     pub(crate) fn record(&mut self, set_up_ms: f64, weight: f64, direct: f64, robust: f64) {
         self.inverse.record(set_up_ms, weight);
         self.direct.record(direct);
@@ -138,6 +147,7 @@
         self.gain.record(robust - set_up_ms);
     }
 
+    /// Adds other sums.
     fn add(&mut self, other: &PolicySums) {
         self.inverse.add(&other.inverse);
         self.direct.add(&other.direct);
@@ -160,12 +170,14 @@
 }
 
 impl Stratum {
+    /// Adds one set-up, without the sums by policy.
     pub(crate) fn record(&mut self, set_up_ms: f64, given_up: bool) {
         self.set_ups += 1;
         self.given_up += u32::from(given_up);
         self.set_up_times.record(set_up_ms);
     }
 
+    /// Adds another stratum's sums, including those by policy.
     pub(crate) fn add(&mut self, other: &Stratum) {
         self.set_ups = self.set_ups.saturating_add(other.set_ups);
         self.given_up = self.given_up.saturating_add(other.given_up);
@@ -189,24 +201,26 @@
     }
 }
 
-/// Sums over one server's set-ups, weighted by inverse chances.
+/// Sums over one server's set-ups.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServerSums {
     /// Number of set-ups.
     pub set_ups: u32,
     /// How many of them were given up.
     pub given_up: u32,
-    /// Their times, weighted by inverse chances.
+    /// Their times by inverse propensity weights.
     pub times: WeightedSum,
 }
 
 impl ServerSums {
+    /// Adds one set-up with its inverse propensity weight.
     pub(crate) fn record(&mut self, set_up_ms: f64, weight: f64, given_up: bool) {
         self.set_ups += 1;
         self.given_up += u32::from(given_up);
         self.times.record(set_up_ms, weight);
     }
 
+    /// Adds other sums.
     pub(crate) fn add(&mut self, other: &ServerSums) {
         self.set_ups = self.set_ups.saturating_add(other.set_ups);
         self.given_up = self.given_up.saturating_add(other.given_up);
@@ -238,8 +252,9 @@
 /// The sums of one front or of several. Each front's may be added only once.
 #[derive(Clone, Debug, Default)]
 pub struct Aggregates {
-    /// By server and the start of its process.
+    /// By bucket of time, product and title.
     pub strata: BTreeMap<StratumKey, Stratum>,
+    /// By server and the start of its process.
     pub servers: BTreeMap<(u64, u64), ServerSums>,
 }
 
