--- a/crates/fake-servers/src/certificates.rs
+++ b/crates/fake-servers/src/certificates.rs
@@ -17,7 +17,7 @@
 pub struct CertificateAuthority {
     root: CertifiedIssuer<'static, KeyPair>,
     /// One that the root vouches for, and that vouches for all others.
-    between: CertifiedIssuer<'static, KeyPair>,
+    intermediate: CertifiedIssuer<'static, KeyPair>,
 }
 
 /// A certificate with those that vouch for it, and its key, both as PEM.
@@ -27,32 +27,34 @@
     pub key: String,
 }
 
-fn params(name: &str, from: SystemTime, to: SystemTime) -> CertificateParams {
+fn certificate_params(name: &str, not_before: SystemTime, not_after: SystemTime) -> CertificateParams {
     let names = vec![name.to_string(), "127.0.0.1".to_string()];
-    let mut it = CertificateParams::new(names).expect("names of the laboratory are plain");
-    (it.not_before, it.not_after) = (from.into(), to.into());
-    it.distinguished_name.push(DnType::CommonName, name);
-    it
+    let mut params = CertificateParams::new(names).expect("names of the laboratory are plain");
+    (params.not_before, params.not_after) = (not_before.into(), not_after.into());
+    params.distinguished_name.push(DnType::CommonName, name);
+    params
 }
 
-fn issuer(name: &str) -> (CertificateParams, KeyPair) {
+fn issuer_params(name: &str) -> (CertificateParams, KeyPair) {
     let now = SystemTime::now();
     let day = Duration::from_secs(86_400);
-    let mut it = params(name, now - day, now + day);
-    it.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
-    (it, KeyPair::generate().expect("the system has random numbers"))
+    let mut params = certificate_params(name, now - day, now + day);
+    params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
+    (params, KeyPair::generate().expect("the system has random numbers"))
 }
 
-fn other(e: impl std::error::Error + Send + Sync + 'static) -> io::Error {
-    io::Error::other(e)
+fn to_io_error(error: impl std::error::Error + Send + Sync + 'static) -> io::Error {
+    io::Error::other(error)
 }
 
 impl Default for CertificateAuthority {
     fn default() -> CertificateAuthority {
-        let ((root, root_key), (between, key)) = (issuer("laboratory"), issuer("laboratory-between"));
+        let ((root, root_key), (intermediate, intermediate_key)) =
+            (issuer_params("laboratory"), issuer_params("laboratory-between"));
         let root = CertifiedIssuer::self_signed(root, root_key).expect("a key signs");
-        let between = CertifiedIssuer::signed_by(between, key, &root).expect("a key signs");
-        CertificateAuthority { root, between }
+        let intermediate =
+            CertifiedIssuer::signed_by(intermediate, intermediate_key, &root).expect("a key signs");
+        CertificateAuthority { root, intermediate }
     }
 }
 
@@ -62,13 +64,13 @@
     }
 
     /// A certificate for one name, good from an hour ago until then.
-    pub fn issue(&self, name: &str, until: SystemTime) -> Certificate {
-        let mut it = params(name, SystemTime::now() - Duration::from_secs(3600), until);
-        it.extended_key_usages =
+    pub fn issue(&self, name: &str, not_after: SystemTime) -> Certificate {
+        let mut params = certificate_params(name, SystemTime::now() - Duration::from_secs(3600), not_after);
+        params.extended_key_usages =
             vec![ExtendedKeyUsagePurpose::ServerAuth, ExtendedKeyUsagePurpose::ClientAuth];
         let key = KeyPair::generate().expect("the system has random numbers");
-        let leaf = it.signed_by(&key, &self.between).expect("a key signs");
-        Certificate { chain: leaf.pem() + &self.between.pem(), key: key.serialize_pem() }
+        let leaf = params.signed_by(&key, &self.intermediate).expect("a key signs");
+        Certificate { chain: leaf.pem() + &self.intermediate.pem(), key: key.serialize_pem() }
     }
 
     /// One that runs out long after any day of the laboratory, and before its authority.
@@ -76,7 +78,7 @@
         self.issue(name, SystemTime::now() + Duration::from_secs(86_000))
     }
 
-    fn roots(&self) -> Arc<RootCertStore> {
+    fn root_store(&self) -> Arc<RootCertStore> {
         let mut roots = RootCertStore::empty();
         roots.add(self.root.der().clone()).expect("a root is a root");
         Arc::new(roots)
@@ -85,39 +87,44 @@
     /// The server's end for such a paper; with `callers`, whoever calls must show one that it vouches for.
     pub fn acceptor(
         &self,
-        paper: &Certificate,
-        callers: Option<&CertificateAuthority>,
+        certificate: &Certificate,
+        client_authority: Option<&CertificateAuthority>,
     ) -> io::Result<TlsAcceptor> {
-        let terms = ServerConfig::builder();
-        let terms = match callers {
-            Some(callers) => {
-                let verifier = WebPkiClientVerifier::builder(callers.roots()).build().map_err(other)?;
-                terms.with_client_cert_verifier(verifier)
+        let config = ServerConfig::builder();
+        let config = match client_authority {
+            Some(client_authority) => {
+                let verifier = WebPkiClientVerifier::builder(client_authority.root_store())
+                    .build()
+                    .map_err(to_io_error)?;
+                config.with_client_cert_verifier(verifier)
             }
-            None => terms.with_no_client_auth(),
+            None => config.with_no_client_auth(),
         };
-        let (chain, key) = paper.parts()?;
-        Ok(TlsAcceptor::from(Arc::new(terms.with_single_cert(chain, key).map_err(other)?)))
+        let (chain, key) = certificate.parse_pem()?;
+        Ok(TlsAcceptor::from(Arc::new(config.with_single_cert(chain, key).map_err(to_io_error)?)))
     }
 
     /// The caller's end: trusts this authority, and shows a paper where it has one.
-    pub fn connector(&self, paper: Option<&Certificate>) -> io::Result<TlsConnector> {
-        let terms = ClientConfig::builder().with_root_certificates(self.roots());
-        let terms = match paper {
-            Some(paper) => {
-                let (chain, key) = paper.parts()?;
-                terms.with_client_auth_cert(chain, key).map_err(other)?
+    pub fn connector(&self, certificate: Option<&Certificate>) -> io::Result<TlsConnector> {
+        let config = ClientConfig::builder().with_root_certificates(self.root_store());
+        let config = match certificate {
+            Some(certificate) => {
+                let (chain, key) = certificate.parse_pem()?;
+                config.with_client_auth_cert(chain, key).map_err(to_io_error)?
             }
-            None => terms.with_no_client_auth(),
+            None => config.with_no_client_auth(),
         };
-        Ok(TlsConnector::from(Arc::new(terms)))
+        Ok(TlsConnector::from(Arc::new(config)))
     }
 }
 
 impl Certificate {
-    fn parts(&self) -> io::Result<(Vec<CertificateDer<'static>>, PrivateKeyDer<'static>)> {
+    fn parse_pem(&self) -> io::Result<(Vec<CertificateDer<'static>>, PrivateKeyDer<'static>)> {
         let chain: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(self.chain.as_bytes()).collect();
-        Ok((chain.map_err(other)?, PrivateKeyDer::from_pem_slice(self.key.as_bytes()).map_err(other)?))
+        Ok((
+            chain.map_err(to_io_error)?,
+            PrivateKeyDer::from_pem_slice(self.key.as_bytes()).map_err(to_io_error)?,
+        ))
     }
 
     /// Puts it into a folder as operators would: each file whole, one after the other.
--- a/crates/fake-servers/src/content.rs
+++ b/crates/fake-servers/src/content.rs
@@ -2,44 +2,44 @@
 
 use pulleystair_rule_checker::Content;
 
-const MARK: &str = "pulleystair-segment";
+const HEADER_TAG: &str = "pulleystair-segment";
 
 /// The segment's bytes, `length` of them, or as many as its first line needs.
 pub fn generate(title: &str, rung: usize, number: u64, length: usize) -> Vec<u8> {
-    let mut out = format!("{MARK} {title} {rung} {number} {length}\n").into_bytes();
-    let mut word = seed(title, rung, number);
-    out.reserve(length.saturating_sub(out.len()) + 8);
-    while out.len() < length {
-        word = step(word);
-        out.extend_from_slice(&word.to_le_bytes());
+    let mut bytes = format!("{HEADER_TAG} {title} {rung} {number} {length}\n").into_bytes();
+    let mut state = initial_state(title, rung, number);
+    bytes.reserve(length.saturating_sub(bytes.len()) + 8);
+    while bytes.len() < length {
+        state = next_state(state);
+        bytes.extend_from_slice(&state.to_le_bytes());
     }
-    out.truncate(length.max(out.iter().position(|b| *b == b'\n').map_or(0, |n| n + 1)));
-    out
+    bytes.truncate(length.max(bytes.iter().position(|b| *b == b'\n').map_or(0, |n| n + 1)));
+    bytes
 }
 
 /// What a segment says that it is, and whether its bytes are so; none where it says nothing.
 pub fn parse(bytes: &[u8]) -> Option<Content> {
-    let end = bytes.iter().take(256).position(|b| *b == b'\n')?;
-    let line = std::str::from_utf8(&bytes[..end]).ok()?;
-    let mut parts = line.split(' ');
-    if parts.next()? != MARK {
+    let line_end = bytes.iter().take(256).position(|b| *b == b'\n')?;
+    let line = std::str::from_utf8(&bytes[..line_end]).ok()?;
+    let mut fields = line.split(' ');
+    if fields.next()? != HEADER_TAG {
         return None;
     }
-    let title = parts.next()?.to_string();
-    let (rung, number) = (parts.next()?.parse().ok()?, parts.next()?.parse().ok()?);
-    let length: usize = parts.next()?.parse().ok()?;
-    let intact = length.max(end + 1) == bytes.len() && generate(&title, rung, number, length) == bytes;
+    let title = fields.next()?.to_string();
+    let (rung, number) = (fields.next()?.parse().ok()?, fields.next()?.parse().ok()?);
+    let length: usize = fields.next()?.parse().ok()?;
+    let intact = length.max(line_end + 1) == bytes.len() && generate(&title, rung, number, length) == bytes;
     Some(Content { title, number, rung, intact })
 }
 
-fn seed(title: &str, rung: usize, number: u64) -> u64 {
-    let start = (number << 8 | rung as u64) ^ 0x9e37_79b9_7f4a_7c15;
-    title.bytes().fold(start, |word, byte| step(word ^ u64::from(byte)))
+fn initial_state(title: &str, rung: usize, number: u64) -> u64 {
+    let numbers = (number << 8 | rung as u64) ^ 0x9e37_79b9_7f4a_7c15;
+    title.bytes().fold(numbers, |state, byte| next_state(state ^ u64::from(byte)))
 }
 
-fn step(word: u64) -> u64 {
-    let word = word.wrapping_mul(0x2545_f491_4f6c_dd1d).wrapping_add(0x1405_7b7e_f767_814f);
-    word ^ (word >> 29)
+fn next_state(state: u64) -> u64 {
+    let state = state.wrapping_mul(0x2545_f491_4f6c_dd1d).wrapping_add(0x1405_7b7e_f767_814f);
+    state ^ (state >> 29)
 }
 
 #[cfg(test)]
@@ -47,7 +47,7 @@
     use super::*;
 
     #[test]
-    fn a_segment_is_known_again_and_damage_is_seen() {
+    fn parse_identifies_a_segment_and_detects_damage() {
         for length in [0, 40, 1000, 100_001] {
             let good = generate("forms", 2, 17, length);
             let read_back = parse(&good).unwrap();
--- a/crates/fake-servers/src/http.rs
+++ b/crates/fake-servers/src/http.rs
@@ -9,9 +9,9 @@
 use tokio::net::TcpStream;
 use tokio_rustls::{TlsAcceptor, TlsConnector, TlsStream};
 
-const HEAD: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 /// Bodies that a stand-in reads whole.
-const BODY: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// A head, either way, and the body that came with it.
 #[derive(Debug, Default)]
@@ -30,13 +30,13 @@
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
-    fn length(&self) -> io::Result<usize> {
-        let length: usize = self.header("content-length").map_or(Ok(0), str::parse).map_err(bad)?;
-        if length > BODY { Err(bad("body too large")) } else { Ok(length) }
+    fn content_length(&self) -> io::Result<usize> {
+        let length: usize = self.header("content-length").map_or(Ok(0), str::parse).map_err(invalid_data)?;
+        if length > MAX_BODY_BYTES { Err(invalid_data("body too large")) } else { Ok(length) }
     }
 }
 
-fn bad(what: impl ToString) -> io::Error {
+fn invalid_data(what: impl ToString) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, what.to_string())
 }
 
@@ -49,8 +49,8 @@
 impl AsyncRead for Stream {
     fn poll_read(self: Pin<&mut Self>, context: &mut Context, buffer: &mut ReadBuf) -> Poll<io::Result<()>> {
         match self.get_mut() {
-            Stream::Plain(it) => Pin::new(it).poll_read(context, buffer),
-            Stream::Tls(it) => Pin::new(it).poll_read(context, buffer),
+            Stream::Plain(stream) => Pin::new(stream).poll_read(context, buffer),
+            Stream::Tls(stream) => Pin::new(stream).poll_read(context, buffer),
         }
     }
 }
@@ -58,22 +58,22 @@
 impl AsyncWrite for Stream {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         match self.get_mut() {
-            Stream::Plain(it) => Pin::new(it).poll_write(context, bytes),
-            Stream::Tls(it) => Pin::new(it).poll_write(context, bytes),
+            Stream::Plain(stream) => Pin::new(stream).poll_write(context, bytes),
+            Stream::Tls(stream) => Pin::new(stream).poll_write(context, bytes),
         }
     }
 
     fn poll_flush(self: Pin<&mut Self>, context: &mut Context) -> Poll<io::Result<()>> {
         match self.get_mut() {
-            Stream::Plain(it) => Pin::new(it).poll_flush(context),
-            Stream::Tls(it) => Pin::new(it).poll_flush(context),
+            Stream::Plain(stream) => Pin::new(stream).poll_flush(context),
+            Stream::Tls(stream) => Pin::new(stream).poll_flush(context),
         }
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context) -> Poll<io::Result<()>> {
         match self.get_mut() {
-            Stream::Plain(it) => Pin::new(it).poll_shutdown(context),
-            Stream::Tls(it) => Pin::new(it).poll_shutdown(context),
+            Stream::Plain(stream) => Pin::new(stream).poll_shutdown(context),
+            Stream::Tls(stream) => Pin::new(stream).poll_shutdown(context),
         }
     }
 }
@@ -91,10 +91,10 @@
     }
 
     /// Calls a server, under TLS by this name where a connector is given.
-    pub async fn connect(at: SocketAddr, seal: Option<(&TlsConnector, &str)>) -> io::Result<HttpPeer> {
-        let stream = TcpStream::connect(at).await?;
+    pub async fn connect(address: SocketAddr, tls: Option<(&TlsConnector, &str)>) -> io::Result<HttpPeer> {
+        let stream = TcpStream::connect(address).await?;
         let _ = stream.set_nodelay(true);
-        let stream = match seal {
+        let stream = match tls {
             Some((connector, name)) => {
                 let name = name.to_string().try_into().map_err(io::Error::other)?;
                 Stream::Tls(Box::new(connector.connect(name, stream).await?.into()))
@@ -105,9 +105,9 @@
     }
 
     /// Takes a caller, under TLS where an acceptor is given.
-    pub async fn accept(stream: TcpStream, seal: Option<TlsAcceptor>) -> io::Result<HttpPeer> {
+    pub async fn accept(stream: TcpStream, tls_acceptor: Option<TlsAcceptor>) -> io::Result<HttpPeer> {
         let _ = stream.set_nodelay(true);
-        let stream = match seal {
+        let stream = match tls_acceptor {
             Some(acceptor) => Stream::Tls(Box::new(acceptor.accept(stream).await?.into())),
             None => Stream::Plain(stream),
         };
@@ -122,16 +122,16 @@
     /// Reads a request; none at a clean end.
     pub async fn read_request(&mut self) -> io::Result<Option<Message>> {
         let Some(mut message) = self
-            .head(|bytes| {
+            .read_head(|bytes| {
                 let mut headers = [httparse::EMPTY_HEADER; 64];
                 let mut head = httparse::Request::new(&mut headers);
-                Ok(match head.parse(bytes).map_err(bad)? {
+                Ok(match head.parse(bytes).map_err(invalid_data)? {
                     httparse::Status::Partial => None,
-                    httparse::Status::Complete(used) => {
+                    httparse::Status::Complete(consumed) => {
                         let (method, target) =
                             (head.method.unwrap_or("").into(), head.path.unwrap_or("").into());
-                        let headers = owned(head.headers);
-                        Some((Message { method, target, headers, ..Message::default() }, used))
+                        let headers = to_owned_headers(head.headers);
+                        Some((Message { method, target, headers, ..Message::default() }, consumed))
                     }
                 })
             })
@@ -139,7 +139,7 @@
         else {
             return Ok(None);
         };
-        message.body = self.body(message.length()?).await?;
+        message.body = self.read_body(message.content_length()?).await?;
         Ok(Some(message))
     }
 
@@ -147,46 +147,46 @@
     pub async fn read_response(&mut self) -> io::Result<Option<Message>> {
         let Some(mut message) = self.read_response_head().await? else { return Ok(None) };
         if message.header("transfer-encoding").is_none() {
-            message.body = self.body(message.length()?).await?;
+            message.body = self.read_body(message.content_length()?).await?;
         }
         Ok(Some(message))
     }
 
     pub async fn read_response_head(&mut self) -> io::Result<Option<Message>> {
-        self.head(|bytes| {
+        self.read_head(|bytes| {
             let mut headers = [httparse::EMPTY_HEADER; 64];
             let mut head = httparse::Response::new(&mut headers);
-            Ok(match head.parse(bytes).map_err(bad)? {
+            Ok(match head.parse(bytes).map_err(invalid_data)? {
                 httparse::Status::Partial => None,
-                httparse::Status::Complete(used) => {
-                    let (status, headers) = (head.code.unwrap_or(0), owned(head.headers));
-                    Some((Message { status, headers, ..Message::default() }, used))
+                httparse::Status::Complete(consumed) => {
+                    let (status, headers) = (head.code.unwrap_or(0), to_owned_headers(head.headers));
+                    Some((Message { status, headers, ..Message::default() }, consumed))
                 }
             })
         })
         .await
     }
 
-    async fn head(
+    async fn read_head(
         &mut self,
         parse: impl Fn(&[u8]) -> io::Result<Option<(Message, usize)>>,
     ) -> io::Result<Option<Message>> {
         loop {
-            if let Some((message, used)) = parse(&self.buffer)? {
-                self.buffer.drain(..used);
+            if let Some((message, consumed)) = parse(&self.buffer)? {
+                self.buffer.drain(..consumed);
                 return Ok(Some(message));
             }
-            if self.buffer.len() > HEAD {
-                return Err(bad("head too large"));
+            if self.buffer.len() > MAX_HEAD_BYTES {
+                return Err(invalid_data("head too large"));
             }
             if !self.read_more().await? {
-                let clean = self.buffer.is_empty();
-                return if clean { Ok(None) } else { Err(io::ErrorKind::UnexpectedEof.into()) };
+                let is_clean_end = self.buffer.is_empty();
+                return if is_clean_end { Ok(None) } else { Err(io::ErrorKind::UnexpectedEof.into()) };
             }
         }
     }
 
-    async fn body(&mut self, length: usize) -> io::Result<Vec<u8>> {
+    async fn read_body(&mut self, length: usize) -> io::Result<Vec<u8>> {
         while self.buffer.len() < length {
             if !self.read_more().await? {
                 return Err(io::ErrorKind::UnexpectedEof.into());
@@ -209,14 +209,14 @@
     /// Closes by a reset instead of an orderly end.
     pub fn reset(self) {
         let stream = match &self.stream {
-            Stream::Plain(it) => it,
-            Stream::Tls(it) => it.get_ref().0,
+            Stream::Plain(stream) => stream,
+            Stream::Tls(stream) => stream.get_ref().0,
         };
         let _ = socket2::SockRef::from(stream).set_linger(Some(std::time::Duration::ZERO));
     }
 }
 
-fn owned(headers: &[httparse::Header]) -> Vec<(String, String)> {
+fn to_owned_headers(headers: &[httparse::Header]) -> Vec<(String, String)> {
     let text = |h: &httparse::Header| (h.name.to_string(), String::from_utf8_lossy(h.value).into_owned());
     headers.iter().map(text).collect()
 }
--- a/crates/fake-servers/src/model.rs
+++ b/crates/fake-servers/src/model.rs
@@ -37,8 +37,8 @@
     pub notes_every_ms: f64,
     pub cold_ms: f64,
     pub cold_from: f64,
-    pub overload: f64,
-    pub fall_ms: f64,
+    pub overload_factor: f64,
+    pub overload_window_ms: f64,
     /// How long a server that fell over stays down.
     pub down_ms: f64,
     /// A play whose connection broke is freed after this.
@@ -112,7 +112,7 @@
     /// Its true rate over the ladder's, product's scale included.
     pub factor: f64,
     /// Set up, or still worked on.
-    pub plays: bool,
+    pub is_set_up: bool,
 }
 
 /// Asked over given of link and uplink, and the share of its rate that a play gets.
@@ -125,77 +125,78 @@
 }
 
 pub struct Server {
-    pub build: ServerSpec,
+    pub spec: ServerSpec,
     pub faults: ServerFaults,
     pub plays: BTreeMap<String, Play>,
-    pub started: Option<f64>,
+    pub cold_started_at: Option<f64>,
     /// Steps of rung and segments that were asked for, carried out and sent or not.
     pub steps_read: usize,
     pub segments_read: usize,
     /// Counts the starts: what ran before the present one is gone.
-    pub life: u64,
-    sent: VecDeque<f64>,
-    history: VecDeque<(f64, Load)>,
+    pub process_number: u64,
+    recent_set_ups: VecDeque<f64>,
+    load_history: VecDeque<(f64, Load)>,
 }
 
 pub struct ServerFleetModel {
-    pub ground: ServerFleetSpec,
+    pub spec: ServerFleetSpec,
     pub servers: Vec<Server>,
 }
 
 impl ServerFleetModel {
-    pub fn new(ground: ServerFleetSpec, builds: Vec<ServerSpec>) -> ServerFleetModel {
-        let server = |build| Server {
-            build,
+    pub fn new(spec: ServerFleetSpec, server_specs: Vec<ServerSpec>) -> ServerFleetModel {
+        let server = |server_spec| Server {
+            spec: server_spec,
             faults: ServerFaults::default(),
             plays: BTreeMap::new(),
-            started: None,
+            cold_started_at: None,
             steps_read: 0,
             segments_read: 0,
-            life: 0,
-            sent: VecDeque::new(),
-            history: VecDeque::new(),
+            process_number: 0,
+            recent_set_ups: VecDeque::new(),
+            load_history: VecDeque::new(),
         };
-        ServerFleetModel { ground, servers: builds.into_iter().map(server).collect() }
+        ServerFleetModel { spec, servers: server_specs.into_iter().map(server).collect() }
     }
 
-    fn rack(&self, server: usize) -> usize {
-        self.servers[server].build.cell % self.ground.uplinks_kb.len()
+    fn rack_of(&self, server: usize) -> usize {
+        self.servers[server].spec.cell % self.spec.uplinks_kb.len()
     }
 
     /// What plays ask of a server's link, kB/s: viewers of a live title share its stream.
     pub fn demand(&self, server: usize) -> f64 {
         let mut streams: BTreeMap<(&str, usize, usize), bool> = BTreeMap::new();
-        let mut asked = 0.0;
-        for play in self.servers[server].plays.values().filter(|p| p.plays) {
-            let rate = self.ground.ladder[play.rung] * play.factor;
-            let first = streams.insert((&play.title, play.product, play.rung), true).is_none();
-            asked += if play.live && !first { rate * self.ground.shared_part } else { rate };
+        let mut demand_kb = 0.0;
+        for play in self.servers[server].plays.values().filter(|p| p.is_set_up) {
+            let rate = self.spec.ladder[play.rung] * play.factor;
+            let is_first_viewer = streams.insert((&play.title, play.product, play.rung), true).is_none();
+            demand_kb += if play.live && !is_first_viewer { rate * self.spec.shared_part } else { rate };
         }
-        asked
+        demand_kb
     }
 
     pub fn load(&self, server: usize) -> Load {
-        let it = &self.servers[server];
-        let given = (it.build.link_kb * it.faults.link * (1.0 - it.faults.neighbour)).max(1.0);
-        let link = self.demand(server) / given;
-        let rack = self.rack(server);
-        let there = (0..self.servers.len()).filter(|s| self.rack(*s) == rack);
-        let (mut asked, mut part) = (0.0, 1.0f64);
-        for s in there {
-            asked += self.demand(s);
-            part = part.min(self.servers[s].faults.uplink);
+        let state = &self.servers[server];
+        let link_capacity_kb =
+            (state.spec.link_kb * state.faults.link * (1.0 - state.faults.neighbour)).max(1.0);
+        let link = self.demand(server) / link_capacity_kb;
+        let rack = self.rack_of(server);
+        let rack_servers = (0..self.servers.len()).filter(|s| self.rack_of(*s) == rack);
+        let (mut rack_demand_kb, mut uplink_part) = (0.0, 1.0f64);
+        for s in rack_servers {
+            rack_demand_kb += self.demand(s);
+            uplink_part = uplink_part.min(self.servers[s].faults.uplink);
         }
-        let uplink = asked / (self.ground.uplinks_kb[rack] * part).max(1.0);
+        let uplink = rack_demand_kb / (self.spec.uplinks_kb[rack] * uplink_part).max(1.0);
         let delivered = (1.0 / link.max(1.0)).min(1.0 / uplink.max(1.0));
-        Load { link, uplink, delivered, streams: it.plays.len() as f64 }
+        Load { link, uplink, delivered, streams: state.plays.len() as f64 }
     }
 
     /// Remembers every server's load, for reports that come late.
     pub fn sample(&mut self, now: f64) {
         for server in 0..self.servers.len() {
             let load = self.load(server);
-            let history = &mut self.servers[server].history;
+            let history = &mut self.servers[server].load_history;
             history.push_back((now, load));
             while history.len() > 2 && history[1].0 < now - 15_000.0 {
                 history.pop_front();
@@ -204,54 +205,59 @@
     }
 
     /// The load as it was `late` ms ago, or more where reports come late.
-    pub fn reported_load(&self, now: f64, server: usize, late: f64) -> Load {
-        let it = &self.servers[server];
-        let then = now - late - it.faults.late_ms;
-        let past = it.history.iter().rev().find(|(at, _)| *at <= then).or(it.history.front());
-        past.map_or_else(|| self.load(server), |(_, load)| *load)
+    pub fn reported_load(&self, now: f64, server: usize, delay_ms: f64) -> Load {
+        let state = &self.servers[server];
+        let sampled_by = now - delay_ms - state.faults.late_ms;
+        let sample =
+            state.load_history.iter().rev().find(|(at, _)| *at <= sampled_by).or(state.load_history.front());
+        sample.map_or_else(|| self.load(server), |(_, load)| *load)
     }
 
     /// A process starts.
     pub fn start(&mut self, now: f64, server: usize, cold: bool) {
-        let it = &mut self.servers[server];
-        it.life += 1;
-        it.faults.down = false;
-        it.started = cold.then_some(now);
-        it.plays.clear();
-        it.sent.clear();
-        it.history.clear();
+        let state = &mut self.servers[server];
+        state.process_number += 1;
+        state.faults.down = false;
+        state.cold_started_at = cold.then_some(now);
+        state.plays.clear();
+        state.recent_set_ups.clear();
+        state.load_history.clear();
     }
 
     pub fn stop(&mut self, server: usize) {
-        let it = &mut self.servers[server];
-        it.life += 1;
-        it.faults.down = true;
-        it.plays.clear();
+        let state = &mut self.servers[server];
+        state.process_number += 1;
+        state.faults.down = true;
+        state.plays.clear();
     }
 
     /// A set-up was sent to a server; true if that pushed it over while it was cold.
     pub fn on_set_up(&mut self, now: f64, server: usize) -> bool {
-        let ground = &self.ground;
-        let it = &mut self.servers[server];
-        let Some(started) = it.started.filter(|at| now < at + ground.cold_ms) else { return false };
-        it.sent.push_back(now);
-        while it.sent.front().is_some_and(|at| *at <= now - ground.fall_ms) {
-            it.sent.pop_front();
+        let spec = &self.spec;
+        let state = &mut self.servers[server];
+        let Some(started_at) = state.cold_started_at.filter(|at| now < at + spec.cold_ms) else {
+            return false;
+        };
+        state.recent_set_ups.push_back(now);
+        while state.recent_set_ups.front().is_some_and(|at| *at <= now - spec.overload_window_ms) {
+            state.recent_set_ups.pop_front();
         }
-        let warm = ground.cold_from + (1.0 - ground.cold_from) * (now - started) / ground.cold_ms;
-        let carries = ground.overload * it.build.streams as f64 / ground.cold_ms * warm * ground.fall_ms;
-        it.sent.len() as f64 > carries + 2.0
+        let warm_part = spec.cold_from + (1.0 - spec.cold_from) * (now - started_at) / spec.cold_ms;
+        let capacity = spec.overload_factor * state.spec.streams as f64 / spec.cold_ms
+            * warm_part
+            * spec.overload_window_ms;
+        state.recent_set_ups.len() as f64 > capacity + 2.0
     }
 
     /// How long work takes now, against a warm and well server: a cold one is slower.
     pub fn slowness(&self, now: f64, server: usize) -> f64 {
-        let it = &self.servers[server];
-        let cold = it.started.filter(|at| now < at + self.ground.cold_ms).map_or(1.0, |at| {
-            let warm =
-                self.ground.cold_from + (1.0 - self.ground.cold_from) * (now - at) / self.ground.cold_ms;
-            1.0 / warm.clamp(0.25, 1.0)
+        let state = &self.servers[server];
+        let cold_factor = state.cold_started_at.filter(|at| now < at + self.spec.cold_ms).map_or(1.0, |at| {
+            let warm_part =
+                self.spec.cold_from + (1.0 - self.spec.cold_from) * (now - at) / self.spec.cold_ms;
+            1.0 / warm_part.clamp(0.25, 1.0)
         });
-        cold * it.faults.slow
+        cold_factor * state.faults.slow
     }
 }
 
@@ -260,8 +266,8 @@
     use super::*;
     use test_case::test_case;
 
-    fn world() -> ServerFleetModel {
-        let ground = ServerFleetSpec {
+    fn model() -> ServerFleetModel {
+        let spec = ServerFleetSpec {
             ladder: vec![100.0, 200.0],
             uplinks_kb: vec![1000.0, 1000.0],
             shared_part: 0.25,
@@ -271,12 +277,12 @@
             notes_every_ms: 2000.0,
             cold_ms: 5000.0,
             cold_from: 0.2,
-            overload: 2.0,
-            fall_ms: 1000.0,
+            overload_factor: 2.0,
+            overload_window_ms: 1000.0,
             down_ms: 3000.0,
             lease_ms: 500.0,
         };
-        let build = |cell| ServerSpec {
+        let server_spec = |cell| ServerSpec {
             zone: 0,
             cell,
             cores: 2,
@@ -286,59 +292,59 @@
             work_ms: 20.0,
             work_spread: 0.3,
         };
-        ServerFleetModel::new(ground, (0..4).map(build).collect())
+        ServerFleetModel::new(spec, (0..4).map(server_spec).collect())
     }
 
     fn play(title: &str, live: bool, rung: usize) -> Play {
-        Play { title: title.into(), product: 0, live, rung, factor: 1.0, plays: true }
+        Play { title: title.into(), product: 0, live, rung, factor: 1.0, is_set_up: true }
     }
 
     #[test_case(false, 600.0; "recorded titles add up")]
     #[test_case(true, 300.0; "a live one is shared")]
-    fn what_viewers_ask(live: bool, kb: f64) {
-        let mut world = world();
+    fn demand_by_kind_of_title(live: bool, kb: f64) {
+        let mut model = model();
         for name in ["a", "b", "c"] {
-            world.servers[0].plays.insert(name.into(), play("t", live, 1));
+            model.servers[0].plays.insert(name.into(), play("t", live, 1));
         }
-        assert_eq!(world.demand(0), kb);
+        assert_eq!(model.demand(0), kb);
     }
 
     #[test]
-    fn an_over_asked_uplink_cuts_every_server_of_its_rack_alike() {
-        let mut world = world();
+    fn overloaded_uplink_reduces_delivery_of_its_whole_rack() {
+        let mut model = model();
         for server in [0, 2] {
             for i in 0..3 {
-                world.servers[server].plays.insert(format!("{server}{i}"), play(&i.to_string(), false, 1));
+                model.servers[server].plays.insert(format!("{server}{i}"), play(&i.to_string(), false, 1));
             }
         }
-        assert_eq!((world.load(0).link, world.load(0).uplink), (0.75, 1.2));
-        assert_eq!(world.load(0).delivered, world.load(2).delivered);
-        world.servers[2].faults.uplink = 0.5;
-        assert_eq!(world.load(0).uplink, 2.4);
-        assert_eq!(world.load(1).delivered, 1.0, "the other rack has room");
-        world.servers[0].faults.neighbour = 0.5;
-        assert_eq!(world.load(0).link, 1.5);
+        assert_eq!((model.load(0).link, model.load(0).uplink), (0.75, 1.2));
+        assert_eq!(model.load(0).delivered, model.load(2).delivered);
+        model.servers[2].faults.uplink = 0.5;
+        assert_eq!(model.load(0).uplink, 2.4);
+        assert_eq!(model.load(1).delivered, 1.0, "the other rack has room");
+        model.servers[0].faults.neighbour = 0.5;
+        assert_eq!(model.load(0).link, 1.5);
     }
 
     #[test]
-    fn reports_are_late() {
-        let mut world = world();
-        world.sample(0.0);
-        world.servers[0].plays.insert("a".into(), play("t", false, 1));
-        world.sample(1000.0);
-        assert_eq!(world.reported_load(1050.0, 0, 100.0).link, 0.0);
-        assert_eq!(world.reported_load(1150.0, 0, 100.0).link, 0.25);
-        world.servers[0].faults.late_ms = 3000.0;
-        assert_eq!(world.reported_load(1150.0, 0, 100.0).link, 0.0);
+    fn reported_load_is_delayed() {
+        let mut model = model();
+        model.sample(0.0);
+        model.servers[0].plays.insert("a".into(), play("t", false, 1));
+        model.sample(1000.0);
+        assert_eq!(model.reported_load(1050.0, 0, 100.0).link, 0.0);
+        assert_eq!(model.reported_load(1150.0, 0, 100.0).link, 0.25);
+        model.servers[0].faults.late_ms = 3000.0;
+        assert_eq!(model.reported_load(1150.0, 0, 100.0).link, 0.0);
     }
 
     #[test]
-    fn a_cold_server_falls_over_when_rushed_and_not_at_its_pace() {
-        let mut world = world();
-        world.start(0.0, 0, true);
-        assert!((1..5).all(|i| !world.on_set_up(f64::from(i) * 250.0, 0)));
-        assert!((0..20).any(|i| world.on_set_up(1000.0 + f64::from(i), 0)));
-        assert!((0..20).all(|i| !world.on_set_up(6000.0 + f64::from(i), 0)), "warm by then");
-        assert!(world.slowness(500.0, 0) > 3.0 && world.slowness(6000.0, 0) == 1.0);
+    fn cold_server_is_overloaded_by_a_burst_but_not_by_a_steady_rate() {
+        let mut model = model();
+        model.start(0.0, 0, true);
+        assert!((1..5).all(|i| !model.on_set_up(f64::from(i) * 250.0, 0)));
+        assert!((0..20).any(|i| model.on_set_up(1000.0 + f64::from(i), 0)));
+        assert!((0..20).all(|i| !model.on_set_up(6000.0 + f64::from(i), 0)), "warm by then");
+        assert!(model.slowness(500.0, 0) > 3.0 && model.slowness(6000.0, 0) == 1.0);
     }
 }
--- a/crates/fake-servers/src/recorder.rs
+++ b/crates/fake-servers/src/recorder.rs
@@ -7,18 +7,18 @@
 
 #[derive(Clone)]
 pub struct Recorder {
-    seen: Arc<Mutex<Vec<Observation>>>,
-    start: Instant,
-    since_1970: f64,
+    observations: Arc<Mutex<Vec<Observation>>>,
+    started_at: Instant,
+    start_unix_ms: f64,
 }
 
 impl Default for Recorder {
     fn default() -> Recorder {
-        let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Recorder {
-            seen: Arc::default(),
-            start: Instant::now(),
-            since_1970: since_1970.as_secs_f64() * 1000.0,
+            observations: Arc::default(),
+            started_at: Instant::now(),
+            start_unix_ms: unix_time.as_secs_f64() * 1000.0,
         }
     }
 }
@@ -26,16 +26,16 @@
 impl Recorder {
     /// ms since 1970, never going back.
     pub fn now(&self) -> f64 {
-        self.since_1970 + self.start.elapsed().as_secs_f64() * 1000.0
+        self.start_unix_ms + self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
     pub fn record(&self, what: Observed) {
-        let mut seen = self.seen.lock().expect("no witness dies while it writes");
+        let mut observations = self.observations.lock().expect("no witness dies while it writes");
         let at = self.now();
-        seen.push(Observation { at, what });
+        observations.push(Observation { at, what });
     }
 
     pub fn observations(&self) -> Vec<Observation> {
-        self.seen.lock().expect("no witness dies while it writes").clone()
+        self.observations.lock().expect("no witness dies while it writes").clone()
     }
 }
--- a/crates/fake-servers/tests/stops.rs
+++ b/crates/fake-servers/tests/stops.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 async fn one_server() -> FakeServers {
-    let ground = ServerFleetSpec {
+    let spec = ServerFleetSpec {
         ladder: vec![100.0],
         uplinks_kb: vec![1000.0],
         shared_part: 1.0,
@@ -23,12 +23,12 @@
         notes_every_ms: 1000.0,
         cold_ms: 1000.0,
         cold_from: 0.5,
-        overload: 2.0,
-        fall_ms: 1000.0,
+        overload_factor: 2.0,
+        overload_window_ms: 1000.0,
         down_ms: 1000.0,
         lease_ms: 100.0,
     };
-    let build = ServerSpec {
+    let server_spec = ServerSpec {
         zone: 0,
         cell: 0,
         cores: 1,
@@ -38,30 +38,30 @@
         work_ms: 1.0,
         work_spread: 0.0,
     };
-    FakeServers::start(ground, vec![build], HashMap::new(), Vec::new(), 1, Recorder::default())
+    FakeServers::start(spec, vec![server_spec], HashMap::new(), Vec::new(), 1, Recorder::default())
         .await
         .expect("it starts")
 }
 
 /// Stops the server after so many turns: each is a task of its own, at the end of the line.
-fn after(turns: usize, boxes: FakeServers, stopped: oneshot::Sender<()>) {
+fn stop_after(turns: usize, servers: FakeServers, stopped_sender: oneshot::Sender<()>) {
     tokio::spawn(async move {
         if turns > 0 {
-            return after(turns - 1, boxes, stopped);
+            return stop_after(turns - 1, servers, stopped_sender);
         }
-        boxes.stop(0);
-        let _ = stopped.send(());
+        servers.stop(0);
+        let _ = stopped_sender.send(());
     });
 }
 
 #[tokio::test]
-async fn a_connection_made_while_the_process_ends_ends_with_it() {
+async fn stopping_a_server_closes_connections_being_accepted() {
     for turns in 0..200 {
-        let boxes = one_server().await;
-        let mut peer = HttpPeer::new(TcpStream::connect(boxes.addresses[0]).await.expect("a connection"));
-        let (stopped, is) = oneshot::channel();
-        after(turns, boxes, stopped);
-        is.await.expect("it is stopped");
+        let servers = one_server().await;
+        let mut peer = HttpPeer::new(TcpStream::connect(servers.addresses[0]).await.expect("a connection"));
+        let (stopped_sender, stopped_receiver) = oneshot::channel();
+        stop_after(turns, servers, stopped_sender);
+        stopped_receiver.await.expect("it is stopped");
         let _ = peer.write(b"GET /load HTTP/1.1\r\nHost: m\r\n\r\n").await;
         let answer = timeout(Duration::from_secs(10), peer.read_response())
             .await
--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -2,7 +2,7 @@
 //! plays on the lowest rung that the product allows, and tries again elsewhere as the product permits. It reads
 //! the list once a play, and knows nothing of drains since, of room, cold servers, seats or budgets.
 
-use crate::environment::ms;
+use crate::environment::from_ms;
 use anyhow::{Context, Result};
 use pulleystair_dash::address::{self, Route, SegmentId};
 use pulleystair_dash::mpd::Presentation;
@@ -19,224 +19,249 @@
 use tokio::sync::OnceCell;
 use tokio::time::timeout;
 
-struct Base {
-    rundown: Value,
-    list: PathBuf,
-    entries: KeyRing,
-    passes: KeyRing,
-    run: String,
-    rnd: Mutex<StdRng>,
+struct BaselineFront {
+    config: Value,
+    list_file: PathBuf,
+    entry_keys: KeyRing,
+    session_keys: KeyRing,
+    allocation_prefix: String,
+    rng: Mutex<StdRng>,
     sessions: Mutex<HashMap<String, Arc<Session>>>,
 }
 
 /// A session's answer, decided once, and where it plays.
 #[derive(Default)]
 struct Session {
-    answer: OnceCell<(u16, String)>,
-    plays: Mutex<Option<(String, String)>>,
+    set_up_response: OnceCell<(u16, String)>,
+    playing_at: Mutex<Option<(String, String)>>,
 }
 
-pub async fn run(rundown: &Path) -> Result<()> {
-    let folder = rundown.parent().unwrap_or(Path::new(""));
-    let it: Value = serde_json::from_slice(&std::fs::read(rundown)?)?;
-    let keys = it["keys"].as_str().context("a rundown names its keys")?;
+pub async fn run(config_file: &Path) -> Result<()> {
+    let folder = config_file.parent().unwrap_or(Path::new(""));
+    let config: Value = serde_json::from_slice(&std::fs::read(config_file)?)?;
+    let keys = config["keys"].as_str().context("a rundown names its keys")?;
     let keys: Value = serde_json::from_slice(&std::fs::read(folder.join(keys))?)?;
-    let ring = |of: &str| -> Result<KeyRing> {
-        let key = &keys[of][0];
+    let load_key_ring = |section: &str| -> Result<KeyRing> {
+        let key = &keys[section][0];
         let file = key["file"].as_str().context("a key has its file")?;
         let kid = key["kid"].as_str().unwrap_or("").to_string();
         Ok(KeyRing::new(&[(kid, std::fs::read(folder.join(file))?)])?)
     };
-    let since = SystemTime::now().duration_since(UNIX_EPOCH)?.as_millis();
-    let base = Arc::new(Base {
-        entries: ring("entry")?,
-        passes: ring("pass")?,
-        list: folder.join(it["list"].as_str().unwrap_or("list.json")),
-        run: format!("b{since:x}{:x}", std::process::id()),
-        rnd: Mutex::new(StdRng::seed_from_u64(it["seed"].as_u64().unwrap_or(0))),
+    let started_at_ms = SystemTime::now().duration_since(UNIX_EPOCH)?.as_millis();
+    let front = Arc::new(BaselineFront {
+        entry_keys: load_key_ring("entry")?,
+        session_keys: load_key_ring("pass")?,
+        list_file: folder.join(config["list"].as_str().unwrap_or("list.json")),
+        allocation_prefix: format!("b{started_at_ms:x}{:x}", std::process::id()),
+        rng: Mutex::new(StdRng::seed_from_u64(config["seed"].as_u64().unwrap_or(0))),
         sessions: Mutex::default(),
-        rundown: it,
+        config,
     });
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     eprintln!("{}", json!({ "message": "listens", "address": listener.local_addr()?.to_string() }));
-    let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
+    let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
     loop {
         tokio::select! {
-            _ = stop.recv() => return Ok(()),
-            taken = listener.accept() => {
-                let base = base.clone();
-                if let Ok((stream, _)) = taken {
-                    tokio::spawn(async move { base.serve(HttpPeer::new(stream)).await });
+            _ = terminate.recv() => return Ok(()),
+            accepted = listener.accept() => {
+                let front = front.clone();
+                if let Ok((stream, _)) = accepted {
+                    tokio::spawn(async move { front.serve_connection(HttpPeer::new(stream)).await });
                 }
             }
         }
     }
 }
 
-fn answer(status: u16, more: &str, body: &[u8]) -> Vec<u8> {
-    let head = format!("HTTP/1.1 {status} x\r\n{more}Content-Length: {}\r\n\r\n", body.len());
+fn response(status: u16, extra_headers: &str, body: &[u8]) -> Vec<u8> {
+    let head = format!("HTTP/1.1 {status} x\r\n{extra_headers}Content-Length: {}\r\n\r\n", body.len());
     [head.as_bytes(), body].concat()
 }
 
-impl Base {
-    async fn serve(self: Arc<Base>, mut player: HttpPeer) -> std::io::Result<()> {
+impl BaselineFront {
+    async fn serve_connection(self: Arc<BaselineFront>, mut player: HttpPeer) -> std::io::Result<()> {
         let mut server = None;
         while let Some(request) = player.read_request().await? {
-            let reply = match (request.method.as_str(), address::parse(&request.target)) {
+            let response_bytes = match (request.method.as_str(), address::parse(&request.target)) {
                 ("GET", Some(Route::Manifest { product, title, entry })) => {
-                    self.manifest(product, title, entry.unwrap_or("")).await
+                    self.serve_manifest(product, title, entry.unwrap_or("")).await
                 }
                 ("GET", Some(Route::Segment { pass, which: SegmentId::Number(number), .. })) => {
-                    self.segment(pass, number, &mut server).await
+                    self.serve_segment(pass, number, &mut server).await
                 }
                 ("DELETE", Some(Route::Session { pass })) => {
-                    if let Some(session) = self.session(pass) {
-                        session.plays.lock().expect("no front dies while it holds a session").take();
+                    if let Some(session) = self.find_session(pass) {
+                        session.playing_at.lock().expect("no front dies while it holds a session").take();
                     }
-                    answer(200, "", b"")
+                    response(200, "", b"")
                 }
-                _ => answer(404, "", b""),
+                _ => response(404, "", b""),
             };
-            player.write(&reply).await?;
+            player.write(&response_bytes).await?;
         }
         Ok(())
     }
 
-    fn now(&self) -> u64 {
+    fn unix_seconds(&self) -> u64 {
         SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs()
     }
 
-    fn session(&self, pass: &str) -> Option<Arc<Session>> {
-        let pass = self.passes.verify_session(pass, self.now()).ok()?;
-        self.sessions.lock().expect("no front dies while it holds its sessions").get(&pass.sid).cloned()
+    fn find_session(&self, session_token: &str) -> Option<Arc<Session>> {
+        let session_token = self.session_keys.verify_session(session_token, self.unix_seconds()).ok()?;
+        self.sessions
+            .lock()
+            .expect("no front dies while it holds its sessions")
+            .get(&session_token.sid)
+            .cloned()
     }
 
-    async fn manifest(self: &Arc<Base>, product: &str, title: &str, token: &str) -> Vec<u8> {
-        let entry = match self.entries.verify_entry(token, self.now(), product, title) {
+    async fn serve_manifest(self: &Arc<BaselineFront>, product: &str, title: &str, token: &str) -> Vec<u8> {
+        let entry = match self.entry_keys.verify_entry(token, self.unix_seconds(), product, title) {
             Ok(entry) => entry,
-            Err(fault) => return answer(fault.status(), "", b""),
+            Err(error) => return response(error.status(), "", b""),
         };
         let session = {
-            let mut all = self.sessions.lock().expect("no front dies while it holds its sessions");
-            all.entry(entry.jti.clone()).or_default().clone()
+            let mut sessions = self.sessions.lock().expect("no front dies while it holds its sessions");
+            sessions.entry(entry.jti.clone()).or_default().clone()
         };
         // Set up apart from the connection: another request of the session waits for the same.
-        let (base, of) = (self.clone(), session.clone());
-        let decided = tokio::spawn(async move {
-            let set_up = base.set_up(of.clone(), entry.jti, entry.product, entry.title);
-            of.answer.get_or_init(|| set_up).await.clone()
+        let (front, new_session) = (self.clone(), session.clone());
+        let set_up_task = tokio::spawn(async move {
+            let set_up = front.set_up_session(new_session.clone(), entry.jti, entry.product, entry.title);
+            new_session.set_up_response.get_or_init(|| set_up).await.clone()
         });
-        let (status, body) = decided.await.unwrap_or((502, String::new()));
-        let more = if status == 503 { "Retry-After: 1\r\n" } else { "" };
-        answer(status, more, body.as_bytes())
+        let (status, body) = set_up_task.await.unwrap_or((502, String::new()));
+        let extra_headers = if status == 503 { "Retry-After: 1\r\n" } else { "" };
+        response(status, extra_headers, body.as_bytes())
     }
 
-    async fn set_up(
-        self: Arc<Base>,
+    async fn set_up_session(
+        self: Arc<BaselineFront>,
         session: Arc<Session>,
         jti: String,
         product: String,
         title: String,
     ) -> (u16, String) {
-        let of = self.rundown["products"].as_array().and_then(|p| p.iter().find(|p| p["name"] == product));
-        let Some(of) = of.cloned() else { return (404, String::new()) };
-        let Ok(list) = std::fs::read(&self.list) else { return (503, String::new()) };
+        let product_config =
+            self.config["products"].as_array().and_then(|p| p.iter().find(|p| p["name"] == product));
+        let Some(product_config) = product_config.cloned() else { return (404, String::new()) };
+        let Ok(list) = std::fs::read(&self.list_file) else { return (503, String::new()) };
         let list: Value = serde_json::from_slice(&list).unwrap_or_default();
-        let known = list["titles"].as_array().and_then(|t| t.iter().find(|t| t["name"] == title)).cloned();
-        let Some(known) = known else { return (404, String::new()) };
-        let number = |v: &Value| v.as_u64().unwrap_or(0);
-        let cells = number(&self.rundown["fleet"]["cells"]).max(1);
-        let row: Vec<u64> =
-            (0..number(&known["holders"])).map(|i| (number(&known["first_cell"]) + i) % cells).collect();
+        let title_entry =
+            list["titles"].as_array().and_then(|t| t.iter().find(|t| t["name"] == title)).cloned();
+        let Some(title_entry) = title_entry else { return (404, String::new()) };
+        let to_number = |v: &Value| v.as_u64().unwrap_or(0);
+        let cells = to_number(&self.config["fleet"]["cells"]).max(1);
+        let holder_cells: Vec<u64> = (0..to_number(&title_entry["holders"]))
+            .map(|i| (to_number(&title_entry["first_cell"]) + i) % cells)
+            .collect();
         let mut holders: Vec<String> = list["servers"]
             .as_array()
             .into_iter()
             .flatten()
-            .filter(|s| s["state"] == "ready" && row.contains(&number(&s["cell"])))
+            .filter(|s| s["state"] == "ready" && holder_cells.contains(&to_number(&s["cell"])))
             .filter_map(|s| s["address"].as_str().map(String::from))
             .collect();
-        let allocations = number(&self.rundown["rules"]["allocations"]).max(1) as usize;
-        let limit = of["time_limit_ms"].as_f64().unwrap_or(1000.0) - 20.0;
-        let (floor, free) = (number(&of["floor"]) as usize, of["effect"] == "read_like");
-        let mut ran = false;
-        for n in 1..=allocations {
-            if holders.is_empty() || ran && !free {
+        let max_allocations = to_number(&self.config["rules"]["allocations"]).max(1) as usize;
+        let time_limit_ms = product_config["time_limit_ms"].as_f64().unwrap_or(1000.0) - 20.0;
+        let (floor, is_repeatable) =
+            (to_number(&product_config["floor"]) as usize, product_config["effect"] == "read_like");
+        let mut may_have_run = false;
+        for attempt in 1..=max_allocations {
+            if holders.is_empty() || may_have_run && !is_repeatable {
                 break;
             }
-            let draw = self.rnd.lock().expect("no draw fails").random_range(0..holders.len());
-            let server = holders.swap_remove(draw);
-            let name = format!("{}-{jti}-{n}", self.run);
+            let index = self.rng.lock().expect("no draw fails").random_range(0..holders.len());
+            let server = holders.swap_remove(index);
+            let allocation = format!("{}-{jti}-{attempt}", self.allocation_prefix);
             let body =
                 json!({ "title": title, "product": product, "rung": floor, "session": jti }).to_string();
-            let wait = ms(limit / allocations as f64);
-            let Ok(Some((mut peer, answer))) = timeout(wait, post(&server, &name, &body)).await else {
-                ran = true;
+            let attempt_timeout = from_ms(time_limit_ms / max_allocations as f64);
+            let Ok(Some((mut peer, response_head))) =
+                timeout(attempt_timeout, post_set_up(&server, &allocation, &body)).await
+            else {
+                may_have_run = true;
                 continue;
             };
-            if answer.status != 200 {
-                ran |= answer.status != 429;
+            if response_head.status != 200 {
+                may_have_run |= response_head.status != 429;
                 continue;
             }
-            *session.plays.lock().expect("no front dies while it holds a session") =
-                Some((server, format!("{name}/{floor}")));
-            let duration_ms = number(&known["duration_ms"]);
-            let held = session.clone();
+            *session.playing_at.lock().expect("no front dies while it holds a session") =
+                Some((server, format!("{allocation}/{floor}")));
+            let duration_ms = to_number(&title_entry["duration_ms"]);
+            let playing_session = session.clone();
             tokio::spawn(async move {
-                let over = Duration::from_millis(duration_ms + 4000);
-                let left = async {
-                    while held.plays.lock().expect("no front dies while it holds a session").is_some() {
+                let max_duration = Duration::from_millis(duration_ms + 4000);
+                let session_ended = async {
+                    while playing_session
+                        .playing_at
+                        .lock()
+                        .expect("no front dies while it holds a session")
+                        .is_some()
+                    {
                         tokio::time::sleep(Duration::from_millis(100)).await;
                     }
                 };
                 tokio::select! {
                     () = peer.wait_closed() => {}
-                    () = tokio::time::sleep(over) => {}
-                    () = left => {}
+                    () = tokio::time::sleep(max_duration) => {}
+                    () = session_ended => {}
                 }
-                held.plays.lock().expect("no front dies while it holds a session").take();
+                playing_session.playing_at.lock().expect("no front dies while it holds a session").take();
             });
-            let exp = self.now() + 600;
-            let pass = self.passes.sign(&SessionToken { sid: jti, product, title: title.clone(), exp });
-            let ladder = self.rundown["ladder"].as_array().into_iter().flatten();
+            let exp = self.unix_seconds() + 600;
+            let session_token =
+                self.session_keys.sign(&SessionToken { sid: jti, product, title: title.clone(), exp });
+            let ladder = self.config["ladder"].as_array().into_iter().flatten();
             let ladder: Vec<f64> = ladder.filter_map(|r| r["rate_kb"].as_f64()).collect();
-            let mut it = Presentation::plain(title, duration_ms, number(&known["segment_ms"]));
-            it.base = address::base_path(&pass);
-            let bits = ladder[..=floor.min(ladder.len() - 1)].iter().map(|kb| (kb * 8000.0).ceil() as u64);
-            it.periods[0].bandwidths = bits.collect();
-            return (200, it.write());
+            let mut presentation =
+                Presentation::plain(title, duration_ms, to_number(&title_entry["segment_ms"]));
+            presentation.base = address::base_path(&session_token);
+            let bandwidths =
+                ladder[..=floor.min(ladder.len() - 1)].iter().map(|kb| (kb * 8000.0).ceil() as u64);
+            presentation.periods[0].bandwidths = bandwidths.collect();
+            return (200, presentation.write());
         }
-        (if ran && !free { 502 } else { 503 }, String::new())
+        (if may_have_run && !is_repeatable { 502 } else { 503 }, String::new())
     }
 
-    async fn segment(&self, pass: &str, number: u64, kept: &mut Option<(String, HttpPeer)>) -> Vec<u8> {
-        let Some(session) = self.session(pass) else { return answer(401, "", b"") };
-        let at = session.plays.lock().expect("no front dies while it holds a session").clone();
-        let Some((server, name)) = at else { return answer(410, "", b"") };
+    async fn serve_segment(
+        &self,
+        session_token: &str,
+        number: u64,
+        kept: &mut Option<(String, HttpPeer)>,
+    ) -> Vec<u8> {
+        let Some(session) = self.find_session(session_token) else { return response(401, "", b"") };
+        let playing_at = session.playing_at.lock().expect("no front dies while it holds a session").clone();
+        let Some((server, allocation_path)) = playing_at else { return response(410, "", b"") };
         let peer = match kept.take() {
-            Some((of, peer)) if of == server => Some(peer),
+            Some((kept_server, peer)) if kept_server == server => Some(peer),
             _ => TcpStream::connect(&server).await.ok().map(HttpPeer::new),
         };
-        let Some(mut peer) = peer else { return answer(502, "", b"") };
-        let request = format!("GET /plays/{name}/{number} HTTP/1.1\r\nHost: {server}\r\n\r\n");
-        let got = timeout(Duration::from_secs(5), async {
+        let Some(mut peer) = peer else { return response(502, "", b"") };
+        let request = format!("GET /plays/{allocation_path}/{number} HTTP/1.1\r\nHost: {server}\r\n\r\n");
+        let received = timeout(Duration::from_secs(5), async {
             peer.write(request.as_bytes()).await?;
             peer.read_response().await
         });
-        match got.await {
-            Ok(Ok(Some(got))) if got.status == 200 => {
+        match received.await {
+            Ok(Ok(Some(received))) if received.status == 200 => {
                 *kept = Some((server, peer));
-                answer(200, "", &got.body)
+                response(200, "", &received.body)
             }
-            _ => answer(502, "", b""),
+            _ => response(502, "", b""),
         }
     }
 }
 
-async fn post(server: &str, name: &str, body: &str) -> Option<(HttpPeer, Message)> {
+async fn post_set_up(server: &str, allocation: &str, body: &str) -> Option<(HttpPeer, Message)> {
     let mut peer = HttpPeer::new(TcpStream::connect(server).await.ok()?);
-    let head =
-        format!("POST /plays/{name} HTTP/1.1\r\nHost: {server}\r\nContent-Length: {}\r\n\r\n", body.len());
+    let head = format!(
+        "POST /plays/{allocation} HTTP/1.1\r\nHost: {server}\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
     peer.write((head + body).as_bytes()).await.ok()?;
-    let answer = peer.read_response_head().await.ok()??;
-    Some((peer, answer))
+    let response_head = peer.read_response_head().await.ok()??;
+    Some((peer, response_head))
 }
--- a/crates/lab/src/fronts.rs
+++ b/crates/lab/src/fronts.rs
@@ -19,13 +19,13 @@
 use tokio_rustls::TlsConnector;
 
 /// How long a front may take until it listens.
-const START: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Front {
     child: Option<Child>,
     address: Option<SocketAddr>,
     /// Where it is, or was when it last ran.
-    home: Option<SocketAddr>,
+    last_address: Option<SocketAddr>,
 }
 
 /// What is run as a front: a program, and its words before the rundown's file.
@@ -49,9 +49,9 @@
 pub struct Fronts {
     program: Program,
     folder: PathBuf,
-    zones: usize,
-    all: Arc<Mutex<Vec<Front>>>,
-    log: Recorder,
+    zone_count: usize,
+    fronts: Arc<Mutex<Vec<Front>>>,
+    recorder: Recorder,
     /// What stands between fronts that share.
     pub between: Option<Relays>,
     /// The portal's present key, and how many keys there were.
@@ -65,15 +65,16 @@
 
 /// The portal's key, with which entry tokens are signed.
 pub fn portal_keys() -> KeyRing {
-    ring(1)
+    portal_key_ring(1)
 }
 
-fn ring(n: usize) -> KeyRing {
-    KeyRing::new(&[(format!("portal-{n}"), secret("entry", n))]).expect("one long key is a ring")
+fn portal_key_ring(number: usize) -> KeyRing {
+    KeyRing::new(&[(format!("portal-{number}"), key_secret("entry", number))])
+        .expect("one long key is a ring")
 }
 
-fn secret(of: &str, n: usize) -> Vec<u8> {
-    format!("{of} tokens of this laboratory, not a secret {n}").into_bytes()
+fn key_secret(token_kind: &str, number: usize) -> Vec<u8> {
+    format!("{token_kind} tokens of this laboratory, not a secret {number}").into_bytes()
 }
 
 /// The name of a front among its peers.
@@ -87,98 +88,104 @@
 }
 
 /// The rundown of one front of a day, where its fronts share also with its ways to the others.
-fn shared_rundown(day: &Scenario, front: usize, between: &Option<Relays>) -> Result<serde_json::Value> {
-    let mut it = front_config(day, front);
-    if let (Some(between), Some(sharing)) = (between, &day.sharing) {
-        let peer = |to: usize| json!({ "name": name(to), "at": between.way(front, to) });
-        it["fleet"]["name"] = json!("laboratory");
-        it["fleet"]["listen"] = json!("127.0.0.1:0");
-        it["fleet"]["peers"] = (0..day.fronts).map(peer).collect();
-        it["sharing"] = json!(sharing);
-        it["sharing"]["ask"] = json!(free_port()?);
+fn front_config_with_sharing(
+    scenario: &Scenario,
+    front: usize,
+    relays: &Option<Relays>,
+) -> Result<serde_json::Value> {
+    let mut config = front_config(scenario, front);
+    if let (Some(relays), Some(sharing)) = (relays, &scenario.sharing) {
+        let peer = |to: usize| json!({ "name": name(to), "at": relays.way(front, to) });
+        config["fleet"]["name"] = json!("laboratory");
+        config["fleet"]["listen"] = json!("127.0.0.1:0");
+        config["fleet"]["peers"] = (0..scenario.fronts).map(peer).collect();
+        config["sharing"] = json!(sharing);
+        config["sharing"]["ask"] = json!(free_port()?);
     }
-    Ok(it)
+    Ok(config)
 }
 
 /// The rundown of one front of a day.
-pub fn front_config(day: &Scenario, front: usize) -> serde_json::Value {
-    let fleet = &day.fleet;
-    let links: f64 = fleet.link_kb * fleet.servers as f64;
-    let products: Vec<serde_json::Value> = day
+pub fn front_config(scenario: &Scenario, front: usize) -> serde_json::Value {
+    let fleet = &scenario.fleet;
+    let total_link_kb: f64 = fleet.link_kb * fleet.servers as f64;
+    let products: Vec<serde_json::Value> = scenario
         .products
         .iter()
         .map(|p| {
-            let mut it = serde_json::to_value(p).unwrap_or_default();
-            if let Some(it) = it.as_object_mut() {
+            let mut product = serde_json::to_value(p).unwrap_or_default();
+            if let Some(product) = product.as_object_mut() {
                 ["part", "titles", "holders", "seconds"].iter().for_each(|name| {
-                    it.remove(*name);
+                    product.remove(*name);
                 });
             }
-            it
+            product
         })
         .collect();
     json!({
         "listen": "127.0.0.1:0",
-        "zone": day.zones[front % day.zones.len()],
-        "zones": day.zones,
-        "fronts": day.fronts,
+        "zone": scenario.zones[front % scenario.zones.len()],
+        "zones": scenario.zones,
+        "fronts": scenario.fronts,
         "rank": front,
-        "seed": day.seed.wrapping_add(front as u64),
+        "seed": scenario.seed.wrapping_add(front as u64),
         "list": "list.json",
         "products": products,
-        "ladder": day.ladder,
+        "ladder": scenario.ladder,
         "fleet": {
             "cells": fleet.servers,
             "racks": fleet.racks,
             "kinds": [{ "name": "standard", "streams": fleet.streams }],
             "rack_link_kb": fleet.rack_link_kb,
             "link_unit_kb": fleet.link_kb,
-            "links_kb": links,
+            "links_kb": total_link_kb,
             "shared_part": fleet.shared_part,
             "notes_late_ms": fleet.notes_late_ms,
             "stall_cost": 7.0,
             "change_costs_s": 0.5,
         },
         "rules": {
-            "drain_grace_ms": day.rules.drain_grace_ms,
-            "cold_ms": day.rules.cold_ms,
-            "cold_from": day.rules.cold_from,
-            "overload_factor": day.rules.overload_factor,
-            "allocations": day.rules.allocations,
-            "budget": day.rules.budget,
-            "retry_after_ms": day.rules.retry_after_ms,
-            "probes": day.rules.probes,
+            "drain_grace_ms": scenario.rules.drain_grace_ms,
+            "cold_ms": scenario.rules.cold_ms,
+            "cold_from": scenario.rules.cold_from,
+            "overload_factor": scenario.rules.overload_factor,
+            "allocations": scenario.rules.allocations,
+            "budget": scenario.rules.budget,
+            "retry_after_ms": scenario.rules.retry_after_ms,
+            "probes": scenario.rules.probes,
         },
         "prices": { "probe": 0.01, "cross_zone": 0.02 },
-        "limits": day.limits,
-        "reads": day.reads,
-        "admission": day.admission,
+        "limits": scenario.limits,
+        "reads": scenario.reads,
+        "admission": scenario.admission,
         "keys": "keys.json",
-        "homes": if day.fronts > 1 { json!("homes.json") } else { json!(null) },
-        "tls": if day.tls { json!({ "players": "players", "servers": "servers" }) } else { json!({}) },
+        "homes": if scenario.fronts > 1 { json!("homes.json") } else { json!(null) },
+        "tls": if scenario.tls { json!({ "players": "players", "servers": "servers" }) } else { json!({}) },
     })
 }
 
 impl Fronts {
     /// Writes keys and rundowns into the folder; the list must be there before a front starts.
-    pub fn new(day: &Scenario, program: Program, folder: &Path, log: Recorder) -> Result<Fronts> {
-        let between = day.sharing.as_ref().map(|_| Relays::open(day.fronts, day.seed)).transpose()?;
-        for front in 0..day.fronts {
-            let text = serde_json::to_string_pretty(&shared_rundown(day, front, &between)?)?;
+    pub fn new(scenario: &Scenario, program: Program, folder: &Path, recorder: Recorder) -> Result<Fronts> {
+        let relays =
+            scenario.sharing.as_ref().map(|_| Relays::open(scenario.fronts, scenario.seed)).transpose()?;
+        for front in 0..scenario.fronts {
+            let text = serde_json::to_string_pretty(&front_config_with_sharing(scenario, front, &relays)?)?;
             std::fs::write(folder.join(format!("front-{front}.json")), text)?;
         }
-        let all = (0..day.fronts).map(|_| Front { child: None, address: None, home: None }).collect();
+        let front_states =
+            (0..scenario.fronts).map(|_| Front { child: None, address: None, last_address: None }).collect();
         let fronts = Fronts {
             program,
             folder: folder.into(),
-            zones: day.zones.len(),
-            all: Arc::new(Mutex::new(all)),
-            log,
-            between,
-            portal: Arc::new(Mutex::new((ring(1), 1))),
-            authority: day.tls.then(|| Arc::new(CertificateAuthority::default())),
+            zone_count: scenario.zones.len(),
+            fronts: Arc::new(Mutex::new(front_states)),
+            recorder,
+            between: relays,
+            portal: Arc::new(Mutex::new((portal_key_ring(1), 1))),
+            authority: scenario.tls.then(|| Arc::new(CertificateAuthority::default())),
         };
-        fronts.put_keys(&[1])?;
+        fronts.write_key_files(&[1])?;
         if let Some(authority) = &fronts.authority {
             for side in ["players", "servers"] {
                 std::fs::create_dir_all(folder.join(side))?;
@@ -190,14 +197,14 @@
     }
 
     /// Puts these token keys in service, the first of them to sign.
-    fn put_keys(&self, numbers: &[usize]) -> Result<()> {
+    fn write_key_files(&self, numbers: &[usize]) -> Result<()> {
         let mut keys = json!({ "entry": [], "pass": [] });
-        for n in numbers {
-            for (of, kid) in [("entry", "portal"), ("pass", "pass")] {
-                let file = format!("{of}-{n}.key");
-                replace(&self.folder.join(&file), secret(of, *n))?;
-                let list = keys[of].as_array_mut().context("it was made a list")?;
-                list.push(json!({ "kid": format!("{kid}-{n}"), "file": file }));
+        for number in numbers {
+            for (token_kind, kid_prefix) in [("entry", "portal"), ("pass", "pass")] {
+                let file = format!("{token_kind}-{number}.key");
+                replace(&self.folder.join(&file), key_secret(token_kind, *number))?;
+                let key_list = keys[token_kind].as_array_mut().context("it was made a list")?;
+                key_list.push(json!({ "kid": format!("{kid_prefix}-{number}"), "file": file }));
             }
         }
         Ok(replace(&self.folder.join("keys.json"), keys.to_string())?)
@@ -205,12 +212,13 @@
 
     /// Replaces all token keys as an operator would: the new ones beside the old, then the portal signs by the
     /// new one, then the old are taken out.
-    pub async fn renew_keys(&self, taken: Duration) -> Result<()> {
-        let old = self.portal.lock().expect("nobody dies while holding the portal").1;
-        self.put_keys(&[old + 1, old])?;
-        sleep(taken).await;
-        *self.portal.lock().expect("nobody dies while holding the portal") = (ring(old + 1), old + 1);
-        self.put_keys(&[old + 1])
+    pub async fn renew_keys(&self, overlap: Duration) -> Result<()> {
+        let old_number = self.portal.lock().expect("nobody dies while holding the portal").1;
+        self.write_key_files(&[old_number + 1, old_number])?;
+        sleep(overlap).await;
+        *self.portal.lock().expect("nobody dies while holding the portal") =
+            (portal_key_ring(old_number + 1), old_number + 1);
+        self.write_key_files(&[old_number + 1])
     }
 
     /// Replaces the fronts' certificates, where they have any.
@@ -238,43 +246,45 @@
     }
 
     pub fn count(&self) -> usize {
-        self.all.lock().expect("nobody dies while holding the fronts").len()
+        self.fronts.lock().expect("nobody dies while holding the fronts").len()
     }
 
     /// Starts a front and waits until it listens.
     pub async fn start(&self, front: usize) -> Result<SocketAddr> {
         let file = self.log_file(front);
-        let words = std::fs::OpenOptions::new().create(true).append(true).open(&file)?;
-        let said = words.metadata()?.len() as usize;
+        let log_output = std::fs::OpenOptions::new().create(true).append(true).open(&file)?;
+        let log_length = log_output.metadata()?.len() as usize;
         let child = Command::new(&self.program.path)
             .args(&self.program.words)
             .arg(self.folder.join(format!("front-{front}.json")))
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(words)
+            .stderr(log_output)
             .kill_on_drop(true)
             .spawn()
             .with_context(|| format!("{} can't be started", self.program.path.display()))?;
         let start = Instant::now();
         let address = loop {
-            let said = &std::fs::read(&file)?[said..];
-            if let Some(address) = tells(said, "listens") {
-                if let Some((between, at)) = self.between.as_ref().zip(tells(said, "joins")) {
-                    between.listens(front, at);
+            let new_output = &std::fs::read(&file)?[log_length..];
+            if let Some(address) = logged_address(new_output, "listens") {
+                if let Some((relays, exchange_address)) =
+                    self.between.as_ref().zip(logged_address(new_output, "joins"))
+                {
+                    relays.listens(front, exchange_address);
                 }
                 break address;
             }
-            ensure!(start.elapsed() < START, "front {front} does not listen; see {}", file.display());
+            ensure!(start.elapsed() < START_TIMEOUT, "front {front} does not listen; see {}", file.display());
             sleep(Duration::from_millis(5)).await;
         };
-        let mut all = self.all.lock().expect("nobody dies while holding the fronts");
-        all[front] = Front { child: Some(child), address: Some(address), home: Some(address) };
+        let mut fronts = self.fronts.lock().expect("nobody dies while holding the fronts");
+        fronts[front] = Front { child: Some(child), address: Some(address), last_address: Some(address) };
         // Players' way to each front is known once all have been started.
-        let homes: Option<Vec<SocketAddr>> = all.iter().map(|front| front.home).collect();
+        let homes: Option<Vec<SocketAddr>> = fronts.iter().map(|front| front.last_address).collect();
         if let Some(homes) = homes.filter(|homes| homes.len() > 1) {
             replace(&self.folder.join("homes.json"), serde_json::to_string(&homes)?.as_bytes())?;
         }
-        self.log.record(Observed::Front { front, up: true });
+        self.recorder.record(Observed::Front { front, up: true });
         Ok(address)
     }
 
@@ -285,29 +295,29 @@
     /// Kills a front outright.
     pub async fn kill(&self, front: usize) {
         let child = {
-            let mut all = self.all.lock().expect("nobody dies while holding the fronts");
-            all[front].address = None;
-            all[front].child.take()
+            let mut fronts = self.fronts.lock().expect("nobody dies while holding the fronts");
+            fronts[front].address = None;
+            fronts[front].child.take()
         };
-        self.log.record(Observed::Front { front, up: false });
+        self.recorder.record(Observed::Front { front, up: false });
         if let Some(mut child) = child {
             let _ = child.kill().await;
         }
     }
 
     /// Asks all to stop, and waits until they have.
-    pub async fn stop(&self, within: Duration) -> Result<()> {
+    pub async fn stop(&self, time_limit: Duration) -> Result<()> {
         for front in 0..self.count() {
             let child = {
-                let mut all = self.all.lock().expect("nobody dies while holding the fronts");
-                all[front].address = None;
-                all[front].child.take()
+                let mut fronts = self.fronts.lock().expect("nobody dies while holding the fronts");
+                fronts[front].address = None;
+                fronts[front].child.take()
             };
             let Some(mut child) = child else { continue };
-            if let Some(id) = child.id() {
-                Command::new("kill").args(["-TERM", &id.to_string()]).status().await?;
+            if let Some(process_id) = child.id() {
+                Command::new("kill").args(["-TERM", &process_id.to_string()]).status().await?;
             }
-            match tokio::time::timeout(within, child.wait()).await {
+            match tokio::time::timeout(time_limit, child.wait()).await {
                 Ok(status) if status.as_ref().is_ok_and(|s| s.success()) => {}
                 Ok(status) => {
                     let log = std::fs::read(self.log_file(front)).unwrap_or_default();
@@ -315,7 +325,7 @@
                     // Why it ended is its last word.
                     bail!("front {front} ended with {status:?}: {}", log.lines().last().unwrap_or_default());
                 }
-                Err(_) => bail!("front {front} did not stop within {within:?}"),
+                Err(_) => bail!("front {front} did not stop within {time_limit:?}"),
             }
         }
         Ok(())
@@ -323,12 +333,12 @@
 
     /// The process id of a front that runs.
     pub fn process(&self, front: usize) -> Option<u32> {
-        self.all.lock().expect("nobody dies while holding the fronts")[front].child.as_ref()?.id()
+        self.fronts.lock().expect("nobody dies while holding the fronts")[front].child.as_ref()?.id()
     }
 
     /// Waits for a front's own end; true if it ended well.
     pub async fn ended(&self, front: usize) -> bool {
-        let child = self.all.lock().expect("nobody dies while holding the fronts")[front].child.take();
+        let child = self.fronts.lock().expect("nobody dies while holding the fronts")[front].child.take();
         match child {
             Some(mut child) => child.wait().await.is_ok_and(|status| status.success()),
             None => false,
@@ -336,39 +346,39 @@
     }
 
     /// CPU time that a front has used so far, ms, and its resident memory, kB; from the process table.
-    pub fn used(&self, front: usize) -> Option<(f64, u64)> {
-        let id =
-            self.all.lock().expect("nobody dies while holding the fronts")[front].child.as_ref()?.id()?;
-        let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
-        let mut fields = stat.rsplit_once(") ")?.1.split(' ').skip(11);
+    pub fn resource_usage(&self, front: usize) -> Option<(f64, u64)> {
+        let process_id =
+            self.fronts.lock().expect("nobody dies while holding the fronts")[front].child.as_ref()?.id()?;
+        let stat_line = std::fs::read_to_string(format!("/proc/{process_id}/stat")).ok()?;
+        let mut fields = stat_line.rsplit_once(") ")?.1.split(' ').skip(11);
         let ticks: f64 = fields.next()?.parse::<f64>().ok()? + fields.next()?.parse::<f64>().ok()?;
-        let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
-        let memory = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?.trim().split(' ').next()?;
+        let status = std::fs::read_to_string(format!("/proc/{process_id}/status")).ok()?;
+        let memory_kb = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?.trim().split(' ').next()?;
         // The kernel counts in hundredths of a second.
-        Some((ticks * 10.0, memory.parse().ok()?))
+        Some((ticks * 10.0, memory_kb.parse().ok()?))
     }
 
     /// The front that is to be had there.
-    pub fn at(&self, address: SocketAddr) -> Option<usize> {
-        let all = self.all.lock().expect("nobody dies while holding the fronts");
-        all.iter().position(|front| front.address == Some(address))
+    pub fn front_at(&self, address: SocketAddr) -> Option<usize> {
+        let fronts = self.fronts.lock().expect("nobody dies while holding the fronts");
+        fronts.iter().position(|front| front.address == Some(address))
     }
 
     /// Where a viewer of this zone may ask: a front of the zone that runs, or any if none does. `draw` picks.
-    pub fn pick(&self, zone: usize, draw: u64) -> Option<(usize, SocketAddr)> {
-        let all = self.all.lock().expect("nobody dies while holding the fronts");
-        let up: Vec<(usize, SocketAddr)> =
-            all.iter().enumerate().filter_map(|(i, f)| Some((i, f.address?))).collect();
-        let own: Vec<(usize, SocketAddr)> =
-            up.iter().filter(|(i, _)| i % self.zones == zone).copied().collect();
-        let from = if own.is_empty() { &up } else { &own };
-        (!from.is_empty()).then(|| from[(draw % from.len() as u64) as usize])
+    pub fn choose_front(&self, zone: usize, draw: u64) -> Option<(usize, SocketAddr)> {
+        let fronts = self.fronts.lock().expect("nobody dies while holding the fronts");
+        let running: Vec<(usize, SocketAddr)> =
+            fronts.iter().enumerate().filter_map(|(i, f)| Some((i, f.address?))).collect();
+        let in_zone: Vec<(usize, SocketAddr)> =
+            running.iter().filter(|(i, _)| i % self.zone_count == zone).copied().collect();
+        let candidates = if in_zone.is_empty() { &running } else { &in_zone };
+        (!candidates.is_empty()).then(|| candidates[(draw % candidates.len() as u64) as usize])
     }
 }
 
 /// The address that a front tells with this message.
-fn tells(words: &[u8], message: &str) -> Option<SocketAddr> {
-    let lines = words.split(|b| *b == b'\n').filter_map(|l| serde_json::from_slice(l).ok());
+fn logged_address(log_bytes: &[u8], message: &str) -> Option<SocketAddr> {
+    let lines = log_bytes.split(|b| *b == b'\n').filter_map(|l| serde_json::from_slice(l).ok());
     let mut lines = lines.filter(|l: &serde_json::Value| l["message"] == message);
     lines.next()?["address"].as_str()?.parse().ok()
 }
--- a/crates/lab/src/host_load.rs
+++ b/crates/lab/src/host_load.rs
@@ -9,12 +9,12 @@
 use std::time::{Duration, Instant};
 
 /// So long is each sleep: short against what is looked for, and cheap.
-const NAP: Duration = Duration::from_millis(5);
+const SLEEP: Duration = Duration::from_millis(5);
 
 /// Watches until it is asked.
 pub struct HostLoad {
     stop: Arc<AtomicBool>,
-    naps: Vec<JoinHandle<f64>>,
+    sleepers: Vec<JoinHandle<f64>>,
 }
 
 impl HostLoad {
@@ -22,29 +22,33 @@
         let stop = Arc::new(AtomicBool::new(false));
         let allowed = sched_getaffinity(None).unwrap_or_default();
         let cores = (0..CpuSet::MAX_CPU).filter(|core| allowed.is_set(*core));
-        let naps = cores.map(|core| {
+        let sleepers = cores.map(|core| {
             let stop = stop.clone();
             std::thread::spawn(move || {
-                let mut own = CpuSet::new();
-                own.set(core);
+                let mut one_core = CpuSet::new();
+                one_core.set(core);
                 // Where it may not be held to its core it sleeps on any, and sees less.
-                let _ = sched_setaffinity(None, &own);
-                let mut latest = 0.0_f64;
+                let _ = sched_setaffinity(None, &one_core);
+                let mut max_lateness_ms = 0.0_f64;
                 while !stop.load(Ordering::Relaxed) {
-                    let since = Instant::now();
-                    std::thread::sleep(NAP);
-                    latest = latest.max(since.elapsed().saturating_sub(NAP).as_secs_f64() * 1000.0);
+                    let slept_at = Instant::now();
+                    std::thread::sleep(SLEEP);
+                    max_lateness_ms =
+                        max_lateness_ms.max(slept_at.elapsed().saturating_sub(SLEEP).as_secs_f64() * 1000.0);
                 }
-                latest
+                max_lateness_ms
             })
         });
-        HostLoad { naps: naps.collect(), stop }
+        HostLoad { sleepers: sleepers.collect(), stop }
     }
 
     /// The latest that anyone woke, ms.
     pub fn lateness_ms(mut self) -> f64 {
         self.stop.store(true, Ordering::Relaxed);
-        std::mem::take(&mut self.naps).into_iter().filter_map(|nap| nap.join().ok()).fold(0.0, f64::max)
+        std::mem::take(&mut self.sleepers)
+            .into_iter()
+            .filter_map(|sleeper| sleeper.join().ok())
+            .fold(0.0, f64::max)
     }
 }
 
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -2,7 +2,7 @@
 //! bytes against a direct read. Arrivals are open-loop and latency counts from the intended time, so a front
 //! that falls behind shows; a generator that falls behind says so.
 
-use crate::environment::{Title, ms};
+use crate::environment::{Title, from_ms};
 use crate::fronts::{FRONT, Fronts, Program, portal_keys};
 use crate::report::{Quantiles, quantiles};
 use crate::scenario::Scenario;
@@ -23,11 +23,11 @@
 use tokio_rustls::TlsConnector;
 
 /// The p99 of set-up time up to which a rate counts as carried, ms.
-const CARRIED: f64 = 50.0;
+const MAX_CARRIED_P99_MS: f64 = 50.0;
 /// A generator whose latest start is later than this has fallen behind, ms.
-const BEHIND: f64 = 25.0;
+const MAX_LATENESS_MS: f64 = 25.0;
 /// Plays that are held at once for the memory figure.
-const HELD: usize = 10_000;
+const HELD_PLAYS: usize = 10_000;
 
 #[derive(Debug, Serialize)]
 pub struct Costs {
@@ -55,7 +55,7 @@
     pub behind: bool,
 }
 
-fn day(tls: bool) -> Result<Scenario> {
+fn load_scenario(tls: bool) -> Result<Scenario> {
     Ok(serde_json::from_value(json!({
         "tls": tls, "seed": 1, "seconds": 1, "fronts": 1, "zones": ["here"],
         "fleet": {
@@ -85,253 +85,264 @@
     }))?)
 }
 
-struct Rig {
-    boxes: FakeServers,
+struct LoadTest {
+    servers: FakeServers,
     fronts: Fronts,
-    front: SocketAddr,
+    front_address: SocketAddr,
     titles: Vec<Title>,
-    portal: KeyRing,
-    next: AtomicU64,
+    portal_keys: KeyRing,
+    next_number: AtomicU64,
     /// How players speak to the front, and a front's like to servers, under TLS.
-    seals: Option<(TlsConnector, TlsConnector)>,
+    tls: Option<(TlsConnector, TlsConnector)>,
 }
 
 pub async fn run(program: Program, folder: &Path, seconds: f64, tls: bool) -> Result<Costs> {
-    let set = Testbed::build(day(tls)?, program, folder).await?;
-    let front = set.start().await?[0];
-    let Testbed { boxes, fronts, titles, .. } = set;
+    let testbed = Testbed::build(load_scenario(tls)?, program, folder).await?;
+    let front_address = testbed.start().await?[0];
+    let Testbed { boxes: servers, fronts, titles, .. } = testbed;
     let titles = titles.to_vec();
-    let seals = match (fronts.connector()?, &fronts.authority) {
+    let tls = match (fronts.connector()?, &fronts.authority) {
         (Some(players), Some(authority)) => {
-            let paper = authority.issue_long_lived(FRONT);
-            Some((players, authority.connector(Some(&paper))?))
+            let certificate = authority.issue_long_lived(FRONT);
+            Some((players, authority.connector(Some(&certificate))?))
         }
         _ => None,
     };
-    let next = AtomicU64::new(0);
-    let rig = Arc::new(Rig { boxes, fronts, front, titles, portal: portal_keys(), next, seals });
+    let next_number = AtomicU64::new(0);
+    let test = Arc::new(LoadTest {
+        servers,
+        fronts,
+        front_address,
+        titles,
+        portal_keys: portal_keys(),
+        next_number,
+        tls,
+    });
     // Warm: allocators, connections, and the decisions' first figures.
-    rig.rate(200.0, 1.0).await?;
-    let mut rates = vec![rig.rate(30.0, 2.0 * seconds).await?];
-    let mut most = 0.0;
+    test.measure_rate(200.0, 1.0).await?;
+    let mut rates = vec![test.measure_rate(30.0, 2.0 * seconds).await?];
+    let mut max_per_s = 0.0;
     let mut per_s = 250.0;
     while per_s < 20_000.0 {
-        let rate = rig.rate(per_s, if per_s < 1500.0 { seconds } else { seconds / 2.0 }).await?;
-        let carried = rate.front_ms.p99 <= CARRIED && rate.failed == 0 && !rate.behind;
+        let rate = test.measure_rate(per_s, if per_s < 1500.0 { seconds } else { seconds / 2.0 }).await?;
+        let is_carried = rate.front_ms.p99 <= MAX_CARRIED_P99_MS && rate.failed == 0 && !rate.behind;
         rates.push(rate);
-        if !carried {
+        if !is_carried {
             break;
         }
-        most = per_s;
+        max_per_s = per_s;
         per_s *= if per_s < 500.0 { 2.0 } else { 1.25 };
     }
-    sleep(ms(1000.0)).await;
-    let (relay_mb_s, direct_mb_s) = rig.relay(seconds).await?;
-    let memory = |rig: &Rig| Ok(rig.fronts.used(0).context("the front runs")?.1);
-    let before: Result<u64> = memory(&rig);
-    for _ in 0..HELD {
-        let (answer, _) = rig.play().await?;
-        ensure!(answer == 200, "a play that was to be held was answered {answer}");
+    sleep(from_ms(1000.0)).await;
+    let (relay_mb_s, direct_mb_s) = test.measure_relay(seconds).await?;
+    let read_memory_kb = |test: &LoadTest| Ok(test.fronts.resource_usage(0).context("the front runs")?.1);
+    let memory_before: Result<u64> = read_memory_kb(&test);
+    for _ in 0..HELD_PLAYS {
+        let (status, _) = test.set_up_play().await?;
+        ensure!(status == 200, "a play that was to be held was answered {status}");
     }
-    let held: Result<u64> = memory(&rig);
-    rig.fronts.kill(0).await;
+    let memory_held: Result<u64> = read_memory_kb(&test);
+    test.fronts.kill(0).await;
     Ok(Costs {
         rates,
-        most_a_second: most,
-        held: HELD,
-        memory_before_kb: before?,
-        memory_held_kb: held?,
+        most_a_second: max_per_s,
+        held: HELD_PLAYS,
+        memory_before_kb: memory_before?,
+        memory_held_kb: memory_held?,
         relay_mb_s,
         direct_mb_s,
     })
 }
 
-impl Rig {
-    async fn call_front(&self) -> std::io::Result<HttpPeer> {
-        HttpPeer::connect(self.front, self.seals.as_ref().map(|seals| (&seals.0, FRONT))).await
+impl LoadTest {
+    async fn connect_to_front(&self) -> std::io::Result<HttpPeer> {
+        HttpPeer::connect(self.front_address, self.tls.as_ref().map(|tls| (&tls.0, FRONT))).await
     }
 
-    async fn call_server(&self, server: usize) -> std::io::Result<HttpPeer> {
+    async fn connect_to_server(&self, server: usize) -> std::io::Result<HttpPeer> {
         let name = format!("m{server}");
-        let seal = self.seals.as_ref().map(|seals| (&seals.1, name.as_str()));
-        HttpPeer::connect(self.boxes.addresses[server], seal).await
+        let tls_and_name = self.tls.as_ref().map(|tls| (&tls.1, name.as_str()));
+        HttpPeer::connect(self.servers.addresses[server], tls_and_name).await
     }
 
     /// Asks for a play on a connection of its own; its status and the manifest.
-    async fn play(&self) -> Result<(u16, Vec<u8>)> {
-        let n = self.next.fetch_add(1, Ordering::Relaxed);
-        let title = &self.titles[n as usize % self.titles.len()].name;
-        let token = self.portal.sign(&EntryToken {
-            jti: format!("s{n}"),
+    async fn set_up_play(&self) -> Result<(u16, Vec<u8>)> {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        let title = &self.titles[number as usize % self.titles.len()].name;
+        let token = self.portal_keys.sign(&EntryToken {
+            jti: format!("s{number}"),
             sub: "v".into(),
             product: "any".into(),
             title: title.clone(),
             top: 0,
             exp: u64::MAX >> 12,
         });
-        let mut peer = self.call_front().await?;
+        let mut peer = self.connect_to_front().await?;
         let target = address::manifest_path("any", title, &token);
         peer.write(format!("GET {target} HTTP/1.1\r\nHost: f\r\n\r\n").as_bytes()).await?;
-        let answer = peer.read_response().await?.context("the front closed")?;
-        Ok((answer.status, answer.body))
+        let response = peer.read_response().await?.context("the front closed")?;
+        Ok((response.status, response.body))
     }
 
-    async fn end(&self, manifest: &[u8]) -> Result<()> {
-        let mut peer = self.call_front().await?;
-        let base = base(manifest)?;
-        peer.write(format!("DELETE {base} HTTP/1.1\r\nHost: f\r\n\r\n").as_bytes()).await?;
+    async fn end_play(&self, manifest: &[u8]) -> Result<()> {
+        let mut peer = self.connect_to_front().await?;
+        let base_path = base_url(manifest)?;
+        peer.write(format!("DELETE {base_path} HTTP/1.1\r\nHost: f\r\n\r\n").as_bytes()).await?;
         peer.read_response().await?;
         Ok(())
     }
 
     /// A set-up at a server itself, and its end.
-    async fn direct(&self) -> Result<u16> {
-        let n = self.next.fetch_add(1, Ordering::Relaxed);
-        let mut peer = self.call_server(n as usize % self.boxes.addresses.len()).await?;
-        let title = &self.titles[n as usize % self.titles.len()].name;
+    async fn set_up_at_server(&self) -> Result<u16> {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        let mut peer = self.connect_to_server(number as usize % self.servers.addresses.len()).await?;
+        let title = &self.titles[number as usize % self.titles.len()].name;
         let body = json!({ "title": title, "product": "any", "rung": 0, "session": "d" }).to_string();
         let head =
-            format!("POST /plays/d-{n}-1 HTTP/1.1\r\nHost: b\r\nContent-Length: {}\r\n\r\n", body.len());
+            format!("POST /plays/d-{number}-1 HTTP/1.1\r\nHost: b\r\nContent-Length: {}\r\n\r\n", body.len());
         peer.write((head + &body).as_bytes()).await?;
         Ok(peer.read_response_head().await?.context("the server closed")?.status)
     }
 
     /// Open-loop arrivals of one kind; latencies from the intended times, failures, and the latest start.
-    async fn arrive<F, R>(&self, per_s: f64, seconds: f64, one: F) -> (Vec<f64>, usize, f64)
+    async fn run_open_loop<F, R>(&self, per_s: f64, seconds: f64, start_one: F) -> (Vec<f64>, usize, f64)
     where
         F: Fn(Instant) -> R,
         R: Future<Output = Option<f64>> + Send + 'static,
     {
-        let start = Instant::now() + ms(20.0);
-        let (mut late, mut all) = (0.0f64, Vec::new());
+        let start = Instant::now() + from_ms(20.0);
+        let (mut max_delay_ms, mut tasks) = (0.0f64, Vec::new());
         for i in 0..(per_s * seconds) as usize {
-            let due = start + Duration::from_secs_f64(i as f64 / per_s);
-            sleep_until(due).await;
-            late = late.max(due.elapsed().as_secs_f64() * 1000.0);
-            all.push(tokio::spawn(one(due)));
+            let due_at = start + Duration::from_secs_f64(i as f64 / per_s);
+            sleep_until(due_at).await;
+            max_delay_ms = max_delay_ms.max(due_at.elapsed().as_secs_f64() * 1000.0);
+            tasks.push(tokio::spawn(start_one(due_at)));
         }
-        let (mut took, mut failed) = (Vec::new(), 0);
-        for one in all {
-            match one.await {
-                Ok(Some(ms)) => took.push(ms),
+        let (mut latencies_ms, mut failed) = (Vec::new(), 0);
+        for task in tasks {
+            match task.await {
+                Ok(Some(ms)) => latencies_ms.push(ms),
                 _ => failed += 1,
             }
         }
-        (took, failed, late)
+        (latencies_ms, failed, max_delay_ms)
     }
 
-    async fn rate(self: &Arc<Rig>, per_s: f64, seconds: f64) -> Result<Rate> {
-        let since = |due: Instant| due.elapsed().as_secs_f64() * 1000.0;
-        let rig = self.clone();
-        let kept = Arc::new(Mutex::new(Vec::<HttpPeer>::new()));
-        let (bare, _, _) = self
-            .arrive(per_s, seconds, move |due| {
-                let (rig, kept) = (rig.clone(), kept.clone());
+    async fn measure_rate(self: &Arc<LoadTest>, per_s: f64, seconds: f64) -> Result<Rate> {
+        let elapsed_ms = |due_at: Instant| due_at.elapsed().as_secs_f64() * 1000.0;
+        let test = self.clone();
+        let idle_connections = Arc::new(Mutex::new(Vec::<HttpPeer>::new()));
+        let (bare_ms, _, _) = self
+            .run_open_loop(per_s, seconds, move |due_at| {
+                let (test, idle_connections) = (test.clone(), idle_connections.clone());
                 async move {
-                    let peer = kept.lock().expect("no exchange dies").pop();
+                    let peer = idle_connections.lock().expect("no exchange dies").pop();
                     let mut peer = match peer {
                         Some(peer) => peer,
-                        None => rig.call_server(0).await.ok()?,
+                        None => test.connect_to_server(0).await.ok()?,
                     };
                     peer.write(b"GET /load HTTP/1.1\r\nHost: b\r\n\r\n").await.ok()?;
                     peer.read_response().await.ok()??;
-                    let took = since(due);
-                    kept.lock().expect("no exchange dies").push(peer);
-                    Some(took)
+                    let latency_ms = elapsed_ms(due_at);
+                    idle_connections.lock().expect("no exchange dies").push(peer);
+                    Some(latency_ms)
                 }
             })
             .await;
-        let rig = self.clone();
-        let (direct, _, _) = self
-            .arrive(per_s, seconds, move |due| {
-                let rig = rig.clone();
-                async move { (rig.direct().await.ok()? == 200).then(|| since(due)) }
+        let test = self.clone();
+        let (direct_ms, _, _) = self
+            .run_open_loop(per_s, seconds, move |due_at| {
+                let test = test.clone();
+                async move { (test.set_up_at_server().await.ok()? == 200).then(|| elapsed_ms(due_at)) }
             })
             .await;
-        let before = self.fronts.used(0).context("the front runs")?.0;
-        let rig = self.clone();
-        let (front, failed, late) = self
-            .arrive(per_s, seconds, move |due| {
-                let rig = rig.clone();
+        let cpu_before_ms = self.fronts.resource_usage(0).context("the front runs")?.0;
+        let test = self.clone();
+        let (front_ms, failed, max_delay_ms) = self
+            .run_open_loop(per_s, seconds, move |due_at| {
+                let test = test.clone();
                 async move {
-                    let (status, manifest) = timeout(ms(15_000.0), rig.play()).await.ok()?.ok()?;
-                    let took = since(due);
+                    let (status, manifest) =
+                        timeout(from_ms(15_000.0), test.set_up_play()).await.ok()?.ok()?;
+                    let latency_ms = elapsed_ms(due_at);
                     if status == 200 {
-                        rig.end(&manifest).await.ok()?;
+                        test.end_play(&manifest).await.ok()?;
                     }
-                    (status == 200).then_some(took)
+                    (status == 200).then_some(latency_ms)
                 }
             })
             .await;
-        let plays = front.len() + failed;
-        let cpu = self.fronts.used(0).context("the front runs")?.0 - before;
+        let plays = front_ms.len() + failed;
+        let cpu_ms = self.fronts.resource_usage(0).context("the front runs")?.0 - cpu_before_ms;
         Ok(Rate {
             per_s,
             plays,
             failed,
-            bare_ms: quantiles(bare.into_iter())?,
-            direct_ms: quantiles(direct.into_iter())?,
-            front_ms: quantiles(front.into_iter())?,
-            cpu_ms_a_play: cpu / plays.max(1) as f64,
-            lateness_ms: late,
-            behind: late > BEHIND,
+            bare_ms: quantiles(bare_ms.into_iter())?,
+            direct_ms: quantiles(direct_ms.into_iter())?,
+            front_ms: quantiles(front_ms.into_iter())?,
+            cpu_ms_a_play: cpu_ms / plays.max(1) as f64,
+            lateness_ms: max_delay_ms,
+            behind: max_delay_ms > MAX_LATENESS_MS,
         })
     }
 
     /// Bytes a second of one segment after another, four readers at once, through the front and from a server.
-    async fn relay(self: &Arc<Rig>, seconds: f64) -> Result<(f64, f64)> {
-        let mut plays = Vec::new();
+    async fn measure_relay(self: &Arc<LoadTest>, seconds: f64) -> Result<(f64, f64)> {
+        let mut readers = Vec::new();
         for _ in 0..4 {
-            let (status, manifest) = self.play().await?;
+            let (status, manifest) = self.set_up_play().await?;
             ensure!(status == 200, "a play to read from was answered {status}");
-            plays.push((self.call_front().await?, format!("{}0/1.m4s", base(&manifest)?)));
+            readers.push((self.connect_to_front().await?, format!("{}0/1.m4s", base_url(&manifest)?)));
         }
-        let through = read_for(plays, seconds).await?;
-        let mut direct = Vec::new();
-        let mut held = Vec::new();
-        for n in 0..4 {
-            let mut peer = self.call_server(n).await?;
+        let through_front = measure_throughput(readers, seconds).await?;
+        let mut direct_readers = Vec::new();
+        let mut open_plays = Vec::new();
+        for server in 0..4 {
+            let mut peer = self.connect_to_server(server).await?;
             let body = json!({
-                "title": self.titles[n].name, "product": "any", "rung": 0, "session": "r",
+                "title": self.titles[server].name, "product": "any", "rung": 0, "session": "r",
             })
             .to_string();
-            let head =
-                format!("POST /plays/r-{n}-1 HTTP/1.1\r\nHost: b\r\nContent-Length: {}\r\n\r\n", body.len());
+            let head = format!(
+                "POST /plays/r-{server}-1 HTTP/1.1\r\nHost: b\r\nContent-Length: {}\r\n\r\n",
+                body.len()
+            );
             peer.write((head + &body).as_bytes()).await?;
             peer.read_response_head().await?.context("the server closed")?;
-            held.push(peer);
-            direct.push((self.call_server(n).await?, format!("/plays/r-{n}-1/0/1")));
+            open_plays.push(peer);
+            direct_readers.push((self.connect_to_server(server).await?, format!("/plays/r-{server}-1/0/1")));
         }
-        Ok((through, read_for(direct, seconds).await?))
+        Ok((through_front, measure_throughput(direct_readers, seconds).await?))
     }
 }
 
-async fn read_for(from: Vec<(HttpPeer, String)>, seconds: f64) -> Result<f64> {
+async fn measure_throughput(readers: Vec<(HttpPeer, String)>, seconds: f64) -> Result<f64> {
     let start = Instant::now();
-    let until = start + Duration::from_secs_f64(seconds);
-    let mut all = Vec::new();
-    for (mut peer, target) in from {
-        all.push(tokio::spawn(async move {
+    let ends_at = start + Duration::from_secs_f64(seconds);
+    let mut tasks = Vec::new();
+    for (mut peer, target) in readers {
+        tasks.push(tokio::spawn(async move {
             let mut bytes = 0;
-            while Instant::now() < until {
+            while Instant::now() < ends_at {
                 peer.write(format!("GET {target} HTTP/1.1\r\nHost: f\r\n\r\n").as_bytes()).await?;
-                let answer = peer.read_response().await?.context("closed in the middle")?;
-                ensure!(answer.status == 200, "a segment was answered {}", answer.status);
-                bytes += answer.body.len();
+                let response = peer.read_response().await?.context("closed in the middle")?;
+                ensure!(response.status == 200, "a segment was answered {}", response.status);
+                bytes += response.body.len();
             }
             Ok(bytes)
         }));
     }
     let mut bytes = 0;
-    for one in all {
-        bytes += one.await??;
+    for task in tasks {
+        bytes += task.await??;
     }
     Ok(bytes as f64 / 1e6 / start.elapsed().as_secs_f64())
 }
 
 /// Where a manifest says that its segments are. Found by its tags: a parser's milliseconds would be counted as the
 /// front's, since they share the machine.
-fn base(manifest: &[u8]) -> Result<&str> {
+fn base_url(manifest: &[u8]) -> Result<&str> {
     let text = std::str::from_utf8(manifest)?;
     let rest = text.split_once("<BaseURL>").and_then(|(_, rest)| rest.split_once("</BaseURL>"));
     Ok(rest.context("a manifest has its base")?.0)
@@ -339,7 +350,7 @@
 
 impl Costs {
     pub fn text(&self) -> String {
-        let mut out = format!(
+        let mut text = format!(
             "{:>9} {:>7} {:>24} {:>24} {:>30} {:>9} {:>8}\n",
             "plays/s",
             "failed",
@@ -349,33 +360,37 @@
             "CPU ms",
             "late ms"
         );
-        let three = |q: &Quantiles| format!("{:.2}/{:.2}/{:.2}", q.p50, q.p99, q.p999);
-        for r in &self.rates {
-            let times = r.front_ms.p50 / r.bare_ms.p50.max(1e-9);
-            out += &format!(
+        let format_quantiles = |q: &Quantiles| format!("{:.2}/{:.2}/{:.2}", q.p50, q.p99, q.p999);
+        for rate in &self.rates {
+            let ratio = rate.front_ms.p50 / rate.bare_ms.p50.max(1e-9);
+            text += &format!(
                 "{:>9.0} {:>7} {:>24} {:>24} {:>30} {:>9.3} {:>8.1}{}\n",
-                r.per_s,
-                r.failed,
-                three(&r.bare_ms),
-                three(&r.direct_ms),
-                format!("{} ({times:.1})", three(&r.front_ms)),
-                r.cpu_ms_a_play,
-                r.lateness_ms,
-                if r.behind { "  the generator fell behind: no result" } else { "" }
+                rate.per_s,
+                rate.failed,
+                format_quantiles(&rate.bare_ms),
+                format_quantiles(&rate.direct_ms),
+                format!("{} ({ratio:.1})", format_quantiles(&rate.front_ms)),
+                rate.cpu_ms_a_play,
+                rate.lateness_ms,
+                if rate.behind { "  the generator fell behind: no result" } else { "" }
             );
         }
-        out += &format!("most plays a second with p99 within {CARRIED} ms: {:.0}\n", self.most_a_second);
-        let each = (self.memory_held_kb.saturating_sub(self.memory_before_kb)) as f64 / self.held as f64;
-        out += &format!(
-            "memory: {} kB before, {} kB with {} plays held ({each:.2} kB each)\n",
+        text += &format!(
+            "most plays a second with p99 within {MAX_CARRIED_P99_MS} ms: {:.0}\n",
+            self.most_a_second
+        );
+        let kb_per_play =
+            (self.memory_held_kb.saturating_sub(self.memory_before_kb)) as f64 / self.held as f64;
+        text += &format!(
+            "memory: {} kB before, {} kB with {} plays held ({kb_per_play:.2} kB each)\n",
             self.memory_before_kb, self.memory_held_kb, self.held
         );
-        out += &format!(
+        text += &format!(
             "relay: {:.0} MB/s through the front, {:.0} MB/s read from the servers ({:.2})\n",
             self.relay_mb_s,
             self.direct_mb_s,
             self.relay_mb_s / self.direct_mb_s.max(1e-9)
         );
-        out
+        text
     }
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -60,32 +60,32 @@
 }
 
 /// The front that was built with this program.
-fn beside() -> Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    let edge = own.with_file_name("pulleystair-edge");
+fn find_edge_binary() -> Result<PathBuf> {
+    let this_program = std::env::current_exe()?;
+    let edge = this_program.with_file_name("pulleystair-edge");
     edge.exists()
         .then_some(edge)
         .context("there is no pulleystair-edge beside this program: build the workspace")
 }
 
 /// Servers until interrupted, and a way in for each product's first title.
-async fn boxes(day: Scenario, out: &Path) -> Result<()> {
-    let set = Testbed::build(day, Program::edge(PathBuf::new()), out).await?;
-    println!("{} servers run; list, keys and rundowns are in {}", set.day.fleet.servers, out.display());
+async fn run_fake_servers(scenario: Scenario, out: &Path) -> Result<()> {
+    let testbed = Testbed::build(scenario, Program::edge(PathBuf::new()), out).await?;
+    println!("{} servers run; list, keys and rundowns are in {}", testbed.day.fleet.servers, out.display());
     println!("a front: pulleystair-edge run {}", out.join("front-0.json").display());
-    let scheme = if set.day.tls { "https" } else { "http" };
+    let scheme = if testbed.day.tls { "https" } else { "http" };
     println!("then, with its address in place of FRONT, within the hour:");
-    for (product, of) in set.day.products.iter().enumerate() {
-        let Some(title) = set.titles.iter().find(|t| t.product == product) else { continue };
+    for (product, product_config) in testbed.day.products.iter().enumerate() {
+        let Some(title) = testbed.titles.iter().find(|t| t.product == product) else { continue };
         let entry = portal_keys().sign(&EntryToken {
             jti: format!("by-hand-{product}"),
             sub: "by-hand".into(),
-            product: of.name.clone(),
+            product: product_config.name.clone(),
             title: title.name.clone(),
-            top: set.day.ladder.len() - 1,
-            exp: (set.log.now() / 1000.0) as u64 + 3600,
+            top: testbed.day.ladder.len() - 1,
+            exp: (testbed.log.now() / 1000.0) as u64 + 3600,
         });
-        println!("  {scheme}://FRONT{}", address::manifest_path(&of.name, &title.name, &entry));
+        println!("  {scheme}://FRONT{}", address::manifest_path(&product_config.name, &title.name, &entry));
     }
     Ok(tokio::signal::ctrl_c().await?)
 }
@@ -93,28 +93,28 @@
 fn run(command: Command) -> Result<bool> {
     match command.job {
         Job::Day { script, seed, out, edge, baseline } => {
-            let mut day = Scenario::read(&script)?;
-            day.seed = seed.unwrap_or(day.seed);
+            let mut scenario = Scenario::read(&script)?;
+            scenario.seed = seed.unwrap_or(scenario.seed);
             let program = if baseline {
                 Program { path: std::env::current_exe()?, words: vec!["baseline".into()] }
             } else {
-                Program::edge(edge.map_or_else(beside, Ok)?)
+                Program::edge(edge.map_or_else(find_edge_binary, Ok)?)
             };
             let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-            let outcome = runtime.block_on(scenario_run::run(day.clone(), program, &out))?;
-            let it = report::report(&day, &outcome)?;
-            print!("{}", it.text());
-            std::fs::write(out.join("report.json"), serde_json::to_string_pretty(&it)?)?;
-            report::plot(&day, &outcome, &out.join("plays.svg"))?;
-            let broken: Vec<u8> = outcome.breaches.iter().map(|breach| breach.rule).collect();
-            let what = format!("{}, seed {}", script.display(), day.seed);
-            let history = History::new(&what, &broken, day.terms(), outcome.seen);
+            let result = runtime.block_on(scenario_run::run(scenario.clone(), program, &out))?;
+            let summary = report::summarize(&scenario, &result)?;
+            print!("{}", summary.text());
+            std::fs::write(out.join("report.json"), serde_json::to_string_pretty(&summary)?)?;
+            report::plot(&scenario, &result, &out.join("plays.svg"))?;
+            let broken_rules: Vec<u8> = result.breaches.iter().map(|breach| breach.rule).collect();
+            let description = format!("{}, seed {}", script.display(), scenario.seed);
+            let history = History::new(&description, &broken_rules, scenario.terms(), result.seen);
             std::fs::write(out.join("seen.jsonl"), history.to_text()?)?;
             println!("report.json, plays.svg, seen.jsonl and the fronts' logs are in {}", out.display());
-            Ok(outcome.breaches.is_empty())
+            Ok(result.breaches.is_empty())
         }
         Job::Load { seconds, out, tls, edge } => {
-            let program = Program::edge(edge.map_or_else(beside, Ok)?);
+            let program = Program::edge(edge.map_or_else(find_edge_binary, Ok)?);
             let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
             let costs = runtime.block_on(load::run(program, &out, seconds, tls))?;
             print!("{}", costs.text());
@@ -123,11 +123,11 @@
         }
         Job::Boxes { script, out } => {
             let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-            runtime.block_on(boxes(Scenario::read(&script)?, &out))?;
+            runtime.block_on(run_fake_servers(Scenario::read(&script)?, &out))?;
             Ok(true)
         }
-        Job::Baseline { rundown } => {
-            tokio::runtime::Runtime::new()?.block_on(baseline::run(&rundown))?;
+        Job::Baseline { rundown: config_file } => {
+            tokio::runtime::Runtime::new()?.block_on(baseline::run(&config_file))?;
             Ok(true)
         }
     }
--- a/crates/lab/src/players.rs
+++ b/crates/lab/src/players.rs
@@ -1,9 +1,9 @@
 //! Players that come by a schedule, open-loop: each asks for a manifest, fetches segments as it plays, retries,
 //! leaves and comes back. They speak to fronts over sockets alone, and log what they see.
 
-use crate::environment::{Title, ms};
+use crate::environment::{Title, from_ms};
 use crate::fronts::{FRONT, Fronts};
-use crate::scenario::{Kind, Scenario};
+use crate::scenario::{FaultKind, Scenario};
 use anyhow::Result;
 use pulleystair_dash::address;
 use pulleystair_dash::token::EntryToken;
@@ -22,27 +22,27 @@
 use tokio_rustls::TlsConnector;
 
 /// Times that a viewer comes again, at most.
-const COMES: usize = 3;
+const MAX_VISITS: usize = 3;
 /// Segments that a player keeps ahead of what it shows.
-const AHEAD: u64 = 2;
+const SEGMENTS_AHEAD: u64 = 2;
 /// Tries of one segment.
-const TRIES: usize = 3;
+const MAX_SEGMENT_TRIES: usize = 3;
 /// After the time limit a player still listens for so long, so that a late answer is seen as late.
-const LISTEN: f64 = 1_000.0;
+const LATE_ANSWER_MS: f64 = 1_000.0;
 
 /// One viewer's play as it came, all its tries included.
 #[derive(Clone, Debug, Default)]
 pub struct PlayerResult {
     pub product: usize,
     /// ms since the day began.
-    pub came: f64,
+    pub arrived_at: f64,
     /// From the first request to the manifest, where one came.
     pub set_up_ms: Option<f64>,
     /// The last answer to a manifest request; 0 where none came.
     pub status: u16,
     pub tries: usize,
     pub segments: usize,
-    pub rungs: usize,
+    pub rung_sum: usize,
     /// What the rungs it was shown at earn, by the second, and how long the title is.
     pub earned_s: f64,
     pub title_s: f64,
@@ -54,144 +54,171 @@
 /// One arrival, drawn before the day begins.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    pub at: f64,
+    pub arrives_at: f64,
     pub title: usize,
     pub zone: usize,
-    pub top: usize,
+    pub max_rung: usize,
     pub seed: u64,
 }
 
 /// All arrivals of a day: Poisson at the usual rate, more in surges and crowds.
-pub fn arrivals(day: &Scenario, titles: &[Title]) -> Vec<Arrival> {
-    let mut rnd = StdRng::seed_from_u64(day.seed ^ 0xa221);
-    let by_product =
+pub fn arrivals(scenario: &Scenario, titles: &[Title]) -> Vec<Arrival> {
+    let mut rng = StdRng::seed_from_u64(scenario.seed ^ 0xa221);
+    let titles_of =
         |p: usize| -> Vec<usize> { (0..titles.len()).filter(|t| titles[*t].product == p).collect() };
-    let products: Vec<Vec<usize>> = (0..day.products.len()).map(by_product).collect();
-    let parts: f64 = day.products.iter().map(|p| p.part).sum();
-    let mut out = Vec::new();
-    let mut draw = |at: f64, crowd: bool, rnd: &mut StdRng| {
-        let mut pick = rnd.random::<f64>() * parts;
-        let product = day.products.iter().position(|p| {
-            pick -= p.part;
-            pick < 0.0
+    let titles_by_product: Vec<Vec<usize>> = (0..scenario.products.len()).map(titles_of).collect();
+    let parts: f64 = scenario.products.iter().map(|p| p.part).sum();
+    let mut arrivals = Vec::new();
+    let mut draw_arrival = |arrives_at: f64, is_crowd: bool, rng: &mut StdRng| {
+        let mut remaining_part = rng.random::<f64>() * parts;
+        let product = scenario.products.iter().position(|p| {
+            remaining_part -= p.part;
+            remaining_part < 0.0
         });
-        let product = if crowd { 0 } else { product.unwrap_or(0) };
-        let of = &products[product];
-        let zipf = Zipf::new(of.len() as f64, 0.9).expect("titles are counted from 1");
+        let product = if is_crowd { 0 } else { product.unwrap_or(0) };
+        let product_titles = &titles_by_product[product];
+        let zipf = Zipf::new(product_titles.len() as f64, 0.9).expect("titles are counted from 1");
         // A crowd comes for the least wanted title, which few servers are sized for.
-        let title = if crowd { of[of.len() - 1] } else { of[zipf.sample(rnd) as usize - 1] };
-        let last = day.ladder.len() - 1;
-        let top = if rnd.random::<f64>() < day.players.small { last / 2 } else { last };
-        let top = top.max(day.products[product].floor);
-        let zone = rnd.random_range(0..day.zones.len());
-        out.push(Arrival { at, title, zone, top, seed: rnd.random() });
+        let title = if is_crowd {
+            product_titles[product_titles.len() - 1]
+        } else {
+            product_titles[zipf.sample(rng) as usize - 1]
+        };
+        let highest_rung = scenario.ladder.len() - 1;
+        let max_rung =
+            if rng.random::<f64>() < scenario.players.small { highest_rung / 2 } else { highest_rung };
+        let max_rung = max_rung.max(scenario.products[product].floor);
+        let zone = rng.random_range(0..scenario.zones.len());
+        arrivals.push(Arrival { arrives_at, title, zone, max_rung, seed: rng.random() });
     };
-    let mut steady = |from: f64, to: f64, per_s: f64, crowd: bool| {
-        let mut at = from;
+    let mut add_poisson_arrivals = |from: f64, to: f64, per_s: f64, is_crowd: bool| {
+        let mut arrives_at = from;
         loop {
-            at += -(1.0 - rnd.random::<f64>()).ln() / per_s;
-            if at >= to {
+            arrives_at += -(1.0 - rng.random::<f64>()).ln() / per_s;
+            if arrives_at >= to {
                 return;
             }
-            draw(at * 1000.0, crowd, &mut rnd);
+            draw_arrival(arrives_at * 1000.0, is_crowd, &mut rng);
         }
     };
-    steady(0.0, day.seconds, day.players.per_s, false);
-    for trouble in day.troubles.iter().filter(|t| matches!(t.kind, Kind::Surge | Kind::Crowd)) {
-        let crowd = trouble.kind == Kind::Crowd;
-        let more = day.players.per_s * if crowd { trouble.size } else { trouble.size - 1.0 };
-        if more > 0.0 {
-            steady(trouble.at_s, (trouble.at_s + trouble.length_s).min(day.seconds), more, crowd);
+    add_poisson_arrivals(0.0, scenario.seconds, scenario.players.per_s, false);
+    for fault in scenario.troubles.iter().filter(|t| matches!(t.kind, FaultKind::Surge | FaultKind::Crowd)) {
+        let is_crowd = fault.kind == FaultKind::Crowd;
+        let extra_per_s = scenario.players.per_s * if is_crowd { fault.size } else { fault.size - 1.0 };
+        if extra_per_s > 0.0 {
+            add_poisson_arrivals(
+                fault.at_s,
+                (fault.at_s + fault.length_s).min(scenario.seconds),
+                extra_per_s,
+                is_crowd,
+            );
         }
     }
-    out.sort_by(|a, b| a.at.total_cmp(&b.at));
-    out
+    arrivals.sort_by(|a, b| a.arrives_at.total_cmp(&b.arrives_at));
+    arrivals
 }
 
 /// What all players of a day share.
 pub struct PlayerPool {
-    pub day: Arc<Scenario>,
+    pub scenario: Arc<Scenario>,
     pub titles: Arc<Vec<Title>>,
     pub fronts: Fronts,
     /// How players speak to fronts, where that is under TLS.
-    pub seal: Option<TlsConnector>,
-    pub log: Recorder,
-    pub requests: AtomicU64,
-    pub watched: Mutex<Vec<PlayerResult>>,
+    pub tls: Option<TlsConnector>,
+    pub recorder: Recorder,
+    pub next_request: AtomicU64,
+    pub results: Mutex<Vec<PlayerResult>>,
 }
 
 /// How a manifest request ended.
-enum Told {
-    Answer(Message),
+enum ManifestResult {
+    Response(Message),
     /// The connection broke, or could not be had.
-    Cut,
-    Silence,
+    Disconnected,
+    TimedOut,
 }
 
 impl PlayerPool {
     /// Watches one play from its first request to its end, coming back as viewers do.
-    pub async fn watch(self: Arc<PlayerPool>, arrival: Arrival) {
-        let mut rnd = StdRng::seed_from_u64(arrival.seed);
+    pub async fn run_player(self: Arc<PlayerPool>, arrival: Arrival) {
+        let mut rng = StdRng::seed_from_u64(arrival.seed);
         let title = &self.titles[arrival.title];
         let title_s = title.duration_ms as f64 / 1000.0;
-        let mut seen =
-            PlayerResult { product: title.product, came: arrival.at, title_s, ..PlayerResult::default() };
-        let came = Instant::now();
-        let players = &self.day.players;
-        for come in 0..COMES {
-            seen.tries += 1;
-            let session = format!("s{:016x}-{come}", arrival.seed);
-            let Some((front, address)) = self.fronts.pick(arrival.zone, rnd.random()) else {
-                sleep(ms(500.0)).await;
+        let mut result = PlayerResult {
+            product: title.product,
+            arrived_at: arrival.arrives_at,
+            title_s,
+            ..PlayerResult::default()
+        };
+        let started_at = Instant::now();
+        let players = &self.scenario.players;
+        for visit in 0..MAX_VISITS {
+            result.tries += 1;
+            let session = format!("s{:016x}-{visit}", arrival.seed);
+            let Some((front, address)) = self.fronts.choose_front(arrival.zone, rng.random()) else {
+                sleep(from_ms(500.0)).await;
                 continue;
             };
-            let mut stay_away = 800.0 + 1300.0 * rnd.random::<f64>();
+            let mut retry_delay_ms = 800.0 + 1300.0 * rng.random::<f64>();
             let mut address = address;
-            let mut told = self.ask(front, address, &session, &arrival, &mut rnd).await;
-            if let Told::Answer(answer) = &told
-                && answer.status == 307
+            let mut manifest_result =
+                self.request_manifest(front, address, &session, &arrival, &mut rng).await;
+            if let ManifestResult::Response(response) = &manifest_result
+                && response.status == 307
             {
                 // A session is at home at one front; a home that is away is a connection that can't be had.
-                let there = answer
+                let location = response
                     .header("location")
-                    .and_then(|at| at.strip_prefix("//")?.split('/').next()?.parse().ok());
-                let home = there.and_then(|there| Some((self.fronts.at(there)?, there)));
-                told = match home {
-                    Some((front, there)) => {
-                        address = there;
-                        self.ask(front, there, &session, &arrival, &mut rnd).await
+                    .and_then(|url| url.strip_prefix("//")?.split('/').next()?.parse().ok());
+                let home = location.and_then(|location| Some((self.fronts.front_at(location)?, location)));
+                manifest_result = match home {
+                    Some((front, location)) => {
+                        address = location;
+                        self.request_manifest(front, location, &session, &arrival, &mut rng).await
                     }
-                    None => Told::Cut,
+                    None => ManifestResult::Disconnected,
                 };
             }
-            match told {
-                Told::Answer(answer) => {
-                    seen.status = answer.status;
-                    if answer.status == 200 {
-                        seen.set_up_ms.get_or_insert(came.elapsed().as_secs_f64() * 1000.0);
-                        let leaves = rnd.random::<f64>() < players.leave;
-                        if self.play(address, &session, &answer.body, &arrival, leaves, &mut seen).await {
+            match manifest_result {
+                ManifestResult::Response(response) => {
+                    result.status = response.status;
+                    if response.status == 200 {
+                        result.set_up_ms.get_or_insert(started_at.elapsed().as_secs_f64() * 1000.0);
+                        let leaves_early = rng.random::<f64>() < players.leave;
+                        if self
+                            .play_segments(
+                                address,
+                                &session,
+                                &response.body,
+                                &arrival,
+                                leaves_early,
+                                &mut result,
+                            )
+                            .await
+                        {
                             break;
                         }
-                        seen.broken = true;
+                        result.broken = true;
                     }
-                    if let Some(s) = answer.header("retry-after").and_then(|s| s.parse::<f64>().ok()) {
-                        stay_away = stay_away.max(s * 1000.0);
+                    if let Some(seconds) =
+                        response.header("retry-after").and_then(|seconds| seconds.parse::<f64>().ok())
+                    {
+                        retry_delay_ms = retry_delay_ms.max(seconds * 1000.0);
                     }
                 }
-                Told::Cut => {}
-                Told::Silence => break,
+                ManifestResult::Disconnected => {}
+                ManifestResult::TimedOut => break,
             }
-            if rnd.random::<f64>() >= players.come_back {
+            if rng.random::<f64>() >= players.come_back {
                 break;
             }
-            sleep(ms(stay_away)).await;
+            sleep(from_ms(retry_delay_ms)).await;
         }
-        self.watched.lock().expect("no player dies while it reports").push(seen);
+        self.results.lock().expect("no player dies while it reports").push(result);
     }
 
-    async fn call(&self, address: SocketAddr) -> std::io::Result<HttpPeer> {
-        HttpPeer::connect(address, self.seal.as_ref().map(|seal| (seal, FRONT))).await
+    async fn connect(&self, address: SocketAddr) -> std::io::Result<HttpPeer> {
+        HttpPeer::connect(address, self.tls.as_ref().map(|connector| (connector, FRONT))).await
     }
 
     fn token(&self, session: &str, arrival: &Arrival) -> String {
@@ -199,169 +226,176 @@
         self.fronts.sign(&EntryToken {
             jti: session.to_string(),
             sub: format!("v{:x}", arrival.seed),
-            product: self.day.products[title.product].name.clone(),
+            product: self.scenario.products[title.product].name.clone(),
             title: title.name.clone(),
-            top: arrival.top,
-            exp: (self.log.now() / 1000.0) as u64 + 60,
+            top: arrival.max_rung,
+            exp: (self.recorder.now() / 1000.0) as u64 + 60,
         })
     }
 
     /// Asks for the manifest, as some players do twice at once, or again after closing.
-    async fn ask(
+    async fn request_manifest(
         &self,
         front: usize,
         address: SocketAddr,
         session: &str,
         arrival: &Arrival,
-        rnd: &mut StdRng,
-    ) -> Told {
-        let dice = rnd.random::<f64>();
-        let players = &self.day.players;
-        if dice < players.ask_again {
-            let patience = Duration::from_millis(rnd.random_range(1..30));
-            let early = self.request(front, address, session, arrival, Some(patience)).await;
-            if let Told::Answer(answer) = early {
-                return Told::Answer(answer);
+        rng: &mut StdRng,
+    ) -> ManifestResult {
+        let drawn = rng.random::<f64>();
+        let players = &self.scenario.players;
+        if drawn < players.ask_again {
+            let patience = Duration::from_millis(rng.random_range(1..30));
+            let first_result =
+                self.send_manifest_request(front, address, session, arrival, Some(patience)).await;
+            if let ManifestResult::Response(response) = first_result {
+                return ManifestResult::Response(response);
             }
-        } else if dice < players.ask_again + players.ask_twice {
-            let (one, other) = tokio::join!(
-                self.request(front, address, session, arrival, None),
-                self.request(front, address, session, arrival, None)
+        } else if drawn < players.ask_again + players.ask_twice {
+            let (first, second) = tokio::join!(
+                self.send_manifest_request(front, address, session, arrival, None),
+                self.send_manifest_request(front, address, session, arrival, None)
             );
-            return if matches!(one, Told::Answer(_)) { one } else { other };
+            return if matches!(first, ManifestResult::Response(_)) { first } else { second };
         }
-        self.request(front, address, session, arrival, None).await
+        self.send_manifest_request(front, address, session, arrival, None).await
     }
 
-    async fn request(
+    async fn send_manifest_request(
         &self,
         front: usize,
         address: SocketAddr,
         session: &str,
         arrival: &Arrival,
         patience: Option<Duration>,
-    ) -> Told {
+    ) -> ManifestResult {
         let title = &self.titles[arrival.title];
-        let product = &self.day.products[title.product];
-        let Ok(mut peer) = self.call(address).await else { return Told::Cut };
-        let request = self.requests.fetch_add(1, Ordering::Relaxed);
+        let product = &self.scenario.products[title.product];
+        let Ok(mut peer) = self.connect(address).await else { return ManifestResult::Disconnected };
+        let request = self.next_request.fetch_add(1, Ordering::Relaxed);
         let target = address::manifest_path(&product.name, &title.name, &self.token(session, arrival));
-        self.log.record(Observed::Asked {
+        self.recorder.record(Observed::Asked {
             request,
             session: session.to_string(),
             front,
             product: title.product,
             title: title.name.clone(),
-            top: arrival.top,
+            top: arrival.max_rung,
         });
-        let wait = patience.unwrap_or(ms(product.time_limit_ms + LISTEN));
-        let answer = timeout(wait, async {
+        let time_limit = patience.unwrap_or(from_ms(product.time_limit_ms + LATE_ANSWER_MS));
+        let response = timeout(time_limit, async {
             peer.write(format!("GET {target} HTTP/1.1\r\nHost: front\r\n\r\n").as_bytes()).await?;
             peer.read_response().await
         });
-        match answer.await {
-            Ok(Ok(Some(answer))) => {
-                self.log.record(Observed::Answered { request, status: answer.status });
-                Told::Answer(answer)
+        match response.await {
+            Ok(Ok(Some(response))) => {
+                self.recorder.record(Observed::Answered { request, status: response.status });
+                ManifestResult::Response(response)
             }
             Ok(_) => {
-                self.log.record(Observed::Cut { request });
-                Told::Cut
+                self.recorder.record(Observed::Cut { request });
+                ManifestResult::Disconnected
             }
             Err(_) => {
                 if patience.is_some() {
-                    self.log.record(Observed::Left { request });
+                    self.recorder.record(Observed::Left { request });
                 }
-                Told::Silence
+                ManifestResult::TimedOut
             }
         }
     }
 
     /// Fetches and shows the segments; false where the play broke off.
-    async fn play(
+    async fn play_segments(
         &self,
         address: SocketAddr,
         session: &str,
         manifest: &[u8],
         arrival: &Arrival,
-        leaves: bool,
-        seen: &mut PlayerResult,
+        leaves_early: bool,
+        result: &mut PlayerResult,
     ) -> bool {
         let title = &self.titles[arrival.title];
-        let Some(form) = read_manifest(manifest) else { return false };
+        let Some(manifest_info) = parse_manifest(manifest) else { return false };
         let segments = title.duration_ms.div_ceil(title.segment_ms);
-        let last = if leaves { segments.div_ceil(2) } else { segments };
-        let rung = form.rungs - 1;
-        let mut line = None;
-        let segment = ms(title.segment_ms as f64);
+        let last_number = if leaves_early { segments.div_ceil(2) } else { segments };
+        let rung = manifest_info.rungs - 1;
+        let mut connection = None;
+        let segment_length = from_ms(title.segment_ms as f64);
         // When what has been fetched so far is shown to its end.
-        let mut shown = Instant::now();
-        for number in 1..=last {
-            let path = form.base.clone()
-                + &form
+        let mut shown_until = Instant::now();
+        for number in 1..=last_number {
+            let path = manifest_info.base.clone()
+                + &manifest_info
                     .media
                     .replace("$RepresentationID$", &rung.to_string())
                     .replace("$Number$", &number.to_string());
-            let Some(body) = self.fetch(address, &path, &mut line, segment * 8).await else { return false };
-            let got = content::parse(&body);
-            if let Some(got) = &got {
-                seen.rungs += got.rung;
-                seen.earned_s += self.day.ladder[got.rung].earns * segment.as_secs_f64();
+            let Some(body) = self.fetch_segment(address, &path, &mut connection, segment_length * 8).await
+            else {
+                return false;
+            };
+            let content_read = content::parse(&body);
+            if let Some(content_read) = &content_read {
+                result.rung_sum += content_read.rung;
+                result.earned_s +=
+                    self.scenario.ladder[content_read.rung].earns * segment_length.as_secs_f64();
             }
             let (title, session) = (title.name.clone(), session.to_string());
-            self.log.record(Observed::Fetched { session, title, number, rung, got });
-            seen.segments += 1;
+            self.recorder.record(Observed::Fetched { session, title, number, rung, got: content_read });
+            result.segments += 1;
             let now = Instant::now();
-            if number > 1 && now > shown {
-                seen.stalls += 1;
-                seen.stalled_ms += (now - shown).as_secs_f64() * 1000.0;
+            if number > 1 && now > shown_until {
+                result.stalls += 1;
+                result.stalled_ms += (now - shown_until).as_secs_f64() * 1000.0;
             }
-            shown = shown.max(now) + segment;
-            let early = segment * AHEAD as u32;
-            if shown > now + early {
-                sleep_until(shown - early).await;
+            shown_until = shown_until.max(now) + segment_length;
+            let lead_time = segment_length * SEGMENTS_AHEAD as u32;
+            if shown_until > now + lead_time {
+                sleep_until(shown_until - lead_time).await;
             }
         }
-        if leaves {
-            if let Ok(mut peer) = self.call(address).await {
+        if leaves_early {
+            if let Ok(mut peer) = self.connect(address).await {
                 let _ = peer
-                    .write(format!("DELETE {} HTTP/1.1\r\nHost: front\r\n\r\n", form.base).as_bytes())
+                    .write(
+                        format!("DELETE {} HTTP/1.1\r\nHost: front\r\n\r\n", manifest_info.base).as_bytes(),
+                    )
                     .await;
-                let _ = timeout(ms(1000.0), peer.read_response()).await;
+                let _ = timeout(from_ms(1000.0), peer.read_response()).await;
             }
         } else {
-            sleep_until(shown).await;
+            sleep_until(shown_until).await;
         }
         true
     }
 
     /// Fetches one segment over the kept connection, or a new one; none where it can't be had.
-    async fn fetch(
+    async fn fetch_segment(
         &self,
         address: SocketAddr,
         path: &str,
-        line: &mut Option<HttpPeer>,
-        patience: Duration,
+        kept_connection: &mut Option<HttpPeer>,
+        time_limit: Duration,
     ) -> Option<Vec<u8>> {
-        for attempt in 0..TRIES {
+        for attempt in 0..MAX_SEGMENT_TRIES {
             if attempt > 0 {
-                sleep(ms(100.0 * attempt as f64)).await;
+                sleep(from_ms(100.0 * attempt as f64)).await;
             }
-            let mut peer = match line.take() {
+            let mut peer = match kept_connection.take() {
                 Some(peer) => peer,
-                None => self.call(address).await.ok()?,
+                None => self.connect(address).await.ok()?,
             };
-            let answer = timeout(patience, async {
+            let response = timeout(time_limit, async {
                 peer.write(format!("GET {path} HTTP/1.1\r\nHost: front\r\n\r\n").as_bytes()).await?;
                 peer.read_response().await
             });
-            match answer.await {
-                Ok(Ok(Some(answer))) => {
-                    if answer.header("connection") != Some("close") {
-                        *line = Some(peer);
+            match response.await {
+                Ok(Ok(Some(response))) => {
+                    if response.header("connection") != Some("close") {
+                        *kept_connection = Some(peer);
                     }
-                    match answer.status {
-                        200 => return Some(answer.body),
+                    match response.status {
+                        200 => return Some(response.body),
                         502..=504 => {}
                         _ => return None,
                     }
@@ -374,37 +408,37 @@
     }
 }
 
-struct Form {
+struct ManifestInfo {
     base: String,
     media: String,
     rungs: usize,
 }
 
 /// Reads a manifest as a player does, by a parser that is not ours.
-fn read_manifest(text: &[u8]) -> Option<Form> {
+fn parse_manifest(text: &[u8]) -> Option<ManifestInfo> {
     let mpd = dash_mpd::parse(std::str::from_utf8(text).ok()?).ok()?;
-    let set = mpd.periods.first()?.adaptations.first()?;
-    Some(Form {
+    let adaptation_set = mpd.periods.first()?.adaptations.first()?;
+    Some(ManifestInfo {
         base: mpd.base_url.first()?.base.clone(),
-        media: set.SegmentTemplate.as_ref()?.media.clone()?,
-        rungs: set.representations.len(),
+        media: adaptation_set.SegmentTemplate.as_ref()?.media.clone()?,
+        rungs: adaptation_set.representations.len(),
     })
-    .filter(|form| form.rungs > 0)
+    .filter(|info| info.rungs > 0)
 }
 
 /// Lets all arrivals come at their times, whatever becomes of them, and waits until all are through. Tells how
 /// late the latest of them set out, ms.
-pub async fn run_arrivals(room: Arc<PlayerPool>, arrivals: Vec<Arrival>, start: Instant) -> Result<f64> {
-    let mut late = 0.0f64;
-    let mut all = Vec::new();
+pub async fn run_arrivals(pool: Arc<PlayerPool>, arrivals: Vec<Arrival>, start: Instant) -> Result<f64> {
+    let mut max_delay_ms = 0.0f64;
+    let mut players = Vec::new();
     for arrival in arrivals {
-        let due = start + ms(arrival.at);
-        sleep_until(due).await;
-        late = late.max(due.elapsed().as_secs_f64() * 1000.0);
-        all.push(tokio::spawn(room.clone().watch(arrival)));
+        let due_at = start + from_ms(arrival.arrives_at);
+        sleep_until(due_at).await;
+        max_delay_ms = max_delay_ms.max(due_at.elapsed().as_secs_f64() * 1000.0);
+        players.push(tokio::spawn(pool.clone().run_player(arrival)));
     }
-    for one in all {
-        one.await?;
+    for player in players {
+        player.await?;
     }
-    Ok(late)
+    Ok(max_delay_ms)
 }
--- a/crates/lab/src/relays.rs
+++ b/crates/lab/src/relays.rs
@@ -26,105 +26,105 @@
     }
 }
 
-struct Weather {
-    ways: Vec<Vec<LinkConditions>>,
-    targets: Vec<Option<SocketAddr>>,
-    rnd: StdRng,
+struct RelayState {
+    conditions: Vec<Vec<LinkConditions>>,
+    front_addresses: Vec<Option<SocketAddr>>,
+    rng: StdRng,
     passed: Vec<Vec<u64>>,
 }
 
 #[derive(Clone)]
 pub struct Relays {
     /// Where the front of the first index sends what is for the second.
-    at: Arc<Vec<Vec<SocketAddr>>>,
-    weather: Arc<Mutex<Weather>>,
+    relay_addresses: Arc<Vec<Vec<SocketAddr>>>,
+    state: Arc<Mutex<RelayState>>,
 }
 
 impl Relays {
     /// Relays between so many fronts; they end with the runtime.
     pub fn open(count: usize, seed: u64) -> io::Result<Relays> {
-        let weather = Arc::new(Mutex::new(Weather {
-            ways: vec![vec![LinkConditions::default(); count]; count],
-            targets: vec![None; count],
-            rnd: StdRng::seed_from_u64(seed ^ 0xbe72),
+        let state = Arc::new(Mutex::new(RelayState {
+            conditions: vec![vec![LinkConditions::default(); count]; count],
+            front_addresses: vec![None; count],
+            rng: StdRng::seed_from_u64(seed ^ 0xbe72),
             passed: vec![vec![0; count]; count],
         }));
-        let mut at = vec![Vec::new(); count];
-        for (from, row) in at.iter_mut().enumerate() {
+        let mut relay_addresses = vec![Vec::new(); count];
+        for (from, row) in relay_addresses.iter_mut().enumerate() {
             for to in 0..count {
                 let socket = std::net::UdpSocket::bind("127.0.0.1:0")?;
                 socket.set_nonblocking(true)?;
                 row.push(socket.local_addr()?);
-                tokio::spawn(relay(UdpSocket::from_std(socket)?, from, to, weather.clone()));
+                tokio::spawn(relay_datagrams(UdpSocket::from_std(socket)?, from, to, state.clone()));
             }
         }
-        Ok(Relays { at: Arc::new(at), weather })
+        Ok(Relays { relay_addresses: Arc::new(relay_addresses), state })
     }
 
-    fn weather(&self) -> MutexGuard<'_, Weather> {
-        self.weather.lock().expect("nobody dies while holding the weather")
+    fn lock_state(&self) -> MutexGuard<'_, RelayState> {
+        self.state.lock().expect("nobody dies while holding the weather")
     }
 
     pub fn way(&self, from: usize, to: usize) -> SocketAddr {
-        self.at[from][to]
+        self.relay_addresses[from][to]
     }
 
     /// Where a front listens, from now on.
-    pub fn listens(&self, front: usize, at: SocketAddr) {
-        self.weather().targets[front] = Some(at);
+    pub fn listens(&self, front: usize, address: SocketAddr) {
+        self.lock_state().front_addresses[front] = Some(address);
     }
 
     /// Changes the ways of all ordered pairs.
     pub fn change(&self, change: impl Fn(usize, usize, &mut LinkConditions)) {
-        let mut weather = self.weather();
-        for (from, row) in weather.ways.iter_mut().enumerate() {
-            row.iter_mut().enumerate().for_each(|(to, way)| change(from, to, way));
+        let mut state = self.lock_state();
+        for (from, row) in state.conditions.iter_mut().enumerate() {
+            row.iter_mut().enumerate().for_each(|(to, conditions)| change(from, to, conditions));
         }
     }
 
     /// No datagram passes between those on one side and the others, either way.
     pub fn split(&self, side: impl Fn(usize) -> bool) {
-        self.change(|from, to, way| way.open = side(from) == side(to));
+        self.change(|from, to, conditions| conditions.open = side(from) == side(to));
     }
 
     pub fn heal(&self) {
-        self.change(|_, _, way| *way = LinkConditions::default());
+        self.change(|_, _, conditions| *conditions = LinkConditions::default());
     }
 
     /// Datagrams that passed from one front to another.
     pub fn passed(&self, from: usize, to: usize) -> u64 {
-        self.weather().passed[from][to]
+        self.lock_state().passed[from][to]
     }
 }
 
-async fn relay(socket: UdpSocket, from: usize, to: usize, weather: Arc<Mutex<Weather>>) {
+async fn relay_datagrams(socket: UdpSocket, from: usize, to: usize, state: Arc<Mutex<RelayState>>) {
     let socket = Arc::new(socket);
-    let mut room = [0; 4096];
+    let mut buffer = [0; 4096];
     loop {
-        let Ok((n, _)) = socket.recv_from(&mut room).await else { continue };
+        let Ok((length, _)) = socket.recv_from(&mut buffer).await else { continue };
         let mut copies = Vec::new();
         {
-            let mut weather = weather.lock().expect("nobody dies while holding the weather");
-            let way = weather.ways[from][to];
-            let Some(target) = weather.targets[to] else { continue };
-            let count = 1 + usize::from(weather.rnd.random::<f64>() < way.doubled);
-            for _ in 0..count {
-                if !way.open || weather.rnd.random::<f64>() < way.lost {
+            let mut state = state.lock().expect("nobody dies while holding the weather");
+            let conditions = state.conditions[from][to];
+            let Some(target) = state.front_addresses[to] else { continue };
+            let copy_count = 1 + usize::from(state.rng.random::<f64>() < conditions.doubled);
+            for _ in 0..copy_count {
+                if !conditions.open || state.rng.random::<f64>() < conditions.lost {
                     continue;
                 }
-                let tail = if weather.rnd.random::<f64>() < 0.1 { 10.0 } else { 1.0 };
-                copies.push((way.late_ms * weather.rnd.random::<f64>() * tail, target));
-                weather.passed[from][to] += 1;
+                let delay_factor = if state.rng.random::<f64>() < 0.1 { 10.0 } else { 1.0 };
+                copies.push((conditions.late_ms * state.rng.random::<f64>() * delay_factor, target));
+                state.passed[from][to] += 1;
             }
         }
-        for (late, target) in copies {
-            let (socket, bytes) = (socket.clone(), room[..n].to_vec());
-            if late < 0.05 {
+        for (delay_ms, target) in copies {
+            let (socket, bytes) = (socket.clone(), buffer[..length].to_vec());
+            if delay_ms < 0.05 {
                 let _ = socket.send_to(&bytes, target).await;
                 continue;
             }
             tokio::spawn(async move {
-                sleep(Duration::from_secs_f64(late / 1000.0)).await;
+                sleep(Duration::from_secs_f64(delay_ms / 1000.0)).await;
                 let _ = socket.send_to(&bytes, target).await;
             });
         }
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -162,7 +162,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultEvent {
-    pub kind: Kind,
+    pub kind: FaultKind,
     pub at_s: f64,
     pub length_s: f64,
     /// Part of the servers (or racks, zones, titles) that it befalls.
@@ -175,7 +175,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum FaultKind {
     /// Processes end, and come back cold after the length.
     Crash,
     /// Servers take requests and answer none.
@@ -227,12 +227,14 @@
 
 impl Scenario {
     pub fn read(file: &Path) -> Result<Scenario, LoadError> {
-        let day: Scenario = load(file)?;
-        day.check().map_err(|(path, found, allowed)| invalid_value(file, &path, found, allowed))?;
-        Ok(day)
+        let scenario: Scenario = load(file)?;
+        scenario
+            .validate()
+            .map_err(|(setting, found, allowed)| invalid_value(file, &setting, found, allowed))?;
+        Ok(scenario)
     }
 
-    fn check(&self) -> Result<(), (String, String, &'static str)> {
+    fn validate(&self) -> Result<(), (String, String, &'static str)> {
         let counts = [
             ("fronts", self.fronts),
             ("zones", self.zones.len()),
@@ -241,9 +243,9 @@
             ("ladder", self.ladder.len()),
             ("products", self.products.len()),
         ];
-        for (path, n) in counts {
-            if n == 0 || n > 10_000 {
-                return Err((path.into(), n.to_string(), "1 to 10000"));
+        for (path, count) in counts {
+            if count == 0 || count > 10_000 {
+                return Err((path.into(), count.to_string(), "1 to 10000"));
             }
         }
         if !(self.seconds > 0.0 && self.seconds <= 86_400.0) {
@@ -266,9 +268,9 @@
                 return Err((format!("products[{i}].seconds"), found, "shortest and longest, above 0"));
             }
         }
-        for (i, trouble) in self.troubles.iter().enumerate() {
-            if !(trouble.at_s >= 0.0 && trouble.length_s > 0.0 && (0.0..=1.0).contains(&trouble.part)) {
-                let found = serde_json::to_string(trouble).unwrap_or_default();
+        for (i, fault) in self.troubles.iter().enumerate() {
+            if !(fault.at_s >= 0.0 && fault.length_s > 0.0 && (0.0..=1.0).contains(&fault.part)) {
+                let found = serde_json::to_string(fault).unwrap_or_default();
                 return Err((format!("troubles[{i}]"), found, "times from 0, a part from 0 to 1"));
             }
         }
@@ -280,9 +282,9 @@
     }
 
     /// The servers as they are built, off what fronts are told by the spread.
-    pub fn builds(&self) -> Vec<ServerSpec> {
-        let mut rnd = StdRng::seed_from_u64(self.seed ^ 0xb111d);
-        let mut off = |x: f64| x * (1.0 + self.fleet.spread * (2.0 * rnd.random::<f64>() - 1.0));
+    pub fn server_specs(&self) -> Vec<ServerSpec> {
+        let mut rng = StdRng::seed_from_u64(self.seed ^ 0xb111d);
+        let mut vary = |x: f64| x * (1.0 + self.fleet.spread * (2.0 * rng.random::<f64>() - 1.0));
         (0..self.fleet.servers)
             .map(|server| ServerSpec {
                 zone: self.zone_of(server),
@@ -290,19 +292,19 @@
                 cores: self.fleet.cores,
                 queue: self.fleet.queue,
                 streams: self.fleet.streams,
-                link_kb: off(self.fleet.link_kb),
+                link_kb: vary(self.fleet.link_kb),
                 work_ms: self.fleet.work_ms,
                 work_spread: self.fleet.work_spread,
             })
             .collect()
     }
 
-    pub fn ground(&self) -> ServerFleetSpec {
-        let mut rnd = StdRng::seed_from_u64(self.seed ^ 0x94a2);
-        let mut off = |x: f64| x * (1.0 + self.fleet.spread * (2.0 * rnd.random::<f64>() - 1.0));
+    pub fn server_fleet_spec(&self) -> ServerFleetSpec {
+        let mut rng = StdRng::seed_from_u64(self.seed ^ 0x94a2);
+        let mut vary = |x: f64| x * (1.0 + self.fleet.spread * (2.0 * rng.random::<f64>() - 1.0));
         ServerFleetSpec {
             ladder: self.ladder.iter().map(|r| r.rate_kb).collect(),
-            uplinks_kb: (0..self.fleet.racks).map(|_| off(self.fleet.rack_link_kb)).collect(),
+            uplinks_kb: (0..self.fleet.racks).map(|_| vary(self.fleet.rack_link_kb)).collect(),
             shared_part: self.fleet.shared_part,
             rate_spread: self.fleet.spread / 2.0,
             reports_late_ms: self.fleet.reports_late_ms,
@@ -310,8 +312,8 @@
             notes_every_ms: self.fleet.notes_every_ms,
             cold_ms: self.rules.cold_ms,
             cold_from: self.rules.cold_from,
-            overload: self.rules.overload_factor,
-            fall_ms: self.rules.fall_ms,
+            overload_factor: self.rules.overload_factor,
+            overload_window_ms: self.rules.fall_ms,
             down_ms: self.rules.down_ms,
             lease_ms: self.fleet.lease_ms,
         }
@@ -319,7 +321,7 @@
 
     /// What the checker holds the run to.
     pub fn terms(&self) -> RuleParams {
-        let product = |p: &Product| rules::Product {
+        let product_params = |p: &Product| rules::Product {
             limit: p.time_limit_ms,
             effect: match p.effect {
                 Effect::ReadLike => rules::Effect::Free,
@@ -339,7 +341,7 @@
         };
         let servers = 0..self.fleet.servers;
         RuleParams {
-            products: self.products.iter().map(product).collect(),
+            products: self.products.iter().map(product_params).collect(),
             drain_grace: self.rules.drain_grace_ms,
             cold: self.rules.cold_ms,
             cold_from: self.rules.cold_from,
--- a/crates/lab/src/scenario_run.rs
+++ b/crates/lab/src/scenario_run.rs
@@ -16,50 +16,50 @@
 use tokio::time::Instant;
 
 /// How long fronts may take to stop after the last player has left.
-const STOP: Duration = Duration::from_secs(40);
+const STOP_TIMEOUT: Duration = Duration::from_secs(40);
 
 pub struct RunResult {
-    pub watched: Vec<PlayerResult>,
+    pub player_results: Vec<PlayerResult>,
     pub seen: Vec<Observation>,
     pub breaches: Vec<Breach>,
     pub covered: Coverage,
     /// How late the latest player set out, or anyone on any core woke, ms: a day on which this is large says little.
     pub lateness_ms: f64,
     /// CPU of each front at the end of the day, ms, and memory, kB; none for one that was restarted last.
-    pub used: Vec<Option<(f64, u64)>>,
+    pub front_usage: Vec<Option<(f64, u64)>>,
 }
 
 /// Plays the day with `program` as its fronts, in a folder for what they are given and what they say.
-pub async fn run(day: Scenario, program: Program, folder: &Path) -> Result<RunResult> {
-    let set = Testbed::build(day, program, folder).await?;
-    set.start().await?;
-    let Testbed { day, titles, fronts, stage, log, .. } = set;
-    let room = Arc::new(PlayerPool {
-        day: day.clone(),
+pub async fn run(scenario: Scenario, program: Program, folder: &Path) -> Result<RunResult> {
+    let testbed = Testbed::build(scenario, program, folder).await?;
+    testbed.start().await?;
+    let Testbed { day: scenario, titles, fronts, stage: environment, log: recorder, .. } = testbed;
+    let pool = Arc::new(PlayerPool {
+        scenario: scenario.clone(),
         titles: titles.clone(),
         fronts: fronts.clone(),
-        seal: fronts.connector()?,
-        log: log.clone(),
-        requests: AtomicU64::new(1),
-        watched: Mutex::default(),
+        tls: fronts.connector()?,
+        recorder: recorder.clone(),
+        next_request: AtomicU64::new(1),
+        results: Mutex::default(),
     });
-    let machine = HostLoad::watch();
+    let host_load = HostLoad::watch();
     let start = Instant::now();
-    let mut troubles = Vec::new();
-    for (i, trouble) in day.troubles.iter().enumerate() {
-        let (stage, trouble) = (stage.clone(), trouble.clone());
-        let seed = day.seed.wrapping_mul(31).wrapping_add(i as u64);
-        troubles.push(tokio::spawn(async move { stage.inject(trouble, seed).await }));
+    let mut fault_tasks = Vec::new();
+    for (i, fault) in scenario.troubles.iter().enumerate() {
+        let (environment, fault) = (environment.clone(), fault.clone());
+        let seed = scenario.seed.wrapping_mul(31).wrapping_add(i as u64);
+        fault_tasks.push(tokio::spawn(async move { environment.inject(fault, seed).await }));
     }
-    let set_out = run_arrivals(room.clone(), arrivals(&day, &titles), start).await?;
-    for trouble in troubles {
-        trouble.await?;
+    let max_start_delay_ms = run_arrivals(pool.clone(), arrivals(&scenario, &titles), start).await?;
+    for task in fault_tasks {
+        task.await?;
     }
-    let used = (0..day.fronts).map(|front| fronts.used(front)).collect();
-    fronts.stop(STOP).await?;
-    let lateness_ms = machine.lateness_ms().max(set_out);
-    let seen = log.observations();
-    let (breaches, covered) = check(&seen, &day.terms());
-    let watched = std::mem::take(&mut *room.watched.lock().expect("no player dies while it reports"));
-    Ok(RunResult { watched, seen, breaches, covered, lateness_ms, used })
+    let front_usage = (0..scenario.fronts).map(|front| fronts.resource_usage(front)).collect();
+    fronts.stop(STOP_TIMEOUT).await?;
+    let lateness_ms = host_load.lateness_ms().max(max_start_delay_ms);
+    let seen = recorder.observations();
+    let (breaches, covered) = check(&seen, &scenario.terms());
+    let player_results = std::mem::take(&mut *pool.results.lock().expect("no player dies while it reports"));
+    Ok(RunResult { player_results, seen, breaches, covered, lateness_ms, front_usage })
 }
--- a/crates/lab/src/testbed.rs
+++ b/crates/lab/src/testbed.rs
@@ -21,38 +21,50 @@
 
 impl Testbed {
     /// Starts the servers, and writes list, keys and rundowns into the folder.
-    pub async fn build(day: Scenario, program: Program, folder: &Path) -> Result<Testbed> {
+    pub async fn build(scenario: Scenario, program: Program, folder: &Path) -> Result<Testbed> {
         std::fs::create_dir_all(folder).with_context(|| format!("{} can't be made", folder.display()))?;
-        let (day, log) = (Arc::new(day), Recorder::default());
-        let titles = Arc::new(titles(&day));
-        let known = titles.iter().map(|t| {
-            let product = &day.products[t.product];
+        let (scenario, recorder) = (Arc::new(scenario), Recorder::default());
+        let titles = Arc::new(titles(&scenario));
+        let server_titles = titles.iter().map(|t| {
+            let product = &scenario.products[t.product];
             let title = server::Title { live: product.live, segment_ms: t.segment_ms, scale: product.scale };
             (t.name.clone(), title)
         });
-        let products = day.products.iter().map(|p| p.name.clone()).collect();
-        let boxes =
-            FakeServers::start(day.ground(), day.builds(), known.collect(), products, day.seed, log.clone())
-                .await?;
-        let fronts = Fronts::new(&day, program, folder, log.clone())?;
+        let products = scenario.products.iter().map(|p| p.name.clone()).collect();
+        let servers = FakeServers::start(
+            scenario.server_fleet_spec(),
+            scenario.server_specs(),
+            server_titles.collect(),
+            products,
+            scenario.seed,
+            recorder.clone(),
+        )
+        .await?;
+        let fronts = Fronts::new(&scenario, program, folder, recorder.clone())?;
         if let Some(authority) = &fronts.authority {
-            for server in 0..day.fleet.servers {
-                let paper = authority.issue_long_lived(&format!("m{server}"));
-                boxes.set_tls(server, Some(authority.acceptor(&paper, Some(authority))?));
+            for server in 0..scenario.fleet.servers {
+                let certificate = authority.issue_long_lived(&format!("m{server}"));
+                servers.set_tls(server, Some(authority.acceptor(&certificate, Some(authority))?));
             }
         }
-        let list = folder.join("list.json");
-        let stage =
-            Environment::new(day.clone(), titles.clone(), boxes.clone(), fronts.clone(), log.clone(), list)?;
-        Ok(Testbed { day, titles, boxes, fronts, stage, log })
+        let list_file = folder.join("list.json");
+        let environment = Environment::new(
+            scenario.clone(),
+            titles.clone(),
+            servers.clone(),
+            fronts.clone(),
+            recorder.clone(),
+            list_file,
+        )?;
+        Ok(Testbed { day: scenario, titles, boxes: servers, fronts, stage: environment, log: recorder })
     }
 
     /// Starts all fronts; where each listens.
     pub async fn start(&self) -> Result<Vec<SocketAddr>> {
-        let mut at = Vec::new();
+        let mut addresses = Vec::new();
         for front in 0..self.day.fronts {
-            at.push(self.fronts.start(front).await?);
+            addresses.push(self.fronts.start(front).await?);
         }
-        Ok(at)
+        Ok(addresses)
     }
 }
--- a/crates/rule-checker/src/history.rs
+++ b/crates/rule-checker/src/history.rs
@@ -11,10 +11,10 @@
 use std::fmt::Write;
 
 /// The only form that there is.
-const FORM: u32 = 1;
+const FORMAT_VERSION: u32 = 1;
 /// Lines and bytes of a line at most.
-const LINES: usize = 1_000_000;
-const LINE: usize = 64 << 10;
+const MAX_LINES: usize = 1_000_000;
+const MAX_LINE_BYTES: usize = 64 << 10;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -28,13 +28,13 @@
 
 #[derive(Clone, Debug)]
 pub struct History {
-    pub head: Header,
-    pub seen: Vec<Observation>,
+    pub header: Header,
+    pub observations: Vec<Observation>,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct End {
+struct Footer {
     end: usize,
 }
 
@@ -60,72 +60,75 @@
 }
 
 impl History {
-    pub fn new(what: &str, breaks: &[u8], terms: RuleParams, seen: Vec<Observation>) -> History {
+    pub fn new(what: &str, breaks: &[u8], params: RuleParams, observations: Vec<Observation>) -> History {
         History {
-            head: Header { history: FORM, what: what.into(), breaks: breaks.into(), params: terms },
-            seen,
+            header: Header { history: FORMAT_VERSION, what: what.into(), breaks: breaks.into(), params },
+            observations,
         }
     }
 
     pub fn parse(text: &str) -> Result<History, HistoryError> {
-        let fault = |line: usize, cause: String| HistoryError { line: line + 1, cause };
+        let error_at = |line: usize, cause: String| HistoryError { line: line + 1, cause };
         let lines: Vec<&str> = text.lines().collect();
-        if lines.len() > LINES {
-            return Err(fault(LINES, format!("{} lines; {LINES} at most", lines.len())));
+        if lines.len() > MAX_LINES {
+            return Err(error_at(MAX_LINES, format!("{} lines; {MAX_LINES} at most", lines.len())));
         }
-        if let Some(long) = lines.iter().position(|l| l.len() > LINE) {
-            return Err(fault(long, format!("{} bytes; {LINE} at most", lines[long].len())));
+        if let Some(long) = lines.iter().position(|l| l.len() > MAX_LINE_BYTES) {
+            return Err(error_at(long, format!("{} bytes; {MAX_LINE_BYTES} at most", lines[long].len())));
         }
-        let [first, between @ .., last] = lines.as_slice() else {
-            return Err(fault(0, "a history has a head and an end at least".into()));
+        let [header_line, body @ .., footer_line] = lines.as_slice() else {
+            return Err(error_at(0, "a history has a head and an end at least".into()));
         };
-        let head: Header = serde_json::from_str(first).map_err(|e| fault(0, format!("no head: {e}")))?;
-        if head.history != FORM {
-            return Err(fault(0, format!("form {}; this program reads {FORM}", head.history)));
+        let header: Header =
+            serde_json::from_str(header_line).map_err(|e| error_at(0, format!("no head: {e}")))?;
+        if header.history != FORMAT_VERSION {
+            return Err(error_at(0, format!("form {}; this program reads {FORMAT_VERSION}", header.history)));
         }
-        let end: End = serde_json::from_str(last)
-            .map_err(|e| fault(lines.len() - 1, format!("no end, so some of it may be missing: {e}")))?;
-        let mut seen = Vec::with_capacity(between.len());
-        for (i, line) in between.iter().enumerate() {
-            let one: Observation = serde_json::from_str(line).map_err(|e| fault(i + 1, e.to_string()))?;
-            known(&one, &head.params).map_err(|cause| fault(i + 1, cause))?;
-            seen.push(one);
+        let footer: Footer = serde_json::from_str(footer_line)
+            .map_err(|e| error_at(lines.len() - 1, format!("no end, so some of it may be missing: {e}")))?;
+        let mut observations = Vec::with_capacity(body.len());
+        for (i, line) in body.iter().enumerate() {
+            let observation: Observation =
+                serde_json::from_str(line).map_err(|e| error_at(i + 1, e.to_string()))?;
+            check_indices(&observation, &header.params).map_err(|cause| error_at(i + 1, cause))?;
+            observations.push(observation);
         }
-        if end.end != seen.len() {
-            let cause = format!("the end tells of {} things seen, {} are there", end.end, seen.len());
-            return Err(fault(lines.len() - 1, cause));
+        if footer.end != observations.len() {
+            let cause =
+                format!("the end tells of {} things seen, {} are there", footer.end, observations.len());
+            return Err(error_at(lines.len() - 1, cause));
         }
-        if !seen.iter().any(|s| matches!(s.what, Observed::Asked { .. })) {
-            return Err(fault(
+        if !observations.iter().any(|s| matches!(s.what, Observed::Asked { .. })) {
+            return Err(error_at(
                 lines.len() - 1,
                 "nobody asked for anything: there is nothing to check".into(),
             ));
         }
-        Ok(History { head, seen })
+        Ok(History { header, observations })
     }
 
     pub fn to_text(&self) -> serde_json::Result<String> {
-        let mut out = serde_json::to_string(&self.head)? + "\n";
-        for seen in &self.seen {
-            out += &serde_json::to_string(seen)?;
-            out.push('\n');
+        let mut text = serde_json::to_string(&self.header)? + "\n";
+        for observation in &self.observations {
+            text += &serde_json::to_string(observation)?;
+            text.push('\n');
         }
-        let _ = writeln!(out, "{}", serde_json::to_string(&End { end: self.seen.len() })?);
-        Ok(out)
+        let _ = writeln!(text, "{}", serde_json::to_string(&Footer { end: self.observations.len() })?);
+        Ok(text)
     }
 
     pub fn verdict(&self) -> Verdict {
-        let (breaches, covered) = check(&self.seen, &self.head.params);
+        let (breaches, covered) = check(&self.observations, &self.header.params);
         Verdict { breaches, covered }
     }
 }
 
 /// Numbers that the terms know nothing of can't be checked.
-fn known(seen: &Observation, terms: &RuleParams) -> Result<(), String> {
-    if !seen.at.is_finite() {
+fn check_indices(observation: &Observation, params: &RuleParams) -> Result<(), String> {
+    if !observation.at.is_finite() {
         return Err("a time that is none".into());
     }
-    let (product, server) = match &seen.what {
+    let (product, server) = match &observation.what {
         Observed::Asked { product, .. } => (Some(*product), None),
         Observed::SetUp { product, server, .. } => (Some(*product), Some(*server)),
         Observed::Started { server, .. } | Observed::Stopped { server } | Observed::Listed { server, .. } => {
@@ -133,11 +136,11 @@
         }
         _ => (None, None),
     };
-    let of = |what: &str, n: Option<usize>, count: usize| match n {
+    let check_index = |what: &str, n: Option<usize>, count: usize| match n {
         Some(n) if n >= count => Err(format!("{what} {n}, the terms have {count}")),
         _ => Ok(()),
     };
-    of("product", product, terms.products.len())?;
-    let servers = terms.streams.len().min(terms.zones.len()).min(terms.cells.len());
-    of("server", server, servers)
+    check_index("product", product, params.products.len())?;
+    let servers = params.streams.len().min(params.zones.len()).min(params.cells.len());
+    check_index("server", server, servers)
 }
