--- a/crates/rule-checker/src/rules.rs
+++ b/crates/rule-checker/src/rules.rs
@@ -91,116 +91,126 @@
 }
 
 /// A front, and how often it had been started before: it dies with all that it knew.
-type Run = (usize, usize);
+type FrontRun = (usize, usize);
 
 /// Whose an allocation is whose session nobody asked for.
-const NOBODY: Run = (usize::MAX, 0);
+const UNKNOWN_RUN: FrontRun = (usize::MAX, 0);
 
 struct Request<'a> {
-    at: f64,
+    requested_at: f64,
     session: &'a str,
-    run: Run,
+    run: FrontRun,
     product: usize,
     title: &'a str,
-    top: usize,
+    max_rung: usize,
     answers: Vec<(f64, u16)>,
     /// When the player left.
-    gone: Option<f64>,
+    left_at: Option<f64>,
 }
 
 struct Allocation<'a> {
     name: &'a str,
-    at: f64,
+    set_up_at: f64,
     server: usize,
     session: &'a str,
     product: usize,
     title: &'a str,
     rungs: Vec<(f64, usize)>,
-    done: Option<(f64, bool, u16)>,
-    closed: f64,
-    run: Run,
+    result: Option<(f64, bool, u16)>,
+    closed_at: f64,
+    run: FrontRun,
     /// Which of its session's plays at that run it is of, and that play's so-many-th allocation; both from 1.
-    play: usize,
-    n: usize,
+    play_number: usize,
+    ordinal: usize,
 }
 
 impl Allocation<'_> {
     /// Until when it was out or played, as its server saw it: a refusal or error ends it when written.
-    fn end(&self) -> f64 {
-        match self.done {
-            Some((at, _, status)) if status != 200 => at.min(self.closed),
-            _ => self.closed,
+    fn ended_at(&self) -> f64 {
+        match self.result {
+            Some((at, _, status)) if status != 200 => at.min(self.closed_at),
+            _ => self.closed_at,
         }
     }
 }
 
 /// When processes began and ended: those of servers that began cold, and those of fronts.
 #[derive(Default)]
-struct Lives {
-    starts: Vec<(usize, f64)>,
-    stops: Vec<(usize, f64)>,
-    ups: BTreeMap<usize, Vec<f64>>,
-    downs: Vec<(usize, f64)>,
+struct ProcessLifetimes {
+    cold_starts: Vec<(usize, f64)>,
+    server_stops: Vec<(usize, f64)>,
+    front_starts: BTreeMap<usize, Vec<f64>>,
+    front_stops: Vec<(usize, f64)>,
 }
 
 /// Checks all rules on a log in any order.
-pub fn check(log: &[Observation], terms: &RuleParams) -> (Vec<Breach>, Coverage) {
-    let mut log: Vec<&Observation> = log.iter().collect();
-    log.sort_by(|a, b| a.at.total_cmp(&b.at));
-    let end = log.last().map_or(0.0, |s| s.at);
+pub fn check(observations: &[Observation], params: &RuleParams) -> (Vec<Breach>, Coverage) {
+    let mut observations: Vec<&Observation> = observations.iter().collect();
+    observations.sort_by(|a, b| a.at.total_cmp(&b.at));
+    let last_observed_at = observations.last().map_or(0.0, |s| s.at);
     let mut requests: BTreeMap<u64, Request> = BTreeMap::new();
     let mut allocations: BTreeMap<&str, Allocation> = BTreeMap::new();
-    let mut lives = Lives::default();
-    let mut listed: BTreeMap<usize, Vec<(f64, bool)>> = BTreeMap::new();
+    let mut lifetimes = ProcessLifetimes::default();
+    let mut list_changes: BTreeMap<usize, Vec<(f64, bool)>> = BTreeMap::new();
     let mut breaches = Vec::new();
-    let mut covered = Coverage::default();
-    for seen in &log {
-        let at = seen.at;
-        match &seen.what {
+    let mut coverage = Coverage::default();
+    for observation in &observations {
+        let at = observation.at;
+        match &observation.what {
             Observed::Asked { request, session, front, product, title, top } => {
-                let run = (*front, lives.ups.get(front).map_or(0, |ups| ups.len().saturating_sub(1)));
-                let (product, top) = (*product, *top);
-                let it = Request { at, session, run, product, title, top, answers: Vec::new(), gone: None };
-                requests.insert(*request, it);
+                let run =
+                    (*front, lifetimes.front_starts.get(front).map_or(0, |ups| ups.len().saturating_sub(1)));
+                let (product, max_rung) = (*product, *top);
+                let new_request = Request {
+                    requested_at: at,
+                    session,
+                    run,
+                    product,
+                    title,
+                    max_rung,
+                    answers: Vec::new(),
+                    left_at: None,
+                };
+                requests.insert(*request, new_request);
             }
             Observed::Answered { request, status } => {
-                if let Some(r) = requests.get_mut(request) {
-                    r.answers.push((at, *status));
+                if let Some(record) = requests.get_mut(request) {
+                    record.answers.push((at, *status));
                 }
             }
             // A connection cut by a front that lives is no answer; by one that died, see `downs`.
             Observed::Cut { .. } => {}
             Observed::Left { request } => {
-                if let Some(r) = requests.get_mut(request) {
-                    r.gone.get_or_insert(at);
+                if let Some(record) = requests.get_mut(request) {
+                    record.left_at.get_or_insert(at);
                 }
             }
             Observed::Fetched { session, title, number, rung, got } => {
-                covered.segments += 1;
-                let right = got.as_ref().is_some_and(|got| {
+                coverage.segments += 1;
+                let is_expected = got.as_ref().is_some_and(|got| {
                     got.intact && got.title == *title && got.number == *number && got.rung <= *rung
                 });
-                if !right {
+                if !is_expected {
                     let what = format!("session {session}: segment {title}/{rung}/{number} came as {got:?}");
                     breaches.push(Breach { rule: 0, at, what });
                 }
             }
             Observed::SetUp { server, allocation, session, product, title, rung } => {
-                let it = Allocation {
+                let new_allocation = Allocation {
                     name: allocation,
-                    at,
+                    set_up_at: at,
                     server: *server,
                     session,
                     product: *product,
                     title,
                     rungs: vec![(at, *rung)],
-                    done: None,
-                    closed: f64::INFINITY,
-                    run: NOBODY,
-                    play: 1,
-                    n: 1,
+                    result: None,
+                    closed_at: f64::INFINITY,
+                    run: UNKNOWN_RUN,
+                    play_number: 1,
+                    ordinal: 1,
                 };
-                if allocations.insert(allocation, it).is_some() {
+                if allocations.insert(allocation, new_allocation).is_some() {
                     breaches.push(Breach {
                         rule: 2,
                         at,
@@ -209,180 +219,226 @@
                 }
             }
             Observed::Done { allocation, ran, status } => {
-                if let Some(a) = allocations.get_mut(allocation.as_str()) {
-                    a.done = Some((at, *ran, *status));
+                if let Some(record) = allocations.get_mut(allocation.as_str()) {
+                    record.result = Some((at, *ran, *status));
                 }
             }
             Observed::Closed { allocation } => {
-                if let Some(a) = allocations.get_mut(allocation.as_str()) {
-                    a.closed = a.closed.min(at);
+                if let Some(record) = allocations.get_mut(allocation.as_str()) {
+                    record.closed_at = record.closed_at.min(at);
                 }
             }
             Observed::Rung { allocation, rung } => {
-                if let Some(a) = allocations.get_mut(allocation.as_str()) {
-                    a.rungs.push((at, *rung));
+                if let Some(record) = allocations.get_mut(allocation.as_str()) {
+                    record.rungs.push((at, *rung));
                 }
             }
-            Observed::Front { front, up: false } => lives.downs.push((*front, at)),
-            Observed::Front { front, up: true } => lives.ups.entry(*front).or_default().push(at),
-            Observed::Started { server, cold: true } => lives.starts.push((*server, at)),
+            Observed::Front { front, up: false } => lifetimes.front_stops.push((*front, at)),
+            Observed::Front { front, up: true } => lifetimes.front_starts.entry(*front).or_default().push(at),
+            Observed::Started { server, cold: true } => lifetimes.cold_starts.push((*server, at)),
             Observed::Started { .. } => {}
-            Observed::Stopped { server } => lives.stops.push((*server, at)),
-            Observed::Listed { server, ready } => listed.entry(*server).or_default().push((at, *ready)),
+            Observed::Stopped { server } => lifetimes.server_stops.push((*server, at)),
+            Observed::Listed { server, ready } => list_changes.entry(*server).or_default().push((at, *ready)),
         }
     }
     let requests: Vec<Request> = requests.into_values().collect();
     let mut allocations: Vec<Allocation> = allocations.into_values().collect();
-    assign(&requests, &mut allocations, &lives.downs, terms);
-    covered.requests = requests.len();
-    covered.set_ups = allocations.len();
-    answered_once(&requests, &allocations, &lives.downs, end, terms, &mut breaches);
-    one_at_a_time(&requests, &allocations, terms, &mut breaches, &mut covered);
-    drains_kept(&allocations, &listed, terms, &mut breaches, &mut covered);
-    cold_not_overrun(&allocations, &listed, &lives, terms, &mut breaches, &mut covered);
-    terms_kept(&requests, &allocations, terms, &mut breaches);
-    budget_kept(&requests, &allocations, terms, &mut breaches);
+    assign_to_fronts(&requests, &mut allocations, &lifetimes.front_stops, params);
+    coverage.requests = requests.len();
+    coverage.set_ups = allocations.len();
+    check_answers(&requests, &allocations, &lifetimes.front_stops, last_observed_at, params, &mut breaches);
+    check_repeated_allocations(&requests, &allocations, params, &mut breaches, &mut coverage);
+    check_drains(&allocations, &list_changes, params, &mut breaches, &mut coverage);
+    check_cold_starts(&allocations, &list_changes, &lifetimes, params, &mut breaches, &mut coverage);
+    check_rungs_and_seats(&requests, &allocations, params, &mut breaches);
+    check_budget(&requests, &allocations, params, &mut breaches);
     breaches.sort_by(|a, b| a.at.total_cmp(&b.at));
-    (breaches, covered)
+    (breaches, coverage)
 }
 
 /// Tells whose each allocation is. A session's allocation is of a front that was asked for it and has not answered yet;
 /// of several such fronts, of the one that had fewest for it. After an answer, a session that is asked for again is
 /// a new play.
-fn assign(requests: &[Request], allocations: &mut [Allocation], downs: &[(usize, f64)], terms: &RuleParams) {
-    let mut asked: BTreeMap<&str, Vec<&Request>> = BTreeMap::new();
-    requests.iter().for_each(|r| asked.entry(r.session).or_default().push(r));
-    asked.values_mut().for_each(|of| of.sort_by(|a, b| a.at.total_cmp(&b.at)));
-    allocations.sort_by(|a, b| a.at.total_cmp(&b.at));
+fn assign_to_fronts(
+    requests: &[Request],
+    allocations: &mut [Allocation],
+    front_stops: &[(usize, f64)],
+    params: &RuleParams,
+) {
+    let mut requests_by_session: BTreeMap<&str, Vec<&Request>> = BTreeMap::new();
+    requests.iter().for_each(|r| requests_by_session.entry(r.session).or_default().push(r));
+    requests_by_session.values_mut().for_each(|session_requests| {
+        session_requests.sort_by(|a, b| a.requested_at.total_cmp(&b.requested_at))
+    });
+    allocations.sort_by(|a, b| a.set_up_at.total_cmp(&b.set_up_at));
     // The latest allocation of each session at each run: when, of which play, its so-many-th.
-    let mut latest: BTreeMap<(&str, Run), (f64, usize, usize)> = BTreeMap::new();
-    for a in allocations {
-        let Some(of) = asked.get(a.session) else { continue };
-        let before = of.iter().filter(|r| r.at <= a.at);
-        let alive = |r: &&&Request| {
-            !downs.iter().any(|(front, at)| *front == r.run.0 && *at >= r.at && *at + terms.slack < a.at)
+    let mut latest: BTreeMap<(&str, FrontRun), (f64, usize, usize)> = BTreeMap::new();
+    for allocation in allocations {
+        let Some(session_requests) = requests_by_session.get(allocation.session) else { continue };
+        let earlier_requests = session_requests.iter().filter(|r| r.requested_at <= allocation.set_up_at);
+        let is_front_alive = |r: &&&Request| {
+            !front_stops.iter().any(|(front, at)| {
+                *front == r.run.0 && *at >= r.requested_at && *at + params.slack < allocation.set_up_at
+            })
         };
-        let pending = |r: &&&Request| r.answers.iter().all(|(at, _)| at + terms.slack >= a.at);
-        let had = |run: Run| latest.get(&(a.session, run)).map_or(0, |l| l.2);
-        let waiting = before.clone().filter(alive).filter(pending).min_by_key(|r| had(r.run));
-        let Some(run) =
-            waiting.or(before.clone().rev().find(alive)).or(before.clone().next_back()).map(|r| r.run)
+        let is_unanswered =
+            |r: &&&Request| r.answers.iter().all(|(at, _)| at + params.slack >= allocation.set_up_at);
+        let allocation_count = |run: FrontRun| latest.get(&(allocation.session, run)).map_or(0, |l| l.2);
+        let pending_request = earlier_requests
+            .clone()
+            .filter(is_front_alive)
+            .filter(is_unanswered)
+            .min_by_key(|r| allocation_count(r.run));
+        let Some(run) = pending_request
+            .or(earlier_requests.clone().rev().find(is_front_alive))
+            .or(earlier_requests.clone().next_back())
+            .map(|r| r.run)
         else {
             continue;
         };
-        let (play, n) = match latest.get(&(a.session, run)) {
+        let (play_number, ordinal) = match latest.get(&(allocation.session, run)) {
             None => (1, 1),
-            Some((at, play, n)) => {
-                let here = || of.iter().filter(|r| r.run == run);
-                let again = |told: f64| here().any(|r| r.at >= told && r.at <= a.at);
-                let told = here().flat_map(|r| &r.answers).any(|(told, _)| told >= at && again(*told));
-                if told { (play + 1, 1) } else { (*play, n + 1) }
+            Some((latest_at, play_number, ordinal)) => {
+                let run_requests = || session_requests.iter().filter(|r| r.run == run);
+                let is_requested_since = |since: f64| {
+                    run_requests().any(|r| r.requested_at >= since && r.requested_at <= allocation.set_up_at)
+                };
+                let is_new_play = run_requests()
+                    .flat_map(|r| &r.answers)
+                    .any(|(answered_at, _)| answered_at >= latest_at && is_requested_since(*answered_at));
+                if is_new_play { (play_number + 1, 1) } else { (*play_number, ordinal + 1) }
             }
         };
-        (a.run, a.play, a.n) = (run, play, n);
-        latest.insert((a.session, run), (a.at, play, n));
+        (allocation.run, allocation.play_number, allocation.ordinal) = (run, play_number, ordinal);
+        latest.insert((allocation.session, run), (allocation.set_up_at, play_number, ordinal));
     }
 }
 
 /// Rule 1: every request of a front that lives gets one answer by its time limit, and 200 is true.
-fn answered_once(
+fn check_answers(
     requests: &[Request],
     allocations: &[Allocation],
-    downs: &[(usize, f64)],
-    end: f64,
-    terms: &RuleParams,
+    front_stops: &[(usize, f64)],
+    last_observed_at: f64,
+    params: &RuleParams,
     breaches: &mut Vec<Breach>,
 ) {
-    let mut playing: BTreeMap<(&str, &str), f64> = BTreeMap::new();
-    for a in allocations {
-        if let Some((at, _, 200)) = a.done {
-            playing.entry((a.session, a.title)).and_modify(|t| *t = t.min(at)).or_insert(at);
+    let mut playing_since: BTreeMap<(&str, &str), f64> = BTreeMap::new();
+    for allocation in allocations {
+        if let Some((at, _, 200)) = allocation.result {
+            playing_since
+                .entry((allocation.session, allocation.title))
+                .and_modify(|t| *t = t.min(at))
+                .or_insert(at);
         }
     }
-    for r in requests {
-        let due = r.at + terms.products[r.product].limit + terms.slack;
-        let died =
-            downs.iter().any(|(front, at)| *front == r.run.0 && *at >= r.at - terms.slack && *at <= due);
-        let left = r.gone.is_some_and(|at| at <= due && r.answers.is_empty());
+    for request in requests {
+        let deadline = request.requested_at + params.products[request.product].limit + params.slack;
+        let front_died = front_stops.iter().any(|(front, at)| {
+            *front == request.run.0 && *at >= request.requested_at - params.slack && *at <= deadline
+        });
+        let player_left = request.left_at.is_some_and(|at| at <= deadline && request.answers.is_empty());
         let breach = |at: f64, what: String| Breach { rule: 1, at, what };
-        match r.answers.as_slice() {
-            [] if died || due > end => {}
+        match request.answers.as_slice() {
+            [] if front_died || deadline > last_observed_at => {}
             // A player that leaves of itself is owed nothing.
-            [] if left => {}
-            [] => breaches.push(breach(due, format!("session {} was never answered", r.session))),
-            [(at, _)] if *at > due => {
-                let late = at - due + terms.slack;
-                breaches.push(breach(*at, format!("session {} was answered {late:.0} ms late", r.session)));
+            [] if player_left => {}
+            [] => breaches.push(breach(deadline, format!("session {} was never answered", request.session))),
+            [(at, _)] if *at > deadline => {
+                let late = at - deadline + params.slack;
+                breaches
+                    .push(breach(*at, format!("session {} was answered {late:.0} ms late", request.session)));
             }
             [(at, 200)]
-                if playing.get(&(r.session, r.title)).is_none_or(|since| *since > at + terms.slack) =>
+                if playing_since
+                    .get(&(request.session, request.title))
+                    .is_none_or(|since| *since > at + params.slack) =>
             {
-                breaches.push(breach(*at, format!("session {} was told it plays, and does not", r.session)));
+                breaches.push(breach(
+                    *at,
+                    format!("session {} was told it plays, and does not", request.session),
+                ));
             }
             [_] => {}
             [_, (at, _), ..] => {
-                breaches.push(breach(*at, format!("session {} was answered twice", r.session)));
+                breaches.push(breach(*at, format!("session {} was answered twice", request.session)));
             }
         }
     }
 }
 
 /// Rule 2: never two allocations of a play out; a paid set-up again only if all earlier ones never ran.
-fn one_at_a_time(
+fn check_repeated_allocations(
     requests: &[Request],
     allocations: &[Allocation],
-    terms: &RuleParams,
+    params: &RuleParams,
     breaches: &mut Vec<Breach>,
-    covered: &mut Coverage,
+    coverage: &mut Coverage,
 ) {
-    covered.further = allocations.iter().filter(|a| a.n > 1).count();
+    coverage.further = allocations.iter().filter(|allocation| allocation.ordinal > 1).count();
     // Whatever plays they are of, no two of a session are out at one front.
-    let mut sessions: BTreeMap<(Run, &str), Vec<&Allocation>> = BTreeMap::new();
-    let mut plays: BTreeMap<(Run, &str, usize), Vec<&Allocation>> = BTreeMap::new();
-    for a in allocations {
-        sessions.entry((a.run, a.session)).or_default().push(a);
-        plays.entry((a.run, a.session, a.play)).or_default().push(a);
+    let mut by_session: BTreeMap<(FrontRun, &str), Vec<&Allocation>> = BTreeMap::new();
+    let mut by_play: BTreeMap<(FrontRun, &str, usize), Vec<&Allocation>> = BTreeMap::new();
+    for allocation in allocations {
+        by_session.entry((allocation.run, allocation.session)).or_default().push(allocation);
+        by_play
+            .entry((allocation.run, allocation.session, allocation.play_number))
+            .or_default()
+            .push(allocation);
     }
-    for ((_, session), sent) in &sessions {
-        for (i, next) in sent.iter().enumerate().skip(1) {
-            if let Some(out) = sent[..i].iter().find(|a| a.end() > next.at + terms.slack) {
-                let what = format!("session {session}: {} and {} out at once", out.name, next.name);
-                breaches.push(Breach { rule: 2, at: next.at, what });
+    for ((_, session), sent_allocations) in &by_session {
+        for (i, next) in sent_allocations.iter().enumerate().skip(1) {
+            if let Some(concurrent) = sent_allocations[..i]
+                .iter()
+                .find(|allocation| allocation.ended_at() > next.set_up_at + params.slack)
+            {
+                let what = format!("session {session}: {} and {} out at once", concurrent.name, next.name);
+                breaches.push(Breach { rule: 2, at: next.set_up_at, what });
             }
         }
     }
-    for ((run, session, _), sent) in &plays {
-        let product = &terms.products[sent[0].product];
-        for (i, next) in sent.iter().enumerate().skip(1) {
-            let breach = |what: String| Breach { rule: 2, at: next.at, what };
+    for ((run, session, _), sent_allocations) in &by_play {
+        let product = &params.products[sent_allocations[0].product];
+        for (i, next) in sent_allocations.iter().enumerate().skip(1) {
+            let breach = |what: String| Breach { rule: 2, at: next.set_up_at, what };
             // What the front could know: only a refusal without inspection proves that nothing ran.
-            let mut may_have_run = sent[..i].iter().filter(|a| !matches!(a.done, Some((_, _, 429))));
+            let mut may_have_run = sent_allocations[..i]
+                .iter()
+                .filter(|allocation| !matches!(allocation.result, Some((_, _, 429))));
             let Some(first) = may_have_run.next() else { continue };
-            let same = |group| match group {
+            let is_same_group = |group| match group {
                 Group::All => true,
-                Group::Zone => terms.zones[first.server] == terms.zones[next.server],
-                Group::Cell => terms.cells[first.server] == terms.cells[next.server],
+                Group::Zone => params.zones[first.server] == params.zones[next.server],
+                Group::Cell => params.cells[first.server] == params.cells[next.server],
             };
             match product.effect {
                 Effect::Free => {}
                 Effect::Paid => breaches
                     .push(breach(format!("session {session}: paid, and sent again after {}", first.name))),
                 Effect::Keyed { group, window } => {
-                    if !same(group) || next.at > first.at + window + terms.slack {
+                    if !is_same_group(group) || next.set_up_at > first.set_up_at + window + params.slack {
                         let what = format!("session {session}: {} out of group or window", next.name);
                         breaches.push(breach(what));
                     }
                 }
             }
         }
-        let ran = sent.iter().any(|a| !matches!(a.done, Some((_, _, 429))));
-        let refusable = matches!(product.effect, Effect::Free | Effect::Keyed { group: Group::All, .. });
-        let until =
-            sessions[&(*run, *session)].iter().find(|a| a.play > sent[0].play).map_or(f64::MAX, |a| a.at);
-        for r in requests.iter().filter(|r| (r.session, r.run) == (*session, *run) && ran && !refusable) {
-            let within = |at: f64| at >= sent[0].at && at < until;
-            if let Some((at, _)) = r.answers.iter().find(|(at, status)| *status == 503 && within(*at)) {
-                let what = format!("session {session}: declined though {} may have run", sent[0].name);
+        let any_may_have_run =
+            sent_allocations.iter().any(|allocation| !matches!(allocation.result, Some((_, _, 429))));
+        let may_decline = matches!(product.effect, Effect::Free | Effect::Keyed { group: Group::All, .. });
+        let next_play_at = by_session[&(*run, *session)]
+            .iter()
+            .find(|allocation| allocation.play_number > sent_allocations[0].play_number)
+            .map_or(f64::MAX, |allocation| allocation.set_up_at);
+        for request in requests.iter().filter(|request| {
+            (request.session, request.run) == (*session, *run) && any_may_have_run && !may_decline
+        }) {
+            let is_within_play = |at: f64| at >= sent_allocations[0].set_up_at && at < next_play_at;
+            if let Some((at, _)) =
+                request.answers.iter().find(|(at, status)| *status == 503 && is_within_play(*at))
+            {
+                let what =
+                    format!("session {session}: declined though {} may have run", sent_allocations[0].name);
                 breaches.push(Breach { rule: 2, at: *at, what });
             }
         }
@@ -390,70 +446,90 @@
 }
 
 /// Rule 3: nothing new to a draining or gone server after the grace.
-fn drains_kept(
+fn check_drains(
     allocations: &[Allocation],
-    listed: &BTreeMap<usize, Vec<(f64, bool)>>,
-    terms: &RuleParams,
+    list_changes: &BTreeMap<usize, Vec<(f64, bool)>>,
+    params: &RuleParams,
     breaches: &mut Vec<Breach>,
-    covered: &mut Coverage,
+    coverage: &mut Coverage,
 ) {
-    covered.drains = listed.values().flatten().filter(|(_, ready)| !ready).count();
-    for a in allocations {
-        let Some(changes) = listed.get(&a.server) else { continue };
-        let Some((since, false)) = changes.iter().rev().find(|(at, _)| *at <= a.at) else { continue };
-        if a.at > since + terms.drain_grace + terms.slack {
-            let what = format!("{} sent to server {} {:.0} ms after", a.name, a.server, a.at - since);
-            breaches.push(Breach { rule: 3, at: a.at, what });
+    coverage.drains = list_changes.values().flatten().filter(|(_, ready)| !ready).count();
+    for allocation in allocations {
+        let Some(changes) = list_changes.get(&allocation.server) else { continue };
+        let Some((since, false)) = changes.iter().rev().find(|(at, _)| *at <= allocation.set_up_at) else {
+            continue;
+        };
+        if allocation.set_up_at > since + params.drain_grace + params.slack {
+            let what = format!(
+                "{} sent to server {} {:.0} ms after",
+                allocation.name,
+                allocation.server,
+                allocation.set_up_at - since
+            );
+            breaches.push(Breach { rule: 3, at: allocation.set_up_at, what });
         }
     }
 }
 
 /// Rule 4: all fronts together stay under what pushes a cold server over, in every window of which most came
 /// from fronts that knew of its start.
-fn cold_not_overrun(
+fn check_cold_starts(
     allocations: &[Allocation],
-    listed: &BTreeMap<usize, Vec<(f64, bool)>>,
-    lives: &Lives,
-    terms: &RuleParams,
+    list_changes: &BTreeMap<usize, Vec<(f64, bool)>>,
+    lifetimes: &ProcessLifetimes,
+    params: &RuleParams,
     breaches: &mut Vec<Breach>,
-    covered: &mut Coverage,
+    coverage: &mut Coverage,
 ) {
-    let Lives { starts, stops, ups, .. } = lives;
-    for (server, start) in starts {
-        let stop = stops.iter().filter(|(s, at)| s == server && at > start).map(|(_, at)| *at);
-        let until = stop.fold(start + terms.cold, f64::min);
-        let before = stops.iter().filter(|(s, at)| s == server && at < start).map(|(_, at)| *at);
-        let lost = before.fold(f64::NEG_INFINITY, f64::max);
+    let ProcessLifetimes { cold_starts, server_stops, front_starts, .. } = lifetimes;
+    for (server, started_at) in cold_starts {
+        let later_stops =
+            server_stops.iter().filter(|(s, at)| s == server && at > started_at).map(|(_, at)| *at);
+        let cold_until = later_stops.fold(started_at + params.cold, f64::min);
+        let earlier_stops =
+            server_stops.iter().filter(|(s, at)| s == server && at < started_at).map(|(_, at)| *at);
+        let last_lost_at = earlier_stops.fold(f64::NEG_INFINITY, f64::max);
         // A front knows once the list has told of this start, or when the server was lost under its own plays; and one
         // that started later than the server has nothing to go by but what it is given at its own start.
-        let told = listed.get(server).into_iter().flatten().find(|(at, ready)| *ready && at >= start);
-        let of_server: Vec<&Allocation> = allocations.iter().filter(|a| a.server == *server).collect();
-        let saw_it_fail =
-            |run: Run| of_server.iter().any(|a| a.run == run && a.at < lost && a.end() >= lost - terms.slack);
-        let started_later =
-            |run: Run| ups.get(&run.0).and_then(|ups| ups.get(run.1)).is_some_and(|up| up > start);
-        let knew = |a: &Allocation| {
-            told.is_some_and(|(at, _)| a.at > at + terms.list_delay + terms.slack)
-                || saw_it_fail(a.run)
-                || started_later(a.run)
+        let ready_listing =
+            list_changes.get(server).into_iter().flatten().find(|(at, ready)| *ready && at >= started_at);
+        let server_allocations: Vec<&Allocation> =
+            allocations.iter().filter(|a| a.server == *server).collect();
+        let saw_the_loss = |run: FrontRun| {
+            server_allocations.iter().any(|a| {
+                a.run == run && a.set_up_at < last_lost_at && a.ended_at() >= last_lost_at - params.slack
+            })
         };
-        let sent = of_server.iter().filter(|a| a.at >= *start && a.at < until);
-        let mut sent: Vec<(f64, bool)> = sent.map(|a| (a.at, knew(a))).collect();
-        sent.sort_by(|a, b| a.0.total_cmp(&b.0));
-        covered.cold_set_ups += sent.len();
-        for (i, (last, _)) in sent.iter().enumerate() {
-            let window: Vec<bool> = sent[..=i]
+        let started_after_server = |run: FrontRun| {
+            front_starts
+                .get(&run.0)
+                .and_then(|starts| starts.get(run.1))
+                .is_some_and(|front_started_at| front_started_at > started_at)
+        };
+        let was_informed = |allocation: &Allocation| {
+            ready_listing.is_some_and(|(at, _)| allocation.set_up_at > at + params.list_delay + params.slack)
+                || saw_the_loss(allocation.run)
+                || started_after_server(allocation.run)
+        };
+        let set_ups =
+            server_allocations.iter().filter(|a| a.set_up_at >= *started_at && a.set_up_at < cold_until);
+        let mut set_ups: Vec<(f64, bool)> = set_ups.map(|a| (a.set_up_at, was_informed(a))).collect();
+        set_ups.sort_by(|a, b| a.0.total_cmp(&b.0));
+        coverage.cold_set_ups += set_ups.len();
+        for (i, (last, _)) in set_ups.iter().enumerate() {
+            let window: Vec<bool> = set_ups[..=i]
                 .iter()
-                .filter(|(at, _)| *at > last - terms.overload_window)
-                .map(|(_, knew)| *knew)
+                .filter(|(at, _)| *at > last - params.overload_window)
+                .map(|(_, informed)| *informed)
                 .collect();
-            let knowing = window.iter().filter(|knew| **knew).count();
-            let warm = terms.cold_from + (1.0 - terms.cold_from) * (last - start) / terms.cold;
-            let allowed = terms.overload * terms.streams[*server] / terms.cold * warm * terms.overload_window;
+            let informed_count = window.iter().filter(|informed| **informed).count();
+            let warm_part = params.cold_from + (1.0 - params.cold_from) * (last - started_at) / params.cold;
+            let allowed =
+                params.overload * params.streams[*server] / params.cold * warm_part * params.overload_window;
             // One or two that fall together overrun nothing.
-            if window.len() as f64 > allowed + 2.0 && 2 * knowing > window.len() {
-                let n = window.len();
-                let what = format!("server {server}: {n} set-ups in a window that carries {allowed:.1}");
+            if window.len() as f64 > allowed + 2.0 && 2 * informed_count > window.len() {
+                let count = window.len();
+                let what = format!("server {server}: {count} set-ups in a window that carries {allowed:.1}");
                 breaches.push(Breach { rule: 4, at: *last, what });
                 break;
             }
@@ -462,33 +538,41 @@
 }
 
 /// Rule 5: floors and tops of rungs, and seats of a title at each front.
-fn terms_kept(
+fn check_rungs_and_seats(
     requests: &[Request],
     allocations: &[Allocation],
-    terms: &RuleParams,
+    params: &RuleParams,
     breaches: &mut Vec<Breach>,
 ) {
-    let tops: BTreeMap<&str, usize> = requests.iter().map(|r| (r.session, r.top)).collect();
+    let requested_max_rungs: BTreeMap<&str, usize> =
+        requests.iter().map(|r| (r.session, r.max_rung)).collect();
     // By front's run, product and title: from when to when each play was there.
-    type Rooms<'a> = BTreeMap<(Run, usize, &'a str), Vec<(f64, f64)>>;
-    let mut rooms = Rooms::new();
-    for a in allocations {
-        let product = &terms.products[a.product];
-        let top = product.top.min(*tops.get(a.session).unwrap_or(&usize::MAX)).max(product.floor);
-        if let Some((at, rung)) = a.rungs.iter().find(|(_, r)| *r < product.floor || *r > top) {
-            let what = format!("{} at rung {rung}, allowed {} to {top}", a.name, product.floor);
+    type SpansByTitle<'a> = BTreeMap<(FrontRun, usize, &'a str), Vec<(f64, f64)>>;
+    let mut spans_by_title = SpansByTitle::new();
+    for allocation in allocations {
+        let product = &params.products[allocation.product];
+        let max_rung = product
+            .top
+            .min(*requested_max_rungs.get(allocation.session).unwrap_or(&usize::MAX))
+            .max(product.floor);
+        if let Some((at, rung)) = allocation.rungs.iter().find(|(_, r)| *r < product.floor || *r > max_rung) {
+            let what = format!("{} at rung {rung}, allowed {} to {max_rung}", allocation.name, product.floor);
             breaches.push(Breach { rule: 5, at: *at, what });
         }
         if product.seats > 0 {
-            rooms.entry((a.run, a.product, a.title)).or_default().push((a.at, a.end()));
+            spans_by_title
+                .entry((allocation.run, allocation.product, allocation.title))
+                .or_default()
+                .push((allocation.set_up_at, allocation.ended_at()));
         }
     }
-    for (((front, _), product, title), spans) in rooms {
-        let seats = terms.products[product].seats;
+    for (((front, _), product, title), spans) in spans_by_title {
+        let seats = params.products[product].seats;
         for (at, _) in &spans {
-            let there = spans.iter().filter(|(from, to)| from <= at && *to > at + terms.slack).count();
-            if there > seats {
-                let what = format!("front {front}: {there} plays of {title}, {seats} seats");
+            let concurrent_plays =
+                spans.iter().filter(|(from, to)| from <= at && *to > at + params.slack).count();
+            if concurrent_plays > seats {
+                let what = format!("front {front}: {concurrent_plays} plays of {title}, {seats} seats");
                 breaches.push(Breach { rule: 5, at: *at, what });
                 break;
             }
@@ -497,29 +581,35 @@
 }
 
 /// Rule 6: further allocations of a front within any span, against the plays it took in it.
-fn budget_kept(
+fn check_budget(
     requests: &[Request],
     allocations: &[Allocation],
-    terms: &RuleParams,
+    params: &RuleParams,
     breaches: &mut Vec<Breach>,
 ) {
-    let Some(budget) = &terms.budget else { return };
-    let mut runs: BTreeMap<Run, Vec<f64>> = BTreeMap::new();
-    for a in allocations.iter().filter(|a| a.n > 1) {
-        runs.entry(a.run).or_default().push(a.at);
+    let Some(budget) = &params.budget else { return };
+    let mut further_by_run: BTreeMap<FrontRun, Vec<f64>> = BTreeMap::new();
+    for allocation in allocations.iter().filter(|allocation| allocation.ordinal > 1) {
+        further_by_run.entry(allocation.run).or_default().push(allocation.set_up_at);
     }
-    for (run, mut further) in runs {
+    for (run, mut further) in further_by_run {
         further.sort_by(f64::total_cmp);
         let mut sessions = BTreeSet::new();
-        let of_front = requests.iter().filter(|r| r.run == run);
-        let taken: Vec<f64> = of_front.filter(|r| sessions.insert(r.session)).map(|r| r.at).collect();
+        let run_requests = requests.iter().filter(|r| r.run == run);
+        let play_starts: Vec<f64> =
+            run_requests.filter(|r| sessions.insert(r.session)).map(|r| r.requested_at).collect();
         for (i, at) in further.iter().enumerate() {
-            let from = at - budget.span;
-            let sent = further[..=i].iter().filter(|t| **t > from + terms.slack).count() as f64;
-            let plays = taken.iter().filter(|t| **t > from - terms.slack && **t <= at + terms.slack).count();
-            let allowed = budget.free + budget.share * plays as f64;
-            if sent > allowed {
-                let what = format!("front {}: {sent} further allocations, {allowed:.1} allowed", run.0);
+            let window_start = at - budget.span;
+            let further_count =
+                further[..=i].iter().filter(|t| **t > window_start + params.slack).count() as f64;
+            let play_count = play_starts
+                .iter()
+                .filter(|t| **t > window_start - params.slack && **t <= at + params.slack)
+                .count();
+            let allowed = budget.free + budget.share * play_count as f64;
+            if further_count > allowed {
+                let what =
+                    format!("front {}: {further_count} further allocations, {allowed:.1} allowed", run.0);
                 breaches.push(Breach { rule: 6, at: *at, what });
                 break;
             }
--- a/crates/rule-checker/tests/histories.rs
+++ b/crates/rule-checker/tests/histories.rs
@@ -25,9 +25,9 @@
 #[test_case("broken-6", &[6]; "knows no budget")]
 #[test_case("stop", &[]; "killed with a paid set-up out")]
 #[test_case("day-1", &[]; "a short bad day")]
-fn a_kept_history_is_judged_as_it_says(name: &str, breaks: &[u8]) {
+fn stored_histories_get_their_declared_verdict(name: &str, breaks: &[u8]) {
     let history = read(name);
-    assert_eq!(history.head.breaks, breaks);
+    assert_eq!(history.header.breaks, breaks);
     let verdict = history.verdict();
     assert_eq!(verdict.rules(), breaks.iter().copied().collect::<BTreeSet<u8>>(), "{:?}", verdict.breaches);
     let covered = &verdict.covered;
@@ -37,8 +37,8 @@
         assert!(covered.set_ups > 100 && all.iter().all(|n| *n > 0), "{covered:?}");
     }
     assert_eq!(
-        History::parse(&history.to_text().expect("it is plain")).expect("it reads").seen,
-        history.seen
+        History::parse(&history.to_text().expect("it is plain")).expect("it reads").observations,
+        history.observations
     );
 }
 
@@ -50,16 +50,19 @@
         Some(Observed::SetUp { server, allocation, session, product, title, rung: 99 }),
     other => Some(other),
 }, 5; "a rung over the top")]
-fn a_sound_day_with_one_thing_changed_is_rejected(
-    which: fn(&Observed) -> bool,
+fn changing_one_observation_of_a_clean_history_is_rejected(
+    matches_kind: fn(&Observed) -> bool,
     change: fn(Observed) -> Option<Observed>,
     rule: u8,
 ) {
     let mut history = read("day-1");
-    let at = history.seen.iter().position(|s| which(&s.what)).expect("there is such a thing");
-    let one = history.seen.remove(at);
-    if let Some(what) = change(one.what) {
-        history.seen.insert(at, pulleystair_rule_checker::Observation { at: one.at, what });
+    let index =
+        history.observations.iter().position(|s| matches_kind(&s.what)).expect("there is such a thing");
+    let observation = history.observations.remove(index);
+    if let Some(what) = change(observation.what) {
+        history
+            .observations
+            .insert(index, pulleystair_rule_checker::Observation { at: observation.at, what });
     }
     assert_eq!(history.verdict().rules().into_iter().collect::<Vec<u8>>(), [rule]);
 }
@@ -69,7 +72,7 @@
 }
 
 #[test]
-fn a_damaged_history_is_an_error_with_its_line_and_never_a_verdict() {
+fn damaged_history_is_an_error_with_its_line() {
     let whole = text("broken-3");
     let lines: Vec<&str> = whole.lines().collect();
     for cut in 0..whole.len() - 1 {
