--- a/crates/rule-checker/src/lib.rs
+++ b/crates/rule-checker/src/lib.rs
@@ -1,105 +1,65 @@
-//! What players and stand-in media servers saw on their sockets, on one clock, and the six rules checked on
-//! that alone. Nothing here knows the front: not its words, its code or its log.
+//! Observations that players and fake media servers make on their sockets, on one clock, and a checker of the six rules
+//! that works on these observations alone.
+//!
+//! Nothing in this crate depends on the front: neither on its messages nor on its code or its log. Observations come from
+//! the lab, the fake servers and the tests of other packages. All times are in ms.
 
 pub mod history;
 pub mod rules;
 
 use serde::{Deserialize, Serialize};
 
-/// One thing seen. Times are ms on the clock that all of a run's witnesses share.
+/// One observation, at a time in ms on the clock that all observers of a run share.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
     pub at: f64,
     pub what: Observed,
 }
 
+/// What was observed. Variants and fields are stored in history files under these names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Observed {
-    // ---- by players ----
-    /// A manifest request was written. `request` is one try of that session.
-    Asked {
-        request: u64,
-        session: String,
-        front: usize,
-        product: usize,
-        title: String,
-        top: usize,
-    },
-    /// Its answer came whole.
-    Answered {
-        request: u64,
-        status: u16,
-    },
-    /// The player closed before an answer came, by its own choice.
-    Left {
-        request: u64,
-    },
-    /// The connection broke before an answer.
-    Cut {
-        request: u64,
-    },
-    /// A segment came whole: what was asked for and what was in it.
-    Fetched {
-        session: String,
-        title: String,
-        number: u64,
-        rung: usize,
-        got: Option<Content>,
-    },
+    // ---- observed by players ----
+    /// A manifest request was written. `request` identifies one attempt of the session; `top` is the highest rung that the
+    /// viewer can use.
+    Asked { request: u64, session: String, front: usize, product: usize, title: String, top: usize },
+    /// The response to the request arrived completely.
+    Answered { request: u64, status: u16 },
+    /// The player closed the connection by its own choice before a response arrived.
+    Left { request: u64 },
+    /// The connection was closed by the other side before a response arrived.
+    Cut { request: u64 },
+    /// A segment arrived completely: what was requested, and what it contained (`got`, none if it could not be parsed).
+    Fetched { session: String, title: String, number: u64, rung: usize, got: Option<Content> },
 
-    // ---- by media servers ----
-    /// The request for a set-up was read.
-    SetUp {
-        server: usize,
-        allocation: String,
-        session: String,
-        product: usize,
-        title: String,
-        rung: usize,
-    },
-    /// The set-up was done, or refused, or failed; `ran` where work was done for it.
-    Done {
-        allocation: String,
-        ran: bool,
-        status: u16,
-    },
-    /// The connection that the set-up came on has ended, from whichever side.
-    Closed {
-        allocation: String,
-    },
-    /// The play's rung was set.
-    Rung {
-        allocation: String,
-        rung: usize,
-    },
+    // ---- observed by media servers ----
+    /// A set-up request was read.
+    SetUp { server: usize, allocation: String, session: String, product: usize, title: String, rung: usize },
+    /// The set-up succeeded, was refused or failed. `ran` tells whether work was done for it.
+    Done { allocation: String, ran: bool, status: u16 },
+    /// The connection of the set-up was closed, by either side.
+    Closed { allocation: String },
+    /// The rung of the play was changed.
+    Rung { allocation: String, rung: usize },
 
-    // ---- by whoever runs the day ----
-    Front {
-        front: usize,
-        up: bool,
-    },
-    /// A server's process started; `cold` where it has yet to warm up.
-    Started {
-        server: usize,
-        cold: bool,
-    },
-    Stopped {
-        server: usize,
-    },
-    /// What fronts are told of a server from now on.
-    Listed {
-        server: usize,
-        ready: bool,
-    },
+    // ---- recorded by the test that runs the scenario ----
+    /// A front started listening (`up`) or was killed.
+    Front { front: usize, up: bool },
+    /// A server's process started; `cold` if it still has to warm up.
+    Started { server: usize, cold: bool },
+    /// A server's process ended.
+    Stopped { server: usize },
+    /// The server list that fronts read shows the server as ready, or as draining or gone, from now on.
+    Listed { server: usize, ready: bool },
 }
 
-/// What a segment says that it is.
+/// The identification that a segment carries in its first line.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Content {
     pub title: String,
     pub number: u64,
     pub rung: usize,
-    /// Its bytes are those that this segment has.
+    /// Whether the bytes match the identification.
     pub intact: bool,
 }
--- a/crates/rule-checker/src/rules.rs
+++ b/crates/rule-checker/src/rules.rs
@@ -1,60 +1,75 @@
-//! The six rules, decided from what was seen. Each breach names its rule, the time, and what was seen.
+//! Checks of the six rules on recorded observations. Each breach names its rule, its time and what was observed. All times
+//! are in ms.
 //!
-//! Which front an allocation is of, and whether it is a play's first, is told by who was asked for its session, and
-//! when ([`assign`]): the name of an allocation is the front's own word, and only keeps what one server saw together.
+//! The front that made an allocation, and whether the allocation is the first of its play, follow from which front was
+//! asked for the session, and when ([`assign_to_fronts`]). The name of an allocation is chosen by the front, so it is only
+//! used to group the observations of one server.
 //!
-//! Seen and sent differ by how long a busy machine takes to move bytes between two sockets and to let their
-//! readers run, so orders between different sockets are held to `slack`.
+//! An observation is later than the event by the time that a busy machine needs to move bytes between two sockets and to
+//! schedule the readers. The order of events on different sockets is therefore checked with the tolerance `slack`.
 
 use crate::{Observation, Observed};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The terms that a run is held to.
+/// The parameters that a run is checked against. Durations are in ms.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RuleParams {
     pub products: Vec<Product>,
+    /// How long after a server was listed as not ready set-ups may still be sent to it.
     pub drain_grace: f64,
+    /// How long a server that started cold needs to warm up.
     pub cold: f64,
+    /// The part of its capacity that a server has at a cold start, rising to 1 over `cold`.
     pub cold_from: f64,
+    /// A cold server is overloaded when set-ups arrive this many times as fast as would fill its streams within `cold`.
     pub overload: f64,
-    /// Over this span a cold server's load is counted.
+    /// Length of the window over which set-ups at a cold server are counted.
     #[serde(rename = "fall")]
     pub overload_window: f64,
-    /// Streams of each server.
+    /// Number of streams of each server.
     pub streams: Vec<f64>,
+    /// Zone and cell of each server.
     pub zones: Vec<usize>,
     pub cells: Vec<usize>,
+    /// Budget of further allocations of each front; none if it is unlimited.
     pub budget: Option<Budget>,
-    /// How long it takes until a front has read a list that was replaced.
+    /// How long a front takes to read a server list that was replaced.
     #[serde(rename = "told")]
     pub list_delay: f64,
-    /// How late a thing may be seen.
+    /// Tolerance for the order of observations on different sockets.
     pub slack: f64,
 }
 
+/// A product, as far as the rules depend on it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Product {
+    /// Time limit of a request.
     pub limit: f64,
     pub effect: Effect,
+    /// Lowest and highest rung that plays may be on.
     pub floor: usize,
     pub top: usize,
+    /// Maximum number of concurrent plays of a title at one front; 0 if unlimited.
     pub seats: usize,
 }
 
+/// Whether a set-up of a product may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// May be set up again without harm.
+    /// A set-up may be repeated without harm.
     Free,
-    /// Only in the same group of servers, within this many ms of the first that may have run.
+    /// A set-up may be repeated only within the same group of servers, and within `window` ms of the first set-up that may
+    /// have run.
     Keyed { group: Group, window: f64 },
-    /// Paid for at set-up.
+    /// A set-up is paid for, so it may be repeated only if all earlier ones were refused without inspection.
     Paid,
 }
 
+/// The servers among which a keyed set-up may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Group {
@@ -63,6 +78,8 @@
     Cell,
 }
 
+/// Budget of further allocations: within any `span`, a front may make `free` of them plus `share` for each play that it
+/// took within that span.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
@@ -71,31 +88,38 @@
     pub free: f64,
 }
 
+/// One breach of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Breach {
-    /// 1 to 6; 0 for a wrong segment.
+    /// Number of the rule, 1 to 6; 0 for a wrong segment.
     pub rule: u8,
     pub at: f64,
+    /// What was observed.
     pub what: String,
 }
 
-/// What a check covered, so that a clean verdict on an empty log is told from one on a full one.
+/// What a check covered, to distinguish a clean verdict on an empty log from one on a full log.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Coverage {
     pub requests: usize,
     pub set_ups: usize,
+    /// Allocations after the first of their play.
     pub further: usize,
+    /// List changes of a server to draining or gone.
     pub drains: usize,
+    /// Set-ups at servers that were warming up.
     pub cold_set_ups: usize,
     pub segments: usize,
 }
 
-/// A front, and how often it had been started before: it dies with all that it knew.
+/// One process lifetime of a front: the front's number and how often it had been started before. A front that is
+/// restarted has lost its state, so each lifetime is checked separately.
 type FrontRun = (usize, usize);
 
-/// Whose an allocation is whose session nobody asked for.
+/// Stands for the front of an allocation whose session was never requested.
 const UNKNOWN_RUN: FrontRun = (usize::MAX, 0);
 
+/// A manifest request with all its responses.
 struct Request<'a> {
     requested_at: f64,
     session: &'a str,
@@ -103,11 +127,13 @@
     product: usize,
     title: &'a str,
     max_rung: usize,
+    /// Time and status of each response.
     answers: Vec<(f64, u16)>,
-    /// When the player left.
+    /// When the player closed the connection, if it did.
     left_at: Option<f64>,
 }
 
+/// An allocation as its server observed it.
 struct Allocation<'a> {
     name: &'a str,
     set_up_at: f64,
@@ -115,17 +141,21 @@
     session: &'a str,
     product: usize,
     title: &'a str,
+    /// Each rung that was set, with its time.
     rungs: Vec<(f64, usize)>,
+    /// When the set-up was completed, whether work was done for it, and its status.
     result: Option<(f64, bool, u16)>,
     closed_at: f64,
     run: FrontRun,
-    /// Which of its session's plays at that run it is of, and that play's so-many-th allocation; both from 1.
+    /// Number of the play among those of its session at `run`, counted from 1.
     play_number: usize,
+    /// Number of the allocation among those of its play, counted from 1.
     ordinal: usize,
 }
 
 impl Allocation<'_> {
-    /// Until when it was out or played, as its server saw it: a refusal or error ends it when written.
+    /// Until when the allocation was in flight or playing, as its server observed it. A refusal or an error ends it when it is
+    /// written.
     fn ended_at(&self) -> f64 {
         match self.result {
             Some((at, _, status)) if status != 200 => at.min(self.closed_at),
@@ -134,16 +164,17 @@
     }
 }
 
-/// When processes began and ended: those of servers that began cold, and those of fronts.
+/// Start and end times of the processes of servers (only cold starts) and of fronts.
 #[derive(Default)]
 struct ProcessLifetimes {
     cold_starts: Vec<(usize, f64)>,
     server_stops: Vec<(usize, f64)>,
+    /// Start times of each front, in order.
     front_starts: BTreeMap<usize, Vec<f64>>,
     front_stops: Vec<(usize, f64)>,
 }
 
-/// Checks all rules on a log in any order.
+/// Checks all rules on observations, which may be in any order. The breaches are sorted by time.
 pub fn check(observations: &[Observation], params: &RuleParams) -> (Vec<Breach>, Coverage) {
     let mut observations: Vec<&Observation> = observations.iter().collect();
     observations.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -178,7 +209,7 @@
                     record.answers.push((at, *status));
                 }
             }
-            // A connection cut by a front that lives is no answer; by one that died, see `downs`.
+            // A connection that a running front cut counts as no response; for a front that died, see `front_stops`.
             Observed::Cut { .. } => {}
             Observed::Left { request } => {
                 if let Some(record) = requests.get_mut(request) {
@@ -191,7 +222,8 @@
                     got.intact && got.title == *title && got.number == *number && got.rung <= *rung
                 });
                 if !is_expected {
-                    let what = format!("session {session}: segment {title}/{rung}/{number} came as {got:?}");
+                    let what =
+                        format!("session {session}: segment {title}/{rung}/{number} contained {got:?}");
                     breaches.push(Breach { rule: 0, at, what });
                 }
             }
@@ -214,7 +246,7 @@
                     breaches.push(Breach {
                         rule: 2,
                         at,
-                        what: format!("allocation {allocation} came twice"),
+                        what: format!("allocation {allocation} was sent twice"),
                     });
                 }
             }
@@ -256,9 +288,9 @@
     (breaches, coverage)
 }
 
-/// Tells whose each allocation is. A session's allocation is of a front that was asked for it and has not answered yet;
-/// of several such fronts, of the one that had fewest for it. After an answer, a session that is asked for again is
-/// a new play.
+/// Determines the front, the play and the ordinal of each allocation. An allocation of a session belongs to a front that
+/// was asked for the session and has not responded yet; of several such fronts, to the one with the fewest allocations for
+/// the session. A session that is requested again after a response is a new play.
 fn assign_to_fronts(
     requests: &[Request],
     allocations: &mut [Allocation],
@@ -271,7 +303,7 @@
         session_requests.sort_by(|a, b| a.requested_at.total_cmp(&b.requested_at))
     });
     allocations.sort_by(|a, b| a.set_up_at.total_cmp(&b.set_up_at));
-    // The latest allocation of each session at each run: when, of which play, its so-many-th.
+    // The latest allocation of each session at each run: its time, play number and ordinal.
     let mut latest: BTreeMap<(&str, FrontRun), (f64, usize, usize)> = BTreeMap::new();
     for allocation in allocations {
         let Some(session_requests) = requests_by_session.get(allocation.session) else { continue };
@@ -314,7 +346,8 @@
     }
 }
 
-/// Rule 1: every request of a front that lives gets one answer by its time limit, and 200 is true.
+/// Rule 1: every request at a front that keeps running gets exactly one response within its time limit, and a response
+/// of 200 means that the title plays.
 fn check_answers(
     requests: &[Request],
     allocations: &[Allocation],
@@ -341,7 +374,7 @@
         let breach = |at: f64, what: String| Breach { rule: 1, at, what };
         match request.answers.as_slice() {
             [] if front_died || deadline > last_observed_at => {}
-            // A player that leaves of itself is owed nothing.
+            // A player that closed the connection itself needs no response.
             [] if player_left => {}
             [] => breaches.push(breach(deadline, format!("session {} was never answered", request.session))),
             [(at, _)] if *at > deadline => {
@@ -356,7 +389,7 @@
             {
                 breaches.push(breach(
                     *at,
-                    format!("session {} was told it plays, and does not", request.session),
+                    format!("session {} was answered 200 but does not play", request.session),
                 ));
             }
             [_] => {}
@@ -367,7 +400,7 @@
     }
 }
 
-/// Rule 2: never two allocations of a play out; a paid set-up again only if all earlier ones never ran.
+/// Rule 2: a play never has two allocations in flight, and a paid set-up is repeated only if no earlier one ran.
 fn check_repeated_allocations(
     requests: &[Request],
     allocations: &[Allocation],
@@ -376,7 +409,7 @@
     coverage: &mut Coverage,
 ) {
     coverage.further = allocations.iter().filter(|allocation| allocation.ordinal > 1).count();
-    // Whatever plays they are of, no two of a session are out at one front.
+    // A session never has two allocations in flight at one front, whichever plays they belong to.
     let mut by_session: BTreeMap<(FrontRun, &str), Vec<&Allocation>> = BTreeMap::new();
     let mut by_play: BTreeMap<(FrontRun, &str, usize), Vec<&Allocation>> = BTreeMap::new();
     for allocation in allocations {
@@ -392,7 +425,10 @@
                 .iter()
                 .find(|allocation| allocation.ended_at() > next.set_up_at + params.slack)
             {
-                let what = format!("session {session}: {} and {} out at once", concurrent.name, next.name);
+                let what = format!(
+                    "session {session}: {} and {} were in flight at the same time",
+                    concurrent.name, next.name
+                );
                 breaches.push(Breach { rule: 2, at: next.set_up_at, what });
             }
         }
@@ -401,7 +437,7 @@
         let product = &params.products[sent_allocations[0].product];
         for (i, next) in sent_allocations.iter().enumerate().skip(1) {
             let breach = |what: String| Breach { rule: 2, at: next.set_up_at, what };
-            // What the front could know: only a refusal without inspection proves that nothing ran.
+            // Judged by what the front can know: only a refusal without inspection (429) proves that no work was done.
             let mut may_have_run = sent_allocations[..i]
                 .iter()
                 .filter(|allocation| !matches!(allocation.result, Some((_, _, 429))));
@@ -413,11 +449,16 @@
             };
             match product.effect {
                 Effect::Free => {}
-                Effect::Paid => breaches
-                    .push(breach(format!("session {session}: paid, and sent again after {}", first.name))),
+                Effect::Paid => breaches.push(breach(format!(
+                    "session {session}: a paid set-up was repeated after {}",
+                    first.name
+                ))),
                 Effect::Keyed { group, window } => {
                     if !is_same_group(group) || next.set_up_at > first.set_up_at + window + params.slack {
-                        let what = format!("session {session}: {} out of group or window", next.name);
+                        let what = format!(
+                            "session {session}: {} was sent outside of its group or window",
+                            next.name
+                        );
                         breaches.push(breach(what));
                     }
                 }
@@ -438,14 +479,14 @@
                 request.answers.iter().find(|(at, status)| *status == 503 && is_within_play(*at))
             {
                 let what =
-                    format!("session {session}: declined though {} may have run", sent_allocations[0].name);
+                    format!("session {session}: declined although {} may have run", sent_allocations[0].name);
                 breaches.push(Breach { rule: 2, at: *at, what });
             }
         }
     }
 }
 
-/// Rule 3: nothing new to a draining or gone server after the grace.
+/// Rule 3: no set-up is sent to a draining or gone server after the grace period.
 fn check_drains(
     allocations: &[Allocation],
     list_changes: &BTreeMap<usize, Vec<(f64, bool)>>,
@@ -461,7 +502,7 @@
         };
         if allocation.set_up_at > since + params.drain_grace + params.slack {
             let what = format!(
-                "{} sent to server {} {:.0} ms after",
+                "{} was sent to server {} {:.0} ms after it was listed as not ready",
                 allocation.name,
                 allocation.server,
                 allocation.set_up_at - since
@@ -471,8 +512,8 @@
     }
 }
 
-/// Rule 4: all fronts together stay under what pushes a cold server over, in every window of which most came
-/// from fronts that knew of its start.
+/// Rule 4: all fronts together stay below the load that overloads a cold server. A window counts only if most of its
+/// set-ups came from fronts that knew of the server's start.
 fn check_cold_starts(
     allocations: &[Allocation],
     list_changes: &BTreeMap<usize, Vec<(f64, bool)>>,
@@ -489,8 +530,9 @@
         let earlier_stops =
             server_stops.iter().filter(|(s, at)| s == server && at < started_at).map(|(_, at)| *at);
         let last_lost_at = earlier_stops.fold(f64::NEG_INFINITY, f64::max);
-        // A front knows once the list has told of this start, or when the server was lost under its own plays; and one
-        // that started later than the server has nothing to go by but what it is given at its own start.
+        // A front knows of the start once it has read it in the server list, or when it lost its own plays with the
+        // server's previous process. A front that started after the server must assume that what it read at its own start
+        // may be outdated.
         let ready_listing =
             list_changes.get(server).into_iter().flatten().find(|(at, ready)| *ready && at >= started_at);
         let server_allocations: Vec<&Allocation> =
@@ -526,10 +568,10 @@
             let warm_part = params.cold_from + (1.0 - params.cold_from) * (last - started_at) / params.cold;
             let allowed =
                 params.overload * params.streams[*server] / params.cold * warm_part * params.overload_window;
-            // One or two that fall together overrun nothing.
+            // One or two set-ups above the rate are tolerated: they may coincide by chance.
             if window.len() as f64 > allowed + 2.0 && 2 * informed_count > window.len() {
                 let count = window.len();
-                let what = format!("server {server}: {count} set-ups in a window that carries {allowed:.1}");
+                let what = format!("server {server}: {count} set-ups in a window that allows {allowed:.1}");
                 breaches.push(Breach { rule: 4, at: *last, what });
                 break;
             }
@@ -537,7 +579,7 @@
     }
 }
 
-/// Rule 5: floors and tops of rungs, and seats of a title at each front.
+/// Rule 5: plays stay between the floor and the top rung, and a title has no more plays at a front than seats.
 fn check_rungs_and_seats(
     requests: &[Request],
     allocations: &[Allocation],
@@ -546,7 +588,7 @@
 ) {
     let requested_max_rungs: BTreeMap<&str, usize> =
         requests.iter().map(|r| (r.session, r.max_rung)).collect();
-    // By front's run, product and title: from when to when each play was there.
+    // Start and end of each play, by front run, product and title.
     type SpansByTitle<'a> = BTreeMap<(FrontRun, usize, &'a str), Vec<(f64, f64)>>;
     let mut spans_by_title = SpansByTitle::new();
     for allocation in allocations {
@@ -556,7 +598,10 @@
             .min(*requested_max_rungs.get(allocation.session).unwrap_or(&usize::MAX))
             .max(product.floor);
         if let Some((at, rung)) = allocation.rungs.iter().find(|(_, r)| *r < product.floor || *r > max_rung) {
-            let what = format!("{} at rung {rung}, allowed {} to {max_rung}", allocation.name, product.floor);
+            let what = format!(
+                "{} was at rung {rung}; allowed are {} to {max_rung}",
+                allocation.name, product.floor
+            );
             breaches.push(Breach { rule: 5, at: *at, what });
         }
         if product.seats > 0 {
@@ -572,7 +617,9 @@
             let concurrent_plays =
                 spans.iter().filter(|(from, to)| from <= at && *to > at + params.slack).count();
             if concurrent_plays > seats {
-                let what = format!("front {front}: {concurrent_plays} plays of {title}, {seats} seats");
+                let what = format!(
+                    "front {front}: {concurrent_plays} concurrent plays of {title}, but {seats} seats"
+                );
                 breaches.push(Breach { rule: 5, at: *at, what });
                 break;
             }
@@ -580,7 +627,7 @@
     }
 }
 
-/// Rule 6: further allocations of a front within any span, against the plays it took in it.
+/// Rule 6: within any span, a front makes no more further allocations than its budget allows for the plays that it took.
 fn check_budget(
     requests: &[Request],
     allocations: &[Allocation],
--- a/crates/rule-checker/tests/rules.rs
+++ b/crates/rule-checker/tests/rules.rs
@@ -1,10 +1,11 @@
-//! For each rule, a clean log on which it passes and doctored ones on which it fails: a check counts only
-//! once it was seen to fail.
+//! Tests each rule on a clean log, which must pass, and on manipulated logs, which must be rejected: a check that was never
+//! seen to fail proves nothing.
 
 use pulleystair_rule_checker::rules::{Budget, Effect, Group, Product, RuleParams, check};
 use pulleystair_rule_checker::{Content, Observation, Observed};
 use test_case::test_case;
 
+/// Parameters of three servers in two zones and one product with this effect.
 fn rule_params(effect: Effect) -> RuleParams {
     RuleParams {
         products: vec![Product { limit: 1000.0, effect, floor: 1, top: 2, seats: 2 }],
@@ -22,6 +23,7 @@
     }
 }
 
+/// Builder of logs; the product is 0, the title "t" and the front 0 unless said otherwise.
 #[derive(Default)]
 struct ObservationLog(Vec<Observation>);
 
@@ -65,13 +67,14 @@
         self.add(at, Observed::Closed { allocation: allocation.to_string() })
     }
 
+    /// Adds a late observation, so that all time limits have passed, and returns the rules that are broken.
     fn broken_rules(&mut self, params: &RuleParams) -> Vec<u8> {
         self.add(60_000.0, Observed::Front { front: 0, up: true });
         check(&self.0, params).0.iter().map(|b| b.rule).collect()
     }
 }
 
-/// A play that errs once and then plays.
+/// A play that is refused once and then set up.
 fn log_with_one_retry() -> ObservationLog {
     let mut log = ObservationLog::default();
     log.request(0.0, 1, "s").set_up(1.0, 0, "f-1-1", "s").done(50.0, "f-1-1", 429).closed(51.0, "f-1-1");
@@ -123,7 +126,7 @@
     );
     let mut died = ObservationLog::default();
     died.request(0.0, 1, "s").add(500.0, Observed::Front { front: 0, up: false });
-    assert!(died.broken_rules(&params).is_empty(), "what a dead front held is not owed");
+    assert!(died.broken_rules(&params).is_empty(), "requests at a front that died need no response");
 }
 
 #[test]
@@ -141,7 +144,7 @@
     again.set_up(52.0, 2, "f-1-2", "s").done(100.0, "f-1-2", 200).answered(101.0, 1, 200);
     assert_eq!(again.broken_rules(&rule_params(Effect::Paid)), [2]);
     let zone = Effect::Keyed { group: Group::Zone, window: 1000.0 };
-    assert!(again.broken_rules(&rule_params(zone)).is_empty(), "servers 0 and 2 are of one zone");
+    assert!(again.broken_rules(&rule_params(zone)).is_empty(), "servers 0 and 2 are in one zone");
     let cell = Effect::Keyed { group: Group::Cell, window: 1000.0 };
     assert_eq!(again.broken_rules(&rule_params(cell)), [2]);
     let late = Effect::Keyed { group: Group::All, window: 10.0 };
@@ -161,7 +164,7 @@
     assert_eq!(log.broken_rules(&rule_params(Effect::Free)), broken);
 }
 
-#[test_case(1, &[]; "its pace")]
+#[test_case(1, &[]; "steady rate")]
 #[test_case(9, &[4]; "a burst")]
 fn rule_4_rejects_overloading_a_cold_server_from_all_fronts(each: usize, broken: &[u8]) {
     let mut log = ObservationLog::default();
@@ -178,13 +181,13 @@
     log.0.retain(|s| !matches!(s.what, Observed::Listed { .. }));
     assert!(
         log.broken_rules(&rule_params(Effect::Free)).is_empty(),
-        "nobody had been told, or had seen it fail"
+        "no front was informed of the start or had lost plays at the server"
     );
 }
 
-#[test_case(0, &[5]; "under the floor")]
+#[test_case(0, &[5]; "below the floor")]
 #[test_case(1, &[]; "on the floor")]
-#[test_case(3, &[5]; "over the top")]
+#[test_case(3, &[5]; "above the top")]
 fn rule_5_rejects_rungs_outside_floor_and_top(rung: usize, broken: &[u8]) {
     let mut log = ObservationLog::default();
     log.set_up_on(0.0, 0, "f-1-1", "s", rung).closed(100.0, "f-1-1");
@@ -217,6 +220,7 @@
     assert_eq!(log.broken_rules(&rule_params(Effect::Free)), broken);
 }
 
+/// Allocation names are chosen by the front: one that names each allocation as a first one must still break rule 6.
 #[test]
 fn rule_6_does_not_rely_on_allocation_names() {
     let mut log = ObservationLog::default();
@@ -230,8 +234,8 @@
     assert_eq!(log.broken_rules(&rule_params(Effect::Free)), [6]);
 }
 
-#[test_case(true, &[]; "asked for again, it is a new play")]
-#[test_case(false, &[2]; "not asked for again, it is the same one")]
+#[test_case(true, &[]; "requested again: a new play")]
+#[test_case(false, &[2]; "not requested again: the same play")]
 fn rule_2_counts_a_request_after_an_answer_as_a_new_play(again: bool, broken: &[u8]) {
     let mut log = ObservationLog::default();
     log.add(0.0, Observed::Front { front: 0, up: true });
@@ -260,11 +264,11 @@
     assert_eq!(
         log.broken_rules(&seats),
         [4],
-        "what it was given at its start may be old, and it must reckon with that"
+        "what the front read at its start may be outdated, and it must allow for that"
     );
 }
 
-#[test_case("t", 4, 1, true, &[]; "as asked")]
+#[test_case("t", 4, 1, true, &[]; "as requested")]
 #[test_case("t", 4, 0, true, &[]; "a lower rung")]
 #[test_case("t", 5, 1, true, &[0]; "another number")]
 #[test_case("u", 4, 1, true, &[0]; "another title")]
