--- a/crates/fake-servers/src/files.rs
+++ b/crates/fake-servers/src/files.rs
@@ -1,9 +1,10 @@
-//! Files as operators replace them.
+//! Atomic replacement of files, as operators do it. Used for all files that a running front re-reads.
 
 use std::io;
 use std::path::Path;
 
-/// Writes a file beside its place and puts it there whole, so that whoever looks at it sees the old or the new one.
+/// Replaces a file atomically: writes a temporary file beside it and renames that, so that readers see either the old or
+/// the new content.
 pub fn replace(file: &Path, bytes: impl AsRef<[u8]>) -> io::Result<()> {
     let temporary = file.with_extension("new");
     std::fs::write(&temporary, bytes)?;
--- a/crates/fake-servers/src/http.rs
+++ b/crates/fake-servers/src/http.rs
@@ -1,5 +1,5 @@
-//! As much HTTP/1.1 as stand-ins and players need. Kept apart from the front's on purpose: each side's faults
-//! show on the other.
+//! The part of HTTP/1.1 that the fake servers and the players of the lab need. It is deliberately separate from the front's
+//! implementation, so that errors of either side show on the other.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,30 +9,33 @@
 use tokio::net::TcpStream;
 use tokio_rustls::{TlsAcceptor, TlsConnector, TlsStream};
 
+/// Maximum size of a head.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Bodies that a stand-in reads whole.
+/// Maximum size of a body that is read completely.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// A head, either way, and the body that came with it.
+/// The head of a request or a response, and its body.
 #[derive(Debug, Default)]
 pub struct Message {
-    /// Of a request.
+    /// Set in requests.
     pub method: String,
     pub target: String,
-    /// Of an answer.
+    /// Set in responses.
     pub status: u16,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
 impl Message {
+    /// The value of a header, by its name in any case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
+    /// The announced length of the body; 0 if there is none.
     fn content_length(&self) -> io::Result<usize> {
         let length: usize = self.header("content-length").map_or(Ok(0), str::parse).map_err(invalid_data)?;
-        if length > MAX_BODY_BYTES { Err(invalid_data("body too large")) } else { Ok(length) }
+        if length > MAX_BODY_BYTES { Err(invalid_data("the HTTP body is too large")) } else { Ok(length) }
     }
 }
 
@@ -40,7 +43,7 @@
     io::Error::new(io::ErrorKind::InvalidData, what.to_string())
 }
 
-/// A stream, sealed by TLS or not.
+/// A TCP stream, with TLS or without.
 pub enum Stream {
     Plain(TcpStream),
     Tls(Box<TlsStream<TcpStream>>),
@@ -78,19 +81,20 @@
     }
 }
 
-/// A connection with what was read ahead.
+/// A connection with the bytes that were read ahead.
 pub struct HttpPeer {
     pub stream: Stream,
     pub buffer: Vec<u8>,
 }
 
 impl HttpPeer {
+    /// Wraps an established connection without TLS.
     pub fn new(stream: TcpStream) -> HttpPeer {
         let _ = stream.set_nodelay(true);
         HttpPeer { stream: Stream::Plain(stream), buffer: Vec::new() }
     }
 
-    /// Calls a server, under TLS by this name where a connector is given.
+    /// Connects to a server, with TLS if a connector and the server's name are given.
     pub async fn connect(address: SocketAddr, tls: Option<(&TlsConnector, &str)>) -> io::Result<HttpPeer> {
         let stream = TcpStream::connect(address).await?;
         let _ = stream.set_nodelay(true);
@@ -104,7 +108,7 @@
         Ok(HttpPeer { stream, buffer: Vec::new() })
     }
 
-    /// Takes a caller, under TLS where an acceptor is given.
+    /// Takes over an accepted connection, with TLS if an acceptor is given.
     pub async fn accept(stream: TcpStream, tls_acceptor: Option<TlsAcceptor>) -> io::Result<HttpPeer> {
         let _ = stream.set_nodelay(true);
         let stream = match tls_acceptor {
@@ -114,12 +118,12 @@
         Ok(HttpPeer { stream, buffer: Vec::new() })
     }
 
-    /// Reads more; false at the peer's end.
+    /// Reads more bytes into the buffer; false if the peer has closed the connection.
     pub async fn read_more(&mut self) -> io::Result<bool> {
         Ok(self.stream.read_buf(&mut self.buffer).await? > 0)
     }
 
-    /// Reads a request; none at a clean end.
+    /// Reads a request; none if the peer closed the connection before its first byte.
     pub async fn read_request(&mut self) -> io::Result<Option<Message>> {
         let Some(mut message) = self
             .read_head(|bytes| {
@@ -143,7 +147,8 @@
         Ok(Some(message))
     }
 
-    /// Reads an answer's head, and its body unless that is chunked; none at an end before the first byte.
+    /// Reads the head of a response, and its body unless that is chunked; none if the peer closed the connection before the
+    /// first byte.
     pub async fn read_response(&mut self) -> io::Result<Option<Message>> {
         let Some(mut message) = self.read_response_head().await? else { return Ok(None) };
         if message.header("transfer-encoding").is_none() {
@@ -152,6 +157,7 @@
         Ok(Some(message))
     }
 
+    /// Reads the head of a response; none if the peer closed the connection before its first byte.
     pub async fn read_response_head(&mut self) -> io::Result<Option<Message>> {
         self.read_head(|bytes| {
             let mut headers = [httparse::EMPTY_HEADER; 64];
@@ -167,6 +173,7 @@
         .await
     }
 
+    /// Reads until `parse` finds a complete head, and removes its bytes from the buffer.
     async fn read_head(
         &mut self,
         parse: impl Fn(&[u8]) -> io::Result<Option<(Message, usize)>>,
@@ -177,7 +184,7 @@
                 return Ok(Some(message));
             }
             if self.buffer.len() > MAX_HEAD_BYTES {
-                return Err(invalid_data("head too large"));
+                return Err(invalid_data("the HTTP head is too large"));
             }
             if !self.read_more().await? {
                 let is_clean_end = self.buffer.is_empty();
@@ -186,6 +193,7 @@
         }
     }
 
+    /// Reads a body of `length` bytes.
     async fn read_body(&mut self, length: usize) -> io::Result<Vec<u8>> {
         while self.buffer.len() < length {
             if !self.read_more().await? {
@@ -196,17 +204,18 @@
         Ok(std::mem::replace(&mut self.buffer, rest))
     }
 
-    /// Waits for the peer's end, reading away what comes.
+    /// Waits until the peer closes the connection, and discards what it sends.
     pub async fn wait_closed(&mut self) {
         while let Ok(true) = self.read_more().await {}
     }
 
+    /// Writes all bytes and flushes them.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await?;
         self.stream.flush().await
     }
 
-    /// Closes by a reset instead of an orderly end.
+    /// Closes the connection by a reset instead of an orderly shutdown.
     pub fn reset(self) {
         let stream = match &self.stream {
             Stream::Plain(stream) => stream,
@@ -216,6 +225,7 @@
     }
 }
 
+/// Copies parsed headers into owned strings.
 fn to_owned_headers(headers: &[httparse::Header]) -> Vec<(String, String)> {
     let text = |h: &httparse::Header| (h.name.to_string(), String::from_utf8_lossy(h.value).into_owned());
     headers.iter().map(text).collect()
--- a/crates/fake-servers/src/model.rs
+++ b/crates/fake-servers/src/model.rs
@@ -1,80 +1,86 @@
-//! The model behind the stand-ins: links and rack uplinks that are shared evenly when over-asked, streams,
-//! cold starts that can be rushed, and what troubles do to them. No I/O; the caller hands in the time.
+//! Load model of the fake servers: links and rack uplinks that are shared evenly when overloaded, streams, servers that
+//! fail when they are overloaded during a cold start, and the effects of injected faults. The model does no I/O; the
+//! caller passes the time, in ms. Rates are in kB/s.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
-/// A media server as it is built.
+/// The fixed properties of a media server.
 #[derive(Clone, Debug)]
 pub struct ServerSpec {
     pub zone: usize,
     pub cell: usize,
-    /// Cores that set-ups are worked on, set-ups that may wait for one, and streams, at most.
+    /// Number of cores that work on set-ups, of set-ups that may wait for a core, and of streams.
     pub cores: usize,
     pub queue: usize,
     pub streams: usize,
-    /// What its link really carries, kB/s.
+    /// True capacity of the link, kB/s.
     pub link_kb: f64,
-    /// Work of a set-up, ms, and its spread (sigma of a log-normal).
+    /// Median work of a set-up, ms, and its spread (sigma of a log-normal distribution).
     pub work_ms: f64,
     pub work_spread: f64,
 }
 
-/// What all servers have in common.
+/// Properties that all servers have in common.
 #[derive(Clone, Debug)]
 pub struct ServerFleetSpec {
     /// Rate of each rung, kB/s.
     pub ladder: Vec<f64>,
-    /// Uplink of each rack; a cell's rack is its number modulo their count.
+    /// Uplink capacity of each rack, kB/s. The rack of a cell is the number of the cell modulo the number of racks.
     pub uplinks_kb: Vec<f64>,
-    /// What a further viewer of a live title adds, as a part of the rate.
+    /// Part of its rate that each further viewer of a live title adds to the load.
     pub shared_part: f64,
-    /// True rates lie off the ladder by up to this part.
+    /// True rates differ from the ladder by up to this part.
     pub rate_spread: f64,
-    /// How late load reports and notes are, ms, and how often link notes come.
+    /// Delay of load reports and of notes, ms, and the interval of link notes, ms.
     pub reports_late_ms: f64,
     pub notes_late_ms: f64,
     pub notes_every_ms: f64,
+    /// How long a cold server needs to warm up, ms.
     pub cold_ms: f64,
+    /// Part of its capacity that a server has at a cold start.
     pub cold_from: f64,
+    /// A cold server is overloaded when set-ups arrive this many times as fast as would fill its streams within `cold_ms`,
+    /// counted over a window of `overload_window_ms`.
     pub overload_factor: f64,
     pub overload_window_ms: f64,
-    /// How long a server that fell over stays down.
+    /// How long a server that failed under overload stays down, ms.
     pub down_ms: f64,
-    /// A play whose connection broke is freed after this.
+    /// How long after its connection broke a play is freed, ms.
     pub lease_ms: f64,
 }
 
-/// What is wrong with a server at present; all of it may be at once.
+/// The faults that are injected at a server at present. All of them may be active at once. Parts are from 0 to 1.
 #[derive(Clone, Debug)]
 pub struct ServerFaults {
+    /// The process is not running.
     pub down: bool,
-    /// Takes connections and answers nothing.
+    /// Accepts connections and requests but never responds.
     pub silent: bool,
-    /// Parts of set-ups that fail at once; whose answer is lost after the work, by silence or by a reset; whose
-    /// answer breaks off within its head.
+    /// Parts of set-ups that fail at once (`errors`), whose response is lost after the work by silence (`lost`) or by a
+    /// reset (`reset`), and whose response breaks off within its head (`half_heads`).
     pub errors: f64,
     pub lost: f64,
     pub reset: f64,
     pub half_heads: f64,
-    /// Parts of segments that break off half-way, stall there, have more bytes than their length, and, where a
-    /// part was asked for, are sent whole.
+    /// Parts of segments that break off half-way (`cut`), stall half-way (`stall`), have more bytes than announced
+    /// (`over_long`), and are sent completely although a range was requested (`no_ranges`).
     pub cut: f64,
     pub stall: f64,
     pub over_long: f64,
     pub no_ranges: f64,
-    /// Steps of rung are carried out so much after they were read, ms.
+    /// Delay between reading and carrying out a change of rung, ms.
     pub late_steps_ms: f64,
-    /// Which edition of its titles it holds: the bytes are the same here, their tags are not.
+    /// Edition of the titles that the server holds. Editions have the same bytes here but different entity tags.
     pub edition: u32,
-    /// Work takes so many times as long.
+    /// Factor by which set-up work takes longer.
     pub slow: f64,
-    /// The link carries this part, less what another program takes.
+    /// Part of its capacity that the link has, and part of that which another program uses.
     pub link: f64,
     pub neighbour: f64,
-    /// Reports come later by this.
+    /// Additional delay of load reports, ms.
     pub late_ms: f64,
-    /// Its rack's uplink carries this part.
+    /// Part of its capacity that the uplink of the server's rack has.
     pub uplink: f64,
 }
 
@@ -109,13 +115,14 @@
     pub product: usize,
     pub live: bool,
     pub rung: usize,
-    /// Its true rate over the ladder's, product's scale included.
+    /// Its true rate relative to the ladder's, including the product's scale.
     pub factor: f64,
-    /// Set up, or still worked on.
+    /// Whether the set-up is complete; false while it is waiting or worked on.
     pub is_set_up: bool,
 }
 
-/// Asked over given of link and uplink, and the share of its rate that a play gets.
+/// Load of a server: demand over capacity of its link and uplink, the share of its rate that a play gets, and the number
+/// of plays.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     pub link: f64,
@@ -124,26 +131,32 @@
     pub streams: f64,
 }
 
+/// A server's specification and state.
 pub struct Server {
     pub spec: ServerSpec,
     pub faults: ServerFaults,
     pub plays: BTreeMap<String, Play>,
+    /// When the present process started, if it started cold.
     pub cold_started_at: Option<f64>,
-    /// Steps of rung and segments that were asked for, carried out and sent or not.
+    /// Number of rung changes and of segments that were requested, whether or not they were carried out.
     pub steps_read: usize,
     pub segments_read: usize,
-    /// Counts the starts: what ran before the present one is gone.
+    /// Counts starts and stops: plays of an earlier process no longer exist.
     pub process_number: u64,
+    /// Times of the set-ups within the overload window, while the server is cold.
     recent_set_ups: VecDeque<f64>,
+    /// Sampled loads with their times, for reports that are delayed.
     load_history: VecDeque<(f64, Load)>,
 }
 
+/// All servers with the state of their plays and faults.
 pub struct ServerFleetModel {
     pub spec: ServerFleetSpec,
     pub servers: Vec<Server>,
 }
 
 impl ServerFleetModel {
+    /// Creates a model of servers that are running, warm and idle.
     pub fn new(spec: ServerFleetSpec, server_specs: Vec<ServerSpec>) -> ServerFleetModel {
         let server = |server_spec| Server {
             spec: server_spec,
@@ -159,11 +172,12 @@
         ServerFleetModel { spec, servers: server_specs.into_iter().map(server).collect() }
     }
 
+    /// The rack of a server.
     fn rack_of(&self, server: usize) -> usize {
         self.servers[server].spec.cell % self.spec.uplinks_kb.len()
     }
 
-    /// What plays ask of a server's link, kB/s: viewers of a live title share its stream.
+    /// Demand of the plays on a server's link, kB/s. Viewers of a live title share its stream.
     pub fn demand(&self, server: usize) -> f64 {
         let mut streams: BTreeMap<(&str, usize, usize), bool> = BTreeMap::new();
         let mut demand_kb = 0.0;
@@ -175,6 +189,7 @@
         demand_kb
     }
 
+    /// The present load of a server.
     pub fn load(&self, server: usize) -> Load {
         let state = &self.servers[server];
         let link_capacity_kb =
@@ -192,7 +207,7 @@
         Load { link, uplink, delivered, streams: state.plays.len() as f64 }
     }
 
-    /// Remembers every server's load, for reports that come late.
+    /// Samples the load of every server, for reports that are delayed. Samples are kept for 15 s.
     pub fn sample(&mut self, now: f64) {
         for server in 0..self.servers.len() {
             let load = self.load(server);
@@ -204,7 +219,7 @@
         }
     }
 
-    /// The load as it was `late` ms ago, or more where reports come late.
+    /// The load as it was `delay_ms` ago, plus the injected delay of the server's reports.
     pub fn reported_load(&self, now: f64, server: usize, delay_ms: f64) -> Load {
         let state = &self.servers[server];
         let sampled_by = now - delay_ms - state.faults.late_ms;
@@ -213,7 +228,7 @@
         sample.map_or_else(|| self.load(server), |(_, load)| *load)
     }
 
-    /// A process starts.
+    /// Starts the process of a server, without plays.
     pub fn start(&mut self, now: f64, server: usize, cold: bool) {
         let state = &mut self.servers[server];
         state.process_number += 1;
@@ -224,6 +239,7 @@
         state.load_history.clear();
     }
 
+    /// Ends the process of a server, with all plays.
     pub fn stop(&mut self, server: usize) {
         let state = &mut self.servers[server];
         state.process_number += 1;
@@ -231,7 +247,7 @@
         state.plays.clear();
     }
 
-    /// A set-up was sent to a server; true if that pushed it over while it was cold.
+    /// Records a set-up at a server. True if the server is cold and this overloads it.
     pub fn on_set_up(&mut self, now: f64, server: usize) -> bool {
         let spec = &self.spec;
         let state = &mut self.servers[server];
@@ -249,7 +265,7 @@
         state.recent_set_ups.len() as f64 > capacity + 2.0
     }
 
-    /// How long work takes now, against a warm and well server: a cold one is slower.
+    /// Factor by which work takes longer now than at a warm server without faults.
     pub fn slowness(&self, now: f64, server: usize) -> f64 {
         let state = &self.servers[server];
         let cold_factor = state.cold_started_at.filter(|at| now < at + self.spec.cold_ms).map_or(1.0, |at| {
@@ -266,6 +282,7 @@
     use super::*;
     use test_case::test_case;
 
+    /// Four servers in two racks.
     fn model() -> ServerFleetModel {
         let spec = ServerFleetSpec {
             ladder: vec![100.0, 200.0],
@@ -300,7 +317,7 @@
     }
 
     #[test_case(false, 600.0; "recorded titles add up")]
-    #[test_case(true, 300.0; "a live one is shared")]
+    #[test_case(true, 300.0; "a live title is shared")]
     fn demand_by_kind_of_title(live: bool, kb: f64) {
         let mut model = model();
         for name in ["a", "b", "c"] {
@@ -321,7 +338,7 @@
         assert_eq!(model.load(0).delivered, model.load(2).delivered);
         model.servers[2].faults.uplink = 0.5;
         assert_eq!(model.load(0).uplink, 2.4);
-        assert_eq!(model.load(1).delivered, 1.0, "the other rack has room");
+        assert_eq!(model.load(1).delivered, 1.0, "the other rack has spare capacity");
         model.servers[0].faults.neighbour = 0.5;
         assert_eq!(model.load(0).link, 1.5);
     }
@@ -344,7 +361,7 @@
         model.start(0.0, 0, true);
         assert!((1..5).all(|i| !model.on_set_up(f64::from(i) * 250.0, 0)));
         assert!((0..20).any(|i| model.on_set_up(1000.0 + f64::from(i), 0)));
-        assert!((0..20).all(|i| !model.on_set_up(6000.0 + f64::from(i), 0)), "warm by then");
+        assert!((0..20).all(|i| !model.on_set_up(6000.0 + f64::from(i), 0)), "the server is warm by then");
         assert!(model.slowness(500.0, 0) > 3.0 && model.slowness(6000.0, 0) == 1.0);
     }
 }
--- a/crates/fake-servers/src/recorder.rs
+++ b/crates/fake-servers/src/recorder.rs
@@ -1,10 +1,12 @@
-//! The log of what was seen, on one clock for all of a process's witnesses.
+//! Records the observations of all observers in a process on one clock. The fake servers, the players and the fault
+//! injection of the lab write to it.
 
 use pulleystair_rule_checker::{Observation, Observed};
 use std::sync::{Arc, Mutex};
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
+/// A shared log of observations; clones write to the same log.
 #[derive(Clone)]
 pub struct Recorder {
     observations: Arc<Mutex<Vec<Observation>>>,
@@ -24,18 +26,20 @@
 }
 
 impl Recorder {
-    /// ms since 1970, never going back.
+    /// The present time in ms since 1970, monotonic.
     pub fn now(&self) -> f64 {
         self.start_unix_ms + self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
+    /// Appends an observation with the present time.
     pub fn record(&self, what: Observed) {
-        let mut observations = self.observations.lock().expect("no witness dies while it writes");
+        let mut observations = self.observations.lock().expect("no observer panics while it holds the log");
         let at = self.now();
         observations.push(Observation { at, what });
     }
 
+    /// All observations so far, sorted by time.
     pub fn observations(&self) -> Vec<Observation> {
-        self.observations.lock().expect("no witness dies while it writes").clone()
+        self.observations.lock().expect("no observer panics while it holds the log").clone()
     }
 }
--- a/crates/fake-servers/src/server.rs
+++ b/crates/fake-servers/src/server.rs
@@ -1,4 +1,5 @@
-//! The stand-ins' sockets: one listener a server, all over one [`ServerFleetModel`].
+//! The sockets of the fake servers: one listener for each server, all on one [`ServerFleetModel`]. The protocol is described
+//! in the crate's documentation.
 
 use crate::content;
 use crate::http::{HttpPeer, Message};
@@ -18,31 +19,34 @@
 use tokio::time::{sleep, timeout};
 use tokio_rustls::TlsAcceptor;
 
-/// A title as servers know it.
+/// The properties of a title that servers know.
 #[derive(Clone, Debug)]
 pub struct Title {
     pub live: bool,
     pub segment_ms: u64,
-    /// Its product's scale of rates.
+    /// Factor of its rates relative to the ladder, set by its product.
     pub scale: f64,
 }
 
+/// State that all connections of all servers share.
 struct Shared {
     model: Mutex<ServerFleetModel>,
     titles: HashMap<String, Title>,
     products: Vec<String>,
     recorder: Recorder,
-    /// One a server: cores for set-ups, those that wait, and the word that its process has ended.
+    /// For each server: its cores, the number of set-ups that wait for a core or have one, and a channel that tells
+    /// connections that the process has ended.
     cores: Vec<Semaphore>,
     queued: Vec<Mutex<usize>>,
     process_ends: Vec<watch::Sender<u64>>,
+    /// For each play, notified when a request ends it.
     end_signals: Mutex<HashMap<String, Arc<Notify>>>,
     rng: Mutex<StdRng>,
-    /// One a server: how its connections are sealed, where they are.
+    /// For each server: the TLS acceptor of its connections; none for plain TCP.
     tls_acceptors: Mutex<Vec<Option<TlsAcceptor>>>,
 }
 
-/// Stand-in servers, listening until dropped.
+/// Handle of the fake servers, which listen on loopback. Clones refer to the same servers.
 #[derive(Clone)]
 pub struct FakeServers {
     shared: Arc<Shared>,
@@ -50,7 +54,7 @@
 }
 
 impl FakeServers {
-    /// Starts all servers, warm, on ports of the system's choice.
+    /// Starts all servers, warm, on ports that the system chooses. `seed` determines all random draws.
     pub async fn start(
         spec: ServerFleetSpec,
         server_specs: Vec<ServerSpec>,
@@ -90,21 +94,23 @@
         Ok(FakeServers { shared, addresses })
     }
 
-    /// The model, to change what ails a server.
+    /// Locks the model, to inspect it or to inject faults.
     pub fn model(&self) -> MutexGuard<'_, ServerFleetModel> {
         self.shared.lock_model()
     }
 
-    /// How a server's connections are sealed from now on.
+    /// Sets the TLS acceptor for new connections of a server; none for plain TCP.
     pub fn set_tls(&self, server: usize, acceptor: Option<TlsAcceptor>) {
-        self.shared.tls_acceptors.lock().expect("nobody dies while sealing")[server] = acceptor;
+        self.shared.tls_acceptors.lock().expect("no task panics while it holds the TLS acceptors")[server] =
+            acceptor;
     }
 
-    /// Ends a server's process: its connections are reset, new ones refused.
+    /// Ends a server's process: its connections are closed, and new ones are reset.
     pub fn stop(&self, server: usize) {
         self.shared.stop(server);
     }
 
+    /// Starts a server's process again.
     pub fn restart(&self, server: usize, cold: bool) {
         self.shared.restart(server, cold);
     }
@@ -112,11 +118,12 @@
 
 impl Shared {
     fn lock_model(&self) -> MutexGuard<'_, ServerFleetModel> {
-        self.model.lock().expect("nobody dies while holding the world")
+        self.model.lock().expect("no task panics while it holds the model")
     }
 
+    /// A random number from 0 to 1.
     fn draw(&self) -> f64 {
-        self.rng.lock().expect("nobody dies while rolling").random()
+        self.rng.lock().expect("no task panics while it holds the random generator").random()
     }
 
     fn stop(&self, server: usize) {
@@ -131,20 +138,24 @@
         self.recorder.record(Observed::Started { server, cold });
     }
 
+    /// Draws how long the work of a set-up takes now.
     fn draw_work_time(&self, server: usize) -> Duration {
         let model = self.lock_model();
         let spec = &model.servers[server].spec;
-        let distribution = LogNormal::new(0.0, spec.work_spread.max(0.0)).expect("a spread from 0");
-        let factor = distribution.sample(&mut *self.rng.lock().expect("nobody dies while rolling"));
+        let distribution =
+            LogNormal::new(0.0, spec.work_spread.max(0.0)).expect("the spread is not negative");
+        let factor = distribution
+            .sample(&mut *self.rng.lock().expect("no task panics while it holds the random generator"));
         let ms = spec.work_ms * factor * model.slowness(self.recorder.now(), server);
         Duration::from_secs_f64(ms / 1000.0)
     }
 
+    /// The `endpoint-load-metrics` header line with the reported load.
     fn load_header(&self, server: usize) -> String {
         let model = self.lock_model();
         let load = model.reported_load(self.recorder.now(), server, model.spec.reports_late_ms);
         let Load { link, uplink, streams, .. } = load;
-        // Half the servers speak each published form.
+        // Servers with even numbers use the JSON format, the others the TEXT format.
         if server.is_multiple_of(2) {
             let metrics = serde_json::json!({ "link": link, "uplink": uplink, "streams": streams });
             format!("endpoint-load-metrics: JSON {}", serde_json::json!({ "named_metrics": metrics }))
@@ -156,23 +167,25 @@
         }
     }
 
+    /// The head of a response with a body of `length` bytes.
     fn response_head(&self, server: usize, status: u16, length: usize) -> String {
         format!("HTTP/1.1 {status} x\r\n{}\r\nContent-Length: {length}\r\n\r\n", self.load_header(server))
     }
 
-    /// An answer without a body.
+    /// A response without a body.
     fn empty_response(&self, server: usize, status: u16) -> Vec<u8> {
         self.response_head(server, status, 0).into_bytes()
     }
 }
 
+/// Accepts the connections of a server and serves each until its process ends.
 async fn accept_connections(shared: Arc<Shared>, server: usize, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
-        // Watched from before it is seen to be up: a process that ends in between takes this connection with it.
+        // Subscribed before the check of `down`: a process that ends in between closes this connection too.
         let mut process_end = shared.process_ends[server].subscribe();
         if shared.lock_model().servers[server].faults.down {
-            // Nothing listens there: the nearest to a refused connection while the port is kept.
+            // The port stays bound, so a reset is the closest to a refused connection.
             HttpPeer::new(stream).reset();
             continue;
         }
@@ -186,8 +199,10 @@
     }
 }
 
+/// Serves the requests of one connection; a set-up takes over the connection.
 async fn serve_connection(shared: &Arc<Shared>, server: usize, stream: TcpStream) -> io::Result<()> {
-    let acceptor = shared.tls_acceptors.lock().expect("nobody dies while sealing")[server].clone();
+    let acceptor =
+        shared.tls_acceptors.lock().expect("no task panics while it holds the TLS acceptors")[server].clone();
     let mut peer = HttpPeer::accept(stream, acceptor).await?;
     while let Some(request) = peer.read_request().await? {
         let silent = shared.lock_model().servers[server].faults.silent;
@@ -222,8 +237,12 @@
                 peer.write(&shared.empty_response(server, status)).await?;
             }
             ("DELETE", ["plays", allocation]) => {
-                let end_signal =
-                    shared.end_signals.lock().expect("nobody dies while ending").get(*allocation).cloned();
+                let end_signal = shared
+                    .end_signals
+                    .lock()
+                    .expect("no task panics while it holds the end signals")
+                    .get(*allocation)
+                    .cloned();
                 let status = if end_signal.is_some() { 200 } else { 404 };
                 if let Some(end_signal) = end_signal {
                     end_signal.notify_one();
@@ -236,12 +255,13 @@
     Ok(())
 }
 
-/// Frees a play when its set-up's connection has ended, however that came about.
+/// Frees a play when the connection of its set-up has ended, for whatever reason.
 struct PlayGuard {
     shared: Arc<Shared>,
     server: usize,
     allocation: String,
     process_number: u64,
+    /// Whether the play is freed only after the lease.
     has_lease: bool,
 }
 
@@ -249,7 +269,7 @@
     fn drop(&mut self) {
         let PlayGuard { shared, server, allocation, process_number, has_lease } = self;
         shared.recorder.record(Observed::Closed { allocation: allocation.clone() });
-        shared.end_signals.lock().expect("nobody dies while ending").remove(allocation);
+        shared.end_signals.lock().expect("no task panics while it holds the end signals").remove(allocation);
         let (shared, server, allocation, process_number) =
             (shared.clone(), *server, std::mem::take(allocation), *process_number);
         let delay_ms = if *has_lease { shared.lock_model().spec.lease_ms } else { 0.0 };
@@ -271,16 +291,18 @@
     }
 }
 
-/// A place among the set-ups that wait for a core or have one.
+/// A place among the set-ups that wait for a core or have one; dropping it frees the place.
 struct QueueSlot<'a>(&'a Mutex<usize>);
 
 impl QueueSlot<'_> {
+    /// Reserves a place; none if the queue is full.
     fn reserve(shared: &Shared, server: usize) -> Option<QueueSlot<'_>> {
         let capacity = {
             let model = shared.lock_model();
             model.servers[server].spec.queue + model.servers[server].spec.cores
         };
-        let mut queued = shared.queued[server].lock().expect("nobody dies while counting");
+        let mut queued =
+            shared.queued[server].lock().expect("no task panics while it holds the queue length");
         let has_room = *queued < capacity;
         *queued += usize::from(has_room);
         has_room.then_some(QueueSlot(&shared.queued[server]))
@@ -289,10 +311,12 @@
 
 impl Drop for QueueSlot<'_> {
     fn drop(&mut self) {
-        *self.0.lock().expect("nobody dies while counting") -= 1;
+        *self.0.lock().expect("no task panics while it holds the queue length") -= 1;
     }
 }
 
+/// Handles a set-up request: waits for a core, does the work, responds, and sends notes until the play or its connection
+/// ends. Injected faults change the response.
 async fn handle_set_up(
     shared: &Arc<Shared>,
     server: usize,
@@ -377,7 +401,7 @@
     shared
         .end_signals
         .lock()
-        .expect("nobody dies while ending")
+        .expect("no task panics while it holds the end signals")
         .insert(allocation.clone(), end_signal.clone());
     {
         let work = async {
@@ -410,7 +434,7 @@
         peer.wait_closed().await;
         return Ok(());
     }
-    // Seen before it is written: whoever reads it may act on it at once.
+    // Recorded before it is written: the front may act on the response at once.
     record_done(true, 200);
     let head =
         format!("HTTP/1.1 200 OK\r\n{}\r\nTransfer-Encoding: chunked\r\n\r\n", shared.load_header(server));
@@ -426,7 +450,7 @@
     Ok(())
 }
 
-/// Writes a play's notes until its connection ends.
+/// Sends the notes of a play until its connection ends.
 async fn send_notes(shared: &Arc<Shared>, server: usize, peer: &mut HttpPeer) -> io::Result<()> {
     let (delay_ms, interval_ms) = {
         let model = shared.lock_model();
@@ -455,6 +479,7 @@
     }
 }
 
+/// Changes the rung of a play and returns the status of the response.
 fn set_rung(shared: &Shared, server: usize, allocation: &str, rung: Option<u64>) -> u16 {
     let mut model = shared.lock_model();
     let rungs = model.spec.ladder.len();
@@ -465,15 +490,15 @@
     200
 }
 
-/// `bytes=FIRST-` or `bytes=FIRST-LAST`.
+/// Parses the range of a `bytes=FIRST-` or `bytes=FIRST-LAST` header; an open end is `usize::MAX`.
 fn parse_range(value: &str) -> Option<(usize, usize)> {
     let (first, last) = value.strip_prefix("bytes=")?.split_once('-')?;
     let last = if last.is_empty() { usize::MAX } else { last.parse().ok()? };
     Some((first.parse().ok()?, last))
 }
 
-/// Sends a segment no faster than the play's share of the link lets it come: a fourfold rate where there is
-/// room, less than its rate where link or uplink are over-asked. False where the connection is to be closed.
+/// Sends a segment at the speed that the play's share of the link allows: four times its rate while there is spare
+/// capacity, less than its rate while the link or the uplink is overloaded. False if the connection is to be closed.
 async fn send_segment(
     shared: &Arc<Shared>,
     server: usize,
@@ -500,7 +525,7 @@
     let segment_ms = shared.titles.get(&title).map_or(1000, |t| t.segment_ms);
     let length = if number == 0 { 600 } else { (rate_kb * segment_ms as f64) as usize };
     let segment = content::generate(&title, rung, number, length);
-    // What the bytes are, and whose: another edition of a title has other tags.
+    // The tag identifies the segment and the edition: another edition of a title has other tags.
     let etag = format!("\"{title}-{rung}-{number}-{}\"", faults.edition);
     if request.header("if-none-match").is_some_and(|tags| tags.split(',').any(|t| t.trim() == etag)) {
         let head =
@@ -537,7 +562,7 @@
         let load = shared.lock_model().load(server);
         let speed = if load.delivered < 1.0 { load.delivered } else { 4.0 };
         let ms = chunk.len() as f64 / (rate_kb * speed);
-        // Shorter pauses than timers can keep are left out: such a link is not what holds a segment up.
+        // Delays below the timer resolution are skipped: at such a speed the link does not slow down the segment.
         if ms >= 1.0 {
             sleep(Duration::from_secs_f64(ms / 1000.0)).await;
         }
--- a/crates/fake-servers/tests/stops.rs
+++ b/crates/fake-servers/tests/stops.rs
@@ -1,6 +1,6 @@
-//! A stand-in's process that ends takes every connection with it, whatever was under way: what tests conclude of lost
-//! servers hangs on that. On one thread the tasks run in a fixed order, so the end can be put after each of their
-//! turns; sockets are looked at every sixty-odd turns.
+//! Stopping a fake server must close all of its connections, including those that are just being accepted: tests of lost
+//! servers rely on it. On one thread the tasks run in a fixed order, so the test can stop the server after each possible
+//! number of task turns; the runtime polls sockets about every sixty turns.
 
 use pulleystair_fake_servers::http::HttpPeer;
 use pulleystair_fake_servers::model::{ServerFleetSpec, ServerSpec};
@@ -40,10 +40,10 @@
     };
     FakeServers::start(spec, vec![server_spec], HashMap::new(), Vec::new(), 1, Recorder::default())
         .await
-        .expect("it starts")
+        .expect("the server starts")
 }
 
-/// Stops the server after so many turns: each is a task of its own, at the end of the line.
+/// Stops the server after `turns` task turns: each turn is a new task at the end of the run queue.
 fn stop_after(turns: usize, servers: FakeServers, stopped_sender: oneshot::Sender<()>) {
     tokio::spawn(async move {
         if turns > 0 {
@@ -61,14 +61,14 @@
         let mut peer = HttpPeer::new(TcpStream::connect(servers.addresses[0]).await.expect("a connection"));
         let (stopped_sender, stopped_receiver) = oneshot::channel();
         stop_after(turns, servers, stopped_sender);
-        stopped_receiver.await.expect("it is stopped");
+        stopped_receiver.await.expect("the server is stopped");
         let _ = peer.write(b"GET /load HTTP/1.1\r\nHost: m\r\n\r\n").await;
         let answer = timeout(Duration::from_secs(10), peer.read_response())
             .await
-            .expect("an end, one way or the other");
+            .expect("the connection ends in some way");
         assert!(
             !matches!(answer, Ok(Some(_))),
-            "answered by a process that had ended {turns} turns after the call"
+            "answered by a process that was stopped {turns} turns after the connection"
         );
     }
 }
