--- a/crates/fake-servers/src/certificates.rs
+++ b/crates/fake-servers/src/certificates.rs
@@ -1,5 +1,5 @@
-//! Test certificates: a certificate authority that is generated for each run, and the certificates that it issues. Used by
-//! the fake servers, the lab and the TLS tests.
+//! Test certificates: a certificate authority that is generated for each run, and the certificates that it issues. Used
+//! by the fake servers, the lab and the TLS tests.
 
 use crate::files::replace;
 use rcgen::{
@@ -90,8 +90,8 @@
         Arc::new(roots)
     }
 
-    /// The TLS acceptor of a server with this certificate. With `client_authority`, clients must present a certificate that
-    /// this authority issued.
+    /// The TLS acceptor of a server with this certificate. With `client_authority`, clients must present a certificate
+    /// that this authority issued.
     pub fn acceptor(
         &self,
         certificate: &Certificate,
@@ -135,7 +135,8 @@
         ))
     }
 
-    /// Writes `chain.pem` and `key.pem` to a folder as operators do: one file after the other, each replaced atomically.
+    /// Writes `chain.pem` and `key.pem` to a folder as operators do: one file after the other, each replaced
+    /// atomically.
     pub fn write_files(&self, folder: &Path) -> io::Result<()> {
         std::fs::create_dir_all(folder)?;
         replace(&folder.join("chain.pem"), &self.chain)?;
--- a/crates/fake-servers/src/content.rs
+++ b/crates/fake-servers/src/content.rs
@@ -1,5 +1,5 @@
-//! Segments generated on the fly: a first line that identifies the segment, followed by bytes that are specific to it. The
-//! fake servers generate them, and the players of the lab verify them.
+//! Segments generated on the fly: a first line that identifies the segment, followed by bytes that are specific to it.
+//! The fake servers generate them, and the players of the lab verify them.
 
 use pulleystair_rule_checker::Content;
 
--- a/crates/fake-servers/src/files.rs
+++ b/crates/fake-servers/src/files.rs
@@ -3,8 +3,8 @@
 use std::io;
 use std::path::Path;
 
-/// Replaces a file atomically: writes a temporary file beside it and renames that, so that readers see either the old or
-/// the new content.
+/// Replaces a file atomically: writes a temporary file beside it and renames that, so that readers see either the old
+/// or the new content.
 pub fn replace(file: &Path, bytes: impl AsRef<[u8]>) -> io::Result<()> {
     let temporary = file.with_extension("new");
     std::fs::write(&temporary, bytes)?;
--- a/crates/fake-servers/src/http.rs
+++ b/crates/fake-servers/src/http.rs
@@ -1,5 +1,5 @@
-//! The part of HTTP/1.1 that the fake servers and the players of the lab need. It is deliberately separate from the front's
-//! implementation, so that errors of either side show on the other.
+//! The part of HTTP/1.1 that the fake servers and the players of the lab need. It is deliberately separate from the
+//! front's implementation, so that errors of either side show on the other.
 
 use std::io;
 use std::net::SocketAddr;
@@ -147,8 +147,8 @@
         Ok(Some(message))
     }
 
-    /// Reads the head of a response, and its body unless that is chunked; none if the peer closed the connection before the
-    /// first byte.
+    /// Reads the head of a response, and its body unless that is chunked; none if the peer closed the connection before
+    /// the first byte.
     pub async fn read_response(&mut self) -> io::Result<Option<Message>> {
         let Some(mut message) = self.read_response_head().await? else { return Ok(None) };
         if message.header("transfer-encoding").is_none() {
--- a/crates/fake-servers/src/model.rs
+++ b/crates/fake-servers/src/model.rs
@@ -40,8 +40,8 @@
     pub cold_ms: f64,
     /// Part of its capacity that a server has at a cold start.
     pub cold_from: f64,
-    /// A cold server is overloaded when set-ups arrive this many times as fast as would fill its streams within `cold_ms`,
-    /// counted over a window of `overload_window_ms`.
+    /// A cold server is overloaded when set-ups arrive this many times as fast as would fill its streams within
+    /// `cold_ms`, counted over a window of `overload_window_ms`.
     pub overload_factor: f64,
     pub overload_window_ms: f64,
     /// How long a server that failed under overload stays down, ms.
@@ -121,8 +121,8 @@
     pub is_set_up: bool,
 }
 
-/// Load of a server: demand over capacity of its link and uplink, the share of its rate that a play gets, and the number
-/// of plays.
+/// Load of a server: demand over capacity of its link and uplink, the share of its rate that a play gets, and the
+/// number of plays.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     pub link: f64,
--- a/crates/fake-servers/src/server.rs
+++ b/crates/fake-servers/src/server.rs
@@ -1,5 +1,5 @@
-//! The sockets of the fake servers: one listener for each server, all on one [`ServerFleetModel`]. The protocol is described
-//! in the crate's documentation.
+//! The sockets of the fake servers: one listener for each server, all on one [`ServerFleetModel`]. The protocol is
+//! described in the crate's documentation.
 
 use crate::content;
 use crate::http::{HttpPeer, Message};
@@ -315,8 +315,8 @@
     }
 }
 
-/// Handles a set-up request: waits for a core, does the work, responds, and sends notes until the play or its connection
-/// ends. Injected faults change the response.
+/// Handles a set-up request: waits for a core, does the work, responds, and sends notes until the play or its
+/// connection ends. Injected faults change the response.
 async fn handle_set_up(
     shared: &Arc<Shared>,
     server: usize,
--- a/crates/fake-servers/tests/stops.rs
+++ b/crates/fake-servers/tests/stops.rs
@@ -1,6 +1,6 @@
-//! Stopping a fake server must close all of its connections, including those that are just being accepted: tests of lost
-//! servers rely on it. On one thread the tasks run in a fixed order, so the test can stop the server after each possible
-//! number of task turns; the runtime polls sockets about every sixty turns.
+//! Stopping a fake server must close all of its connections, including those that are just being accepted: tests of
+//! lost servers rely on it. On one thread the tasks run in a fixed order, so the test can stop the server after each
+//! possible number of task turns; the runtime polls sockets about every sixty turns.
 
 use pulleystair_fake_servers::http::HttpPeer;
 use pulleystair_fake_servers::model::{ServerFleetSpec, ServerSpec};
--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -1,6 +1,7 @@
-//! A front to measure against, in the lab only: it draws each play's holder evenly from those listed as ready,
-//! plays on the lowest rung that the product allows, and tries again elsewhere as the product permits. It reads
-//! the list once a play, and knows nothing of drains since, of room, cold servers, seats or budgets.
+//! A simple front to compare measurements with, used only in the lab. It draws the holder of each play evenly from
+//! those that are listed as ready, plays on the lowest rung that the product allows, and retries on another server as
+//! far as the product permits. It reads the server list once for each play, and ignores drains that begin later, free
+//! capacity, cold servers, seats and budgets.
 
 use crate::environment::from_ms;
 use anyhow::{Context, Result};
@@ -19,31 +20,35 @@
 use tokio::sync::OnceCell;
 use tokio::time::timeout;
 
+/// State of the baseline front.
 struct BaselineFront {
     config: Value,
     list_file: PathBuf,
     entry_keys: KeyRing,
     session_keys: KeyRing,
+    /// First part of allocation names, unique to this process.
     allocation_prefix: String,
     rng: Mutex<StdRng>,
     sessions: Mutex<HashMap<String, Arc<Session>>>,
 }
 
-/// A session's answer, decided once, and where it plays.
+/// The response to a session's manifest requests, decided once, and its server and allocation while it plays.
 #[derive(Default)]
 struct Session {
     set_up_response: OnceCell<(u16, String)>,
     playing_at: Mutex<Option<(String, String)>>,
 }
 
+/// Serves players until the process receives SIGTERM. Writes the listening address to stderr in the log format of the
+/// real front.
 pub async fn run(config_file: &Path) -> Result<()> {
     let folder = config_file.parent().unwrap_or(Path::new(""));
     let config: Value = serde_json::from_slice(&std::fs::read(config_file)?)?;
-    let keys = config["keys"].as_str().context("a rundown names its keys")?;
+    let keys = config["keys"].as_str().context("the configuration does not name its key file")?;
     let keys: Value = serde_json::from_slice(&std::fs::read(folder.join(keys))?)?;
     let load_key_ring = |section: &str| -> Result<KeyRing> {
         let key = &keys[section][0];
-        let file = key["file"].as_str().context("a key has its file")?;
+        let file = key["file"].as_str().context("a key does not name its file")?;
         let kid = key["kid"].as_str().unwrap_or("").to_string();
         Ok(KeyRing::new(&[(kid, std::fs::read(folder.join(file))?)])?)
     };
@@ -73,12 +78,14 @@
     }
 }
 
+/// A response with these additional header lines.
 fn response(status: u16, extra_headers: &str, body: &[u8]) -> Vec<u8> {
     let head = format!("HTTP/1.1 {status} x\r\n{extra_headers}Content-Length: {}\r\n\r\n", body.len());
     [head.as_bytes(), body].concat()
 }
 
 impl BaselineFront {
+    /// Serves the requests of a player's connection.
     async fn serve_connection(self: Arc<BaselineFront>, mut player: HttpPeer) -> std::io::Result<()> {
         let mut server = None;
         while let Some(request) = player.read_request().await? {
@@ -91,7 +98,7 @@
                 }
                 ("DELETE", Some(Route::Session { pass })) => {
                     if let Some(session) = self.find_session(pass) {
-                        session.playing_at.lock().expect("no front dies while it holds a session").take();
+                        session.playing_at.lock().expect("no task panics while it holds a session").take();
                     }
                     response(200, "", b"")
                 }
@@ -106,25 +113,27 @@
         SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs()
     }
 
+    /// The session of a valid session token.
     fn find_session(&self, session_token: &str) -> Option<Arc<Session>> {
         let session_token = self.session_keys.verify_session(session_token, self.unix_seconds()).ok()?;
         self.sessions
             .lock()
-            .expect("no front dies while it holds its sessions")
+            .expect("no task panics while it holds the sessions")
             .get(&session_token.sid)
             .cloned()
     }
 
+    /// Responds to a manifest request; the first one of a session sets it up.
     async fn serve_manifest(self: &Arc<BaselineFront>, product: &str, title: &str, token: &str) -> Vec<u8> {
         let entry = match self.entry_keys.verify_entry(token, self.unix_seconds(), product, title) {
             Ok(entry) => entry,
             Err(error) => return response(error.status(), "", b""),
         };
         let session = {
-            let mut sessions = self.sessions.lock().expect("no front dies while it holds its sessions");
+            let mut sessions = self.sessions.lock().expect("no task panics while it holds the sessions");
             sessions.entry(entry.jti.clone()).or_default().clone()
         };
-        // Set up apart from the connection: another request of the session waits for the same.
+        // Set up in a task of its own, since other requests of the session wait for the same result.
         let (front, new_session) = (self.clone(), session.clone());
         let set_up_task = tokio::spawn(async move {
             let set_up = front.set_up_session(new_session.clone(), entry.jti, entry.product, entry.title);
@@ -135,6 +144,8 @@
         response(status, extra_headers, body.as_bytes())
     }
 
+    /// Tries holders of the title until one sets up the play or no further attempt is allowed. Returns the status and
+    /// the manifest.
     async fn set_up_session(
         self: Arc<BaselineFront>,
         session: Arc<Session>,
@@ -171,7 +182,11 @@
             if holders.is_empty() || may_have_run && !is_repeatable {
                 break;
             }
-            let index = self.rng.lock().expect("no draw fails").random_range(0..holders.len());
+            let index = self
+                .rng
+                .lock()
+                .expect("no task panics while it holds the random generator")
+                .random_range(0..holders.len());
             let server = holders.swap_remove(index);
             let allocation = format!("{}-{jti}-{attempt}", self.allocation_prefix);
             let body =
@@ -187,7 +202,7 @@
                 may_have_run |= response_head.status != 429;
                 continue;
             }
-            *session.playing_at.lock().expect("no front dies while it holds a session") =
+            *session.playing_at.lock().expect("no task panics while it holds a session") =
                 Some((server, format!("{allocation}/{floor}")));
             let duration_ms = to_number(&title_entry["duration_ms"]);
             let playing_session = session.clone();
@@ -197,7 +212,7 @@
                     while playing_session
                         .playing_at
                         .lock()
-                        .expect("no front dies while it holds a session")
+                        .expect("no task panics while it holds a session")
                         .is_some()
                     {
                         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -208,7 +223,7 @@
                     () = tokio::time::sleep(max_duration) => {}
                     () = session_ended => {}
                 }
-                playing_session.playing_at.lock().expect("no front dies while it holds a session").take();
+                playing_session.playing_at.lock().expect("no task panics while it holds a session").take();
             });
             let exp = self.unix_seconds() + 600;
             let session_token =
@@ -226,6 +241,7 @@
         (if may_have_run && !is_repeatable { 502 } else { 503 }, String::new())
     }
 
+    /// Relays a segment from the server of the session, over the kept connection if it leads there.
     async fn serve_segment(
         &self,
         session_token: &str,
@@ -233,7 +249,7 @@
         kept: &mut Option<(String, HttpPeer)>,
     ) -> Vec<u8> {
         let Some(session) = self.find_session(session_token) else { return response(401, "", b"") };
-        let playing_at = session.playing_at.lock().expect("no front dies while it holds a session").clone();
+        let playing_at = session.playing_at.lock().expect("no task panics while it holds a session").clone();
         let Some((server, allocation_path)) = playing_at else { return response(410, "", b"") };
         let peer = match kept.take() {
             Some((kept_server, peer)) if kept_server == server => Some(peer),
@@ -255,6 +271,7 @@
     }
 }
 
+/// Sends a set-up request to a server and reads the head of the response.
 async fn post_set_up(server: &str, allocation: &str, body: &str) -> Option<(HttpPeer, Message)> {
     let mut peer = HttpPeer::new(TcpStream::connect(server).await.ok()?);
     let head = format!(
--- a/crates/lab/src/environment.rs
+++ b/crates/lab/src/environment.rs
@@ -1,4 +1,4 @@
-//! The list of servers as fronts are given it, and the troubles of a day.
+//! The environment of the fronts in a scenario: the server list file that they read, and the injection of faults.
 
 use crate::fronts::Fronts;
 use crate::scenario::{FaultEvent, FaultKind, Scenario};
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// A title as the day has it.
+/// A title of the scenario.
 #[derive(Clone, Debug)]
 pub struct Title {
     pub name: String,
@@ -28,7 +28,7 @@
     pub segment_ms: u64,
 }
 
-/// The titles of a day, each on some servers only.
+/// Draws the titles of a scenario; each is held by a consecutive range of cells.
 pub fn titles(scenario: &Scenario) -> Vec<Title> {
     let mut rng = StdRng::seed_from_u64(scenario.seed ^ 0x7171e5);
     let mut titles = Vec::new();
@@ -50,7 +50,7 @@
     titles
 }
 
-/// How a server stands on the list.
+/// State of a server in the list; `started` is the start time of its process in ms since 1970, 0 if unknown.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ListedState {
     Ready { started: f64 },
@@ -58,13 +58,14 @@
     Gone,
 }
 
+/// The state of all servers, by their number.
 struct ServerStates {
     states: Vec<ListedState>,
-    /// Servers that are out of service for a trouble: no other trouble takes them.
+    /// Servers that an active fault has taken out of service; other faults do not select them.
     reserved: Vec<bool>,
 }
 
-/// Everything that a day's troubles act on.
+/// Everything that the faults of a scenario act on.
 #[derive(Clone)]
 pub struct Environment {
     scenario: Arc<Scenario>,
@@ -77,6 +78,7 @@
 }
 
 impl Environment {
+    /// Writes the first server list, in which all servers are ready.
     pub fn new(
         scenario: Arc<Scenario>,
         titles: Arc<Vec<Title>>,
@@ -99,11 +101,13 @@
             list_file,
             server_states: Arc::new(Mutex::new(server_states)),
         };
-        environment
-            .write_list(&environment.server_states.lock().expect("nobody dies while holding the board"))?;
+        environment.write_list(
+            &environment.server_states.lock().expect("no task panics while it holds the server states"),
+        )?;
         Ok(environment)
     }
 
+    /// Replaces the server list file.
     fn write_list(&self, server_states: &ServerStates) -> Result<()> {
         let mut servers = Vec::new();
         for (server, state) in server_states.states.iter().enumerate() {
@@ -141,24 +145,28 @@
         Ok(replace(&self.list_file, text)?)
     }
 
-    /// Lists a server anew, for all fronts at once. What is decided, logged and written is one step: another change
-    /// must not put this one into the file before the log has it, or a front would seem to act on what nobody told.
+    /// Changes the listed state of a server, for all fronts at once. The state is changed, recorded and written under
+    /// one lock: otherwise another change could write this one to the file before it is recorded, and a front would
+    /// seem to act on a state that was never listed.
     pub fn list(&self, server: usize, state: ListedState) {
-        let server_states = self.server_states.lock().expect("nobody dies while holding the board");
+        let server_states =
+            self.server_states.lock().expect("no task panics while it holds the server states");
         self.apply_state(server_states, server, state);
     }
 
+    /// Changes, records and writes the listed state of a server under the caller's lock.
     fn apply_state(&self, mut server_states: MutexGuard<ServerStates>, server: usize, state: ListedState) {
         server_states.states[server] = state;
         self.recorder.record(Observed::Listed { server, ready: matches!(state, ListedState::Ready { .. }) });
         if let Err(error) = self.write_list(&server_states) {
-            eprintln!("pulleystair-lab: the list could not be written: {error}");
+            eprintln!("pulleystair-lab: failed to write the server list: {error}");
         }
     }
 
-    /// Some of the servers that no other trouble has taken out of service; these are taken with it.
+    /// Reserves a random part of the candidates, without those that another fault has reserved.
     fn reserve_servers(&self, rng: &mut StdRng, candidates: Vec<usize>, part: f64) -> Vec<usize> {
-        let mut server_states = self.server_states.lock().expect("nobody dies while holding the board");
+        let mut server_states =
+            self.server_states.lock().expect("no task panics while it holds the server states");
         let count = (candidates.len() as f64 * part).round().max(1.0) as usize;
         let mut chosen: Vec<usize> = candidates.into_iter().filter(|s| !server_states.reserved[*s]).collect();
         chosen.shuffle(rng);
@@ -167,24 +175,28 @@
         chosen
     }
 
+    /// Releases servers when the fault that reserved them has ended.
     fn release_servers(&self, servers: &[usize]) {
-        let mut server_states = self.server_states.lock().expect("nobody dies while holding the board");
+        let mut server_states =
+            self.server_states.lock().expect("no task panics while it holds the server states");
         servers.iter().for_each(|s| server_states.reserved[*s] = false);
     }
 
+    /// Changes the injected faults of servers.
     fn change_faults(&self, servers: &[usize], change: impl Fn(&mut ServerFaults)) {
         let mut model = self.servers.model();
         servers.iter().for_each(|s| change(&mut model.servers[*s].faults));
     }
 
+    /// Ends the process of a server; the list shows it as gone after `list_late_ms`.
     fn stop_and_delist_later(&self, server: usize) {
         self.servers.stop(server);
         let (environment, delay) = (self.clone(), from_ms(self.scenario.fleet.list_late_ms));
         tokio::spawn(async move {
             sleep(delay).await;
-            // Seen to be down and listed as gone in one step: one that starts meanwhile is listed after that.
+            // Checked and listed under one lock: a server that starts meanwhile is listed as ready afterwards.
             let server_states =
-                environment.server_states.lock().expect("nobody dies while holding the board");
+                environment.server_states.lock().expect("no task panics while it holds the server states");
             let is_down = environment.servers.model().servers[server].faults.down;
             if is_down {
                 environment.apply_state(server_states, server, ListedState::Gone);
@@ -192,16 +204,18 @@
         });
     }
 
-    /// A server's process starts anew, cold, and the list tells so.
+    /// Starts the process of a server, cold, and lists it as ready.
     pub fn restart(&self, server: usize) {
         self.servers.restart(server, true);
         self.list(server, ListedState::Ready { started: self.recorder.now() });
     }
 
-    /// A server is replaced: it drains, ends, and comes back cold.
+    /// Replaces a server: it drains for `drain_time`, is down for `down_time`, and starts again cold.
     async fn replace_server(&self, server: usize, drain_time: Duration, down_time: Duration) {
         let started =
-            match self.server_states.lock().expect("nobody dies while holding the board").states[server] {
+            match self.server_states.lock().expect("no task panics while it holds the server states").states
+                [server]
+            {
                 ListedState::Ready { started } | ListedState::Draining { started } => started,
                 ListedState::Gone => 0.0,
             };
@@ -213,7 +227,7 @@
         self.restart(server);
     }
 
-    /// Lets one trouble loose and sees it through. Surges and crowds are the players' part.
+    /// Waits for the start of a fault, injects it and ends it. Surges and crowds are generated by the players instead.
     pub async fn inject(&self, fault: FaultEvent, seed: u64) {
         sleep(Duration::from_secs_f64(fault.at_s)).await;
         let mut rng = StdRng::seed_from_u64(seed);
@@ -228,7 +242,7 @@
                     let renewed =
                         self.fronts.renew_certificates().and(self.fronts.renew_keys(each / 2).await);
                     if let Err(error) = renewed {
-                        eprintln!("pulleystair-lab: keys could not be replaced: {error}");
+                        eprintln!("pulleystair-lab: failed to replace keys or certificates: {error}");
                     }
                     sleep(each / 2).await;
                 }
@@ -327,7 +341,7 @@
     }
 }
 
-/// Sets what a trouble does to a server; a size that is none takes it away.
+/// Sets the effect of a fault on a server; a severity of NaN removes it.
 fn set_fault(faults: &mut ServerFaults, kind: FaultKind, severity: f64) {
     let healthy = ServerFaults::default();
     let is_active = !severity.is_nan();
@@ -349,6 +363,7 @@
     }
 }
 
+/// Chooses a random part of the candidates, at least one.
 fn choose_part(rng: &mut StdRng, mut candidates: Vec<usize>, part: f64) -> Vec<usize> {
     let count = (candidates.len() as f64 * part).round().max(1.0) as usize;
     candidates.shuffle(rng);
@@ -356,8 +371,9 @@
     candidates
 }
 
+/// Waits until all futures have completed.
 async fn join_all(pending: impl Iterator<Item = impl Future<Output = ()>>) {
-    // A handful of futures that mostly sleep: polled together by hand.
+    // Polled together without a library: there are only a few futures, and they mostly sleep.
     let mut pending: Vec<_> = pending.map(Box::pin).collect();
     std::future::poll_fn(|context| {
         pending.retain_mut(|future| future.as_mut().poll(context).is_pending());
@@ -366,6 +382,7 @@
     .await;
 }
 
+/// A duration from ms; negative values count as 0.
 pub fn from_ms(ms: f64) -> Duration {
     Duration::from_secs_f64(ms.max(0.0) / 1000.0)
 }
--- a/crates/lab/src/fronts.rs
+++ b/crates/lab/src/fronts.rs
@@ -1,4 +1,5 @@
-//! Real fronts as processes: writes what they are given at start, starts, kills and stops them.
+//! Runs the real fronts as processes: writes their configurations, keys and certificates, and starts, kills and stops
+//! them.
 
 use crate::relays::Relays;
 use crate::scenario::Scenario;
@@ -21,14 +22,15 @@
 /// How long a front may take until it listens.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// A front's process and its listening address while it runs.
 struct Front {
     child: Option<Child>,
     address: Option<SocketAddr>,
-    /// Where it is, or was when it last ran.
+    /// The address of the present or the last process.
     last_address: Option<SocketAddr>,
 }
 
-/// What is run as a front: a program, and its words before the rundown's file.
+/// The program to run as a front, and its arguments before the path of the configuration file.
 #[derive(Clone, Debug)]
 pub struct Program {
     pub path: PathBuf,
@@ -36,7 +38,7 @@
 }
 
 impl Program {
-    /// The real front.
+    /// The real front, with the log settings that the lab reads.
     pub fn edge(path: PathBuf) -> Program {
         Program {
             path,
@@ -45,6 +47,7 @@
     }
 }
 
+/// All fronts of a scenario; clones refer to the same processes.
 #[derive(Clone)]
 pub struct Fronts {
     program: Program,
@@ -52,27 +55,29 @@
     zone_count: usize,
     fronts: Arc<Mutex<Vec<Front>>>,
     recorder: Recorder,
-    /// What stands between fronts that share.
+    /// The relays between the fronts, if the fronts share state.
     pub between: Option<Relays>,
-    /// The portal's present key, and how many keys there were.
+    /// The portal's present key ring and its number; numbers count the renewals.
     portal: Arc<Mutex<(KeyRing, usize)>>,
-    /// Who vouches for fronts and servers, where they speak TLS.
+    /// Issues the certificates of fronts and servers; none without TLS.
     pub authority: Option<Arc<CertificateAuthority>>,
 }
 
-/// The name that fronts' certificates bear.
+/// The name in the certificates of the fronts.
 pub const FRONT: &str = "front";
 
-/// The portal's key, with which entry tokens are signed.
+/// The portal's first keys, with which entry tokens are signed.
 pub fn portal_keys() -> KeyRing {
     portal_key_ring(1)
 }
 
+/// The portal's key ring after `number` - 1 renewals.
 fn portal_key_ring(number: usize) -> KeyRing {
     KeyRing::new(&[(format!("portal-{number}"), key_secret("entry", number))])
-        .expect("one long key is a ring")
+        .expect("a ring of one long key is valid")
 }
 
+/// The secret of a key, for `entry` or `pass` tokens.
 fn key_secret(token_kind: &str, number: usize) -> Vec<u8> {
     format!("{token_kind} tokens of this laboratory, not a secret {number}").into_bytes()
 }
@@ -82,12 +87,12 @@
     format!("front-{front}")
 }
 
-/// A port that nobody has at present.
+/// A loopback address with a port that is free at present.
 fn free_port() -> Result<SocketAddr> {
     Ok(std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?)
 }
 
-/// The rundown of one front of a day, where its fronts share also with its ways to the others.
+/// The configuration of a front; if the fronts of the scenario share state, with the relays to the others.
 fn front_config_with_sharing(
     scenario: &Scenario,
     front: usize,
@@ -105,7 +110,7 @@
     Ok(config)
 }
 
-/// The rundown of one front of a day.
+/// The configuration of a front without shared state.
 pub fn front_config(scenario: &Scenario, front: usize) -> serde_json::Value {
     let fleet = &scenario.fleet;
     let total_link_kb: f64 = fleet.link_kb * fleet.servers as f64;
@@ -165,7 +170,7 @@
 }
 
 impl Fronts {
-    /// Writes keys and rundowns into the folder; the list must be there before a front starts.
+    /// Writes keys, certificates and configurations to the folder. The server list must exist before a front starts.
     pub fn new(scenario: &Scenario, program: Program, folder: &Path, recorder: Recorder) -> Result<Fronts> {
         let relays =
             scenario.sharing.as_ref().map(|_| Relays::open(scenario.fronts, scenario.seed)).transpose()?;
@@ -196,32 +201,32 @@
         Ok(fronts)
     }
 
-    /// Puts these token keys in service, the first of them to sign.
+    /// Writes these token keys and the key file that names them; the first one signs.
     fn write_key_files(&self, numbers: &[usize]) -> Result<()> {
         let mut keys = json!({ "entry": [], "pass": [] });
         for number in numbers {
             for (token_kind, kid_prefix) in [("entry", "portal"), ("pass", "pass")] {
                 let file = format!("{token_kind}-{number}.key");
                 replace(&self.folder.join(&file), key_secret(token_kind, *number))?;
-                let key_list = keys[token_kind].as_array_mut().context("it was made a list")?;
+                let key_list = keys[token_kind].as_array_mut().context("the key list is not an array")?;
                 key_list.push(json!({ "kid": format!("{kid_prefix}-{number}"), "file": file }));
             }
         }
         Ok(replace(&self.folder.join("keys.json"), keys.to_string())?)
     }
 
-    /// Replaces all token keys as an operator would: the new ones beside the old, then the portal signs by the
-    /// new one, then the old are taken out.
+    /// Replaces all token keys as an operator would: adds the new keys, waits for `overlap`, lets the portal sign with
+    /// the new key, and removes the old keys.
     pub async fn renew_keys(&self, overlap: Duration) -> Result<()> {
-        let old_number = self.portal.lock().expect("nobody dies while holding the portal").1;
+        let old_number = self.portal.lock().expect("no task panics while it holds the portal's keys").1;
         self.write_key_files(&[old_number + 1, old_number])?;
         sleep(overlap).await;
-        *self.portal.lock().expect("nobody dies while holding the portal") =
+        *self.portal.lock().expect("no task panics while it holds the portal's keys") =
             (portal_key_ring(old_number + 1), old_number + 1);
         self.write_key_files(&[old_number + 1])
     }
 
-    /// Replaces the fronts' certificates, where they have any.
+    /// Replaces the certificates of the fronts, if they use TLS.
     pub fn renew_certificates(&self) -> Result<()> {
         let Some(authority) = &self.authority else { return Ok(()) };
         for side in ["players", "servers"] {
@@ -230,23 +235,24 @@
         Ok(())
     }
 
-    /// A certificate for fronts, good until then.
+    /// Issues a certificate for fronts that is valid until `until`; none without TLS.
     pub fn certificate(&self, until: SystemTime) -> Option<Certificate> {
         Some(self.authority.as_ref()?.issue(FRONT, until))
     }
 
-    /// How players speak to fronts, where that is under TLS.
+    /// The TLS connector of players to fronts; none without TLS.
     pub fn connector(&self) -> Result<Option<TlsConnector>> {
         Ok(self.authority.as_ref().map(|authority| authority.connector(None)).transpose()?)
     }
 
-    /// An entry token by the portal's present key.
+    /// Signs an entry token with the portal's present key.
     pub fn sign(&self, entry: &EntryToken) -> String {
-        self.portal.lock().expect("nobody dies while holding the portal").0.sign(entry)
+        self.portal.lock().expect("no task panics while it holds the portal's keys").0.sign(entry)
     }
 
+    /// Number of fronts, running or not.
     pub fn count(&self) -> usize {
-        self.fronts.lock().expect("nobody dies while holding the fronts").len()
+        self.fronts.lock().expect("no task panics while it holds the fronts").len()
     }
 
     /// Starts a front and waits until it listens.
@@ -262,7 +268,7 @@
             .stderr(log_output)
             .kill_on_drop(true)
             .spawn()
-            .with_context(|| format!("{} can't be started", self.program.path.display()))?;
+            .with_context(|| format!("failed to start {}", self.program.path.display()))?;
         let start = Instant::now();
         let address = loop {
             let new_output = &std::fs::read(&file)?[log_length..];
@@ -274,12 +280,16 @@
                 }
                 break address;
             }
-            ensure!(start.elapsed() < START_TIMEOUT, "front {front} does not listen; see {}", file.display());
+            ensure!(
+                start.elapsed() < START_TIMEOUT,
+                "front {front} did not start listening in time; see {}",
+                file.display()
+            );
             sleep(Duration::from_millis(5)).await;
         };
-        let mut fronts = self.fronts.lock().expect("nobody dies while holding the fronts");
+        let mut fronts = self.fronts.lock().expect("no task panics while it holds the fronts");
         fronts[front] = Front { child: Some(child), address: Some(address), last_address: Some(address) };
-        // Players' way to each front is known once all have been started.
+        // The addresses of all fronts are known once each has been started.
         let homes: Option<Vec<SocketAddr>> = fronts.iter().map(|front| front.last_address).collect();
         if let Some(homes) = homes.filter(|homes| homes.len() > 1) {
             replace(&self.folder.join("homes.json"), serde_json::to_string(&homes)?.as_bytes())?;
@@ -288,14 +298,15 @@
         Ok(address)
     }
 
+    /// The file that receives the log of a front.
     fn log_file(&self, front: usize) -> PathBuf {
         self.folder.join(format!("front-{front}.log"))
     }
 
-    /// Kills a front outright.
+    /// Kills a front without a graceful stop.
     pub async fn kill(&self, front: usize) {
         let child = {
-            let mut fronts = self.fronts.lock().expect("nobody dies while holding the fronts");
+            let mut fronts = self.fronts.lock().expect("no task panics while it holds the fronts");
             fronts[front].address = None;
             fronts[front].child.take()
         };
@@ -305,11 +316,11 @@
         }
     }
 
-    /// Asks all to stop, and waits until they have.
+    /// Asks all fronts to stop, and waits up to `time_limit` for each.
     pub async fn stop(&self, time_limit: Duration) -> Result<()> {
         for front in 0..self.count() {
             let child = {
-                let mut fronts = self.fronts.lock().expect("nobody dies while holding the fronts");
+                let mut fronts = self.fronts.lock().expect("no task panics while it holds the fronts");
                 fronts[front].address = None;
                 fronts[front].child.take()
             };
@@ -322,8 +333,11 @@
                 Ok(status) => {
                     let log = std::fs::read(self.log_file(front)).unwrap_or_default();
                     let log = String::from_utf8_lossy(&log);
-                    // Why it ended is its last word.
-                    bail!("front {front} ended with {status:?}: {}", log.lines().last().unwrap_or_default());
+                    // The last line of the log tells why the front ended.
+                    bail!(
+                        "front {front} exited with {status:?}; the last line of its log: {}",
+                        log.lines().last().unwrap_or_default()
+                    );
                 }
                 Err(_) => bail!("front {front} did not stop within {time_limit:?}"),
             }
@@ -331,42 +345,44 @@
         Ok(())
     }
 
-    /// The process id of a front that runs.
+    /// The process id of a running front.
     pub fn process(&self, front: usize) -> Option<u32> {
-        self.fronts.lock().expect("nobody dies while holding the fronts")[front].child.as_ref()?.id()
+        self.fronts.lock().expect("no task panics while it holds the fronts")[front].child.as_ref()?.id()
     }
 
-    /// Waits for a front's own end; true if it ended well.
+    /// Waits until a front exits by itself; true if it exited with success.
     pub async fn ended(&self, front: usize) -> bool {
-        let child = self.fronts.lock().expect("nobody dies while holding the fronts")[front].child.take();
+        let child = self.fronts.lock().expect("no task panics while it holds the fronts")[front].child.take();
         match child {
             Some(mut child) => child.wait().await.is_ok_and(|status| status.success()),
             None => false,
         }
     }
 
-    /// CPU time that a front has used so far, ms, and its resident memory, kB; from the process table.
+    /// CPU time that a front has used so far, ms, and its resident memory, kB, read from /proc.
     pub fn resource_usage(&self, front: usize) -> Option<(f64, u64)> {
-        let process_id =
-            self.fronts.lock().expect("nobody dies while holding the fronts")[front].child.as_ref()?.id()?;
+        let process_id = self.fronts.lock().expect("no task panics while it holds the fronts")[front]
+            .child
+            .as_ref()?
+            .id()?;
         let stat_line = std::fs::read_to_string(format!("/proc/{process_id}/stat")).ok()?;
         let mut fields = stat_line.rsplit_once(") ")?.1.split(' ').skip(11);
         let ticks: f64 = fields.next()?.parse::<f64>().ok()? + fields.next()?.parse::<f64>().ok()?;
         let status = std::fs::read_to_string(format!("/proc/{process_id}/status")).ok()?;
         let memory_kb = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?.trim().split(' ').next()?;
-        // The kernel counts in hundredths of a second.
+        // The kernel counts CPU time in ticks of 10 ms.
         Some((ticks * 10.0, memory_kb.parse().ok()?))
     }
 
-    /// The front that is to be had there.
+    /// The running front that listens on this address.
     pub fn front_at(&self, address: SocketAddr) -> Option<usize> {
-        let fronts = self.fronts.lock().expect("nobody dies while holding the fronts");
+        let fronts = self.fronts.lock().expect("no task panics while it holds the fronts");
         fronts.iter().position(|front| front.address == Some(address))
     }
 
-    /// Where a viewer of this zone may ask: a front of the zone that runs, or any if none does. `draw` picks.
+    /// Chooses a running front of the zone, or any running front if the zone has none. `draw` is a random number.
     pub fn choose_front(&self, zone: usize, draw: u64) -> Option<(usize, SocketAddr)> {
-        let fronts = self.fronts.lock().expect("nobody dies while holding the fronts");
+        let fronts = self.fronts.lock().expect("no task panics while it holds the fronts");
         let running: Vec<(usize, SocketAddr)> =
             fronts.iter().enumerate().filter_map(|(i, f)| Some((i, f.address?))).collect();
         let in_zone: Vec<(usize, SocketAddr)> =
@@ -376,7 +392,7 @@
     }
 }
 
-/// The address that a front tells with this message.
+/// The address in the first log line with this message.
 fn logged_address(log_bytes: &[u8], message: &str) -> Option<SocketAddr> {
     let lines = log_bytes.split(|b| *b == b'\n').filter_map(|l| serde_json::from_slice(l).ok());
     let mut lines = lines.filter(|l: &serde_json::Value| l["message"] == message);
--- a/crates/lab/src/host_load.rs
+++ b/crates/lab/src/host_load.rs
@@ -1,6 +1,6 @@
-//! How late the machine is by itself, whatever runs on it: on each core somebody sleeps for a moment, again and again, and sees by how
-//! much it woke too late. A core that is taken away for a while holds up whoever is on it, and the rules' times are not to be read
-//! off a day on which that happened.
+//! Measures how late the machine itself is, whatever runs on it. On each core, a thread repeatedly sleeps for a moment
+//! and measures by how much it woke too late. A core that is taken away for a while delays every process on it, so a
+//! run in which that happened says nothing about the time limits of the rules.
 
 use rustix::thread::{CpuSet, sched_getaffinity, sched_setaffinity};
 use std::sync::Arc;
@@ -8,16 +8,17 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// So long is each sleep: short against what is looked for, and cheap.
+/// Length of each sleep: short compared to the delays of interest, and cheap.
 const SLEEP: Duration = Duration::from_millis(5);
 
-/// Watches until it is asked.
+/// Measures from its creation until [`HostLoad::lateness_ms`] is called.
 pub struct HostLoad {
     stop: Arc<AtomicBool>,
     sleepers: Vec<JoinHandle<f64>>,
 }
 
 impl HostLoad {
+    /// Starts one thread for each core that this process may use.
     pub fn watch() -> HostLoad {
         let stop = Arc::new(AtomicBool::new(false));
         let allowed = sched_getaffinity(None).unwrap_or_default();
@@ -27,7 +28,7 @@
             std::thread::spawn(move || {
                 let mut one_core = CpuSet::new();
                 one_core.set(core);
-                // Where it may not be held to its core it sleeps on any, and sees less.
+                // Without permission to be pinned, the thread sleeps on any core and detects less.
                 let _ = sched_setaffinity(None, &one_core);
                 let mut max_lateness_ms = 0.0_f64;
                 while !stop.load(Ordering::Relaxed) {
@@ -42,7 +43,7 @@
         HostLoad { sleepers: sleepers.collect(), stop }
     }
 
-    /// The latest that anyone woke, ms.
+    /// Stops the threads and returns the longest delay that one of them measured, ms.
     pub fn lateness_ms(mut self) -> f64 {
         self.stop.store(true, Ordering::Relaxed);
         std::mem::take(&mut self.sleepers)
@@ -52,7 +53,7 @@
     }
 }
 
-/// A day that breaks off leaves nobody watching.
+/// Stops the threads if a run fails.
 impl Drop for HostLoad {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,7 +1,11 @@
-//! Scripted days on loopback: [`scenario`] is what a day is made of, [`fronts`] starts the real fronts as
-//! processes, [`environment`] holds the list of servers and lets troubles loose, [`players`] come open-loop, and
-//! [`report`] sums up what was seen; [`host_load`] sees how late the machine is by itself; [`load`] measures what a
-//! front costs. The verdict is the checker's, on the sockets' logs.
+//! Test scenarios on loopback, with real fronts, fake media servers and simulated players.
+//!
+//! [`scenario`] defines a scenario, [`testbed`] sets up its parts and [`scenario_run`] runs it. [`fronts`] starts the
+//! real fronts as processes, [`environment`] maintains the server list and injects faults, [`relays`] carries the
+//! exchange between fronts, [`players`] generates an open-loop load, and [`report`] summarizes the results.
+//! [`host_load`] measures the delays of the machine itself; [`load`] measures the cost of a front, and [`baseline`] is
+//! a simple front to compare with. The verdict on the rules is that of `pulleystair-rule-checker` on what was observed
+//! on the sockets.
 
 pub mod baseline;
 pub mod environment;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,6 +1,7 @@
-//! What a front costs: set-up time over a stand-in's own, the most plays a second, CPU, memory, and relayed
-//! bytes against a direct read. Arrivals are open-loop and latency counts from the intended time, so a front
-//! that falls behind shows; a generator that falls behind says so.
+//! Measures the cost of a front: its set-up time compared to that of a fake server alone, the highest rate of plays,
+//! CPU, memory, and the throughput of relayed segments compared to a direct read. Arrivals are open-loop and latencies
+//! count from the intended start, so a front that falls behind shows up in them. A load generator that falls behind is
+//! reported.
 
 use crate::environment::{Title, from_ms};
 use crate::fronts::{FRONT, Fronts, Program, portal_keys};
@@ -22,17 +23,18 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use tokio_rustls::TlsConnector;
 
-/// The p99 of set-up time up to which a rate counts as carried, ms.
+/// Highest p99 of the set-up time at which a front counts as sustaining a rate, ms.
 const MAX_CARRIED_P99_MS: f64 = 50.0;
-/// A generator whose latest start is later than this has fallen behind, ms.
+/// The load generator has fallen behind if one of its plays started later than this, ms.
 const MAX_LATENESS_MS: f64 = 25.0;
-/// Plays that are held at once for the memory figure.
+/// Number of concurrent plays for the memory measurement.
 const HELD_PLAYS: usize = 10_000;
 
+/// The results of the measurement, written to load.json.
 #[derive(Debug, Serialize)]
 pub struct Costs {
     pub rates: Vec<Rate>,
-    /// The highest rate tried whose p99 stayed within `CARRIED`, plays a second.
+    /// The highest rate that the front sustained, plays per second.
     pub most_a_second: f64,
     pub held: usize,
     pub memory_before_kb: u64,
@@ -41,12 +43,14 @@
     pub direct_mb_s: f64,
 }
 
+/// The results at one rate of arrivals.
 #[derive(Debug, Serialize)]
 pub struct Rate {
     pub per_s: f64,
     pub plays: usize,
     pub failed: usize,
-    /// A bare exchange on a kept connection, a set-up at the server itself, and a play through the front.
+    /// Latency of an HTTP request on an idle connection, of a set-up sent directly to a server, and of a play through
+    /// the front.
     pub bare_ms: Quantiles,
     pub direct_ms: Quantiles,
     pub front_ms: Quantiles,
@@ -55,6 +59,7 @@
     pub behind: bool,
 }
 
+/// A scenario with one front and servers whose set-ups take no time.
 fn load_scenario(tls: bool) -> Result<Scenario> {
     Ok(serde_json::from_value(json!({
         "tls": tls, "seed": 1, "seconds": 1, "fronts": 1, "zones": ["here"],
@@ -85,17 +90,20 @@
     }))?)
 }
 
+/// What all measurements share.
 struct LoadTest {
     servers: FakeServers,
     fronts: Fronts,
     front_address: SocketAddr,
     titles: Vec<Title>,
     portal_keys: KeyRing,
+    /// Number of the next session or allocation.
     next_number: AtomicU64,
-    /// How players speak to the front, and a front's like to servers, under TLS.
+    /// With TLS: the connector to the front, and the connector to servers with a front's certificate.
     tls: Option<(TlsConnector, TlsConnector)>,
 }
 
+/// Measures rising rates of `seconds` each until the front no longer sustains one, then the throughput and the memory.
 pub async fn run(program: Program, folder: &Path, seconds: f64, tls: bool) -> Result<Costs> {
     let testbed = Testbed::build(load_scenario(tls)?, program, folder).await?;
     let front_address = testbed.start().await?[0];
@@ -118,7 +126,7 @@
         next_number,
         tls,
     });
-    // Warm: allocators, connections, and the decisions' first figures.
+    // Warm-up of allocators, connections and the load values that decisions use.
     test.measure_rate(200.0, 1.0).await?;
     let mut rates = vec![test.measure_rate(30.0, 2.0 * seconds).await?];
     let mut max_per_s = 0.0;
@@ -135,11 +143,12 @@
     }
     sleep(from_ms(1000.0)).await;
     let (relay_mb_s, direct_mb_s) = test.measure_relay(seconds).await?;
-    let read_memory_kb = |test: &LoadTest| Ok(test.fronts.resource_usage(0).context("the front runs")?.1);
+    let read_memory_kb =
+        |test: &LoadTest| Ok(test.fronts.resource_usage(0).context("the front is not running")?.1);
     let memory_before: Result<u64> = read_memory_kb(&test);
     for _ in 0..HELD_PLAYS {
         let (status, _) = test.set_up_play().await?;
-        ensure!(status == 200, "a play that was to be held was answered {status}");
+        ensure!(status == 200, "set-up of a play for the memory measurement was answered {status}");
     }
     let memory_held: Result<u64> = read_memory_kb(&test);
     test.fronts.kill(0).await;
@@ -165,7 +174,7 @@
         HttpPeer::connect(self.servers.addresses[server], tls_and_name).await
     }
 
-    /// Asks for a play on a connection of its own; its status and the manifest.
+    /// Requests a play on a new connection; returns the status and the manifest.
     async fn set_up_play(&self) -> Result<(u16, Vec<u8>)> {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let title = &self.titles[number as usize % self.titles.len()].name;
@@ -180,10 +189,11 @@
         let mut peer = self.connect_to_front().await?;
         let target = address::manifest_path("any", title, &token);
         peer.write(format!("GET {target} HTTP/1.1\r\nHost: f\r\n\r\n").as_bytes()).await?;
-        let response = peer.read_response().await?.context("the front closed")?;
+        let response = peer.read_response().await?.context("the front closed the connection")?;
         Ok((response.status, response.body))
     }
 
+    /// Ends the play of a manifest.
     async fn end_play(&self, manifest: &[u8]) -> Result<()> {
         let mut peer = self.connect_to_front().await?;
         let base_path = base_url(manifest)?;
@@ -192,7 +202,7 @@
         Ok(())
     }
 
-    /// A set-up at a server itself, and its end.
+    /// Sets up a play directly at a server and ends it; returns the status.
     async fn set_up_at_server(&self) -> Result<u16> {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let mut peer = self.connect_to_server(number as usize % self.servers.addresses.len()).await?;
@@ -201,10 +211,11 @@
         let head =
             format!("POST /plays/d-{number}-1 HTTP/1.1\r\nHost: b\r\nContent-Length: {}\r\n\r\n", body.len());
         peer.write((head + &body).as_bytes()).await?;
-        Ok(peer.read_response_head().await?.context("the server closed")?.status)
+        Ok(peer.read_response_head().await?.context("the server closed the connection")?.status)
     }
 
-    /// Open-loop arrivals of one kind; latencies from the intended times, failures, and the latest start.
+    /// Starts a request at each intended time, whether or not earlier ones have completed. Returns the latencies in ms,
+    /// the number of failures, and the longest delay of a start in ms.
     async fn run_open_loop<F, R>(&self, per_s: f64, seconds: f64, start_one: F) -> (Vec<f64>, usize, f64)
     where
         F: Fn(Instant) -> R,
@@ -228,6 +239,7 @@
         (latencies_ms, failed, max_delay_ms)
     }
 
+    /// Measures the latencies of HTTP requests, direct set-ups and plays through the front at one rate.
     async fn measure_rate(self: &Arc<LoadTest>, per_s: f64, seconds: f64) -> Result<Rate> {
         let elapsed_ms = |due_at: Instant| due_at.elapsed().as_secs_f64() * 1000.0;
         let test = self.clone();
@@ -236,7 +248,10 @@
             .run_open_loop(per_s, seconds, move |due_at| {
                 let (test, idle_connections) = (test.clone(), idle_connections.clone());
                 async move {
-                    let peer = idle_connections.lock().expect("no exchange dies").pop();
+                    let peer = idle_connections
+                        .lock()
+                        .expect("no task panics while it holds the idle connections")
+                        .pop();
                     let mut peer = match peer {
                         Some(peer) => peer,
                         None => test.connect_to_server(0).await.ok()?,
@@ -244,7 +259,10 @@
                     peer.write(b"GET /load HTTP/1.1\r\nHost: b\r\n\r\n").await.ok()?;
                     peer.read_response().await.ok()??;
                     let latency_ms = elapsed_ms(due_at);
-                    idle_connections.lock().expect("no exchange dies").push(peer);
+                    idle_connections
+                        .lock()
+                        .expect("no task panics while it holds the idle connections")
+                        .push(peer);
                     Some(latency_ms)
                 }
             })
@@ -256,7 +274,7 @@
                 async move { (test.set_up_at_server().await.ok()? == 200).then(|| elapsed_ms(due_at)) }
             })
             .await;
-        let cpu_before_ms = self.fronts.resource_usage(0).context("the front runs")?.0;
+        let cpu_before_ms = self.fronts.resource_usage(0).context("the front is not running")?.0;
         let test = self.clone();
         let (front_ms, failed, max_delay_ms) = self
             .run_open_loop(per_s, seconds, move |due_at| {
@@ -273,7 +291,7 @@
             })
             .await;
         let plays = front_ms.len() + failed;
-        let cpu_ms = self.fronts.resource_usage(0).context("the front runs")?.0 - cpu_before_ms;
+        let cpu_ms = self.fronts.resource_usage(0).context("the front is not running")?.0 - cpu_before_ms;
         Ok(Rate {
             per_s,
             plays,
@@ -287,12 +305,12 @@
         })
     }
 
-    /// Bytes a second of one segment after another, four readers at once, through the front and from a server.
+    /// Measures the throughput of four readers, in MB/s, through the front and directly from servers.
     async fn measure_relay(self: &Arc<LoadTest>, seconds: f64) -> Result<(f64, f64)> {
         let mut readers = Vec::new();
         for _ in 0..4 {
             let (status, manifest) = self.set_up_play().await?;
-            ensure!(status == 200, "a play to read from was answered {status}");
+            ensure!(status == 200, "set-up of a play for the throughput measurement was answered {status}");
             readers.push((self.connect_to_front().await?, format!("{}0/1.m4s", base_url(&manifest)?)));
         }
         let through_front = measure_throughput(readers, seconds).await?;
@@ -309,7 +327,7 @@
                 body.len()
             );
             peer.write((head + &body).as_bytes()).await?;
-            peer.read_response_head().await?.context("the server closed")?;
+            peer.read_response_head().await?.context("the server closed the connection")?;
             open_plays.push(peer);
             direct_readers.push((self.connect_to_server(server).await?, format!("/plays/r-{server}-1/0/1")));
         }
@@ -317,6 +335,7 @@
     }
 }
 
+/// Reads the same segment again and again on each connection; returns the total throughput in MB/s.
 async fn measure_throughput(readers: Vec<(HttpPeer, String)>, seconds: f64) -> Result<f64> {
     let start = Instant::now();
     let ends_at = start + Duration::from_secs_f64(seconds);
@@ -326,7 +345,10 @@
             let mut bytes = 0;
             while Instant::now() < ends_at {
                 peer.write(format!("GET {target} HTTP/1.1\r\nHost: f\r\n\r\n").as_bytes()).await?;
-                let response = peer.read_response().await?.context("closed in the middle")?;
+                let response = peer
+                    .read_response()
+                    .await?
+                    .context("the connection was closed during the measurement")?;
                 ensure!(response.status == 200, "a segment was answered {}", response.status);
                 bytes += response.body.len();
             }
@@ -340,15 +362,16 @@
     Ok(bytes as f64 / 1e6 / start.elapsed().as_secs_f64())
 }
 
-/// Where a manifest says that its segments are. Found by its tags: a parser's milliseconds would be counted as the
-/// front's, since they share the machine.
+/// The base URL of a manifest's segments. Found by its tags, since the time of an XML parser would count as the
+/// front's: both run on the same machine.
 fn base_url(manifest: &[u8]) -> Result<&str> {
     let text = std::str::from_utf8(manifest)?;
     let rest = text.split_once("<BaseURL>").and_then(|(_, rest)| rest.split_once("</BaseURL>"));
-    Ok(rest.context("a manifest has its base")?.0)
+    Ok(rest.context("the manifest has no BaseURL")?.0)
 }
 
 impl Costs {
+    /// The results as a table for the console.
     pub fn text(&self) -> String {
         let mut text = format!(
             "{:>9} {:>7} {:>24} {:>24} {:>30} {:>9} {:>8}\n",
@@ -372,11 +395,11 @@
                 format!("{} ({ratio:.1})", format_quantiles(&rate.front_ms)),
                 rate.cpu_ms_a_play,
                 rate.lateness_ms,
-                if rate.behind { "  the generator fell behind: no result" } else { "" }
+                if rate.behind { "  load generator fell behind: no result" } else { "" }
             );
         }
         text += &format!(
-            "most plays a second with p99 within {MAX_CARRIED_P99_MS} ms: {:.0}\n",
+            "highest rate with p99 within {MAX_CARRIED_P99_MS} ms: {:.0} plays per second\n",
             self.most_a_second
         );
         let kb_per_play =
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `pulleystair-lab`: plays scripted days against real fronts and stand-in servers, and checks the rules.
+//! `pulleystair-lab`: runs test scenarios with real fronts and fake media servers, and checks the rules.
 
 use anyhow::{Context, Result};
 use clap::{Parser, Subcommand};
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "pulleystair-lab", version, about = "Scripted days on loopback, with the rules checked")]
+#[command(name = "pulleystair-lab", version, about = "Test scenarios on loopback, with the rules checked")]
 struct Command {
     #[command(subcommand)]
     job: Job,
@@ -19,62 +19,66 @@
 
 #[derive(Subcommand)]
 enum Job {
-    /// Play a day; the exit status is 0 where all rules were kept, 1 where one was broken
+    /// Run a scenario; the exit status is 0 if all rules were kept, 1 if one was broken
     Day {
         script: PathBuf,
-        /// Another seed than the script's
+        /// Seed to use instead of the script's
         #[arg(long)]
         seed: Option<u64>,
-        /// Where reports and logs go
+        /// Folder for reports and logs
         #[arg(long, default_value = "found/day")]
         out: PathBuf,
-        /// The front to run; the one beside this program where left out
+        /// Program to run as the front; pulleystair-edge beside this program if omitted
         #[arg(long)]
         edge: Option<PathBuf>,
-        /// Run the baseline instead: holders drawn evenly, lowest rung
+        /// Run the baseline front instead, which draws holders evenly and plays the lowest rung
         #[arg(long, conflicts_with = "edge")]
         baseline: bool,
     },
-    /// Measure what a front costs: set-up time, plays a second, CPU, memory, relayed bytes
+    /// Measure the cost of a front: set-up time, plays per second, CPU, memory, relayed bytes
     Load {
-        /// Seconds that each rate is held
+        /// Duration of each measured rate, in seconds
         #[arg(long, default_value_t = 6.0)]
         seconds: f64,
         #[arg(long, default_value = "found/load")]
         out: PathBuf,
-        /// Players, front and servers speak TLS
+        /// Use TLS between players, front and servers
         #[arg(long)]
         tls: bool,
         #[arg(long)]
         edge: Option<PathBuf>,
     },
-    /// Run a day's stand-in servers alone, with all that a front needs to be tried by hand
+    /// Run only the fake servers of a scenario, with all files that a front needs, to try it by hand
     Boxes {
         script: PathBuf,
         #[arg(long, default_value = "found/boxes")]
         out: PathBuf,
     },
-    /// Be a baseline front, as `day --baseline` starts them
+    /// Run as a baseline front, as started by `day --baseline`
     #[command(hide = true)]
     Baseline { rundown: PathBuf },
 }
 
-/// The front that was built with this program.
+/// The path of the front that was built with this program.
 fn find_edge_binary() -> Result<PathBuf> {
     let this_program = std::env::current_exe()?;
     let edge = this_program.with_file_name("pulleystair-edge");
     edge.exists()
         .then_some(edge)
-        .context("there is no pulleystair-edge beside this program: build the workspace")
+        .context("pulleystair-edge was not found beside this program; build the workspace")
 }
 
-/// Servers until interrupted, and a way in for each product's first title.
+/// Runs the fake servers until interrupted, and prints an entry URL for the first title of each product.
 async fn run_fake_servers(scenario: Scenario, out: &Path) -> Result<()> {
     let testbed = Testbed::build(scenario, Program::edge(PathBuf::new()), out).await?;
-    println!("{} servers run; list, keys and rundowns are in {}", testbed.day.fleet.servers, out.display());
-    println!("a front: pulleystair-edge run {}", out.join("front-0.json").display());
+    println!(
+        "{} servers are running; the server list, keys and configurations are in {}",
+        testbed.day.fleet.servers,
+        out.display()
+    );
+    println!("start a front with: pulleystair-edge run {}", out.join("front-0.json").display());
     let scheme = if testbed.day.tls { "https" } else { "http" };
-    println!("then, with its address in place of FRONT, within the hour:");
+    println!("then request one of these URLs within an hour, with the front's address in place of FRONT:");
     for (product, product_config) in testbed.day.products.iter().enumerate() {
         let Some(title) = testbed.titles.iter().find(|t| t.product == product) else { continue };
         let entry = portal_keys().sign(&EntryToken {
@@ -90,6 +94,7 @@
     Ok(tokio::signal::ctrl_c().await?)
 }
 
+/// Runs a subcommand; false if a rule was broken.
 fn run(command: Command) -> Result<bool> {
     match command.job {
         Job::Day { script, seed, out, edge, baseline } => {
@@ -110,7 +115,10 @@
             let description = format!("{}, seed {}", script.display(), scenario.seed);
             let history = History::new(&description, &broken_rules, scenario.terms(), result.seen);
             std::fs::write(out.join("seen.jsonl"), history.to_text()?)?;
-            println!("report.json, plays.svg, seen.jsonl and the fronts' logs are in {}", out.display());
+            println!(
+                "report.json, plays.svg, seen.jsonl and the logs of the fronts are in {}",
+                out.display()
+            );
             Ok(result.breaches.is_empty())
         }
         Job::Load { seconds, out, tls, edge } => {
--- a/crates/lab/src/players.rs
+++ b/crates/lab/src/players.rs
@@ -1,5 +1,5 @@
-//! Players that come by a schedule, open-loop: each asks for a manifest, fetches segments as it plays, retries,
-//! leaves and comes back. They speak to fronts over sockets alone, and log what they see.
+//! Players that arrive open-loop at scheduled times. Each requests a manifest, fetches segments as it plays, retries,
+//! leaves and returns. Players use only the sockets of the fronts, and record what they observe.
 
 use crate::environment::{Title, from_ms};
 use crate::fronts::{FRONT, Fronts};
@@ -21,29 +21,30 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use tokio_rustls::TlsConnector;
 
-/// Times that a viewer comes again, at most.
+/// Maximum number of times that a viewer asks for its play, the first time included.
 const MAX_VISITS: usize = 3;
-/// Segments that a player keeps ahead of what it shows.
+/// Number of segments that a player fetches ahead.
 const SEGMENTS_AHEAD: u64 = 2;
-/// Tries of one segment.
+/// Maximum number of attempts to fetch one segment.
 const MAX_SEGMENT_TRIES: usize = 3;
-/// After the time limit a player still listens for so long, so that a late answer is seen as late.
+/// How long after the time limit a player keeps waiting, so that a late response is recorded as late.
 const LATE_ANSWER_MS: f64 = 1_000.0;
 
-/// One viewer's play as it came, all its tries included.
+/// The result of one viewer's play over all its visits.
 #[derive(Clone, Debug, Default)]
 pub struct PlayerResult {
     pub product: usize,
-    /// ms since the day began.
+    /// Time of arrival in ms since the start of the run.
     pub arrived_at: f64,
-    /// From the first request to the manifest, where one came.
+    /// Time from the first request to the manifest, if one arrived.
     pub set_up_ms: Option<f64>,
-    /// The last answer to a manifest request; 0 where none came.
+    /// Status of the last response to a manifest request; 0 if there was none.
     pub status: u16,
     pub tries: usize,
     pub segments: usize,
+    /// Sum of the rungs of all segments.
     pub rung_sum: usize,
-    /// What the rungs it was shown at earn, by the second, and how long the title is.
+    /// Seconds shown, each weighted with what its rung earns, and the length of the title in seconds.
     pub earned_s: f64,
     pub title_s: f64,
     pub stalled_ms: f64,
@@ -51,9 +52,10 @@
     pub broken: bool,
 }
 
-/// One arrival, drawn before the day begins.
+/// One arrival, drawn before the run starts.
 #[derive(Clone, Debug)]
 pub struct Arrival {
+    /// Time of arrival in ms since the start of the run.
     pub arrives_at: f64,
     pub title: usize,
     pub zone: usize,
@@ -61,7 +63,7 @@
     pub seed: u64,
 }
 
-/// All arrivals of a day: Poisson at the usual rate, more in surges and crowds.
+/// Draws all arrivals of a scenario: a Poisson process at the usual rate, and further ones for surges and crowds.
 pub fn arrivals(scenario: &Scenario, titles: &[Title]) -> Vec<Arrival> {
     let mut rng = StdRng::seed_from_u64(scenario.seed ^ 0xa221);
     let titles_of =
@@ -77,8 +79,8 @@
         });
         let product = if is_crowd { 0 } else { product.unwrap_or(0) };
         let product_titles = &titles_by_product[product];
-        let zipf = Zipf::new(product_titles.len() as f64, 0.9).expect("titles are counted from 1");
-        // A crowd comes for the least wanted title, which few servers are sized for.
+        let zipf = Zipf::new(product_titles.len() as f64, 0.9).expect("a product has at least one title");
+        // A crowd requests the least popular title, for which few servers have capacity.
         let title = if is_crowd {
             product_titles[product_titles.len() - 1]
         } else {
@@ -118,28 +120,28 @@
     arrivals
 }
 
-/// What all players of a day share.
+/// State that all players of a run share.
 pub struct PlayerPool {
     pub scenario: Arc<Scenario>,
     pub titles: Arc<Vec<Title>>,
     pub fronts: Fronts,
-    /// How players speak to fronts, where that is under TLS.
+    /// The TLS connector to the fronts; none without TLS.
     pub tls: Option<TlsConnector>,
     pub recorder: Recorder,
     pub next_request: AtomicU64,
     pub results: Mutex<Vec<PlayerResult>>,
 }
 
-/// How a manifest request ended.
+/// The outcome of a manifest request.
 enum ManifestResult {
     Response(Message),
-    /// The connection broke, or could not be had.
+    /// The connection broke or could not be established.
     Disconnected,
     TimedOut,
 }
 
 impl PlayerPool {
-    /// Watches one play from its first request to its end, coming back as viewers do.
+    /// Simulates one viewer from the first request to the end of the play, including returns after failures.
     pub async fn run_player(self: Arc<PlayerPool>, arrival: Arrival) {
         let mut rng = StdRng::seed_from_u64(arrival.seed);
         let title = &self.titles[arrival.title];
@@ -166,7 +168,7 @@
             if let ManifestResult::Response(response) = &manifest_result
                 && response.status == 307
             {
-                // A session is at home at one front; a home that is away is a connection that can't be had.
+                // Each session has a home front. If that front is not running, the connection counts as failed.
                 let location = response
                     .header("location")
                     .and_then(|url| url.strip_prefix("//")?.split('/').next()?.parse().ok());
@@ -214,13 +216,15 @@
             }
             sleep(from_ms(retry_delay_ms)).await;
         }
-        self.results.lock().expect("no player dies while it reports").push(result);
+        self.results.lock().expect("no player panics while it holds the results").push(result);
     }
 
+    /// Connects to a front.
     async fn connect(&self, address: SocketAddr) -> std::io::Result<HttpPeer> {
         HttpPeer::connect(address, self.tls.as_ref().map(|connector| (connector, FRONT))).await
     }
 
+    /// Signs an entry token for a session, valid for a minute.
     fn token(&self, session: &str, arrival: &Arrival) -> String {
         let title = &self.titles[arrival.title];
         self.fronts.sign(&EntryToken {
@@ -233,7 +237,7 @@
         })
     }
 
-    /// Asks for the manifest, as some players do twice at once, or again after closing.
+    /// Requests the manifest. Some players send two requests at once, or close the connection early and ask again.
     async fn request_manifest(
         &self,
         front: usize,
@@ -261,6 +265,8 @@
         self.send_manifest_request(front, address, session, arrival, None).await
     }
 
+    /// Sends one manifest request and waits for the response. A player with `patience` closes the connection when that
+    /// has passed.
     async fn send_manifest_request(
         &self,
         front: usize,
@@ -305,7 +311,7 @@
         }
     }
 
-    /// Fetches and shows the segments; false where the play broke off.
+    /// Fetches the segments at the speed of the playback; false if the play broke off.
     async fn play_segments(
         &self,
         address: SocketAddr,
@@ -322,7 +328,7 @@
         let rung = manifest_info.rungs - 1;
         let mut connection = None;
         let segment_length = from_ms(title.segment_ms as f64);
-        // When what has been fetched so far is shown to its end.
+        // When the playback of all fetched segments ends.
         let mut shown_until = Instant::now();
         for number in 1..=last_number {
             let path = manifest_info.base.clone()
@@ -369,7 +375,7 @@
         true
     }
 
-    /// Fetches one segment over the kept connection, or a new one; none where it can't be had.
+    /// Fetches one segment over the kept connection or a new one; none if all attempts fail.
     async fn fetch_segment(
         &self,
         address: SocketAddr,
@@ -408,13 +414,14 @@
     }
 }
 
+/// The parts of a manifest that a player uses.
 struct ManifestInfo {
     base: String,
     media: String,
     rungs: usize,
 }
 
-/// Reads a manifest as a player does, by a parser that is not ours.
+/// Parses a manifest as a player does, with a parser that is not part of this project.
 fn parse_manifest(text: &[u8]) -> Option<ManifestInfo> {
     let mpd = dash_mpd::parse(std::str::from_utf8(text).ok()?).ok()?;
     let adaptation_set = mpd.periods.first()?.adaptations.first()?;
@@ -426,8 +433,8 @@
     .filter(|info| info.rungs > 0)
 }
 
-/// Lets all arrivals come at their times, whatever becomes of them, and waits until all are through. Tells how
-/// late the latest of them set out, ms.
+/// Starts each player at its arrival time, whether or not earlier ones have ended, and waits until all have ended.
+/// Returns the longest delay of a start, ms.
 pub async fn run_arrivals(pool: Arc<PlayerPool>, arrivals: Vec<Arrival>, start: Instant) -> Result<f64> {
     let mut max_delay_ms = 0.0f64;
     let mut players = Vec::new();
--- a/crates/lab/src/relays.rs
+++ b/crates/lab/src/relays.rs
@@ -1,5 +1,5 @@
-//! What stands between fronts: a relay on loopback for each ordered pair, which passes their datagrams on as they came,
-//! late, doubled or not at all. One seed draws what happens to each.
+//! UDP relays between fronts: one relay on loopback for each ordered pair, which forwards datagrams unchanged, delays
+//! or duplicates them, or drops them. One seed determines what happens to each datagram.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -10,13 +10,15 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-/// The way from one front to another.
+/// The conditions of the link from one front to another. `lost` and `doubled` are the parts of datagrams that are
+/// dropped and duplicated; a link that is not open drops all of them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkConditions {
     pub open: bool,
     pub lost: f64,
     pub doubled: f64,
-    /// Each datagram is late by up to so much, one in ten by up to ten times as much; so they overtake each other.
+    /// Maximum delay of a datagram, ms; one in ten is delayed by up to ten times as much, so that datagrams are
+    /// reordered.
     pub late_ms: f64,
 }
 
@@ -26,22 +28,25 @@
     }
 }
 
+/// State that all relays share; the tables are indexed by the sending and the receiving front.
 struct RelayState {
     conditions: Vec<Vec<LinkConditions>>,
     front_addresses: Vec<Option<SocketAddr>>,
     rng: StdRng,
+    /// Number of datagrams that were forwarded.
     passed: Vec<Vec<u64>>,
 }
 
+/// Handle of the relays between the fronts of a scenario.
 #[derive(Clone)]
 pub struct Relays {
-    /// Where the front of the first index sends what is for the second.
+    /// The addresses to which the front of the first index sends datagrams for the second.
     relay_addresses: Arc<Vec<Vec<SocketAddr>>>,
     state: Arc<Mutex<RelayState>>,
 }
 
 impl Relays {
-    /// Relays between so many fronts; they end with the runtime.
+    /// Opens relays between `count` fronts; they run until the runtime ends.
     pub fn open(count: usize, seed: u64) -> io::Result<Relays> {
         let state = Arc::new(Mutex::new(RelayState {
             conditions: vec![vec![LinkConditions::default(); count]; count],
@@ -62,19 +67,20 @@
     }
 
     fn lock_state(&self) -> MutexGuard<'_, RelayState> {
-        self.state.lock().expect("nobody dies while holding the weather")
+        self.state.lock().expect("no task panics while it holds the relay state")
     }
 
+    /// The address to which a front sends datagrams for another.
     pub fn way(&self, from: usize, to: usize) -> SocketAddr {
         self.relay_addresses[from][to]
     }
 
-    /// Where a front listens, from now on.
+    /// Sets the address on which a front listens.
     pub fn listens(&self, front: usize, address: SocketAddr) {
         self.lock_state().front_addresses[front] = Some(address);
     }
 
-    /// Changes the ways of all ordered pairs.
+    /// Changes the conditions of the links of all ordered pairs.
     pub fn change(&self, change: impl Fn(usize, usize, &mut LinkConditions)) {
         let mut state = self.lock_state();
         for (from, row) in state.conditions.iter_mut().enumerate() {
@@ -82,21 +88,23 @@
         }
     }
 
-    /// No datagram passes between those on one side and the others, either way.
+    /// Closes all links between the fronts of one side and the others, in both directions.
     pub fn split(&self, side: impl Fn(usize) -> bool) {
         self.change(|from, to, conditions| conditions.open = side(from) == side(to));
     }
 
+    /// Restores perfect conditions on all links.
     pub fn heal(&self) {
         self.change(|_, _, conditions| *conditions = LinkConditions::default());
     }
 
-    /// Datagrams that passed from one front to another.
+    /// Number of datagrams that were forwarded from one front to another.
     pub fn passed(&self, from: usize, to: usize) -> u64 {
         self.lock_state().passed[from][to]
     }
 }
 
+/// Forwards the datagrams of one ordered pair.
 async fn relay_datagrams(socket: UdpSocket, from: usize, to: usize, state: Arc<Mutex<RelayState>>) {
     let socket = Arc::new(socket);
     let mut buffer = [0; 4096];
@@ -104,7 +112,7 @@
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else { continue };
         let mut copies = Vec::new();
         {
-            let mut state = state.lock().expect("nobody dies while holding the weather");
+            let mut state = state.lock().expect("no task panics while it holds the relay state");
             let conditions = state.conditions[from][to];
             let Some(target) = state.front_addresses[to] else { continue };
             let copy_count = 1 + usize::from(state.rng.random::<f64>() < conditions.doubled);
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! What a day came to: lines for a person, a JSON report, and a plot of the plays over time.
+//! The results of a run: text for the console, a JSON report, and a plot of the plays over time.
 
 use crate::players::PlayerResult;
 use crate::scenario::Scenario;
@@ -10,17 +10,18 @@
 use std::fmt::Write;
 use std::path::Path;
 
+/// Summary of a run, written to report.json.
 #[derive(Debug, Serialize)]
 pub struct Report {
     pub seed: u64,
-    /// Importance answered within the first-frame target over the importance asked for.
+    /// Importance of the plays set up within the first-frame target, divided by the importance of all requested plays.
     pub service: f64,
-    /// Importance earned by the second: what the rungs shown earn, less the time stalled, over what all plays
-    /// asked for would earn on the highest rung without a stall.
+    /// Importance-weighted seconds: what the shown rungs earned, minus the stalled time, divided by what all requested
+    /// plays would earn on the highest rung without a stall.
     pub worth: f64,
     pub plays: usize,
     pub products: Vec<Product>,
-    /// From the first request to the manifest, over all plays that were set up, ms.
+    /// Time from the first request to the manifest over all plays that were set up, ms.
     pub set_up_ms: Quantiles,
     pub segments: usize,
     pub mean_rung: f64,
@@ -28,13 +29,15 @@
     pub stalled_ms: f64,
     pub broken: usize,
     pub covered: Counts,
+    /// The longest delay of a player's start or of a thread on any core, ms.
     pub lateness_ms: f64,
     pub cpu_ms_a_play: f64,
-    /// Plays by the second in which they came: in time, late, not set up.
+    /// Number of plays by second of arrival: in time, late, not set up.
     pub by_second: Vec<[usize; 3]>,
     pub breaches: Vec<String>,
 }
 
+/// Number of plays of one product by their outcome.
 #[derive(Debug, Serialize)]
 pub struct Product {
     pub name: String,
@@ -45,6 +48,7 @@
     pub failed: usize,
 }
 
+/// Quantiles of a duration, ms.
 #[derive(Debug, Default, Serialize)]
 pub struct Quantiles {
     pub p50: f64,
@@ -54,6 +58,7 @@
     pub max: f64,
 }
 
+/// What the check of the rules covered.
 #[derive(Debug, Serialize)]
 pub struct Counts {
     pub requests: usize,
@@ -64,8 +69,9 @@
     pub segments: usize,
 }
 
+/// Quantiles of durations in ms; all 0 if there are none.
 pub fn quantiles(ms: impl Iterator<Item = f64>) -> Result<Quantiles> {
-    // Microseconds, up to ten minutes, three digits.
+    // Recorded in microseconds, up to ten minutes, with three significant digits.
     let mut histogram = Histogram::<u64>::new_with_bounds(1, 600_000_000, 3)?;
     ms.for_each(|ms| histogram.saturating_record((ms * 1000.0).max(1.0) as u64));
     if histogram.is_empty() {
@@ -81,6 +87,7 @@
     })
 }
 
+/// Summarizes the results of a run.
 pub fn summarize(scenario: &Scenario, run: &RunResult) -> Result<Report> {
     let player_results = &run.player_results;
     let target_ms = |p: usize| scenario.products[p].first_frame_target_ms;
@@ -141,6 +148,7 @@
 }
 
 impl Report {
+    /// The report as text for the console.
     pub fn text(&self) -> String {
         let mut lines = String::new();
         let quantiles = &self.set_up_ms;
@@ -149,7 +157,7 @@
             let _ = writeln!(lines, "{text}");
         };
         add_line(format!(
-            "seed {}: {} plays asked for; service {:.3}, worth {:.3}",
+            "seed {}: {} plays requested; service {:.3}, worth {:.3}",
             self.seed, self.plays, self.service, self.worth
         ));
         add_line(format!(
@@ -163,11 +171,11 @@
             ));
         }
         add_line(format!(
-            "set-up, ms: p50 {:.1}, p90 {:.1}, p99 {:.1}, p99.9 {:.1}, most {:.1}",
+            "set-up, ms: p50 {:.1}, p90 {:.1}, p99 {:.1}, p99.9 {:.1}, max {:.1}",
             quantiles.p50, quantiles.p90, quantiles.p99, quantiles.p999, quantiles.max
         ));
         add_line(format!(
-            "{} segments, mean rung {:.2}; {} stalls, {:.1} s in all; {} plays broken off",
+            "{} segments, mean rung {:.2}; {} stalls, {:.1} s in total; {} plays broken off",
             self.segments,
             self.mean_rung,
             self.stalls,
@@ -175,7 +183,7 @@
             self.broken
         ));
         add_line(format!(
-            "fronts used {:.2} ms of CPU a play; players set out {:.1} ms late at most",
+            "fronts used {:.2} ms of CPU per play; maximum delay of players and machine {:.1} ms",
             self.cpu_ms_a_play, self.lateness_ms
         ));
         add_line(format!(
@@ -190,13 +198,14 @@
         ));
         self.breaches.iter().take(20).for_each(|b| add_line(format!("BROKEN {b}")));
         add_line(match self.breaches.len() {
-            0 => "rules: all six kept, every segment the one asked for".to_string(),
+            0 => "rules: all six kept, every segment as requested".to_string(),
             n => format!("rules: {n} breaches"),
         });
         lines
     }
 }
 
+/// Counts plays by second of arrival and by class: in time, late, not set up.
 fn by_second(scenario: &Scenario, run: &RunResult) -> Vec<[usize; 3]> {
     let mut counts = vec![[0; 3]; scenario.seconds.ceil() as usize + 1];
     for result in &run.player_results {
@@ -211,7 +220,7 @@
     counts
 }
 
-/// Plays each second by how they ended, with the troubles as bands.
+/// Plots the plays of each second by their outcome, with the injected faults as bands.
 pub fn plot(scenario: &Scenario, run: &RunResult, file: &Path) -> Result<()> {
     let counts = by_second(scenario, run);
     let max_plays = counts.iter().map(|c| c.iter().sum::<usize>()).max().unwrap_or(0).max(1) as f64;
@@ -219,7 +228,7 @@
     let area = SVGBackend::new(file, (1100, 460)).into_drawing_area();
     area.fill(&WHITE).map_err(|e| plot_error(e.to_string()))?;
     let mut chart = ChartBuilder::on(&area)
-        .caption(format!("plays a second, seed {} (from stand-ins)", scenario.seed), ("sans-serif", 18))
+        .caption(format!("plays per second, seed {} (with fake servers)", scenario.seed), ("sans-serif", 18))
         .margin(10)
         .x_label_area_size(36)
         .y_label_area_size(44)
@@ -228,7 +237,7 @@
     chart
         .configure_mesh()
         .x_desc("seconds")
-        .y_desc("plays asked for")
+        .y_desc("plays requested")
         .draw()
         .map_err(|e| plot_error(e.to_string()))?;
     for (i, fault) in scenario.troubles.iter().enumerate() {
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,5 +1,6 @@
-//! A day's script: the fleet, the products, the players who come and what goes wrong when. Times in the
-//! script are ms or, where the name says so, s; rates are kB a second.
+//! Scenario files: the servers, the products, the players who arrive, and the faults that are injected. Times are in ms
+//! unless the name says seconds (`_s`, `seconds`); rates are in kB/s. The names of fields and variants are those of the
+//! files (examples/*.jsonnet).
 
 use pulleystair_fake_servers::model::{ServerFleetSpec, ServerSpec};
 use pulleystair_jsonnet::{LoadError, invalid_value, load};
@@ -9,6 +10,7 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
+/// A scenario, as read from its file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -23,26 +25,28 @@
     pub players: Players,
     #[serde(default)]
     pub troubles: Vec<FaultEvent>,
-    /// Limits of the fronts, as in a front's rundown.
+    /// Limits of the fronts, as in a front's configuration file.
     #[serde(default)]
     pub limits: serde_json::Map<String, serde_json::Value>,
-    /// Repeated reads of segments, likewise.
+    /// Retries of segment reads, as in a front's configuration file.
     #[serde(default)]
     pub reads: serde_json::Map<String, serde_json::Value>,
-    /// How many set-ups a front has out at once, likewise.
+    /// Limits of concurrent set-ups of a front, as in its configuration file.
     #[serde(default)]
     pub admission: serde_json::Map<String, serde_json::Value>,
-    /// Fronts share what they know, over relays; how, as in a front's rundown. Left out, they don't.
+    /// Settings of the state that fronts share over relays, as in a front's configuration file; without it they share
+    /// none.
     pub sharing: Option<serde_json::Map<String, serde_json::Value>>,
-    /// Players, fronts and servers speak TLS, each with a certificate of the laboratory's own authority.
+    /// Players, fronts and servers use TLS, with certificates of an authority of the lab.
     #[serde(default)]
     pub tls: bool,
 }
 
+/// The media servers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Each server is a cell of its own.
+    /// Number of servers; each is a cell of its own.
     pub servers: usize,
     pub racks: usize,
     pub cores: usize,
@@ -50,7 +54,8 @@
     pub streams: usize,
     pub link_kb: f64,
     pub rack_link_kb: f64,
-    /// Links, uplinks and true rates lie off what fronts are told by up to this part.
+    /// True capacities and rates differ by up to this part from those in the fronts' configuration (rates by half of
+    /// it).
     pub spread: f64,
     pub work_ms: f64,
     pub work_spread: f64,
@@ -59,11 +64,12 @@
     pub reports_late_ms: f64,
     pub notes_late_ms: f64,
     pub notes_every_ms: f64,
-    /// How long until the list tells of a server that is lost.
+    /// How long it takes until the list shows a lost server as gone.
     pub list_late_ms: f64,
     pub lease_ms: f64,
 }
 
+/// A rung of the ladder: its rate, and what a second on it earns.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rung {
@@ -71,6 +77,7 @@
     pub earns: f64,
 }
 
+/// A product with its titles and its share of the load.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Product {
@@ -93,13 +100,15 @@
     pub live: bool,
     #[serde(default)]
     pub seats: usize,
-    /// Part of the new plays, its titles and by how many servers each is held, and how long they are, s.
+    /// Share of the new plays, number of titles, number of holders of each title, and shortest and longest title in
+    /// seconds.
     pub part: f64,
     pub titles: usize,
     pub holders: usize,
     pub seconds: (f64, f64),
 }
 
+/// Whether a set-up may be repeated: freely, within its group and window, or only if the earlier one did not run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
@@ -109,6 +118,7 @@
     NonIdempotent,
 }
 
+/// The servers among which a set-up may be repeated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Group {
@@ -118,6 +128,7 @@
     Cell,
 }
 
+/// Parameters of the rules, and of servers that fail under overload during a cold start.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
@@ -135,6 +146,7 @@
     pub probes: bool,
 }
 
+/// Budget of further allocations of a front.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
@@ -143,89 +155,95 @@
     pub free: f64,
 }
 
+/// The load that the players generate. Parts are from 0 to 1.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Players {
-    /// New plays a second over all fronts.
+    /// New plays per second over all fronts.
     pub per_s: f64,
-    /// Parts of players who come again after a break or a decline, leave in the middle, ask twice at once, and
-    /// close while they wait and ask again.
+    /// Parts of players who return after a failure (`come_back`), leave half-way through the title (`leave`), send two
+    /// requests at once (`ask_twice`), and close the connection while they wait and ask again (`ask_again`).
     pub come_back: f64,
     pub leave: f64,
     pub ask_twice: f64,
     pub ask_again: f64,
-    /// Part of viewers who can't use the upper half of the ladder.
+    /// Part of viewers who cannot use the upper half of the ladder.
     pub small: f64,
     pub segment_ms: u64,
 }
 
+/// A fault that is injected at `at_s` and lasts for `length_s`, in seconds since the start of the run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultEvent {
     pub kind: FaultKind,
     pub at_s: f64,
     pub length_s: f64,
-    /// Part of the servers (or racks, zones, titles) that it befalls.
+    /// Part of the servers (or racks, or fronts) that it affects.
     #[serde(default)]
     pub part: f64,
-    /// How bad; what it means goes by the kind, see `Kind`.
+    /// Severity of the fault; its meaning depends on the kind, see [`FaultKind`].
     #[serde(default = "one")]
     pub size: f64,
 }
 
+/// The kinds of faults. `size` and `part` are the fields of [`FaultEvent`], and the duration is its `length_s`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Processes end, and come back cold after the length.
+    /// Processes end, and start again cold after the duration.
     Crash,
-    /// Servers take requests and answer none.
+    /// Servers accept requests and never respond.
     Silence,
-    /// So large a part of the set-ups fails at once.
+    /// A part of `size` of the set-ups fails at once.
     FastErrors,
-    /// So large a part of the answers is lost after the work: half by silence, half by a reset.
+    /// A part of `size` of the responses is lost after the work: half of them by silence, half by a reset.
     LostAnswers,
-    /// So large a part of the answers breaks off within its head.
+    /// A part of `size` of the responses breaks off within the head.
     HalfHeads,
-    /// So large a part of the segments breaks off half-way, or stalls there.
+    /// A part of `size` of the segments breaks off half-way (`CutSegments`) or stalls half-way (`StallSegments`).
     CutSegments,
     StallSegments,
-    /// Work takes up to so many times as long, more and more, then the process ends and comes back cold.
+    /// Work slows down gradually by a factor of up to `size`; then the process ends and starts again cold.
     SlowDeath,
-    /// Links carry so much less.
+    /// The capacity of links is divided by `size`.
     LinkLoss,
-    /// Uplinks of a part of the racks carry so much less.
+    /// The capacity of the uplinks of a part of the racks is divided by `size`.
     UplinkLoss,
-    /// Another program takes so large a part of the links, on and off each second.
+    /// Another program uses a part of `size` of the links, every other second.
     Neighbour,
-    /// Reports and notes come later by so many seconds.
+    /// Load reports and notes are delayed by another `size` seconds.
     LateReports,
-    /// Servers drain; the process ends after the length and comes back cold.
+    /// Servers drain for half of the duration, are down for the other half, and start again cold.
     Drain,
-    /// The same, one server after another over the length, each down for `size` seconds.
+    /// Servers drain and restart one after another over the duration, each down for up to `size` seconds.
     Rolling,
-    /// All servers of a zone are lost at once.
+    /// The processes of all servers of a zone end at once, and start again cold after the duration.
     ZoneLoss,
-    /// A front is killed, and started again after the length.
+    /// A front is killed, and started again after the duration.
     FrontDeath,
-    /// The exchange between fronts loses so large a part of its datagrams, doubles as large a part, and is late.
+    /// In the exchange between fronts, a part of `size` of the datagrams is lost, a part of `size` is duplicated, and
+    /// all are delayed.
     ExchangeLoss,
-    /// Fronts of one side, so large a part of them, and the others don't hear each other.
+    /// A part of the fronts and the others cannot exchange datagrams.
     ExchangeSplit,
-    /// So large a part of the fronts is heard, and hears nothing.
+    /// A part of the fronts can send datagrams to the others, but receives none.
     ExchangeDeaf,
-    /// Token keys, and certificates where there are any, are replaced so many times over the length.
+    /// Token keys, and certificates if TLS is used, are replaced `size` times over the duration.
     Renew,
-    /// So many times the usual new plays come.
+    /// New plays arrive at `size` times the usual rate.
     Surge,
-    /// So many times the usual new plays come, all for one title of the first product.
+    /// In addition to the usual plays, `size` times as many arrive, all for one title of the first product.
     Crowd,
 }
 
+/// Default of factors and parts.
 fn one() -> f64 {
     1.0
 }
 
 impl Scenario {
+    /// Reads a scenario file and checks its values.
     pub fn read(file: &Path) -> Result<Scenario, LoadError> {
         let scenario: Scenario = load(file)?;
         scenario
@@ -234,6 +252,7 @@
         Ok(scenario)
     }
 
+    /// Checks ranges of values. The error names the setting, the value found and what is allowed.
     fn validate(&self) -> Result<(), (String, String, &'static str)> {
         let counts = [
             ("fronts", self.fronts),
@@ -277,11 +296,12 @@
         Ok(())
     }
 
+    /// The zone of a server.
     pub fn zone_of(&self, server: usize) -> usize {
         server % self.zones.len()
     }
 
-    /// The servers as they are built, off what fronts are told by the spread.
+    /// The true properties of the servers, which differ from the fronts' configuration by the spread.
     pub fn server_specs(&self) -> Vec<ServerSpec> {
         let mut rng = StdRng::seed_from_u64(self.seed ^ 0xb111d);
         let mut vary = |x: f64| x * (1.0 + self.fleet.spread * (2.0 * rng.random::<f64>() - 1.0));
@@ -299,6 +319,7 @@
             .collect()
     }
 
+    /// The true common properties of the servers.
     pub fn server_fleet_spec(&self) -> ServerFleetSpec {
         let mut rng = StdRng::seed_from_u64(self.seed ^ 0x94a2);
         let mut vary = |x: f64| x * (1.0 + self.fleet.spread * (2.0 * rng.random::<f64>() - 1.0));
@@ -319,7 +340,7 @@
         }
     }
 
-    /// What the checker holds the run to.
+    /// The parameters that the rule checker uses for the run.
     pub fn terms(&self) -> RuleParams {
         let product_params = |p: &Product| rules::Product {
             limit: p.time_limit_ms,
--- a/crates/lab/src/scenario_run.rs
+++ b/crates/lab/src/scenario_run.rs
@@ -1,5 +1,5 @@
-//! Plays one scripted day: starts servers and fronts, lets players come and troubles loose, stops all, and has
-//! the rules checked.
+//! Runs one scenario: starts the servers and fronts, lets players arrive, injects the faults, stops everything, and
+//! checks the rules.
 
 use crate::fronts::Program;
 use crate::host_load::HostLoad;
@@ -15,21 +15,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long fronts may take to stop after the last player has left.
+/// How long each front may take to stop after the last player has left.
 const STOP_TIMEOUT: Duration = Duration::from_secs(40);
 
+/// The results of a run.
 pub struct RunResult {
     pub player_results: Vec<PlayerResult>,
     pub seen: Vec<Observation>,
     pub breaches: Vec<Breach>,
     pub covered: Coverage,
-    /// How late the latest player set out, or anyone on any core woke, ms: a day on which this is large says little.
+    /// The longest delay of a player's start or of a thread on any core, ms. A run in which it is large says little
+    /// about time limits.
     pub lateness_ms: f64,
-    /// CPU of each front at the end of the day, ms, and memory, kB; none for one that was restarted last.
+    /// CPU time in ms and memory in kB of each front's last process at the end of the run; none if it is not running.
     pub front_usage: Vec<Option<(f64, u64)>>,
 }
 
-/// Plays the day with `program` as its fronts, in a folder for what they are given and what they say.
+/// Runs the scenario with `program` as its fronts; their configurations and logs go to `folder`.
 pub async fn run(scenario: Scenario, program: Program, folder: &Path) -> Result<RunResult> {
     let testbed = Testbed::build(scenario, program, folder).await?;
     testbed.start().await?;
@@ -60,6 +62,7 @@
     let lateness_ms = host_load.lateness_ms().max(max_start_delay_ms);
     let seen = recorder.observations();
     let (breaches, covered) = check(&seen, &scenario.terms());
-    let player_results = std::mem::take(&mut *pool.results.lock().expect("no player dies while it reports"));
+    let player_results =
+        std::mem::take(&mut *pool.results.lock().expect("no player panics while it holds the results"));
     Ok(RunResult { player_results, seen, breaches, covered, lateness_ms, front_usage })
 }
--- a/crates/lab/src/testbed.rs
+++ b/crates/lab/src/testbed.rs
@@ -1,4 +1,5 @@
-//! The set of a day: its stand-in servers, its list and its fronts, built but not yet started.
+//! The parts of a scenario: its fake servers, its server list and its fronts. Fronts are configured but not yet
+//! started.
 
 use crate::environment::{Environment, Title, titles};
 use crate::fronts::{Fronts, Program};
@@ -10,6 +11,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
+/// The parts of a scenario, ready to run.
 pub struct Testbed {
     pub day: Arc<Scenario>,
     pub titles: Arc<Vec<Title>>,
@@ -20,9 +22,10 @@
 }
 
 impl Testbed {
-    /// Starts the servers, and writes list, keys and rundowns into the folder.
+    /// Starts the servers, and writes the server list, keys and configurations of the fronts to the folder.
     pub async fn build(scenario: Scenario, program: Program, folder: &Path) -> Result<Testbed> {
-        std::fs::create_dir_all(folder).with_context(|| format!("{} can't be made", folder.display()))?;
+        std::fs::create_dir_all(folder)
+            .with_context(|| format!("failed to create the folder {}", folder.display()))?;
         let (scenario, recorder) = (Arc::new(scenario), Recorder::default());
         let titles = Arc::new(titles(&scenario));
         let server_titles = titles.iter().map(|t| {
@@ -59,7 +62,7 @@
         Ok(Testbed { day: scenario, titles, boxes: servers, fronts, stage: environment, log: recorder })
     }
 
-    /// Starts all fronts; where each listens.
+    /// Starts all fronts and returns their listening addresses.
     pub async fn start(&self) -> Result<Vec<SocketAddr>> {
         let mut addresses = Vec::new();
         for front in 0..self.day.fronts {
--- a/crates/rule-checker/src/history.rs
+++ b/crates/rule-checker/src/history.rs
@@ -2,8 +2,9 @@
 //!
 //! Each line is one JSON object. The first line is the header, `{"history":1,"what":"...","breaks":[],"terms":{...}}`,
 //! where `breaks` lists the rules that a correct checker must find broken. One line for each observation
-//! ([`crate::Observation`]) follows. The last line is the footer, `{"end":N}`, with the number of observations, so that a
-//! truncated file is not mistaken for a shorter history. The lab and the tests of several packages write and read them.
+//! ([`crate::Observation`]) follows. The last line is the footer, `{"end":N}`, with the number of observations, so that
+//! a truncated file is not mistaken for a shorter history. The lab and the tests of several packages write and read
+//! them.
 
 use crate::rules::{Breach, Coverage, RuleParams, check};
 use crate::{Observation, Observed};
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Parses the text of a history file. Fails on a file that is malformed, truncated, over the size limits, that refers
-    /// to products or servers missing from its parameters, or that contains no request.
+    /// Parses the text of a history file. Fails on a file that is malformed, truncated, over the size limits, that
+    /// refers to products or servers missing from its parameters, or that contains no request.
     pub fn parse(text: &str) -> Result<History, HistoryError> {
         let error_at = |line: usize, cause: String| HistoryError { line: line + 1, cause };
         let lines: Vec<&str> = text.lines().collect();
--- a/crates/rule-checker/src/lib.rs
+++ b/crates/rule-checker/src/lib.rs
@@ -1,8 +1,8 @@
 //! Observations that players and fake media servers make on their sockets, on one clock, and a checker of the six rules
 //! that works on these observations alone.
 //!
-//! Nothing in this crate depends on the front: neither on its messages nor on its code or its log. Observations come from
-//! the lab, the fake servers and the tests of other packages. All times are in ms.
+//! Nothing in this crate depends on the front: neither on its messages nor on its code or its log. Observations come
+//! from the lab, the fake servers and the tests of other packages. All times are in ms.
 
 pub mod history;
 pub mod rules;
@@ -21,8 +21,8 @@
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Observed {
     // ---- observed by players ----
-    /// A manifest request was written. `request` identifies one attempt of the session; `top` is the highest rung that the
-    /// viewer can use.
+    /// A manifest request was written. `request` identifies one attempt of the session; `top` is the highest rung that
+    /// the viewer can use.
     Asked { request: u64, session: String, front: usize, product: usize, title: String, top: usize },
     /// The response to the request arrived completely.
     Answered { request: u64, status: u16 },
--- a/crates/rule-checker/src/rules.rs
+++ b/crates/rule-checker/src/rules.rs
@@ -1,12 +1,12 @@
-//! Checks of the six rules on recorded observations. Each breach names its rule, its time and what was observed. All times
-//! are in ms.
+//! Checks of the six rules on recorded observations. Each breach names its rule, its time and what was observed. All
+//! times are in ms.
 //!
 //! The front that made an allocation, and whether the allocation is the first of its play, follow from which front was
-//! asked for the session, and when ([`assign_to_fronts`]). The name of an allocation is chosen by the front, so it is only
-//! used to group the observations of one server.
+//! asked for the session, and when (`assign_to_fronts`). The name of an allocation is chosen by the front, so it is
+//! only used to group the observations of one server.
 //!
-//! An observation is later than the event by the time that a busy machine needs to move bytes between two sockets and to
-//! schedule the readers. The order of events on different sockets is therefore checked with the tolerance `slack`.
+//! An observation is later than the event by the time that a busy machine needs to move bytes between two sockets and
+//! to schedule the readers. The order of events on different sockets is therefore checked with the tolerance `slack`.
 
 use crate::{Observation, Observed};
 use serde::{Deserialize, Serialize};
@@ -62,8 +62,8 @@
 pub enum Effect {
     /// A set-up may be repeated without harm.
     Free,
-    /// A set-up may be repeated only within the same group of servers, and within `window` ms of the first set-up that may
-    /// have run.
+    /// A set-up may be repeated only within the same group of servers, and within `window` ms of the first set-up that
+    /// may have run.
     Keyed { group: Group, window: f64 },
     /// A set-up is paid for, so it may be repeated only if all earlier ones were refused without inspection.
     Paid,
@@ -154,8 +154,8 @@
 }
 
 impl Allocation<'_> {
-    /// Until when the allocation was in flight or playing, as its server observed it. A refusal or an error ends it when it is
-    /// written.
+    /// Until when the allocation was in flight or playing, as its server observed it. A refusal or an error ends it
+    /// when it is written.
     fn ended_at(&self) -> f64 {
         match self.result {
             Some((at, _, status)) if status != 200 => at.min(self.closed_at),
@@ -288,9 +288,9 @@
     (breaches, coverage)
 }
 
-/// Determines the front, the play and the ordinal of each allocation. An allocation of a session belongs to a front that
-/// was asked for the session and has not responded yet; of several such fronts, to the one with the fewest allocations for
-/// the session. A session that is requested again after a response is a new play.
+/// Determines the front, the play and the ordinal of each allocation. An allocation of a session belongs to a front
+/// that was asked for the session and has not responded yet; of several such fronts, to the one with the fewest
+/// allocations for the session. A session that is requested again after a response is a new play.
 fn assign_to_fronts(
     requests: &[Request],
     allocations: &mut [Allocation],
@@ -531,8 +531,8 @@
             server_stops.iter().filter(|(s, at)| s == server && at < started_at).map(|(_, at)| *at);
         let last_lost_at = earlier_stops.fold(f64::NEG_INFINITY, f64::max);
         // A front knows of the start once it has read it in the server list, or when it lost its own plays with the
-        // server's previous process. A front that started after the server must assume that what it read at its own start
-        // may be outdated.
+        // server's previous process. A front that started after the server must assume that what it read at its own
+        // start may be outdated.
         let ready_listing =
             list_changes.get(server).into_iter().flatten().find(|(at, ready)| *ready && at >= started_at);
         let server_allocations: Vec<&Allocation> =
@@ -627,7 +627,8 @@
     }
 }
 
-/// Rule 6: within any span, a front makes no more further allocations than its budget allows for the plays that it took.
+/// Rule 6: within any span, a front makes no more further allocations than its budget allows for the plays that it
+/// took.
 fn check_budget(
     requests: &[Request],
     allocations: &[Allocation],
--- a/crates/rule-checker/tests/histories.rs
+++ b/crates/rule-checker/tests/histories.rs
@@ -1,7 +1,7 @@
-//! Checks the stored histories in `histories/`, which were recorded with the real front and fake servers. Clean histories
-//! must pass; for each rule there is one history of a front that was configured to break it, which must be rejected for
-//! that rule and no other. They were written by `crates/edge/tests/broken.rs` and `days.rs` with `PULLEYSTAIR_HISTORIES`
-//! set to that folder.
+//! Checks the stored histories in `histories/`, which were recorded with the real front and fake servers. Clean
+//! histories must pass; for each rule there is one history of a front that was configured to break it, which must be
+//! rejected for that rule and no other. They were written by `crates/edge/tests/broken.rs` and `days.rs` with
+//! `PULLEYSTAIR_HISTORIES` set to that folder.
 
 use pulleystair_rule_checker::Observed;
 use pulleystair_rule_checker::history::{History, HistoryError};
--- a/crates/rule-checker/tests/rules.rs
+++ b/crates/rule-checker/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Tests each rule on a clean log, which must pass, and on manipulated logs, which must be rejected: a check that was never
-//! seen to fail proves nothing.
+//! Tests each rule on a clean log, which must pass, and on manipulated logs, which must be rejected: a check that was
+//! never seen to fail proves nothing.
 
 use pulleystair_rule_checker::rules::{Budget, Effect, Group, Product, RuleParams, check};
 use pulleystair_rule_checker::{Content, Observation, Observed};
