--- a/crates/rule-checker/src/rules.rs
+++ b/crates/rule-checker/src/rules.rs
@@ -164,7 +164,7 @@
     }
 }
 
-/// Start and end times of the processes of servers (only cold starts) and of fronts.
+/// Start and end times of the processes of servers and of fronts. Of the starts of servers, only cold ones are kept.
 #[derive(Default)]
 struct ProcessLifetimes {
     cold_starts: Vec<(usize, f64)>,
@@ -400,7 +400,9 @@
     }
 }
 
-/// Rule 2: a play never has two allocations in flight, and a paid set-up is repeated only if no earlier one ran.
+/// Rule 2: a play never has two allocations in flight. A paid set-up is repeated only if no earlier one may have run; a
+/// keyed one stays within its group and window. A request is not declined (503) after a set-up that may have run, unless
+/// the set-up could be repeated anywhere.
 fn check_repeated_allocations(
     requests: &[Request],
     allocations: &[Allocation],
