--- a/crates/fake-servers/src/model.rs
+++ b/crates/fake-servers/src/model.rs
@@ -1,80 +1,86 @@
-//! The model behind the stand-ins: links and rack uplinks that are shared evenly when over-asked, streams,
-//! cold starts that can be rushed, and what troubles do to them. No I/O; the caller hands in the time.
+//! Load model of the fake servers: links and rack uplinks that are shared evenly when overloaded, streams, servers that
+//! fail when they are overloaded during a cold start, and the effects of injected faults. The model does no I/O; the
+//! caller passes the time, in ms. Rates are in kB/s.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
-/// A media server as it is built.
+/// The fixed properties of a media server.
 #[derive(Clone, Debug)]
 pub struct ServerSpec {
     pub zone: usize,
     pub cell: usize,
-    /// Cores that set-ups are worked on, set-ups that may wait for one, and streams, at most.
+    /// Number of cores that work on set-ups, of set-ups that may wait for a core, and of streams.
     pub cores: usize,
     pub queue: usize,
     pub streams: usize,
-    /// What its link really carries, kB/s.
+    /// True capacity of the link, kB/s.
     pub link_kb: f64,
-    /// Work of a set-up, ms, and its spread (sigma of a log-normal).
+    /// Median work of a set-up, ms, and its spread (sigma of a log-normal distribution).
     pub work_ms: f64,
     pub work_spread: f64,
 }
 
-/// What all servers have in common.
+/// Properties that all servers have in common.
 #[derive(Clone, Debug)]
 pub struct ServerFleetSpec {
     /// Rate of each rung, kB/s.
     pub ladder: Vec<f64>,
-    /// Uplink of each rack; a cell's rack is its number modulo their count.
+    /// Uplink capacity of each rack, kB/s. The rack of a cell is the number of the cell modulo the number of racks.
     pub uplinks_kb: Vec<f64>,
-    /// What a further viewer of a live title adds, as a part of the rate.
+    /// Part of its rate that each further viewer of a live title adds to the load.
     pub shared_part: f64,
-    /// True rates lie off the ladder by up to this part.
+    /// True rates differ from the ladder by up to this part.
     pub rate_spread: f64,
-    /// How late load reports and notes are, ms, and how often link notes come.
+    /// Delay of load reports and of notes, ms, and the interval of link notes, ms.
     pub reports_late_ms: f64,
     pub notes_late_ms: f64,
     pub notes_every_ms: f64,
+    /// How long a cold server needs to warm up, ms.
     pub cold_ms: f64,
+    /// Part of its capacity that a server has at a cold start.
     pub cold_from: f64,
-    pub overload: f64,
-    pub fall_ms: f64,
-    /// How long a server that fell over stays down.
+    /// A cold server is overloaded when set-ups arrive this many times as fast as would fill its streams within
+    /// `cold_ms`, counted over a window of `overload_window_ms`.
+    pub overload_factor: f64,
+    pub overload_window_ms: f64,
+    /// How long a server that failed under overload stays down, ms.
     pub down_ms: f64,
-    /// A play whose connection broke is freed after this.
+    /// How long after its connection broke a play is freed, ms.
     pub lease_ms: f64,
 }
 
-/// What is wrong with a server at present; all of it may be at once.
+/// The faults that are injected at a server at present. All of them may be active at once. Parts are from 0 to 1.
 #[derive(Clone, Debug)]
 pub struct ServerFaults {
+    /// The process is not running.
     pub down: bool,
-    /// Takes connections and answers nothing.
+    /// Accepts connections and requests but never responds.
     pub silent: bool,
-    /// Parts of set-ups that fail at once; whose answer is lost after the work, by silence or by a reset; whose
-    /// answer breaks off within its head.
+    /// Parts of set-ups that fail at once (`errors`), whose response is lost after the work by silence (`lost`) or by a
+    /// reset (`reset`), and whose response breaks off within its head (`half_heads`).
     pub errors: f64,
     pub lost: f64,
     pub reset: f64,
     pub half_heads: f64,
-    /// Parts of segments that break off half-way, stall there, have more bytes than their length, and, where a
-    /// part was asked for, are sent whole.
+    /// Parts of segments that break off half-way (`cut`), stall half-way (`stall`), have more bytes than announced
+    /// (`over_long`), and are sent completely although a range was requested (`no_ranges`).
     pub cut: f64,
     pub stall: f64,
     pub over_long: f64,
     pub no_ranges: f64,
-    /// Steps of rung are carried out so much after they were read, ms.
+    /// Delay between reading and carrying out a change of rung, ms.
     pub late_steps_ms: f64,
-    /// Which edition of its titles it holds: the bytes are the same here, their tags are not.
+    /// Edition of the titles that the server holds. Editions have the same bytes here but different entity tags.
     pub edition: u32,
-    /// Work takes so many times as long.
+    /// Factor by which set-up work takes longer.
     pub slow: f64,
-    /// The link carries this part, less what another program takes.
+    /// Part of its capacity that the link has, and part of that which another program uses.
     pub link: f64,
     pub neighbour: f64,
-    /// Reports come later by this.
+    /// Additional delay of load reports, ms.
     pub late_ms: f64,
-    /// Its rack's uplink carries this part.
+    /// Part of its capacity that the uplink of the server's rack has.
     pub uplink: f64,
 }
 
@@ -109,13 +115,14 @@
     pub product: usize,
     pub live: bool,
     pub rung: usize,
-    /// Its true rate over the ladder's, product's scale included.
+    /// Its true rate relative to the ladder's, including the product's scale.
     pub factor: f64,
-    /// Set up, or still worked on.
-    pub plays: bool,
+    /// Whether the set-up is complete; false while it is waiting or worked on.
+    pub is_set_up: bool,
 }
 
-/// Asked over given of link and uplink, and the share of its rate that a play gets.
+/// Load of a server: demand over capacity of its link and uplink, the share of its rate that a play gets, and the
+/// number of plays.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     pub link: f64,
@@ -124,78 +131,87 @@
     pub streams: f64,
 }
 
+/// A server's specification and state.
 pub struct Server {
-    pub build: ServerSpec,
+    pub spec: ServerSpec,
     pub faults: ServerFaults,
     pub plays: BTreeMap<String, Play>,
-    pub started: Option<f64>,
-    /// Steps of rung and segments that were asked for, carried out and sent or not.
+    /// When the present process started, if it started cold.
+    pub cold_started_at: Option<f64>,
+    /// Number of rung changes and of segments that were requested, whether or not they were carried out.
     pub steps_read: usize,
     pub segments_read: usize,
-    /// Counts the starts: what ran before the present one is gone.
-    pub life: u64,
-    sent: VecDeque<f64>,
-    history: VecDeque<(f64, Load)>,
+    /// Counts starts and stops: plays of an earlier process no longer exist.
+    pub process_number: u64,
+    /// Times of the set-ups within the overload window, while the server is cold.
+    recent_set_ups: VecDeque<f64>,
+    /// Sampled loads with their times, for reports that are delayed.
+    load_history: VecDeque<(f64, Load)>,
 }
 
+/// All servers with the state of their plays and faults.
 pub struct ServerFleetModel {
-    pub ground: ServerFleetSpec,
+    pub spec: ServerFleetSpec,
     pub servers: Vec<Server>,
 }
 
 impl ServerFleetModel {
-    pub fn new(ground: ServerFleetSpec, builds: Vec<ServerSpec>) -> ServerFleetModel {
-        let server = |build| Server {
-            build,
+    /// Creates a model of servers that are running, warm and idle.
+    pub fn new(spec: ServerFleetSpec, server_specs: Vec<ServerSpec>) -> ServerFleetModel {
+        let server = |server_spec| Server {
+            spec: server_spec,
             faults: ServerFaults::default(),
             plays: BTreeMap::new(),
-            started: None,
+            cold_started_at: None,
             steps_read: 0,
             segments_read: 0,
-            life: 0,
-            sent: VecDeque::new(),
-            history: VecDeque::new(),
+            process_number: 0,
+            recent_set_ups: VecDeque::new(),
+            load_history: VecDeque::new(),
         };
-        ServerFleetModel { ground, servers: builds.into_iter().map(server).collect() }
+        ServerFleetModel { spec, servers: server_specs.into_iter().map(server).collect() }
     }
 
-    fn rack(&self, server: usize) -> usize {
-        self.servers[server].build.cell % self.ground.uplinks_kb.len()
+    /// The rack of a server.
+    fn rack_of(&self, server: usize) -> usize {
+        self.servers[server].spec.cell % self.spec.uplinks_kb.len()
     }
 
-    /// What plays ask of a server's link, kB/s: viewers of a live title share its stream.
+    /// Demand of the plays on a server's link, kB/s. Viewers of a live title share its stream.
     pub fn demand(&self, server: usize) -> f64 {
         let mut streams: BTreeMap<(&str, usize, usize), bool> = BTreeMap::new();
-        let mut asked = 0.0;
-        for play in self.servers[server].plays.values().filter(|p| p.plays) {
-            let rate = self.ground.ladder[play.rung] * play.factor;
-            let first = streams.insert((&play.title, play.product, play.rung), true).is_none();
-            asked += if play.live && !first { rate * self.ground.shared_part } else { rate };
+        let mut demand_kb = 0.0;
+        for play in self.servers[server].plays.values().filter(|p| p.is_set_up) {
+            let rate = self.spec.ladder[play.rung] * play.factor;
+            let is_first_viewer = streams.insert((&play.title, play.product, play.rung), true).is_none();
+            demand_kb += if play.live && !is_first_viewer { rate * self.spec.shared_part } else { rate };
         }
-        asked
+        demand_kb
     }
 
+    /// The present load of a server.
     pub fn load(&self, server: usize) -> Load {
-        let it = &self.servers[server];
-        let given = (it.build.link_kb * it.faults.link * (1.0 - it.faults.neighbour)).max(1.0);
-        let link = self.demand(server) / given;
-        let rack = self.rack(server);
-        let there = (0..self.servers.len()).filter(|s| self.rack(*s) == rack);
-        let (mut asked, mut part) = (0.0, 1.0f64);
-        for s in there {
-            asked += self.demand(s);
-            part = part.min(self.servers[s].faults.uplink);
+        let state = &self.servers[server];
+        let link_capacity_kb =
+            (state.spec.link_kb * state.faults.link * (1.0 - state.faults.neighbour)).max(1.0);
+        let link = self.demand(server) / link_capacity_kb;
+        let rack = self.rack_of(server);
+        let rack_servers = (0..self.servers.len()).filter(|s| self.rack_of(*s) == rack);
+        let (mut rack_demand_kb, mut uplink_part) = (0.0, 1.0f64);
+        for s in rack_servers {
+            rack_demand_kb += self.demand(s);
+            uplink_part = uplink_part.min(self.servers[s].faults.uplink);
         }
-        let uplink = asked / (self.ground.uplinks_kb[rack] * part).max(1.0);
+        let uplink = rack_demand_kb / (self.spec.uplinks_kb[rack] * uplink_part).max(1.0);
         let delivered = (1.0 / link.max(1.0)).min(1.0 / uplink.max(1.0));
-        Load { link, uplink, delivered, streams: it.plays.len() as f64 }
+        Load { link, uplink, delivered, streams: state.plays.len() as f64 }
     }
 
-    /// Remembers every server's load, for reports that come late.
+    /// Samples the load of every server, for reports that are delayed. Samples are kept for 15 s.
     pub fn sample(&mut self, now: f64) {
         for server in 0..self.servers.len() {
             let load = self.load(server);
-            let history = &mut self.servers[server].history;
+            let history = &mut self.servers[server].load_history;
             history.push_back((now, load));
             while history.len() > 2 && history[1].0 < now - 15_000.0 {
                 history.pop_front();
@@ -203,55 +219,61 @@
         }
     }
 
-    /// The load as it was `late` ms ago, or more where reports come late.
-    pub fn reported_load(&self, now: f64, server: usize, late: f64) -> Load {
-        let it = &self.servers[server];
-        let then = now - late - it.faults.late_ms;
-        let past = it.history.iter().rev().find(|(at, _)| *at <= then).or(it.history.front());
-        past.map_or_else(|| self.load(server), |(_, load)| *load)
+    /// The load as it was `delay_ms` ago, plus the injected delay of the server's reports.
+    pub fn reported_load(&self, now: f64, server: usize, delay_ms: f64) -> Load {
+        let state = &self.servers[server];
+        let sampled_by = now - delay_ms - state.faults.late_ms;
+        let sample =
+            state.load_history.iter().rev().find(|(at, _)| *at <= sampled_by).or(state.load_history.front());
+        sample.map_or_else(|| self.load(server), |(_, load)| *load)
     }
 
-    /// A process starts.
+    /// Starts the process of a server, without plays.
     pub fn start(&mut self, now: f64, server: usize, cold: bool) {
-        let it = &mut self.servers[server];
-        it.life += 1;
-        it.faults.down = false;
-        it.started = cold.then_some(now);
-        it.plays.clear();
-        it.sent.clear();
-        it.history.clear();
+        let state = &mut self.servers[server];
+        state.process_number += 1;
+        state.faults.down = false;
+        state.cold_started_at = cold.then_some(now);
+        state.plays.clear();
+        state.recent_set_ups.clear();
+        state.load_history.clear();
     }
 
+    /// Ends the process of a server, with all plays.
     pub fn stop(&mut self, server: usize) {
-        let it = &mut self.servers[server];
-        it.life += 1;
-        it.faults.down = true;
-        it.plays.clear();
+        let state = &mut self.servers[server];
+        state.process_number += 1;
+        state.faults.down = true;
+        state.plays.clear();
     }
 
-    /// A set-up was sent to a server; true if that pushed it over while it was cold.
+    /// Records a set-up at a server. True if the server is cold and this overloads it.
     pub fn on_set_up(&mut self, now: f64, server: usize) -> bool {
-        let ground = &self.ground;
-        let it = &mut self.servers[server];
-        let Some(started) = it.started.filter(|at| now < at + ground.cold_ms) else { return false };
-        it.sent.push_back(now);
-        while it.sent.front().is_some_and(|at| *at <= now - ground.fall_ms) {
-            it.sent.pop_front();
+        let spec = &self.spec;
+        let state = &mut self.servers[server];
+        let Some(started_at) = state.cold_started_at.filter(|at| now < at + spec.cold_ms) else {
+            return false;
+        };
+        state.recent_set_ups.push_back(now);
+        while state.recent_set_ups.front().is_some_and(|at| *at <= now - spec.overload_window_ms) {
+            state.recent_set_ups.pop_front();
         }
-        let warm = ground.cold_from + (1.0 - ground.cold_from) * (now - started) / ground.cold_ms;
-        let carries = ground.overload * it.build.streams as f64 / ground.cold_ms * warm * ground.fall_ms;
-        it.sent.len() as f64 > carries + 2.0
+        let warm_part = spec.cold_from + (1.0 - spec.cold_from) * (now - started_at) / spec.cold_ms;
+        let capacity = spec.overload_factor * state.spec.streams as f64 / spec.cold_ms
+            * warm_part
+            * spec.overload_window_ms;
+        state.recent_set_ups.len() as f64 > capacity + 2.0
     }
 
-    /// How long work takes now, against a warm and well server: a cold one is slower.
+    /// Factor by which work takes longer now than at a warm server without faults.
     pub fn slowness(&self, now: f64, server: usize) -> f64 {
-        let it = &self.servers[server];
-        let cold = it.started.filter(|at| now < at + self.ground.cold_ms).map_or(1.0, |at| {
-            let warm =
-                self.ground.cold_from + (1.0 - self.ground.cold_from) * (now - at) / self.ground.cold_ms;
-            1.0 / warm.clamp(0.25, 1.0)
+        let state = &self.servers[server];
+        let cold_factor = state.cold_started_at.filter(|at| now < at + self.spec.cold_ms).map_or(1.0, |at| {
+            let warm_part =
+                self.spec.cold_from + (1.0 - self.spec.cold_from) * (now - at) / self.spec.cold_ms;
+            1.0 / warm_part.clamp(0.25, 1.0)
         });
-        cold * it.faults.slow
+        cold_factor * state.faults.slow
     }
 }
 
@@ -260,8 +282,9 @@
     use super::*;
     use test_case::test_case;
 
-    fn world() -> ServerFleetModel {
-        let ground = ServerFleetSpec {
+    /// Four servers in two racks.
+    fn model() -> ServerFleetModel {
+        let spec = ServerFleetSpec {
             ladder: vec![100.0, 200.0],
             uplinks_kb: vec![1000.0, 1000.0],
             shared_part: 0.25,
@@ -271,12 +294,12 @@
             notes_every_ms: 2000.0,
             cold_ms: 5000.0,
             cold_from: 0.2,
-            overload: 2.0,
-            fall_ms: 1000.0,
+            overload_factor: 2.0,
+            overload_window_ms: 1000.0,
             down_ms: 3000.0,
             lease_ms: 500.0,
         };
-        let build = |cell| ServerSpec {
+        let server_spec = |cell| ServerSpec {
             zone: 0,
             cell,
             cores: 2,
@@ -286,59 +309,59 @@
             work_ms: 20.0,
             work_spread: 0.3,
         };
-        ServerFleetModel::new(ground, (0..4).map(build).collect())
+        ServerFleetModel::new(spec, (0..4).map(server_spec).collect())
     }
 
     fn play(title: &str, live: bool, rung: usize) -> Play {
-        Play { title: title.into(), product: 0, live, rung, factor: 1.0, plays: true }
+        Play { title: title.into(), product: 0, live, rung, factor: 1.0, is_set_up: true }
     }
 
     #[test_case(false, 600.0; "recorded titles add up")]
-    #[test_case(true, 300.0; "a live one is shared")]
-    fn what_viewers_ask(live: bool, kb: f64) {
-        let mut world = world();
+    #[test_case(true, 300.0; "a live title is shared")]
+    fn demand_by_kind_of_title(live: bool, kb: f64) {
+        let mut model = model();
         for name in ["a", "b", "c"] {
-            world.servers[0].plays.insert(name.into(), play("t", live, 1));
+            model.servers[0].plays.insert(name.into(), play("t", live, 1));
         }
-        assert_eq!(world.demand(0), kb);
+        assert_eq!(model.demand(0), kb);
     }
 
     #[test]
-    fn an_over_asked_uplink_cuts_every_server_of_its_rack_alike() {
-        let mut world = world();
+    fn overloaded_uplink_reduces_delivery_of_its_whole_rack() {
+        let mut model = model();
         for server in [0, 2] {
             for i in 0..3 {
-                world.servers[server].plays.insert(format!("{server}{i}"), play(&i.to_string(), false, 1));
+                model.servers[server].plays.insert(format!("{server}{i}"), play(&i.to_string(), false, 1));
             }
         }
-        assert_eq!((world.load(0).link, world.load(0).uplink), (0.75, 1.2));
-        assert_eq!(world.load(0).delivered, world.load(2).delivered);
-        world.servers[2].faults.uplink = 0.5;
-        assert_eq!(world.load(0).uplink, 2.4);
-        assert_eq!(world.load(1).delivered, 1.0, "the other rack has room");
-        world.servers[0].faults.neighbour = 0.5;
-        assert_eq!(world.load(0).link, 1.5);
+        assert_eq!((model.load(0).link, model.load(0).uplink), (0.75, 1.2));
+        assert_eq!(model.load(0).delivered, model.load(2).delivered);
+        model.servers[2].faults.uplink = 0.5;
+        assert_eq!(model.load(0).uplink, 2.4);
+        assert_eq!(model.load(1).delivered, 1.0, "the other rack has spare capacity");
+        model.servers[0].faults.neighbour = 0.5;
+        assert_eq!(model.load(0).link, 1.5);
     }
 
     #[test]
-    fn reports_are_late() {
-        let mut world = world();
-        world.sample(0.0);
-        world.servers[0].plays.insert("a".into(), play("t", false, 1));
-        world.sample(1000.0);
-        assert_eq!(world.reported_load(1050.0, 0, 100.0).link, 0.0);
-        assert_eq!(world.reported_load(1150.0, 0, 100.0).link, 0.25);
-        world.servers[0].faults.late_ms = 3000.0;
-        assert_eq!(world.reported_load(1150.0, 0, 100.0).link, 0.0);
+    fn reported_load_is_delayed() {
+        let mut model = model();
+        model.sample(0.0);
+        model.servers[0].plays.insert("a".into(), play("t", false, 1));
+        model.sample(1000.0);
+        assert_eq!(model.reported_load(1050.0, 0, 100.0).link, 0.0);
+        assert_eq!(model.reported_load(1150.0, 0, 100.0).link, 0.25);
+        model.servers[0].faults.late_ms = 3000.0;
+        assert_eq!(model.reported_load(1150.0, 0, 100.0).link, 0.0);
     }
 
     #[test]
-    fn a_cold_server_falls_over_when_rushed_and_not_at_its_pace() {
-        let mut world = world();
-        world.start(0.0, 0, true);
-        assert!((1..5).all(|i| !world.on_set_up(f64::from(i) * 250.0, 0)));
-        assert!((0..20).any(|i| world.on_set_up(1000.0 + f64::from(i), 0)));
-        assert!((0..20).all(|i| !world.on_set_up(6000.0 + f64::from(i), 0)), "warm by then");
-        assert!(world.slowness(500.0, 0) > 3.0 && world.slowness(6000.0, 0) == 1.0);
+    fn cold_server_is_overloaded_by_a_burst_but_not_by_a_steady_rate() {
+        let mut model = model();
+        model.start(0.0, 0, true);
+        assert!((1..5).all(|i| !model.on_set_up(f64::from(i) * 250.0, 0)));
+        assert!((0..20).any(|i| model.on_set_up(1000.0 + f64::from(i), 0)));
+        assert!((0..20).all(|i| !model.on_set_up(6000.0 + f64::from(i), 0)), "the server is warm by then");
+        assert!(model.slowness(500.0, 0) > 3.0 && model.slowness(6000.0, 0) == 1.0);
     }
 }
--- a/crates/fake-servers/src/recorder.rs
+++ b/crates/fake-servers/src/recorder.rs
@@ -1,41 +1,45 @@
-//! The log of what was seen, on one clock for all of a process's witnesses.
+//! Records the observations of all observers in a process on one clock. The fake servers, the players and the fault
+//! injection of the lab write to it.
 
 use pulleystair_rule_checker::{Observation, Observed};
 use std::sync::{Arc, Mutex};
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
+/// A shared log of observations; clones write to the same log.
 #[derive(Clone)]
 pub struct Recorder {
-    seen: Arc<Mutex<Vec<Observation>>>,
-    start: Instant,
-    since_1970: f64,
+    observations: Arc<Mutex<Vec<Observation>>>,
+    started_at: Instant,
+    start_unix_ms: f64,
 }
 
 impl Default for Recorder {
     fn default() -> Recorder {
-        let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Recorder {
-            seen: Arc::default(),
-            start: Instant::now(),
-            since_1970: since_1970.as_secs_f64() * 1000.0,
+            observations: Arc::default(),
+            started_at: Instant::now(),
+            start_unix_ms: unix_time.as_secs_f64() * 1000.0,
         }
     }
 }
 
 impl Recorder {
-    /// ms since 1970, never going back.
+    /// The present time in ms since 1970, monotonic.
     pub fn now(&self) -> f64 {
-        self.since_1970 + self.start.elapsed().as_secs_f64() * 1000.0
+        self.start_unix_ms + self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
+    /// Appends an observation with the present time.
     pub fn record(&self, what: Observed) {
-        let mut seen = self.seen.lock().expect("no witness dies while it writes");
+        let mut observations = self.observations.lock().expect("no observer panics while it holds the log");
         let at = self.now();
-        seen.push(Observation { at, what });
+        observations.push(Observation { at, what });
     }
 
+    /// All observations so far, sorted by time.
     pub fn observations(&self) -> Vec<Observation> {
-        self.seen.lock().expect("no witness dies while it writes").clone()
+        self.observations.lock().expect("no observer panics while it holds the log").clone()
     }
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `pulleystair-lab`: plays scripted days against real fronts and stand-in servers, and checks the rules.
+//! `pulleystair-lab`: runs test scenarios with real fronts and fake media servers, and checks the rules.
 
 use anyhow::{Context, Result};
 use clap::{Parser, Subcommand};
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "pulleystair-lab", version, about = "Scripted days on loopback, with the rules checked")]
+#[command(name = "pulleystair-lab", version, about = "Test scenarios on loopback, with the rules checked")]
 struct Command {
     #[command(subcommand)]
     job: Job,
@@ -19,102 +19,110 @@
 
 #[derive(Subcommand)]
 enum Job {
-    /// Play a day; the exit status is 0 where all rules were kept, 1 where one was broken
+    /// Run a scenario; the exit status is 0 if all rules were kept, 1 if one was broken
     Day {
         script: PathBuf,
-        /// Another seed than the script's
+        /// Seed to use instead of the script's
         #[arg(long)]
         seed: Option<u64>,
-        /// Where reports and logs go
+        /// Folder for reports and logs
         #[arg(long, default_value = "found/day")]
         out: PathBuf,
-        /// The front to run; the one beside this program where left out
+        /// Program to run as the front; pulleystair-edge beside this program if omitted
         #[arg(long)]
         edge: Option<PathBuf>,
-        /// Run the baseline instead: holders drawn evenly, lowest rung
+        /// Run the baseline front instead, which draws holders evenly and plays the lowest rung
         #[arg(long, conflicts_with = "edge")]
         baseline: bool,
     },
-    /// Measure what a front costs: set-up time, plays a second, CPU, memory, relayed bytes
+    /// Measure the cost of a front: set-up time, plays per second, CPU, memory, relayed bytes
     Load {
-        /// Seconds that each rate is held
+        /// Duration of each measured rate, in seconds
         #[arg(long, default_value_t = 6.0)]
         seconds: f64,
         #[arg(long, default_value = "found/load")]
         out: PathBuf,
-        /// Players, front and servers speak TLS
+        /// Use TLS between players, front and servers
         #[arg(long)]
         tls: bool,
         #[arg(long)]
         edge: Option<PathBuf>,
     },
-    /// Run a day's stand-in servers alone, with all that a front needs to be tried by hand
+    /// Run only the fake servers of a scenario, with all files that a front needs, to try it by hand
     Boxes {
         script: PathBuf,
         #[arg(long, default_value = "found/boxes")]
         out: PathBuf,
     },
-    /// Be a baseline front, as `day --baseline` starts them
+    /// Run as a baseline front, as started by `day --baseline`
     #[command(hide = true)]
     Baseline { rundown: PathBuf },
 }
 
-/// The front that was built with this program.
-fn beside() -> Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    let edge = own.with_file_name("pulleystair-edge");
+/// The path of the front that was built with this program.
+fn find_edge_binary() -> Result<PathBuf> {
+    let this_program = std::env::current_exe()?;
+    let edge = this_program.with_file_name("pulleystair-edge");
     edge.exists()
         .then_some(edge)
-        .context("there is no pulleystair-edge beside this program: build the workspace")
+        .context("pulleystair-edge was not found beside this program; build the workspace")
 }
 
-/// Servers until interrupted, and a way in for each product's first title.
-async fn boxes(day: Scenario, out: &Path) -> Result<()> {
-    let set = Testbed::build(day, Program::edge(PathBuf::new()), out).await?;
-    println!("{} servers run; list, keys and rundowns are in {}", set.day.fleet.servers, out.display());
-    println!("a front: pulleystair-edge run {}", out.join("front-0.json").display());
-    let scheme = if set.day.tls { "https" } else { "http" };
-    println!("then, with its address in place of FRONT, within the hour:");
-    for (product, of) in set.day.products.iter().enumerate() {
-        let Some(title) = set.titles.iter().find(|t| t.product == product) else { continue };
+/// Runs the fake servers until interrupted, and prints an entry URL for the first title of each product.
+async fn run_fake_servers(scenario: Scenario, out: &Path) -> Result<()> {
+    let testbed = Testbed::build(scenario, Program::edge(PathBuf::new()), out).await?;
+    println!(
+        "{} servers are running; the server list, keys and configurations are in {}",
+        testbed.day.fleet.servers,
+        out.display()
+    );
+    println!("start a front with: pulleystair-edge run {}", out.join("front-0.json").display());
+    let scheme = if testbed.day.tls { "https" } else { "http" };
+    println!("then request one of these URLs within an hour, with the front's address in place of FRONT:");
+    for (product, product_config) in testbed.day.products.iter().enumerate() {
+        let Some(title) = testbed.titles.iter().find(|t| t.product == product) else { continue };
         let entry = portal_keys().sign(&EntryToken {
             jti: format!("by-hand-{product}"),
             sub: "by-hand".into(),
-            product: of.name.clone(),
+            product: product_config.name.clone(),
             title: title.name.clone(),
-            top: set.day.ladder.len() - 1,
-            exp: (set.log.now() / 1000.0) as u64 + 3600,
+            top: testbed.day.ladder.len() - 1,
+            exp: (testbed.log.now() / 1000.0) as u64 + 3600,
         });
-        println!("  {scheme}://FRONT{}", address::manifest_path(&of.name, &title.name, &entry));
+        println!("  {scheme}://FRONT{}", address::manifest_path(&product_config.name, &title.name, &entry));
     }
     Ok(tokio::signal::ctrl_c().await?)
 }
 
+/// Runs a subcommand; false if a rule was broken.
 fn run(command: Command) -> Result<bool> {
     match command.job {
         Job::Day { script, seed, out, edge, baseline } => {
-            let mut day = Scenario::read(&script)?;
-            day.seed = seed.unwrap_or(day.seed);
+            let mut scenario = Scenario::read(&script)?;
+            scenario.seed = seed.unwrap_or(scenario.seed);
             let program = if baseline {
                 Program { path: std::env::current_exe()?, words: vec!["baseline".into()] }
             } else {
-                Program::edge(edge.map_or_else(beside, Ok)?)
+                Program::edge(edge.map_or_else(find_edge_binary, Ok)?)
             };
             let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-            let outcome = runtime.block_on(scenario_run::run(day.clone(), program, &out))?;
-            let it = report::report(&day, &outcome)?;
-            print!("{}", it.text());
-            std::fs::write(out.join("report.json"), serde_json::to_string_pretty(&it)?)?;
-            report::plot(&day, &outcome, &out.join("plays.svg"))?;
-            let broken: Vec<u8> = outcome.breaches.iter().map(|breach| breach.rule).collect();
-            let what = format!("{}, seed {}", script.display(), day.seed);
-            let history = History::new(&what, &broken, day.terms(), outcome.seen);
+            let result = runtime.block_on(scenario_run::run(scenario.clone(), program, &out))?;
+            let summary = report::summarize(&scenario, &result)?;
+            print!("{}", summary.text());
+            std::fs::write(out.join("report.json"), serde_json::to_string_pretty(&summary)?)?;
+            report::plot(&scenario, &result, &out.join("plays.svg"))?;
+            let broken_rules: Vec<u8> = result.breaches.iter().map(|breach| breach.rule).collect();
+            let description = format!("{}, seed {}", script.display(), scenario.seed);
+            let history = History::new(&description, &broken_rules, scenario.terms(), result.seen);
             std::fs::write(out.join("seen.jsonl"), history.to_text()?)?;
-            println!("report.json, plays.svg, seen.jsonl and the fronts' logs are in {}", out.display());
-            Ok(outcome.breaches.is_empty())
+            println!(
+                "report.json, plays.svg, seen.jsonl and the logs of the fronts are in {}",
+                out.display()
+            );
+            Ok(result.breaches.is_empty())
         }
         Job::Load { seconds, out, tls, edge } => {
-            let program = Program::edge(edge.map_or_else(beside, Ok)?);
+            let program = Program::edge(edge.map_or_else(find_edge_binary, Ok)?);
             let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
             let costs = runtime.block_on(load::run(program, &out, seconds, tls))?;
             print!("{}", costs.text());
@@ -123,11 +131,11 @@
         }
         Job::Boxes { script, out } => {
             let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-            runtime.block_on(boxes(Scenario::read(&script)?, &out))?;
+            runtime.block_on(run_fake_servers(Scenario::read(&script)?, &out))?;
             Ok(true)
         }
-        Job::Baseline { rundown } => {
-            tokio::runtime::Runtime::new()?.block_on(baseline::run(&rundown))?;
+        Job::Baseline { rundown: config_file } => {
+            tokio::runtime::Runtime::new()?.block_on(baseline::run(&config_file))?;
             Ok(true)
         }
     }
