--- /dev/null
+++ b/crates/edge/tests/crash_recovery.rs
@@ -0,0 +1,395 @@
+//! Stops at every point: the process is killed, told to stop or can't write, and a connection ends half way. Then a new
+//! front starts in its place, and what was promised before must hold. Each story on real sockets, with the real front.
+
+mod test_fleet;
+
+use pulleystair_fake_servers::content;
+use pulleystair_fake_servers::files::replace;
+use pulleystair_fake_servers::http::HttpPeer;
+use pulleystair_lab::environment::ListedState;
+use pulleystair_rule_checker::{Observation, Observed};
+use serde_json::{Value, json};
+use std::process::Stdio;
+use test_case::test_case;
+use test_fleet::{TestFleet, base_scenario, body_text, get_request, segment_base_url, set_up_count};
+use tokio::io::AsyncReadExt;
+use tokio::net::{TcpSocket, TcpStream};
+
+const FREE: usize = 0;
+const PAID: usize = 1;
+
+fn done_count(seen: &[Observation]) -> usize {
+    seen.iter().filter(|s| matches!(s.what, Observed::Done { .. })).count()
+}
+
+/// A day on which nothing runs out while a story is told.
+fn long_running_scenario() -> Value {
+    let mut scenario = base_scenario();
+    for product in [FREE, PAID] {
+        scenario["products"][product]["time_limit_ms"] = json!(20_000);
+        scenario["products"][product]["first_frame_target_ms"] = json!(15_000);
+        scenario["products"][product]["seconds"] = json!([60, 60]);
+    }
+    scenario["ladder"] = json!([{ "rate_kb": 200, "earns": 0.4 }, { "rate_kb": 400, "earns": 1 }]);
+    scenario["limits"] = json!({ "send_buffer_bytes": 8192, "relay_bytes": 65536 });
+    scenario["admission"] = json!({ "least": 1, "most": 1, "reserve_ms": 1 });
+    scenario
+}
+
+/// Where a front is when it is killed.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Point {
+    RequestPartlyRead,
+    Queued,
+    SetUpUnanswered,
+    SetUpAnswerLost,
+    Playing,
+    SegmentPartlyRelayed,
+    EndNoticeUnanswered,
+    Withdrawn,
+    Stopping,
+}
+
+/// Keeps what hangs on a front until it has been killed.
+#[derive(Default)]
+struct OpenRequests {
+    peers: Vec<HttpPeer>,
+    pending: Vec<test_fleet::PendingRequest>,
+    base_url: Option<String>,
+}
+
+async fn bring_front_to(fleet: &TestFleet, point: Point, product: usize) -> OpenRequests {
+    let mut open = OpenRequests::default();
+    match point {
+        Point::RequestPartlyRead => {
+            let mut peer = fleet.connect(0).await.expect("a connection");
+            peer.write(b"GET /v1/free/").await.expect("half a head is taken");
+            open.peers.push(peer);
+        }
+        Point::Queued => {
+            fleet.set_faults(|a| a.silent = true);
+            open.pending.push(fleet.send_manifest_request(0, "out", product).await);
+            fleet
+                .wait_for_observations("the one set-up that may be out", |seen| set_up_count(seen) == 1)
+                .await;
+            open.pending.push(fleet.send_manifest_request(0, "queued", product).await);
+        }
+        Point::SetUpUnanswered => {
+            fleet.set_faults(|a| a.silent = true);
+            open.pending.push(fleet.send_manifest_request(0, "out", product).await);
+            fleet.wait_for_observations("its set-up", |seen| set_up_count(seen) == 1).await;
+        }
+        Point::SetUpAnswerLost => {
+            fleet.set_faults(|a| a.lost = 1.0);
+            open.pending.push(fleet.send_manifest_request(0, "ran", product).await);
+            fleet.wait_for_observations("it ran", |seen| done_count(seen) == 1).await;
+        }
+        Point::Withdrawn => {
+            fleet.set_faults(|a| a.silent = true);
+            let pending = fleet.send_manifest_request(0, "left", product).await;
+            fleet.wait_for_observations("its set-up", |seen| set_up_count(seen) == 1).await;
+            pending.leave();
+        }
+        Point::Playing | Point::SegmentPartlyRelayed | Point::EndNoticeUnanswered | Point::Stopping => {
+            let base_url = segment_base_url(&fleet.fetch_manifest("plays", product).await);
+            match point {
+                Point::SegmentPartlyRelayed => {
+                    let socket = TcpSocket::new_v4().expect("a socket");
+                    socket.set_recv_buffer_size(4096).expect("a small buffer");
+                    let mut slow_reader =
+                        HttpPeer::new(socket.connect(fleet.front_addresses[0]).await.expect("a connection"));
+                    slow_reader
+                        .write(get_request(&format!("{base_url}1/1.m4s")).as_bytes())
+                        .await
+                        .expect("a request");
+                    slow_reader.stream.read_exact(&mut [0; 64]).await.expect("it has begun");
+                    open.peers.push(slow_reader);
+                }
+                Point::EndNoticeUnanswered => {
+                    fleet.set_faults(|a| a.silent = true);
+                    let delete_request = format!("DELETE {base_url} HTTP/1.1\r\nHost: f\r\n\r\n");
+                    assert_eq!(fleet.send_raw(&delete_request).await.expect("an answer").status, 200);
+                }
+                Point::Stopping => {
+                    fleet.signal(0, "-TERM").await;
+                    fleet.wait_for_log("stopping: no new plays", 1).await;
+                }
+                _ => {}
+            }
+            open.base_url = Some(base_url);
+        }
+    }
+    open
+}
+
+#[test_case(Point::RequestPartlyRead, FREE; "a request half read")]
+#[test_case(Point::Queued, FREE; "a play queued")]
+#[test_case(Point::SetUpUnanswered, FREE; "a set-up written and not answered")]
+#[test_case(Point::SetUpUnanswered, PAID; "a paid set-up written and not answered")]
+#[test_case(Point::SetUpAnswerLost, PAID; "a paid set-up that ran and was not heard of")]
+#[test_case(Point::Playing, PAID; "a play that runs")]
+#[test_case(Point::SegmentPartlyRelayed, FREE; "a segment half relayed")]
+#[test_case(Point::EndNoticeUnanswered, FREE; "an end that the server has not heard")]
+#[test_case(Point::Withdrawn, FREE; "a viewer that left")]
+#[test_case(Point::Stopping, FREE; "told to stop")]
+#[tokio::test]
+async fn killed_front_leaves_no_plays_and_restarts_cleanly(point: Point, product: usize) {
+    let mut fleet = TestFleet::start_with(long_running_scenario()).await;
+    let mut open = bring_front_to(&fleet, point, product).await;
+    let set_ups_before = set_up_count(&fleet.log.observations());
+    fleet.restart(0).await;
+    // Whoever hung on it sees an end, and what is short shows as short.
+    for mut peer in open.peers.drain(..) {
+        let mut rest = Vec::new();
+        let _ = peer.stream.read_to_end(&mut rest).await;
+        assert!(rest.len() < 400_000);
+    }
+    for mut pending in open.pending.drain(..) {
+        let answer = pending.peer.read_response().await;
+        assert!(!matches!(answer, Ok(Some(_))), "nobody is told what nobody knows");
+        fleet.log.record(pending.connection_lost());
+    }
+    fleet.set_faults(|a| (a.silent, a.lost) = (false, 0.0));
+    fleet
+        .wait_until("servers are free", || fleet.boxes.model().servers.iter().all(|s| s.plays.is_empty()))
+        .await;
+    assert_eq!(set_up_count(&fleet.log.observations()), set_ups_before, "the new front does nothing unasked");
+    if let Some(base_url) = open.base_url {
+        assert_eq!(
+            fleet.get(&format!("{base_url}1/1.m4s")).await.status,
+            410,
+            "it does not play here any more"
+        );
+    }
+    let manifest = fleet.fetch_manifest("new", product).await;
+    assert_eq!(manifest.status, 200, "{}", body_text(&manifest));
+    let segment = fleet.get(&format!("{}0/1.m4s", segment_base_url(&manifest))).await;
+    assert!(content::parse(&segment.body).is_some_and(|c| c.intact));
+    assert_eq!(fleet.set_up_servers().len(), set_ups_before + 1);
+    fleet.assert_rules_kept();
+}
+
+/// The front keeps nothing on disk, and by the rules a viewer who returns to one that was killed is a new request: its
+/// session is set up again, paid or not, but never beside the set-up that was out. See docs/review-of-parts.md.
+#[tokio::test]
+async fn paid_session_is_set_up_again_after_a_kill_only_once_the_first_ended() {
+    let mut fleet = TestFleet::start_with(long_running_scenario()).await;
+    fleet.set_faults(|a| a.silent = true);
+    let pending = fleet.send_manifest_request(0, "s", PAID).await;
+    fleet.wait_for_observations("its set-up", |seen| set_up_count(seen) == 1).await;
+    fleet.restart(0).await;
+    fleet.log.record(pending.connection_lost());
+    fleet.set_faults(|a| a.silent = false);
+    let ended = |seen: &[Observation]| seen.iter().any(|s| matches!(s.what, Observed::Closed { .. }));
+    fleet.wait_for_observations("its server has seen the end of it", ended).await;
+    assert_eq!(fleet.fetch_manifest("s", PAID).await.status, 200);
+    assert_eq!(fleet.fetch_manifest("s", PAID).await.status, 200, "and that answer is given again");
+    assert_eq!(set_up_count(&fleet.log.observations()), 2);
+    fleet.assert_rules_kept();
+}
+
+#[tokio::test]
+async fn drain_still_holds_after_a_kill() {
+    let mut fleet = TestFleet::start().await;
+    for server in 0..3 {
+        fleet.stage.list(server, ListedState::Draining { started: 0.0 });
+    }
+    fleet.wait_for_log("\"draining\":3", 1).await;
+    fleet.restart(0).await;
+    for i in 0..20 {
+        assert_eq!(fleet.fetch_manifest(&format!("s{i}"), FREE).await.status, 200);
+    }
+    assert!(fleet.set_up_servers().iter().all(|server| *server == 3), "{:?}", fleet.set_up_servers());
+    fleet.assert_rules_kept();
+}
+
+#[tokio::test]
+async fn cold_server_rate_limit_holds_across_kills() {
+    let mut scenario = base_scenario();
+    scenario["fleet"]["streams"] = json!(24);
+    let mut fleet = TestFleet::start_with(scenario).await;
+    fleet.restart_all_servers_cold().await;
+    for round in 0..3 {
+        let mut pending = Vec::new();
+        for i in 0..40 {
+            pending.push(fleet.send_manifest_request(0, &format!("s{round}-{i}"), FREE).await);
+        }
+        let set_ups_before = set_up_count(&fleet.log.observations());
+        fleet.wait_for_observations("plays at their pace", |seen| set_up_count(seen) > set_ups_before).await;
+        fleet.restart(0).await;
+        pending.into_iter().for_each(|one| fleet.log.record(one.connection_lost()));
+    }
+    assert!(fleet.boxes.model().servers.iter().all(|s| !s.faults.down), "none was pushed over");
+    fleet.assert_rules_kept();
+}
+
+#[tokio::test]
+async fn front_started_with_a_stale_list_limits_the_rate_of_restarted_servers() {
+    let mut scenario = base_scenario();
+    scenario["fleet"]["streams"] = json!(24);
+    let mut fleet = TestFleet::start_with(scenario).await;
+    // All start anew, and the list has yet to tell.
+    for server in 0..4 {
+        fleet.boxes.stop(server);
+        fleet.boxes.restart(server, true);
+    }
+    fleet.restart(0).await;
+    assert!(fleet.count_concurrent_plays(60, FREE).await > 0, "they take plays at their pace");
+    fleet.assert_rules_kept();
+}
+
+/// Runs a second front by hand, by a rundown beside the first one's, to its end; what it wrote to its log.
+async fn run_second_front(fleet: &TestFleet, change: impl Fn(&mut Value)) -> (bool, String) {
+    let text = std::fs::read_to_string(fleet.folder().join("front-0.json")).expect("the rundown");
+    let mut config: Value = serde_json::from_str(&text).expect("it reads");
+    change(&mut config);
+    let file = fleet.folder().join("second.json");
+    replace(&file, config.to_string()).expect("a rundown beside");
+    let child = tokio::process::Command::new(env!("CARGO_BIN_EXE_pulleystair-edge"))
+        .args(["--log", "json", "run"])
+        .arg(&file)
+        .stdin(Stdio::null())
+        .kill_on_drop(true)
+        .output();
+    let out = child.await.expect("it runs and ends");
+    (out.status.success(), String::from_utf8_lossy(&out.stderr).into_owned())
+}
+
+#[test_case(|_, r| r["list"] = json!("half.json"), "half.json"; "a list half there")]
+#[test_case(|_, r| r["keys"] = json!("half.json"), "half.json"; "keys half there")]
+#[test_case(|_, r| r["list"] = json!("nowhere.json"), "can't be read"; "no list")]
+#[test_case(|h, r| r["listen"] = json!(h.front_addresses[0]), "can't be had"; "a port still held")]
+#[tokio::test]
+async fn failed_start_logs_the_cause_and_leaves_the_running_front_alone(
+    change: fn(&TestFleet, &mut Value),
+    expected_log: &str,
+) {
+    let fleet = TestFleet::start().await;
+    let list = std::fs::read_to_string(fleet.folder().join("list.json")).expect("the list");
+    std::fs::write(fleet.folder().join("half.json"), &list[..list.len() / 2]).expect("half a file");
+    let (succeeded, log) = run_second_front(&fleet, |config| change(&fleet, config)).await;
+    assert!(!succeeded && log.contains(expected_log) && !log.contains("panicked"), "{log}");
+    assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 200, "the first one plays on");
+    fleet.assert_rules_kept();
+}
+
+#[tokio::test]
+async fn stopping_front_finishes_writing_buffered_responses() {
+    let mut scenario = long_running_scenario();
+    // The whole segment waits in the front, and its server has long been done.
+    scenario["limits"] = json!({ "send_buffer_bytes": 8192, "relay_bytes": 1_000_000 });
+    let fleet = TestFleet::start_with(scenario).await;
+    let base_url = segment_base_url(&fleet.fetch_manifest("s", FREE).await);
+    let socket = TcpSocket::new_v4().expect("a socket");
+    socket.set_recv_buffer_size(4096).expect("a small buffer");
+    let mut slow_reader =
+        HttpPeer::new(socket.connect(fleet.front_addresses[0]).await.expect("a connection"));
+    slow_reader.write(get_request(&format!("{base_url}0/2.m4s")).as_bytes()).await.expect("a request");
+    let delete_request = format!("DELETE {base_url} HTTP/1.1\r\nHost: f\r\n\r\n");
+    slow_reader.stream.read_exact(&mut [0; 16]).await.expect("it has begun");
+    // Its server has sent it whole once a further one, which comes after it, is there.
+    assert_eq!(fleet.get(&format!("{base_url}0/3.m4s")).await.status, 200);
+    assert_eq!(fleet.send_raw(&delete_request).await.expect("an answer").status, 200);
+    fleet.signal(0, "-TERM").await;
+    fleet.wait_for_log("stopping: no new plays", 1).await;
+    let ended = fleet.fronts.ended(0);
+    let read = async {
+        let mut rest = Vec::new();
+        // The front must still be there to write it: it is not read before that shows.
+        while !fleet.front_log(0).contains("stopped") && rest.len() < 200_000 {
+            let mut part = [0; 2048];
+            match slow_reader.stream.read(&mut part).await {
+                Ok(n) if n > 0 => rest.extend_from_slice(&part[..n]),
+                _ => break,
+            }
+        }
+        let _ = slow_reader.stream.read_to_end(&mut rest).await;
+        rest
+    };
+    let (ended, rest) = tokio::join!(ended, read);
+    let body = rest.windows(4).position(|w| w == b"\r\n\r\n").expect("a head") + 4;
+    assert!(content::parse(&rest[body..]).is_some_and(|c| c.intact && c.number == 2), "{} bytes", rest.len());
+    assert!(ended, "and then it ends, and well");
+    fleet.assert_rules_kept();
+}
+
+// ---- the log ----
+
+/// A day whose fronts write their sums often.
+fn frequent_stats_scenario() -> Value {
+    let mut scenario = base_scenario();
+    scenario["limits"] = json!({ "tally_ms": 50 });
+    scenario
+}
+
+/// A log that is read up to 4 kB, and on once the file `go` stands in the folder.
+const SLOW_LOG_READER: &str = r#"for last; do :; done; d=$(dirname "$last"); mkfifo "$d/p"
+    { dd bs=1 count=4000 status=none; n=0; while [ ! -e "$d/go" ] && [ $n -lt 1200 ]; do sleep 0.05; n=$((n+1)); done; cat; } <"$d/p" >&2 &
+    exec 2>"$d/p"; set -- --log-lines 16 "$@""#;
+
+/// A log whose reader goes away after 4 kB.
+const CLOSED_LOG_READER: &str = r#"for last; do :; done; d=$(dirname "$last"); mkfifo "$d/p"
+    dd bs=1 count=4000 status=none <"$d/p" >&2 &
+    exec 2>"$d/p""#;
+
+async fn run_plays(fleet: &TestFleet, plays: usize) -> (u64, u64) {
+    let (mut played, mut declined) = (0, 0);
+    for i in 0..plays {
+        fleet.set_faults(|a| a.errors = if i % 2 == 0 { 1.0 } else { 0.0 });
+        match fleet.fetch_manifest(&format!("s{i}"), FREE).await.status {
+            200 => played += 1,
+            503 => declined += 1,
+            other => panic!("answered {other}"),
+        }
+    }
+    fleet.set_faults(|a| a.errors = 0.0);
+    (played, declined)
+}
+
+#[tokio::test]
+async fn stats_count_plays_whose_log_lines_were_dropped() {
+    let fleet = TestFleet::start_with_shell_prefix(frequent_stats_scenario(), SLOW_LOG_READER).await;
+    let (played, declined) = run_plays(&fleet, 1200).await;
+    std::fs::write(fleet.folder().join("go"), "").expect("the reader goes on");
+    let stat = |name: &str| fleet.latest_stats(0).get(name).and_then(Value::as_u64).unwrap_or(0);
+    fleet.wait_until("the sums of all of it", || stat("taken") == 1200).await;
+    assert!(stat("lines_dropped") > 0, "lines were dropped, and that is told");
+    assert_eq!((stat("played"), stat("declined")), (played, declined));
+    assert_eq!(
+        stat("taken"),
+        ["played", "declined", "failed", "left", "deciding"].map(stat).iter().sum::<u64>()
+    );
+    assert_eq!(stat("allocations") as usize, fleet.set_up_servers().len(), "as servers saw them");
+    fleet.assert_rules_kept();
+}
+
+#[test_case(CLOSED_LOG_READER; "its reader is gone")]
+#[test_case("ulimit -f 8"; "its file may not grow")]
+#[tokio::test]
+async fn unwritable_log_does_not_stop_the_front(shell_prefix: &str) {
+    let fleet = TestFleet::start_with_shell_prefix(frequent_stats_scenario(), shell_prefix).await;
+    run_plays(&fleet, 200).await;
+    assert!(fleet.front_log(0).len() <= 4096, "the log has come to its end");
+    let last = fleet.fetch_manifest("last", FREE).await;
+    assert_eq!(fleet.get(&format!("{}0/1.m4s", segment_base_url(&last))).await.status, 200);
+    fleet.signal(0, "-TERM").await;
+    let delete_request = format!("DELETE {} HTTP/1.1\r\nHost: f\r\n\r\n", segment_base_url(&last));
+    let _ = fleet.send_raw(&delete_request).await;
+    assert!(fleet.fronts.ended(0).await, "it ends by itself, and well");
+    fleet.assert_rules_kept();
+}
+
+#[tokio::test]
+async fn five_hundred_partial_requests_fit_in_limited_memory() {
+    let fleet = TestFleet::start_with_shell_prefix(base_scenario(), "ulimit -v 400000").await;
+    let mut partial_requests = Vec::new();
+    let partial_head = format!("GET /v1/free/{}", "x".repeat(8000));
+    for _ in 0..500 {
+        let mut peer =
+            HttpPeer::new(TcpStream::connect(fleet.front_addresses[0]).await.expect("a connection"));
+        peer.write(partial_head.as_bytes()).await.expect("it is taken");
+        partial_requests.push(peer);
+    }
+    assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 200);
+    fleet.assert_rules_kept();
+}
--- a/crates/edge/tests/dash.rs
+++ b/crates/edge/tests/dash.rs
@@ -1,86 +1,91 @@
 //! What players expect of DASH besides a play's plain path, each story on real sockets: live titles, titles that a
 //! manifest describes, HEAD, conditional requests, and passes through time.
 
-mod house;
+mod test_fleet;
 
-use house::{House, base, day, get, set_ups, text};
 use pulleystair_fake_servers::content;
 use pulleystair_fake_servers::files::replace;
 use pulleystair_fake_servers::http::Message;
 use pulleystair_rule_checker::Observed;
 use serde_json::{Value, json};
+use test_fleet::{TestFleet, base_scenario, body_text, get_request, segment_base_url, set_up_count};
 
 const FREE: usize = 0;
 
 /// Lists titles otherwise, and waits until the front has read it.
-async fn list(house: &House, change: impl Fn(&mut Value)) {
-    let file = house.folder().join("list.json");
+async fn replace_title(fleet: &TestFleet, change: impl Fn(&mut Value)) {
+    let file = fleet.folder().join("list.json");
     let mut list: Value = serde_json::from_str(&std::fs::read_to_string(&file).unwrap()).unwrap();
     change(&mut list["titles"][FREE]);
-    let looked = || {
-        let log = house.log_of(0);
+    let lists_read = || {
+        let log = fleet.front_log(0);
         log.matches("list taken").count() + log.matches("list not taken").count()
     };
-    let before = looked();
+    let before = lists_read();
     replace(&file, list.to_string()).unwrap();
-    house.until_true("the front has looked at the list", || looked() > before).await;
+    fleet.wait_until("the front has looked at the list", || lists_read() > before).await;
 }
 
-fn now(house: &House) -> u64 {
-    house.log.now() as u64
+fn now_ms(fleet: &TestFleet) -> u64 {
+    fleet.log.now() as u64
 }
 
-async fn ask_with(house: &House, method: &str, target: &str, header: &str) -> Message {
+async fn send_request(fleet: &TestFleet, method: &str, target: &str, header: &str) -> Message {
     let text = format!("{method} {target} HTTP/1.1\r\nHost: f\r\nConnection: close\r\n{header}\r\n");
-    house.send(&text).await.expect("an answer comes")
+    fleet.send_raw(&text).await.expect("an answer comes")
 }
 
 /// The number in a segment that came whole.
-fn number(answer: &Message) -> u64 {
+fn segment_number(answer: &Message) -> u64 {
     content::parse(&answer.body).filter(|c| c.intact).expect("a whole segment").number
 }
 
 #[tokio::test]
-async fn a_live_title_from_its_window_to_its_end() {
-    let house = House::open().await;
+async fn live_title_is_served_from_its_window_to_its_end() {
+    let fleet = TestFleet::start().await;
     // It began 6.5 s ago, has one more second to run, and keeps 3 s.
-    let from = now(&house) - 6_500;
-    let live = json!({ "from_ms": from, "update_ms": 500, "window_ms": 3000 });
-    list(&house, |title| {
+    let live_since_ms = now_ms(&fleet) - 6_500;
+    let live = json!({ "from_ms": live_since_ms, "update_ms": 500, "window_ms": 3000 });
+    replace_title(&fleet, |title| {
         (title["live"], title["duration_ms"], title["segment_ms"]) = (live.clone(), json!(8000), json!(1000));
     })
     .await;
-    let manifest = house.ask("s", FREE).await;
-    assert_eq!(manifest.status, 200, "{}", text(&manifest));
-    let mpd = dash_mpd::parse(text(&manifest)).expect("an independent parser reads it");
+    let manifest = fleet.fetch_manifest("s", FREE).await;
+    assert_eq!(manifest.status, 200, "{}", body_text(&manifest));
+    let mpd = dash_mpd::parse(body_text(&manifest)).expect("an independent parser reads it");
     assert_eq!(
         (mpd.mpdtype.as_deref(), mpd.minimumUpdatePeriod.unwrap().as_millis()),
         (Some("dynamic"), 500)
     );
-    assert_eq!(mpd.availabilityStartTime.unwrap().timestamp_millis() as u64, from);
-    let base = base(&manifest);
-    let status = async |n: u64| house.get(&format!("{base}0/{n}.m4s")).await.status;
-    assert_eq!(status(1).await, 404, "kept no more");
-    assert_eq!(status(6).await, 200);
-    assert_eq!(status(9).await, 404, "there will never be one");
-    let eighth = from + 8_000;
-    house.until_true("the last segment is complete", || now(&house) > eighth).await;
+    assert_eq!(mpd.availabilityStartTime.unwrap().timestamp_millis() as u64, live_since_ms);
+    let base_url = segment_base_url(&manifest);
+    let segment_status = async |n: u64| fleet.get(&format!("{base_url}0/{n}.m4s")).await.status;
+    assert_eq!(segment_status(1).await, 404, "kept no more");
+    assert_eq!(segment_status(6).await, 200);
+    assert_eq!(segment_status(9).await, 404, "there will never be one");
+    let last_segment_at_ms = live_since_ms + 8_000;
+    fleet.wait_until("the last segment is complete", || now_ms(&fleet) > last_segment_at_ms).await;
     // The player asks where it was told to, with its pass, and gets another one.
-    let again = house.get(&mpd.locations[0].url).await;
+    let again = fleet.get(&mpd.locations[0].url).await;
     assert_eq!(again.status, 200);
     assert!(again.header("date").is_some() && again.header("cache-control") == Some("no-store"));
-    assert_ne!(house::base(&again), base, "a pass whose time begins anew");
+    assert_ne!(test_fleet::segment_base_url(&again), base_url, "a pass whose time begins anew");
     // The last one comes once it is there, and the play ends after it.
-    assert_eq!(number(&house.get(&format!("{}1/8.m4s", house::base(&again))).await), 8);
-    house
-        .until("the play's end", |seen| seen.iter().any(|s| matches!(s.what, Observed::Closed { .. })))
+    assert_eq!(
+        segment_number(&fleet.get(&format!("{}1/8.m4s", test_fleet::segment_base_url(&again))).await),
+        8
+    );
+    fleet
+        .wait_for_observations("the play's end", |seen| {
+            seen.iter().any(|s| matches!(s.what, Observed::Closed { .. }))
+        })
         .await;
-    assert_eq!(house.get(&mpd.locations[0].url).await.status, 410);
-    assert_eq!(set_ups(&house.log.observations()), 1);
-    house.kept();
+    assert_eq!(fleet.get(&mpd.locations[0].url).await.status, 410);
+    assert_eq!(set_up_count(&fleet.log.observations()), 1);
+    fleet.assert_rules_kept();
 }
 
-const TWO: &str = r#"<MPD mediaPresentationDuration="PT9S"><Period id="a">
+const TWO_PERIODS_MPD: &str = r#"<MPD mediaPresentationDuration="PT9S"><Period id="a">
 <AdaptationSet contentType="video"><SegmentTemplate timescale="1000" media="$Time$">
 <SegmentTimeline><S t="0" d="1000" r="2"/><S d="2000"/></SegmentTimeline></SegmentTemplate>
 <Representation bandwidth="1"/></AdaptationSet></Period>
@@ -88,99 +93,109 @@
 <SegmentTemplate duration="2" media="$Number$"/><Representation bandwidth="1"/></AdaptationSet></Period></MPD>"#;
 
 #[tokio::test]
-async fn a_title_that_a_manifest_describes_by_time_and_by_number() {
-    let house = House::open().await;
-    std::fs::write(house.folder().join("two.mpd"), TWO).unwrap();
-    let described = |title: &mut Value| {
+async fn manifest_described_title_is_addressed_by_time_and_by_number() {
+    let fleet = TestFleet::start().await;
+    std::fs::write(fleet.folder().join("two.mpd"), TWO_PERIODS_MPD).unwrap();
+    let describe_by_manifest = |title: &mut Value| {
         let fields = title.as_object_mut().unwrap();
         fields.remove("duration_ms");
         fields.remove("segment_ms");
         fields.insert("manifest".into(), json!("two.mpd"));
     };
-    list(&house, described).await;
-    let manifest = house.ask("s", FREE).await;
-    let mpd = dash_mpd::parse(text(&manifest)).expect("an independent parser reads it");
+    replace_title(&fleet, describe_by_manifest).await;
+    let manifest = fleet.fetch_manifest("s", FREE).await;
+    let mpd = dash_mpd::parse(body_text(&manifest)).expect("an independent parser reads it");
     assert_eq!(mpd.periods.len(), 2);
     assert_eq!(mpd.periods[1].adaptations[0].SegmentTemplate.as_ref().unwrap().startNumber, Some(5));
-    let base = base(&manifest);
-    let get = async |file: &str| house.get(&format!("{base}1/{file}")).await;
+    let base_url = segment_base_url(&manifest);
+    let get_segment = async |file: &str| fleet.get(&format!("{base_url}1/{file}")).await;
     for (file, n) in [("1-t0.m4s", 1), ("1-t2000.m4s", 3), ("1-t3000.m4s", 4), ("3.m4s", 3), ("5.m4s", 5)] {
-        assert_eq!(number(&get(file).await), n, "{file}");
+        assert_eq!(segment_number(&get_segment(file).await), n, "{file}");
     }
     for file in ["1-t500.m4s", "2-t0.m4s", "5-t0.m4s", "7.m4s", "1-t99999999999.m4s"] {
-        assert_eq!(get(file).await.status, 404, "{file}");
+        assert_eq!(get_segment(file).await.status, 404, "{file}");
     }
     // A manifest that can't be read leaves the list as it was.
-    std::fs::write(house.folder().join("two.mpd"), &TWO[..200]).unwrap();
-    list(&house, |title| title["holders"] = json!(3)).await;
-    assert!(house.log_of(0).contains("titles[0].manifest"), "the log names the title");
-    assert_eq!(number(&get("6.m4s").await), 6);
-    house.kept();
+    std::fs::write(fleet.folder().join("two.mpd"), &TWO_PERIODS_MPD[..200]).unwrap();
+    replace_title(&fleet, |title| title["holders"] = json!(3)).await;
+    assert!(fleet.front_log(0).contains("titles[0].manifest"), "the log names the title");
+    assert_eq!(segment_number(&get_segment("6.m4s").await), 6);
+    fleet.assert_rules_kept();
 }
 
 #[tokio::test]
-async fn heads_conditions_and_what_browsers_ask_first() {
-    let house = House::open().await;
-    let manifest = house.manifest("s", FREE);
-    let bare =
-        ask_raw(&house, &format!("HEAD {manifest} HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n")).await;
-    assert!(bare.starts_with("HTTP/1.1 405") && bare.contains("\r\nAllow: "), "{bare}");
-    assert_eq!(set_ups(&house.log.observations()), 0, "a HEAD takes no play");
-    let manifest = house.ask("s", FREE).await;
-    let target = format!("{}1/2.m4s", base(&manifest));
-    let whole = house.get(&target).await;
-    let tag = whole.header("etag").expect("the server's tag is passed on").to_string();
-    assert!(whole.header("cache-control").is_some_and(|c| c.starts_with("private, max-age=")));
+async fn head_conditional_and_preflight_requests_are_answered() {
+    let fleet = TestFleet::start().await;
+    let manifest = fleet.manifest_target("s", FREE);
+    let manifest_head = send_and_read_all(
+        &fleet,
+        &format!("HEAD {manifest} HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n"),
+    )
+    .await;
+    assert!(
+        manifest_head.starts_with("HTTP/1.1 405") && manifest_head.contains("\r\nAllow: "),
+        "{manifest_head}"
+    );
+    assert_eq!(set_up_count(&fleet.log.observations()), 0, "a HEAD takes no play");
+    let manifest = fleet.fetch_manifest("s", FREE).await;
+    let target = format!("{}1/2.m4s", segment_base_url(&manifest));
+    let segment = fleet.get(&target).await;
+    let etag = segment.header("etag").expect("the server's tag is passed on").to_string();
+    assert!(segment.header("cache-control").is_some_and(|c| c.starts_with("private, max-age=")));
     let head =
-        ask_raw(&house, &format!("HEAD {target} HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n")).await;
+        send_and_read_all(&fleet, &format!("HEAD {target} HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n"))
+            .await;
     assert!(head.starts_with("HTTP/1.1 200") && head.ends_with("\r\n\r\n"), "a head and no body: {head}");
-    assert!(head.contains(&format!("Content-Length: {}", whole.body.len())));
-    let same = ask_with(&house, "GET", &target, &format!("If-None-Match: \"x\", {tag}\r\n")).await;
-    assert_eq!((same.status, same.body.len(), same.header("etag")), (304, 0, Some(tag.as_str())));
-    let other = ask_with(&house, "GET", &target, "If-None-Match: \"x\"\r\n").await;
-    assert_eq!((other.status, number(&other)), (200, 2));
-    let first = ask_with(&house, "OPTIONS", &target, "").await;
-    assert_eq!(first.status, 204);
-    assert!(first.header("access-control-allow-methods").is_some_and(|m| m.contains("DELETE")));
-    let time = house.get("/v1/time").await;
-    assert!(time.header("date").is_some() && text(&time).contains('T'));
-    house.kept();
+    assert!(head.contains(&format!("Content-Length: {}", segment.body.len())));
+    let unchanged = send_request(&fleet, "GET", &target, &format!("If-None-Match: \"x\", {etag}\r\n")).await;
+    assert_eq!(
+        (unchanged.status, unchanged.body.len(), unchanged.header("etag")),
+        (304, 0, Some(etag.as_str()))
+    );
+    let changed = send_request(&fleet, "GET", &target, "If-None-Match: \"x\"\r\n").await;
+    assert_eq!((changed.status, segment_number(&changed)), (200, 2));
+    let preflight = send_request(&fleet, "OPTIONS", &target, "").await;
+    assert_eq!(preflight.status, 204);
+    assert!(preflight.header("access-control-allow-methods").is_some_and(|m| m.contains("DELETE")));
+    let time = fleet.get("/v1/time").await;
+    assert!(time.header("date").is_some() && body_text(&time).contains('T'));
+    fleet.assert_rules_kept();
 }
 
 /// Everything that the front says until it closes.
-async fn ask_raw(house: &House, text: &str) -> String {
+async fn send_and_read_all(fleet: &TestFleet, text: &str) -> String {
     use tokio::io::AsyncReadExt;
-    let mut peer = house.call(0).await.unwrap();
+    let mut peer = fleet.connect(0).await.unwrap();
     peer.write(text.as_bytes()).await.unwrap();
-    let mut all = Vec::new();
-    peer.stream.read_to_end(&mut all).await.unwrap();
-    String::from_utf8(all).unwrap()
+    let mut received = Vec::new();
+    peer.stream.read_to_end(&mut received).await.unwrap();
+    String::from_utf8(received).unwrap()
 }
 
 /// What is held under the same address may be another edition by the time that a read is taken up again.
 #[tokio::test]
-async fn bytes_of_two_editions_are_never_put_together() {
-    let mut day = day();
-    day["ladder"] = json!([{ "rate_kb": 200, "earns": 1 }]);
-    day["reads"] = json!({ "tries": 50, "free": 100 });
-    day["limits"] = json!({ "segment_ms": 300 });
-    let house = House::of(day).await;
-    let target = format!("{}0/2.m4s", base(&house.ask("s", FREE).await));
-    house.ail(|a| (a.stall, a.edition) = (1.0, 1));
-    let asked = async {
-        let mut peer = house.call(0).await.unwrap();
-        peer.write(get(&target).as_bytes()).await.unwrap();
-        let mut all = Vec::new();
-        tokio::io::AsyncReadExt::read_to_end(&mut peer.stream, &mut all).await.unwrap();
-        all.len()
+async fn resumed_read_never_mixes_bytes_of_two_editions() {
+    let mut scenario = base_scenario();
+    scenario["ladder"] = json!([{ "rate_kb": 200, "earns": 1 }]);
+    scenario["reads"] = json!({ "tries": 50, "free": 100 });
+    scenario["limits"] = json!({ "segment_ms": 300 });
+    let fleet = TestFleet::start_with(scenario).await;
+    let target = format!("{}0/2.m4s", segment_base_url(&fleet.fetch_manifest("s", FREE).await));
+    fleet.set_faults(|a| (a.stall, a.edition) = (1.0, 1));
+    let read_segment = async {
+        let mut peer = fleet.connect(0).await.unwrap();
+        peer.write(get_request(&target).as_bytes()).await.unwrap();
+        let mut received = Vec::new();
+        tokio::io::AsyncReadExt::read_to_end(&mut peer.stream, &mut received).await.unwrap();
+        received.len()
     };
-    let (got, ()) = tokio::join!(asked, async {
-        house.says("Again", 1).await;
-        house.ail(|a| (a.stall, a.edition) = (0.0, 2));
+    let (received_bytes, ()) = tokio::join!(read_segment, async {
+        fleet.wait_for_log("Again", 1).await;
+        fleet.set_faults(|a| (a.stall, a.edition) = (0.0, 2));
     });
-    assert!(got < 200_000, "the player sees that it is short: {got}");
-    house.says("errand failed", 2).await;
-    house.ail(|a| a.stall = 0.0);
-    assert_eq!(number(&house.get(&target).await), 2);
-    house.kept();
+    assert!(received_bytes < 200_000, "the player sees that it is short: {received_bytes}");
+    fleet.wait_for_log("errand failed", 2).await;
+    fleet.set_faults(|a| a.stall = 0.0);
+    assert_eq!(segment_number(&fleet.get(&target).await), 2);
+    fleet.assert_rules_kept();
 }
--- a/crates/edge/tests/keys.rs
+++ b/crates/edge/tests/keys.rs
@@ -1,68 +1,70 @@
 //! Tokens, the keys that sign them, and passes, while a front is in service.
 
-mod house;
+mod test_fleet;
 
-use house::{House, base, closed, day};
 use pulleystair_dash::token::{EntryToken, KeyRing};
 use pulleystair_fake_servers::files::replace;
 use pulleystair_lab::fronts::portal_keys;
 use serde_json::json;
 use std::time::Duration;
+use test_fleet::{TestFleet, base_scenario, closed_count, segment_base_url};
 
 const FREE: usize = 0;
 const PAID: usize = 1;
 
-fn entry(house: &House) -> EntryToken {
-    let (product, title) = (house.day.products[FREE].name.clone(), house.titles[FREE].name.clone());
+fn entry_token(fleet: &TestFleet) -> EntryToken {
+    let (product, title) = (fleet.day.products[FREE].name.clone(), fleet.titles[FREE].name.clone());
     EntryToken { jti: "s".into(), sub: "v".into(), product, title, top: 1, exp: u64::MAX >> 12 }
 }
 
 #[tokio::test]
-async fn tokens_that_open_nothing_cost_no_allocation() {
-    let house = House::open().await;
-    let good = portal_keys().sign(&entry(&house));
-    let forged = KeyRing::new(&[("portal-1".into(), vec![9; 32])]).unwrap().sign(&entry(&house));
-    let unknown = KeyRing::new(&[("portal-9".into(), vec![9; 32])]).unwrap().sign(&entry(&house));
-    let expired = portal_keys().sign(&EntryToken { exp: 1, ..entry(&house) });
-    let other = house.token("p", PAID);
-    let title = &house.titles[FREE].name;
+async fn invalid_tokens_cause_no_allocation() {
+    let fleet = TestFleet::start().await;
+    let valid = portal_keys().sign(&entry_token(&fleet));
+    let forged = KeyRing::new(&[("portal-1".into(), vec![9; 32])]).unwrap().sign(&entry_token(&fleet));
+    let unknown = KeyRing::new(&[("portal-9".into(), vec![9; 32])]).unwrap().sign(&entry_token(&fleet));
+    let expired = portal_keys().sign(&EntryToken { exp: 1, ..entry_token(&fleet) });
+    let other_product = fleet.entry_token("p", PAID);
+    let title = &fleet.titles[FREE].name;
     for (token, status) in
-        [("", 401), ("a.b.c", 401), (&forged, 401), (&unknown, 401), (&expired, 410), (&other, 403)]
+        [("", 401), ("a.b.c", 401), (&forged, 401), (&unknown, 401), (&expired, 410), (&other_product, 403)]
     {
-        let answer = house.get(&format!("/v1/free/{title}/manifest.mpd?token={token}")).await;
+        let answer = fleet.get(&format!("/v1/free/{title}/manifest.mpd?token={token}")).await;
         assert_eq!(answer.status, status, "{token:.20}");
-        let segment = house.get(&format!("/s/{token}/0/1.m4s")).await;
+        let segment = fleet.get(&format!("/s/{token}/0/1.m4s")).await;
         assert!([401, 404].contains(&segment.status), "no pass: {}", segment.status);
     }
-    assert_eq!(house.get(&format!("/v1/free/none/manifest.mpd?token={good}")).await.status, 403);
-    assert!(house.set_ups().is_empty());
+    assert_eq!(fleet.get(&format!("/v1/free/none/manifest.mpd?token={valid}")).await.status, 403);
+    assert!(fleet.set_up_servers().is_empty());
     let bearer = format!(
-        "GET /v1/free/{title}/manifest.mpd HTTP/1.1\r\nHost: f\r\nAuthorization: Bearer {good}\r\n\r\n"
+        "GET /v1/free/{title}/manifest.mpd HTTP/1.1\r\nHost: f\r\nAuthorization: Bearer {valid}\r\n\r\n"
     );
-    assert_eq!(house.send(&bearer).await.unwrap().status, 200);
-    let theirs = portal_keys().sign(&EntryToken { sub: "w".into(), ..entry(&house) });
-    let answer = house.get(&format!("/v1/free/{title}/manifest.mpd?token={theirs}")).await;
+    assert_eq!(fleet.send_raw(&bearer).await.unwrap().status, 200);
+    let other_viewer = portal_keys().sign(&EntryToken { sub: "w".into(), ..entry_token(&fleet) });
+    let answer = fleet.get(&format!("/v1/free/{title}/manifest.mpd?token={other_viewer}")).await;
     assert_eq!(answer.status, 403, "another viewer's session");
-    let log = house.log_of(0);
-    assert!(!log.is_empty() && !log.contains(&good[..20]), "no token in a log");
+    let log = fleet.front_log(0);
+    assert!(!log.is_empty() && !log.contains(&valid[..20]), "no token in a log");
 }
 
 /// Puts these keys in service, a portal's and a front's by their numbers, and waits until the front has looked.
-async fn put_keys(house: &House, entry: &[u8], pass: &[u8], revoked: &[&str]) {
-    let looked =
-        || house.log_of(0).matches("keys taken").count() + house.log_of(0).matches("keys not taken").count();
-    let before = looked();
+async fn replace_keys(fleet: &TestFleet, entry: &[u8], pass: &[u8], revoked: &[&str]) {
+    let files_read = || {
+        fleet.front_log(0).matches("keys taken").count()
+            + fleet.front_log(0).matches("keys not taken").count()
+    };
+    let read_before = files_read();
     let keys = |kind: &str, numbers: &[u8]| -> Vec<serde_json::Value> {
-        let one = |n: &u8| {
+        let write_key = |n: &u8| {
             let file = format!("{kind}-{n}.key");
-            std::fs::write(house.folder().join(&file), secret(*n)).expect("a key is written");
+            std::fs::write(fleet.folder().join(&file), secret(*n)).expect("a key is written");
             json!({ "kid": format!("{kind}-{n}"), "file": file })
         };
-        numbers.iter().map(one).collect()
+        numbers.iter().map(write_key).collect()
     };
-    let it = json!({ "entry": keys("portal", entry), "pass": keys("pass", pass), "revoked": revoked });
-    replace(&house.folder().join("keys.json"), it.to_string()).expect("keys are replaced");
-    house.until_true("the front has looked at the keys", || looked() > before).await;
+    let key_set = json!({ "entry": keys("portal", entry), "pass": keys("pass", pass), "revoked": revoked });
+    replace(&fleet.folder().join("keys.json"), key_set.to_string()).expect("keys are replaced");
+    fleet.wait_until("the front has looked at the keys", || files_read() > read_before).await;
 }
 
 fn secret(n: u8) -> Vec<u8> {
@@ -70,104 +72,107 @@
 }
 
 /// Asks for a session with a token of this portal key; the status.
-async fn ask_with(house: &House, key: u8, session: &str) -> u16 {
+async fn status_with_portal_key(fleet: &TestFleet, key: u8, session: &str) -> u16 {
     let token = KeyRing::new(&[(format!("portal-{key}"), secret(key))])
         .expect("a ring")
-        .sign(&EntryToken { jti: session.into(), ..entry(house) });
-    house.get(&format!("/v1/free/{}/manifest.mpd?token={token}", house.titles[FREE].name)).await.status
+        .sign(&EntryToken { jti: session.into(), ..entry_token(fleet) });
+    fleet.get(&format!("/v1/free/{}/manifest.mpd?token={token}", fleet.titles[FREE].name)).await.status
 }
 
 #[tokio::test]
 async fn keys_replaced_ten_times_drop_no_play() {
-    let mut day = day();
-    day["limits"] = json!({ "keys_poll_ms": 20 });
-    let house = House::of(day).await;
-    let first = house.ask("s", FREE).await;
+    let mut scenario = base_scenario();
+    scenario["limits"] = json!({ "keys_poll_ms": 20 });
+    let fleet = TestFleet::start_with(scenario).await;
+    let first = fleet.fetch_manifest("s", FREE).await;
     for n in 2..12 {
-        put_keys(&house, &[n, n + 1], &[n], &[]).await;
-        assert_eq!(ask_with(&house, n, &format!("s{n}")).await, 200);
-        let segment = house.get(&format!("{}0/1.m4s", base(&first))).await;
+        replace_keys(&fleet, &[n, n + 1], &[n], &[]).await;
+        assert_eq!(status_with_portal_key(&fleet, n, &format!("s{n}")).await, 200);
+        let segment = fleet.get(&format!("{}0/1.m4s", segment_base_url(&first))).await;
         assert_eq!(segment.status, 200, "its pass is read within the overlap");
     }
-    assert_eq!(ask_with(&house, 2, "old").await, 200, "so is an entry token");
-    assert_eq!(ask_with(&house, 20, "unknown").await, 401);
-    assert_eq!(house.set_ups().len(), 12);
-    assert!(!house.log_of(0).contains(std::str::from_utf8(&secret(3)).unwrap()), "no secret in a log");
-    house.kept();
+    assert_eq!(status_with_portal_key(&fleet, 2, "old").await, 200, "so is an entry token");
+    assert_eq!(status_with_portal_key(&fleet, 20, "unknown").await, 401);
+    assert_eq!(fleet.set_up_servers().len(), 12);
+    assert!(!fleet.front_log(0).contains(std::str::from_utf8(&secret(3)).unwrap()), "no secret in a log");
+    fleet.assert_rules_kept();
 }
 
 #[tokio::test]
-async fn a_key_is_read_no_more_once_its_overlap_is_over() {
-    let mut day = day();
-    day["limits"] = json!({ "keys_poll_ms": 20, "key_overlap_ms": 1000 });
-    let house = House::of(day).await;
-    put_keys(&house, &[2], &[2], &[]).await;
-    put_keys(&house, &[3], &[3], &[]).await;
+async fn replaced_key_is_refused_after_its_overlap() {
+    let mut scenario = base_scenario();
+    scenario["limits"] = json!({ "keys_poll_ms": 20, "key_overlap_ms": 1000 });
+    let fleet = TestFleet::start_with(scenario).await;
+    replace_keys(&fleet, &[2], &[2], &[]).await;
+    replace_keys(&fleet, &[3], &[3], &[]).await;
     let start = tokio::time::Instant::now();
-    while ask_with(&house, 2, "old").await != 401 {
+    while status_with_portal_key(&fleet, 2, "old").await != 401 {
         assert!(start.elapsed() < Duration::from_secs(20), "it is read for ever");
     }
-    assert_eq!(ask_with(&house, 3, "new").await, 200);
+    assert_eq!(status_with_portal_key(&fleet, 3, "new").await, 200);
 }
 
 #[tokio::test]
-async fn a_bad_set_of_keys_is_refused_whole() {
-    let mut day = day();
-    day["limits"] = json!({ "keys_poll_ms": 20 });
-    let house = House::of(day).await;
-    put_keys(&house, &[2], &[2], &[]).await;
-    let refused = |n: usize| house.log_of(0).matches("keys not taken").count() == n;
+async fn invalid_key_set_is_rejected_as_a_whole() {
+    let mut scenario = base_scenario();
+    scenario["limits"] = json!({ "keys_poll_ms": 20 });
+    let fleet = TestFleet::start_with(scenario).await;
+    replace_keys(&fleet, &[2], &[2], &[]).await;
+    let was_refused = |n: usize| fleet.front_log(0).matches("keys not taken").count() == n;
     // The portal's keys are good, the front's too many: neither is taken.
-    put_keys(&house, &[3], &[3, 4, 5, 6], &[]).await;
-    assert!(refused(1) && house.log_of(0).contains("4 keys"));
-    assert_eq!((ask_with(&house, 3, "a").await, ask_with(&house, 2, "b").await), (401, 200));
-    std::fs::write(house.folder().join("keys.json"), "{ \"entry\": [").expect("half a file is written");
-    house.until_true("it is refused", || refused(2)).await;
+    replace_keys(&fleet, &[3], &[3, 4, 5, 6], &[]).await;
+    assert!(was_refused(1) && fleet.front_log(0).contains("4 keys"));
+    assert_eq!(
+        (status_with_portal_key(&fleet, 3, "a").await, status_with_portal_key(&fleet, 2, "b").await),
+        (401, 200)
+    );
+    std::fs::write(fleet.folder().join("keys.json"), "{ \"entry\": [").expect("half a file is written");
+    fleet.wait_until("it is refused", || was_refused(2)).await;
     // Another secret under a known id.
-    std::fs::write(house.folder().join("pass-2.key"), secret(9)).expect("a key is written");
-    let same = json!({
+    std::fs::write(fleet.folder().join("pass-2.key"), secret(9)).expect("a key is written");
+    let changed_secret = json!({
         "entry": [{ "kid": "portal-2", "file": "portal-2.key" }], "pass": [{ "kid": "pass-2", "file": "pass-2.key" }],
     });
-    std::fs::write(house.folder().join("keys.json"), same.to_string()).expect("keys are written");
-    house.until_true("it is refused", || refused(3)).await;
-    assert!(house.log_of(0).contains("a new secret needs a new id"));
-    assert_eq!(ask_with(&house, 2, "c").await, 200);
+    std::fs::write(fleet.folder().join("keys.json"), changed_secret.to_string()).expect("keys are written");
+    fleet.wait_until("it is refused", || was_refused(3)).await;
+    assert!(fleet.front_log(0).contains("a new secret needs a new id"));
+    assert_eq!(status_with_portal_key(&fleet, 2, "c").await, 200);
 }
 
 #[tokio::test]
-async fn a_revoked_session_ends_and_does_not_come_again() {
-    let mut day = day();
-    day["limits"] = json!({ "keys_poll_ms": 20 });
-    let house = House::of(day).await;
-    put_keys(&house, &[2], &[2], &[]).await;
-    assert_eq!(ask_with(&house, 2, "bad").await, 200);
-    assert_eq!(ask_with(&house, 2, "good").await, 200);
-    put_keys(&house, &[2], &[2], &["bad", "later"]).await;
-    house.until("its end at the server", |seen| closed(seen) == 1).await;
-    assert_eq!(ask_with(&house, 2, "bad").await, 403);
-    assert_eq!(ask_with(&house, 2, "later").await, 403);
-    assert_eq!(ask_with(&house, 2, "good").await, 200);
-    assert_eq!(house.set_ups().len(), 2);
+async fn revoked_session_ends_and_is_refused_afterwards() {
+    let mut scenario = base_scenario();
+    scenario["limits"] = json!({ "keys_poll_ms": 20 });
+    let fleet = TestFleet::start_with(scenario).await;
+    replace_keys(&fleet, &[2], &[2], &[]).await;
+    assert_eq!(status_with_portal_key(&fleet, 2, "bad").await, 200);
+    assert_eq!(status_with_portal_key(&fleet, 2, "good").await, 200);
+    replace_keys(&fleet, &[2], &[2], &["bad", "later"]).await;
+    fleet.wait_for_observations("its end at the server", |seen| closed_count(seen) == 1).await;
+    assert_eq!(status_with_portal_key(&fleet, 2, "bad").await, 403);
+    assert_eq!(status_with_portal_key(&fleet, 2, "later").await, 403);
+    assert_eq!(status_with_portal_key(&fleet, 2, "good").await, 200);
+    assert_eq!(fleet.set_up_servers().len(), 2);
 }
 
 #[tokio::test]
-async fn a_pass_is_renewed_by_its_use_and_runs_out_in_a_pause() {
-    let mut day = day();
-    day["limits"] = json!({ "pass_ms": 3000, "skew_ms": 0, "play_idle_ms": 60_000 });
-    let house = House::of(day).await;
-    let manifest = house.ask("s", FREE).await;
-    let target = format!("{}0/init.mp4", base(&manifest));
+async fn session_token_is_renewed_by_use_and_expires_during_a_pause() {
+    let mut scenario = base_scenario();
+    scenario["limits"] = json!({ "pass_ms": 3000, "skew_ms": 0, "play_idle_ms": 60_000 });
+    let fleet = TestFleet::start_with(scenario).await;
+    let manifest = fleet.fetch_manifest("s", FREE).await;
+    let target = format!("{}0/init.mp4", segment_base_url(&manifest));
     let start = tokio::time::Instant::now();
     // Well past its own time, which is whole seconds.
     while start.elapsed() < Duration::from_millis(4600) {
-        assert_eq!(house.get(&target).await.status, 200, "after {:?}", start.elapsed());
+        assert_eq!(fleet.get(&target).await.status, 200, "after {:?}", start.elapsed());
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     tokio::time::sleep(Duration::from_millis(3200)).await;
-    assert_eq!(house.get(&target).await.status, 410, "paused for longer than it lasts");
-    let again = house.ask("s", FREE).await;
+    assert_eq!(fleet.get(&target).await.status, 410, "paused for longer than it lasts");
+    let again = fleet.fetch_manifest("s", FREE).await;
     assert_eq!(again.status, 200, "the same play, with a new pass");
-    assert_eq!(house.get(&format!("{}0/1.m4s", base(&again))).await.status, 200);
-    assert_eq!(house.set_ups().len(), 1);
-    house.kept();
+    assert_eq!(fleet.get(&format!("{}0/1.m4s", segment_base_url(&again))).await.status, 200);
+    assert_eq!(fleet.set_up_servers().len(), 1);
+    fleet.assert_rules_kept();
 }
--- /dev/null
+++ b/crates/edge/tests/load_and_tokens.rs
@@ -0,0 +1,298 @@
+//! Crowds, several fronts at once, fronts that die at the worst moment, passes in wrong hands or out of time, and
+//! clocks that disagree, each story on real sockets.
+
+mod test_fleet;
+
+use pulleystair_admission::homes::home_front;
+use pulleystair_dash::address;
+use pulleystair_dash::token::EntryToken;
+use pulleystair_fake_servers::content;
+use pulleystair_fake_servers::http::HttpPeer;
+use pulleystair_lab::fronts::portal_keys;
+use pulleystair_rule_checker::Observed;
+use serde_json::json;
+use std::sync::Arc;
+use std::time::Duration;
+use test_fleet::{TestFleet, base_scenario, body_text, get_request, segment_base_url, set_up_count};
+use tokio::io::AsyncReadExt;
+use tokio::net::TcpStream;
+use tokio::time::{Instant, sleep, sleep_until};
+
+const FREE: usize = 0;
+const PAID: usize = 1;
+
+fn two_front_scenario() -> serde_json::Value {
+    let mut scenario = base_scenario();
+    scenario["fronts"] = json!(2);
+    scenario["limits"] = json!({ "keys_poll_ms": 20 });
+    scenario
+}
+
+/// A session's name whose home is this one of two fronts.
+fn session_with_home(front: usize) -> String {
+    (0..)
+        .map(|n| format!("s{n}"))
+        .find(|name| home_front(name, 2) == front)
+        .expect("each front is home to half")
+}
+
+async fn wait_for_homes(fleet: &TestFleet) {
+    for front in 0..2 {
+        fleet.wait_until("the homes are known", || fleet.front_log(front).contains("homes taken")).await;
+    }
+}
+
+#[tokio::test]
+async fn session_at_two_fronts_plays_at_both_if_free_and_at_its_home_if_paid() {
+    let fleet = TestFleet::start_with(two_front_scenario()).await;
+    wait_for_homes(&fleet).await;
+    fleet.set_faults(|a| a.slow = 20.0);
+    // What may be set up again is a play at each; what may not is taken by its home alone.
+    let (first, second) = (
+        fleet.send_manifest_request(0, "free", FREE).await,
+        fleet.send_manifest_request(1, "free", FREE).await,
+    );
+    let (first, second) = tokio::join!(first.response(), second.response());
+    assert_eq!((first.status, second.status, set_up_count(&fleet.log.observations())), (200, 200, 2));
+    let session = session_with_home(1);
+    let (first, second) = (
+        fleet.send_manifest_request(0, &session, PAID).await,
+        fleet.send_manifest_request(1, &session, PAID).await,
+    );
+    let (first, second) = tokio::join!(first.response(), second.response());
+    assert_eq!((first.status, second.status), (307, 200));
+    let home_location = format!("//{}{}", fleet.front_addresses[1], fleet.manifest_target(&session, PAID));
+    assert_eq!(
+        first.header("location").map(|at| at.split('?').next()),
+        Some(home_location.split('?').next())
+    );
+    assert_eq!(set_up_count(&fleet.log.observations()), 3, "the paid one once");
+    fleet.assert_rules_kept();
+}
+
+/// The viewer of a paid play whose front died in the middle may ask where it will: it is not set up again before
+/// its home is back, and there it is a new play, for the home has forgotten that it ever was.
+#[tokio::test]
+async fn paid_play_of_a_killed_front_is_not_set_up_at_another_front() {
+    let fleet = TestFleet::start_with(two_front_scenario()).await;
+    wait_for_homes(&fleet).await;
+    fleet.set_faults(|a| a.silent = true);
+    let (free, paid) = ("s", session_with_home(0));
+    let pending =
+        [fleet.send_manifest_request(0, free, FREE).await, fleet.send_manifest_request(0, &paid, PAID).await];
+    fleet.wait_for_observations("both are out", |seen| set_up_count(seen) == 2).await;
+    fleet.fronts.kill(0).await;
+    pending.into_iter().for_each(|one| one.leave());
+    fleet
+        .wait_for_observations("servers see the end", |seen| {
+            seen.iter().filter(|s| matches!(s.what, Observed::Closed { .. })).count() == 2
+        })
+        .await;
+    fleet.set_faults(|a| a.silent = false);
+    assert_eq!(
+        fleet.send_manifest_request(1, free, FREE).await.response().await.status,
+        200,
+        "elsewhere at once"
+    );
+    assert_eq!(
+        fleet.send_manifest_request(1, &paid, PAID).await.response().await.status,
+        307,
+        "not elsewhere"
+    );
+    assert_eq!(set_up_count(&fleet.log.observations()), 3);
+    fleet.assert_rules_kept();
+}
+
+#[tokio::test]
+async fn rules_hold_for_five_thousand_sessions_in_two_seconds_with_retries() {
+    let mut scenario = base_scenario();
+    scenario["rules"]["allocations"] = json!(1);
+    scenario["fleet"]["cores"] = json!(16);
+    scenario["products"][FREE]["time_limit_ms"] = json!(3000);
+    scenario["limits"] = json!({ "connections": 8000, "deciding": 4000 });
+    let fleet = Arc::new(TestFleet::start_with(scenario).await);
+    let start = Instant::now();
+    let mut viewers = Vec::new();
+    for n in 0..5000u64 {
+        let (fleet, arrives_at) = (fleet.clone(), start + Duration::from_micros(400 * n));
+        viewers.push(tokio::spawn(async move {
+            sleep_until(arrives_at).await;
+            let (mut requested, mut last) = (0, 0);
+            // Each asks until it is served, three in ten of them in new sessions every 300 ms.
+            for try_number in 0..4 {
+                requested += 1;
+                last = fleet.fetch_manifest(&format!("s{n}-{try_number}"), FREE).await.status;
+                if last == 200 || n % 10 >= 3 {
+                    break;
+                }
+                sleep(Duration::from_millis(300)).await;
+            }
+            (requested, last)
+        }));
+    }
+    let (mut requested, mut served, mut declined) = (0, 0, 0);
+    for viewer in viewers {
+        let (times, status) = viewer.await.expect("no viewer dies");
+        requested += times;
+        served += usize::from(status == 200);
+        declined += usize::from(status == 503);
+        assert!([200, 503, 504].contains(&status), "{status}");
+    }
+    assert!(
+        requested >= 5000 && served >= 500,
+        "{requested} asked, {served} served, {declined} told to stay away"
+    );
+    fleet.assert_rules_kept();
+}
+
+#[tokio::test]
+async fn slow_request_heads_time_out_without_delaying_others() {
+    let mut scenario = base_scenario();
+    scenario["limits"] = json!({ "connections": 200, "header_ms": 600 });
+    let fleet = TestFleet::start_with(scenario).await;
+    let mut slow_connections = Vec::new();
+    for _ in 0..20 {
+        let at = fleet.front_addresses[0];
+        slow_connections.push(tokio::spawn(async move {
+            let mut stream = TcpStream::connect(at).await.expect("a connection");
+            let (mut read, mut write) = stream.split();
+            let drip = async {
+                for byte in get_request("/v1/free/free-0/manifest.mpd").bytes().cycle() {
+                    if tokio::io::AsyncWriteExt::write_all(&mut write, &[byte]).await.is_err() {
+                        break;
+                    }
+                    sleep(Duration::from_millis(100)).await;
+                }
+            };
+            let mut answer = Vec::new();
+            tokio::select! {
+                _ = drip => {}
+                _ = read.read_to_end(&mut answer) => {}
+            }
+            String::from_utf8_lossy(&answer).starts_with("HTTP/1.1 408")
+        }));
+    }
+    for n in 0..100 {
+        assert_eq!(fleet.fetch_manifest(&format!("s{n}"), FREE).await.status, 200);
+    }
+    for connection in slow_connections {
+        assert!(connection.await.expect("no player dies"), "each is told that its time is up");
+    }
+    fleet.assert_rules_kept();
+}
+
+fn manifest_target_expiring(fleet: &TestFleet, session: &str, exp: u64) -> String {
+    let (product, title) = (fleet.day.products[FREE].name.clone(), fleet.titles[FREE].name.clone());
+    let entry = EntryToken { jti: session.into(), sub: "v".into(), product, title, top: 1, exp };
+    address::manifest_path(&entry.product, &entry.title, &portal_keys().sign(&entry))
+}
+
+/// To the front, a portal whose clock was stepped and a front's own that was are the same: they disagree.
+#[tokio::test]
+async fn token_expiry_tolerates_the_configured_clock_skew() {
+    let mut scenario = base_scenario();
+    scenario["limits"] = json!({ "skew_ms": 12_000 });
+    let fleet = TestFleet::start_with(scenario).await;
+    let now = (fleet.log.now() / 1000.0) as u64;
+    let running = fleet.fetch_manifest("s", FREE).await;
+    // A token of a minute by a portal that is 10 s behind has run out 10 s early, and one that is ahead lasts.
+    assert_eq!(fleet.get(&manifest_target_expiring(&fleet, "behind", now - 10)).await.status, 200);
+    assert_eq!(fleet.get(&manifest_target_expiring(&fleet, "ahead", now + 70)).await.status, 200);
+    assert_eq!(fleet.get(&manifest_target_expiring(&fleet, "gone", now - 20)).await.status, 410);
+    assert_eq!(
+        fleet.get(&format!("{}0/1.m4s", segment_base_url(&running))).await.status,
+        200,
+        "what plays goes on"
+    );
+    assert_eq!(set_up_count(&fleet.log.observations()), 3);
+    fleet.assert_rules_kept();
+}
+
+#[tokio::test]
+async fn expired_session_token_is_refused_but_a_begun_segment_completes() {
+    let mut scenario = base_scenario();
+    scenario["ladder"] = json!([{ "rate_kb": 400, "earns": 1 }]);
+    scenario["limits"] = json!({ "pass_ms": 1000, "skew_ms": 0, "play_idle_ms": 20_000 });
+    let fleet = TestFleet::start_with(scenario).await;
+    let late_manifest = fleet.fetch_manifest("late", FREE).await;
+    let quick_manifest = fleet.fetch_manifest("quick", FREE).await;
+    // The link is so slow that the segment takes longer than the pass lasts.
+    fleet.set_faults(|a| a.link = 0.002);
+    let requested_at = Instant::now();
+    let segment = fleet.get(&format!("{}0/1.m4s", segment_base_url(&quick_manifest))).await;
+    assert!(requested_at.elapsed() > Duration::from_millis(1000), "it took longer than the pass lasts");
+    assert!(content::parse(&segment.body).is_some_and(|c| c.intact), "what was begun comes whole");
+    fleet.set_faults(|a| a.link = 1.0);
+    let first = fleet.get(&format!("{}0/1.m4s", segment_base_url(&late_manifest))).await;
+    assert_eq!(first.status, 410, "{}", body_text(&first));
+    // The same entry token, still good, gets the same play and a pass anew.
+    let again = fleet.fetch_manifest("late", FREE).await;
+    assert_eq!(fleet.get(&format!("{}0/1.m4s", segment_base_url(&again))).await.status, 200);
+    assert_eq!(set_up_count(&fleet.log.observations()), 2, "no second allocation was made for it");
+    fleet.assert_rules_kept();
+}
+
+/// A request from another of this machine's addresses.
+async fn fetch_status_from(address: [u8; 4], fleet: &TestFleet, target: &str) -> u16 {
+    let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
+    socket.bind((address, 0).into()).expect("all of 127/8 is this machine");
+    let mut peer = HttpPeer::new(socket.connect(fleet.front_addresses[0]).await.expect("a connection"));
+    peer.write(get_request(target).as_bytes()).await.expect("the request is taken");
+    peer.read_response().await.expect("an answer").expect("an answer").status
+}
+
+#[tokio::test]
+async fn session_token_is_bound_to_its_address_and_to_parallel_fetches() {
+    let mut scenario = base_scenario();
+    scenario["limits"] = json!({ "same_address": true, "fetches": 2 });
+    let fleet = TestFleet::start_with(scenario).await;
+    let target = format!("{}0/1.m4s", segment_base_url(&fleet.fetch_manifest("s", FREE).await));
+    assert_eq!(fetch_status_from([127, 0, 0, 1], &fleet, &target).await, 200);
+    assert_eq!(fetch_status_from([127, 0, 0, 2], &fleet, &target).await, 403);
+    // Where addresses tell nothing, a pass that is handed round is held to what one viewer reads at once.
+    fleet.set_faults(|a| a.stall = 1.0);
+    let peers = [fleet.connect(0).await.unwrap(), fleet.connect(0).await.unwrap()];
+    for mut peer in peers {
+        peer.write(get_request(&target).as_bytes()).await.unwrap();
+        assert!(peer.read_more().await.unwrap(), "it has begun");
+        std::mem::forget(peer);
+    }
+    assert_eq!(fleet.get(&target).await.status, 429);
+    assert_eq!(set_up_count(&fleet.log.observations()), 1);
+    fleet.assert_rules_kept();
+}
+
+#[tokio::test]
+async fn token_keys_replaced_under_load_drop_no_play() {
+    let mut scenario = base_scenario();
+    scenario["limits"] = json!({ "keys_poll_ms": 20, "key_overlap_ms": 5000 });
+    let fleet = Arc::new(TestFleet::start_with(scenario).await);
+    let stop = Arc::new(std::sync::atomic::AtomicBool::new(false));
+    let mut viewers = Vec::new();
+    for viewer in 0..8 {
+        let (fleet, stop) = (fleet.clone(), stop.clone());
+        viewers.push(tokio::spawn(async move {
+            let mut plays = 0;
+            while !stop.load(std::sync::atomic::Ordering::Relaxed) {
+                let session = format!("v{viewer}-{plays}");
+                let manifest = fleet.fetch_manifest(&session, FREE).await;
+                assert_eq!(manifest.status, 200, "{session}: {}", body_text(&manifest));
+                let segment = fleet.get(&format!("{}0/1.m4s", segment_base_url(&manifest))).await;
+                assert_eq!(segment.status, 200, "{session}: {}", body_text(&segment));
+                plays += 1;
+            }
+            plays
+        }));
+    }
+    for n in 1..=10 {
+        fleet.fronts.renew_keys(Duration::from_millis(100)).await.expect("keys are written");
+        fleet.wait_for_log("keys taken", n).await;
+    }
+    stop.store(true, std::sync::atomic::Ordering::Relaxed);
+    let mut plays = 0;
+    for viewer in viewers {
+        plays += viewer.await.expect("no play was dropped");
+    }
+    assert!(plays >= 16, "{plays} plays meanwhile");
+    fleet.assert_rules_kept();
+}
--- /dev/null
+++ b/crates/edge/tests/retry_amplification.rs
@@ -0,0 +1,127 @@
+//! The most that one play can cause, with every layer that repeats provoked at once: players that ask twice and come
+//! back, fronts that hold the same session, the decisions' further allocations, and reads of segments taken up again.
+//! Counted on the servers' sockets. `docs/review-of-parts.md` has the table that this holds the program to.
+
+mod test_fleet;
+
+use pulleystair_rule_checker::Observed;
+use serde_json::json;
+use test_fleet::{TestFleet, base_scenario, segment_base_url};
+
+const FREE: usize = 0;
+const PAID: usize = 1;
+const ALLOCATIONS: usize = 3;
+const READ_TRIES: usize = 2;
+
+/// Set-ups of a session, as servers read them.
+fn session_set_ups(fleet: &TestFleet, expected_session: &str) -> usize {
+    let seen = fleet.log.observations();
+    seen.iter()
+        .filter(|s| matches!(&s.what, Observed::SetUp { session, .. } if session == expected_session))
+        .count()
+}
+
+fn total_segments_read(fleet: &TestFleet) -> usize {
+    fleet.boxes.model().servers.iter().map(|s| s.segments_read).sum()
+}
+
+/// Asked for four times at once at each front, by players that wait, and twice more when they have been answered.
+async fn request_repeatedly(fleet: &TestFleet, session: &str, product: usize) -> Vec<u16> {
+    let mut pending = Vec::new();
+    for n in 0..8 {
+        pending.push(fleet.send_manifest_request(n % 2, session, product).await);
+    }
+    let mut statuses = Vec::new();
+    for request in pending {
+        statuses.push(request.response().await.status);
+    }
+    for n in 0..4 {
+        statuses.push(fleet.send_manifest_request(n % 2, session, product).await.response().await.status);
+    }
+    statuses
+}
+
+#[tokio::test]
+async fn allocations_and_reads_per_play_stay_at_their_maximum() {
+    let mut scenario = base_scenario();
+    scenario["fronts"] = json!(2);
+    scenario["limits"] = json!({ "keys_poll_ms": 20 });
+    scenario["rules"]["allocations"] = json!(ALLOCATIONS);
+    scenario["reads"] = json!({ "tries": READ_TRIES, "free": 100 });
+    let fleet = TestFleet::start_with(scenario).await;
+    for front in 0..2 {
+        fleet.wait_until("the homes are known", || fleet.front_log(front).contains("homes taken")).await;
+    }
+    fleet.set_faults(|a| a.errors = 1.0);
+    // May be set up again: as often as the decisions may, at each front that is asked.
+    let statuses = request_repeatedly(&fleet, "free", FREE).await;
+    assert!(statuses.iter().all(|status| *status == 503), "{statuses:?}");
+    assert_eq!(session_set_ups(&fleet, "free"), 2 * ALLOCATIONS);
+    // May not: once in all, whoever is asked and however often.
+    let statuses = request_repeatedly(&fleet, "paid", PAID).await;
+    assert!(statuses.iter().all(|status| [307, 502].contains(status)), "{statuses:?}");
+    assert_eq!(session_set_ups(&fleet, "paid"), 1);
+    // A play that runs, and whose server then sends half of every segment.
+    fleet.set_faults(|a| (a.errors, a.cut) = (0.0, 1.0));
+    let manifest = fleet.fetch_manifest("plays", FREE).await;
+    let reads_before = total_segments_read(&fleet);
+    for asked in 1..=3 {
+        assert!(
+            fleet
+                .send_raw(&test_fleet::get_request(&format!("{}0/1.m4s", segment_base_url(&manifest))))
+                .await
+                .is_none(),
+            "it came short"
+        );
+        assert_eq!(
+            total_segments_read(&fleet) - reads_before,
+            asked * READ_TRIES,
+            "reads of one segment, asked for {asked} times"
+        );
+        assert_eq!(fleet.fetch_manifest("plays", FREE).await.status, 200, "and the manifest meanwhile");
+    }
+    assert_eq!(session_set_ups(&fleet, "plays"), 1, "no read, and no asking again, sets it up anew");
+    fleet.assert_rules_kept();
+}
+
+/// What the decisions chose is what the sockets show: a play's reads go to the server of its set-up and nowhere else, on
+/// the rung that it was set up on or a lower one, of its own title and product.
+#[tokio::test]
+async fn reads_use_the_server_rung_and_title_of_the_set_up() {
+    let fleet = TestFleet::start().await;
+    for n in 0..12 {
+        let (session, product) = (format!("s{n}"), n % 2);
+        let reads_before: Vec<usize> = fleet.boxes.model().servers.iter().map(|s| s.segments_read).collect();
+        let manifest = fleet.fetch_manifest(&session, product).await;
+        let seen = fleet.log.observations();
+        let (server, rung) = seen
+            .iter()
+            .rev()
+            .find_map(|s| match &s.what {
+                Observed::SetUp {
+                    server,
+                    rung,
+                    session: actual_session,
+                    product: actual_product,
+                    title,
+                    ..
+                } if *actual_session == session => {
+                    assert_eq!((*actual_product, title), (product, &fleet.titles[product].name));
+                    Some((*server, *rung))
+                }
+                _ => None,
+            })
+            .expect("it was set up");
+        for asked in 0..2 {
+            let segment = fleet.get(&format!("{}{asked}/1.m4s", segment_base_url(&manifest))).await;
+            let content = pulleystair_fake_servers::content::parse(&segment.body).expect("a segment");
+            assert!(content.intact && content.title == fleet.titles[product].name);
+            assert_eq!(content.rung, asked.min(rung));
+        }
+        let reads_after: Vec<usize> = fleet.boxes.model().servers.iter().map(|s| s.segments_read).collect();
+        let other_servers_read =
+            (0..4).filter(|s| *s != server && reads_after[*s] != reads_before[*s]).count();
+        assert_eq!((reads_after[server] - reads_before[server], other_servers_read), (2, 0));
+    }
+    fleet.assert_rules_kept();
+}
--- a/crates/edge/tests/days.rs
+++ b/crates/edge/tests/scenario_runs.rs
@@ -11,61 +11,63 @@
 use test_case::test_case;
 
 /// The long day of the examples, pressed into seconds.
-fn short(seed: u64) -> Scenario {
+fn short_scenario(seed: u64) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/dash-day.jsonnet");
-    let mut day =
+    let mut scenario =
         serde_json::to_value(Scenario::read(&file).expect("the day reads")).expect("a day is plain");
-    day["seed"] = json!(seed);
-    day["seconds"] = json!(7);
-    day["fronts"] = json!(2);
-    day["players"]["segment_ms"] = json!(500);
-    for product in day["products"].as_array_mut().expect("there are products") {
+    scenario["seed"] = json!(seed);
+    scenario["seconds"] = json!(7);
+    scenario["fronts"] = json!(2);
+    scenario["players"]["segment_ms"] = json!(500);
+    for product in scenario["products"].as_array_mut().expect("there are products") {
         product["seconds"] = json!([2, 4]);
     }
-    for trouble in day["troubles"].as_array_mut().expect("there are troubles") {
-        for of in ["at_s", "length_s"] {
-            trouble[of] = json!(trouble[of].as_f64().expect("a time") / 7.0);
+    for fault in scenario["troubles"].as_array_mut().expect("there are troubles") {
+        for field in ["at_s", "length_s"] {
+            fault[field] = json!(fault[field].as_f64().expect("a time") / 7.0);
         }
-        if trouble["kind"] == "renew" {
-            trouble["size"] = json!(3);
+        if fault["kind"] == "renew" {
+            fault["size"] = json!(3);
         }
     }
-    serde_json::from_value(day).expect("the short day reads")
+    serde_json::from_value(scenario).expect("the short day reads")
 }
 
-async fn played(day: &Scenario) -> RunResult {
+async fn run_once(scenario: &Scenario) -> RunResult {
     let folder = tempfile::tempdir().expect("a folder can be had");
     let program = Program::edge(env!("CARGO_BIN_EXE_pulleystair-edge").into());
-    run(day.clone(), program, folder.path()).await.expect("the day is played")
+    run(scenario.clone(), program, folder.path()).await.expect("the day is played")
 }
 
 #[test_case(1; "one seed")]
 #[test_case(2; "another")]
 #[test_case(3; "and a third")]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_short_bad_day_keeps_every_rule(seed: u64) {
-    let day = short(seed);
-    let mut outcome = played(&day).await;
+async fn short_scenario_with_all_faults_keeps_every_rule(seed: u64) {
+    let scenario = short_scenario(seed);
+    let mut result = run_once(&scenario).await;
     // The rules' times are real ones, with little slack: a machine that held a front up for longer than half of that breaks them by
     // itself. Such a day is played again, twice at most, and the last counts whatever the machine did.
     for _ in 0..2 {
-        if outcome.breaches.is_empty() || outcome.lateness_ms < day.terms().slack / 2.0 {
+        if result.breaches.is_empty() || result.lateness_ms < scenario.terms().slack / 2.0 {
             break;
         }
-        eprintln!("played again, the machine was {:.0} ms late: {:?}", outcome.lateness_ms, outcome.breaches);
-        outcome = played(&day).await;
+        eprintln!("played again, the machine was {:.0} ms late: {:?}", result.lateness_ms, result.breaches);
+        result = run_once(&scenario).await;
     }
-    let count = |is: fn(&Observed) -> bool| outcome.seen.iter().filter(|s| is(&s.what)).count();
+    let count = |is: fn(&Observed) -> bool| result.seen.iter().filter(|s| is(&s.what)).count();
     let (asked, set_up) =
         (count(|w| matches!(w, Observed::Asked { .. })), count(|w| matches!(w, Observed::SetUp { .. })));
     let fetched = count(|w| matches!(w, Observed::Fetched { .. }));
     assert!(asked > 50 && set_up > 30 && fetched > 50, "{asked} asked, {set_up} set-ups, {fetched} fetched");
-    assert!(outcome.breaches.is_empty(), "{:.0} ms late: {:?}", outcome.lateness_ms, outcome.breaches);
-    assert!(outcome.covered.further > 0 && outcome.covered.drains > 0, "{:?}", outcome.covered);
+    assert!(result.breaches.is_empty(), "{:.0} ms late: {:?}", result.lateness_ms, result.breaches);
+    assert!(result.covered.further > 0 && result.covered.drains > 0, "{:?}", result.covered);
     // With a folder named, the history is written there, to be kept in `crates/rule-checker/histories`.
     if let Some(folder) = std::env::var_os("PULLEYSTAIR_HISTORIES") {
-        let what = format!("a short bad day under TLS, two fronts, seed {seed}");
-        let text = History::new(&what, &[], day.terms(), outcome.seen).to_text().expect("a history is plain");
+        let description = format!("a short bad day under TLS, two fronts, seed {seed}");
+        let text = History::new(&description, &[], scenario.terms(), result.seen)
+            .to_text()
+            .expect("a history is plain");
         std::fs::write(Path::new(&folder).join(format!("day-{seed}.jsonl")), text).expect("it is written");
     }
 }
--- a/crates/edge/tests/house/mod.rs
+++ b/crates/edge/tests/test_fleet/mod.rs
@@ -23,18 +23,18 @@
 use tokio_rustls::TlsConnector;
 
 /// No event of these stories takes longer than this on any machine; it bounds a hang, and proves nothing.
-const PATIENCE: Duration = Duration::from_secs(30);
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
-pub struct House {
-    set: Testbed,
-    pub at: Vec<SocketAddr>,
+pub struct TestFleet {
+    testbed: Testbed,
+    pub front_addresses: Vec<SocketAddr>,
     folder: tempfile::TempDir,
-    requests: AtomicU64,
-    seal: Option<TlsConnector>,
+    next_request_id: AtomicU64,
+    tls_connector: Option<TlsConnector>,
 }
 
 /// Two products, `free` and `paid`, each with one title that all of four servers hold.
-pub fn day() -> Value {
+pub fn base_scenario() -> Value {
     let product = |name: &str, effect: &str| {
         json!({
             "name": name, "importance": 1, "first_frame_target_ms": 600, "time_limit_ms": 1500,
@@ -62,71 +62,71 @@
     })
 }
 
-impl Deref for House {
+impl Deref for TestFleet {
     type Target = Testbed;
 
     fn deref(&self) -> &Testbed {
-        &self.set
+        &self.testbed
     }
 }
 
-impl House {
-    pub async fn open() -> House {
-        House::of(day()).await
+impl TestFleet {
+    pub async fn start() -> TestFleet {
+        TestFleet::start_with(base_scenario()).await
     }
 
-    pub async fn of(day: Value) -> House {
-        House::run_by(day, Program::edge(env!("CARGO_BIN_EXE_pulleystair-edge").into())).await
+    pub async fn start_with(scenario: Value) -> TestFleet {
+        TestFleet::start_program(scenario, Program::edge(env!("CARGO_BIN_EXE_pulleystair-edge").into())).await
     }
 
     /// A house whose fronts are started by a shell after this word, which limits what they may have.
-    pub async fn within(day: Value, word: &str) -> House {
+    pub async fn start_with_shell_prefix(scenario: Value, shell_prefix: &str) -> TestFleet {
         let edge = Program::edge(env!("CARGO_BIN_EXE_pulleystair-edge").into());
-        let mut words = vec!["-c".to_string(), format!("{word}; exec \"$0\" \"$@\"")];
-        words.push(edge.path.display().to_string());
-        words.extend(edge.words);
-        House::run_by(day, Program { path: "/bin/sh".into(), words }).await
+        let mut arguments = vec!["-c".to_string(), format!("{shell_prefix}; exec \"$0\" \"$@\"")];
+        arguments.push(edge.path.display().to_string());
+        arguments.extend(edge.words);
+        TestFleet::start_program(scenario, Program { path: "/bin/sh".into(), words: arguments }).await
     }
 
-    async fn run_by(day: Value, program: Program) -> House {
-        let count = day["fronts"].as_u64().expect("a number") as usize;
-        House::some(day, program, count, |_, _| {}).await
+    async fn start_program(scenario: Value, program: Program) -> TestFleet {
+        let count = scenario["fronts"].as_u64().expect("a number") as usize;
+        TestFleet::start_first(scenario, program, count, |_, _| {}).await
     }
 
     /// A house of which only the first fronts are started, after its files were changed.
-    pub async fn some(
-        day: Value,
+    pub async fn start_first(
+        scenario: Value,
         program: Program,
         count: usize,
         change: impl FnOnce(&Testbed, &Path),
-    ) -> House {
-        let day: Scenario = serde_json::from_value(day).expect("the day reads");
+    ) -> TestFleet {
+        let scenario: Scenario = serde_json::from_value(scenario).expect("the day reads");
         let folder = tempfile::tempdir().expect("a folder can be had");
-        let set = Testbed::build(day, program, folder.path()).await.expect("the set is built");
-        change(&set, folder.path());
-        let mut at = Vec::new();
+        let testbed = Testbed::build(scenario, program, folder.path()).await.expect("the set is built");
+        change(&testbed, folder.path());
+        let mut front_addresses = Vec::new();
         for front in 0..count {
-            at.push(set.fronts.start(front).await.expect("the fronts start"));
+            front_addresses.push(testbed.fronts.start(front).await.expect("the fronts start"));
         }
-        let seal = set.fronts.connector().expect("an authority's own connector");
-        House { set, at, folder, requests: AtomicU64::new(1), seal }
+        let tls_connector = testbed.fronts.connector().expect("an authority's own connector");
+        TestFleet { testbed, front_addresses, folder, next_request_id: AtomicU64::new(1), tls_connector }
     }
 
     /// Kills a front outright and starts it anew.
     pub async fn restart(&mut self, front: usize) {
         self.fronts.kill(front).await;
-        self.at[front] = self.fronts.start(front).await.expect("it starts again");
+        self.front_addresses[front] = self.fronts.start(front).await.expect("it starts again");
     }
 
     pub async fn signal(&self, front: usize, name: &str) {
-        let id = self.fronts.process(front).expect("the front runs").to_string();
-        let sent = tokio::process::Command::new("kill").args([name, &id]).status().await;
+        let process_id = self.fronts.process(front).expect("the front runs").to_string();
+        let sent = tokio::process::Command::new("kill").args([name, &process_id]).status().await;
         assert!(sent.expect("a signal is sent").success());
     }
 
     /// The latest sums that a front wrote to its log, by name.
-    pub fn tally(&self, front: usize) -> serde_json::Map<String, Value> {
-        let log = self.log_of(front);
+    pub fn latest_stats(&self, front: usize) -> serde_json::Map<String, Value> {
+        let log = self.front_log(front);
         let mut lines = log.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
         let last = lines.rfind(|line| line["target"] == "tally");
         last.and_then(|line| line.as_object().cloned()).unwrap_or_default()
@@ -137,148 +137,163 @@
     }
 
     /// Changes what ails all servers.
-    pub fn ail(&self, change: impl Fn(&mut ServerFaults)) {
+    pub fn set_faults(&self, change: impl Fn(&mut ServerFaults)) {
         self.boxes.model().servers.iter_mut().for_each(|s| change(&mut s.faults));
     }
 
     /// Changes what ails all servers but this one.
-    pub fn ail_all_but(&self, but: usize, change: impl Fn(&mut ServerFaults)) {
-        let mut world = self.boxes.model();
-        let others = world.servers.iter_mut().enumerate().filter(|(server, _)| *server != but);
+    pub fn set_faults_except(&self, excluded: usize, change: impl Fn(&mut ServerFaults)) {
+        let mut model = self.boxes.model();
+        let others = model.servers.iter_mut().enumerate().filter(|(server, _)| *server != excluded);
         others.for_each(|(_, s)| change(&mut s.faults));
     }
 
-    pub fn token(&self, session: &str, product: usize) -> String {
-        self.token_to(session, product, 1)
+    pub fn entry_token(&self, session: &str, product: usize) -> String {
+        self.entry_token_up_to(session, product, 1)
     }
 
-    fn token_to(&self, session: &str, product: usize, top: usize) -> String {
+    fn entry_token_up_to(&self, session: &str, product: usize, max_rung: usize) -> String {
         self.fronts.sign(&EntryToken {
             jti: session.into(),
             sub: "viewer".into(),
             product: self.day.products[product].name.clone(),
             title: self.titles[product].name.clone(),
-            top,
+            top: max_rung,
             exp: (self.log.now() / 1000.0) as u64 + 600,
         })
     }
 
-    pub fn manifest(&self, session: &str, product: usize) -> String {
-        let (of, title) = (&self.day.products[product].name, &self.titles[product].name);
-        address::manifest_path(of, title, &self.token(session, product))
+    pub fn manifest_target(&self, session: &str, product: usize) -> String {
+        let (product_name, title_name) = (&self.day.products[product].name, &self.titles[product].name);
+        address::manifest_path(product_name, title_name, &self.entry_token(session, product))
     }
 
     /// The same for any of the day's titles, by its place among all.
-    pub async fn ask_title(&self, front: usize, session: &str, title: usize) -> Asking {
-        let of = &self.titles[title];
-        let product = &self.day.products[of.product].name;
+    pub async fn send_title_request(&self, front: usize, session: &str, title: usize) -> PendingRequest {
+        let title_entry = &self.titles[title];
+        let product = &self.day.products[title_entry.product].name;
         let token = self.fronts.sign(&EntryToken {
             jti: session.into(),
             sub: "viewer".into(),
             product: product.clone(),
-            title: of.name.clone(),
+            title: title_entry.name.clone(),
             top: 1,
             exp: (self.log.now() / 1000.0) as u64 + 600,
         });
-        let target = address::manifest_path(product, &of.name, &token);
-        self.write_asking(front, session, title, &target).await
-    }
-
-    async fn write_asking(&self, front: usize, session: &str, title: usize, target: &str) -> Asking {
-        let mut peer = self.call(front).await.expect("the front takes connections");
-        let request = self.requests.fetch_add(1, Ordering::Relaxed);
-        let of = &self.titles[title];
+        let target = address::manifest_path(product, &title_entry.name, &token);
+        self.write_manifest_request(front, session, title, &target).await
+    }
+
+    async fn write_manifest_request(
+        &self,
+        front: usize,
+        session: &str,
+        title: usize,
+        target: &str,
+    ) -> PendingRequest {
+        let mut peer = self.connect(front).await.expect("the front takes connections");
+        let request = self.next_request_id.fetch_add(1, Ordering::Relaxed);
+        let title_entry = &self.titles[title];
         self.log.record(Observed::Asked {
             request,
             session: session.into(),
             front,
-            product: of.product,
-            title: of.name.clone(),
+            product: title_entry.product,
+            title: title_entry.name.clone(),
             top: 1,
         });
-        peer.write(get(target).as_bytes()).await.expect("the request is taken");
-        Asking { peer, request, log: self.log.clone() }
+        peer.write(get_request(target).as_bytes()).await.expect("the request is taken");
+        PendingRequest { peer, request, log: self.log.clone() }
     }
 
     /// Writes a manifest request of a session; its answer is to be waited for by [`Asking::answer`].
-    pub async fn ask_at(&self, front: usize, session: &str, product: usize) -> Asking {
-        let target = self.manifest(session, product);
-        self.write_asking(front, session, product, &target).await
+    pub async fn send_manifest_request(&self, front: usize, session: &str, product: usize) -> PendingRequest {
+        let target = self.manifest_target(session, product);
+        self.write_manifest_request(front, session, product, &target).await
     }
 
     /// Asks for a play of up to this rung, outside the log of requests.
-    pub async fn ask_top(&self, session: &str, product: usize, top: usize) -> Message {
-        let (of, title) = (&self.day.products[product].name, &self.titles[product].name);
-        self.get(&address::manifest_path(of, title, &self.token_to(session, product, top))).await
+    pub async fn fetch_manifest_up_to(&self, session: &str, product: usize, max_rung: usize) -> Message {
+        let (product_name, title_name) = (&self.day.products[product].name, &self.titles[product].name);
+        self.get(&address::manifest_path(
+            product_name,
+            title_name,
+            &self.entry_token_up_to(session, product, max_rung),
+        ))
+        .await
     }
 
-    pub async fn ask(&self, session: &str, product: usize) -> Message {
-        self.ask_at(0, session, product).await.answer().await
+    pub async fn fetch_manifest(&self, session: &str, product: usize) -> Message {
+        self.send_manifest_request(0, session, product).await.response().await
     }
 
     /// So many sessions `s0`, `s1`, ... ask at once; how many of them play.
-    pub async fn crowd(&self, count: usize, product: usize) -> usize {
-        let mut asking = Vec::new();
+    pub async fn count_concurrent_plays(&self, count: usize, product: usize) -> usize {
+        let mut pending = Vec::new();
         for i in 0..count {
-            asking.push(self.ask_at(0, &format!("s{i}"), product).await.reading());
+            pending.push(self.send_manifest_request(0, &format!("s{i}"), product).await.read_in_background());
         }
         let mut played = 0;
-        for one in asking {
-            played += usize::from(one.await.expect("no player dies").status == 200);
+        for request in pending {
+            played += usize::from(request.await.expect("no player dies").status == 200);
         }
         played
     }
 
     /// All servers start anew, cold, and the first front has read of each: its list was put up alone, and taken.
-    pub async fn all_start_cold(&self) {
+    pub async fn restart_all_servers_cold(&self) {
         for server in 0..self.day.fleet.servers {
-            let taken = self.log_of(0).matches("list taken").count();
+            let lists_taken = self.front_log(0).matches("list taken").count();
             self.boxes.stop(server);
             self.stage.restart(server);
-            self.says("list taken", taken + 1).await;
+            self.wait_for_log("list taken", lists_taken + 1).await;
         }
     }
 
     /// A connection to a front, under TLS where the day has it.
-    pub async fn call(&self, front: usize) -> std::io::Result<HttpPeer> {
-        HttpPeer::connect(self.at[front], self.seal.as_ref().map(|seal| (seal, FRONT))).await
+    pub async fn connect(&self, front: usize) -> std::io::Result<HttpPeer> {
+        HttpPeer::connect(
+            self.front_addresses[front],
+            self.tls_connector.as_ref().map(|connector| (connector, FRONT)),
+        )
+        .await
     }
 
-    pub fn log_of(&self, front: usize) -> String {
+    pub fn front_log(&self, front: usize) -> String {
         std::fs::read_to_string(self.folder().join(format!("front-{front}.log"))).unwrap_or_default()
     }
 
     /// Waits until the front has said this so many times.
-    pub async fn says(&self, what: &str, times: usize) {
-        self.until_true(what, || self.log_of(0).matches(what).count() >= times).await;
+    pub async fn wait_for_log(&self, what: &str, times: usize) {
+        self.wait_until(what, || self.front_log(0).matches(what).count() >= times).await;
     }
 
     /// Any other request, on a connection of its own.
     pub async fn get(&self, target: &str) -> Message {
-        self.send(&get(target)).await.expect("an answer comes")
+        self.send_raw(&get_request(target)).await.expect("an answer comes")
     }
 
     /// Sends text as it is; none if the front closes without an answer.
-    pub async fn send(&self, text: &str) -> Option<Message> {
-        let mut peer = self.call(0).await.ok()?;
+    pub async fn send_raw(&self, text: &str) -> Option<Message> {
+        let mut peer = self.connect(0).await.ok()?;
         peer.write(text.as_bytes()).await.ok()?;
-        tokio::time::timeout(PATIENCE, peer.read_response()).await.expect("the front does something").ok()?
+        tokio::time::timeout(MAX_WAIT, peer.read_response()).await.expect("the front does something").ok()?
     }
 
     /// Waits until something has been seen.
-    pub async fn until(&self, what: &str, seen: impl Fn(&[Observation]) -> bool) {
-        self.until_true(what, || seen(&self.log.observations())).await;
+    pub async fn wait_for_observations(&self, what: &str, is_seen: impl Fn(&[Observation]) -> bool) {
+        self.wait_until(what, || is_seen(&self.log.observations())).await;
     }
 
-    pub async fn until_true(&self, what: &str, so: impl Fn() -> bool) {
+    pub async fn wait_until(&self, what: &str, condition: impl Fn() -> bool) {
         let start = Instant::now();
-        while !so() {
-            assert!(start.elapsed() < PATIENCE, "never came: {what}");
+        while !condition() {
+            assert!(start.elapsed() < MAX_WAIT, "never came: {what}");
             sleep(Duration::from_millis(5)).await;
         }
     }
 
-    pub fn set_ups(&self) -> Vec<usize> {
+    pub fn set_up_servers(&self) -> Vec<usize> {
         let seen = self.log.observations();
         let server = |s: &Observation| match s.what {
             Observed::SetUp { server, .. } => Some(server),
@@ -293,35 +308,35 @@
     }
 
     /// All rules must have been kept, on a log that holds something.
-    pub fn kept(&self) {
+    pub fn assert_rules_kept(&self) {
         let (breaches, covered) = check(&self.log.observations(), &self.day.terms());
         assert!(covered.requests > 0, "nothing was checked");
         assert!(breaches.is_empty(), "{breaches:?}");
     }
 }
 
-pub struct Asking {
+pub struct PendingRequest {
     pub peer: HttpPeer,
     request: u64,
     log: Recorder,
 }
 
-impl Asking {
-    pub async fn answer(mut self) -> Message {
+impl PendingRequest {
+    pub async fn response(mut self) -> Message {
         let answer =
-            tokio::time::timeout(PATIENCE, self.peer.read_response()).await.expect("an answer comes");
+            tokio::time::timeout(MAX_WAIT, self.peer.read_response()).await.expect("an answer comes");
         let answer = answer.expect("the answer is whole").expect("the front answers");
         self.log.record(Observed::Answered { request: self.request, status: answer.status });
         answer
     }
 
     /// Reads while others ask: what is seen of an answer is when it came, not when it was its turn to be looked at.
-    pub fn reading(self) -> tokio::task::JoinHandle<Message> {
-        tokio::spawn(self.answer())
+    pub fn read_in_background(self) -> tokio::task::JoinHandle<Message> {
+        tokio::spawn(self.response())
     }
 
     /// That the connection broke, as a player sees it.
-    pub fn cut(&self) -> Observed {
+    pub fn connection_lost(&self) -> Observed {
         Observed::Cut { request: self.request }
     }
 
@@ -332,48 +347,48 @@
 }
 
 /// How many set-ups servers have read.
-pub fn set_ups(seen: &[Observation]) -> usize {
+pub fn set_up_count(seen: &[Observation]) -> usize {
     seen.iter().filter(|s| matches!(s.what, Observed::SetUp { .. })).count()
 }
 
 /// How many set-ups servers have seen the end of.
-pub fn closed(seen: &[Observation]) -> usize {
+pub fn closed_count(seen: &[Observation]) -> usize {
     seen.iter().filter(|s| matches!(s.what, Observed::Closed { .. })).count()
 }
 
 /// That day with one server, which holds all, and short notes on it.
-pub fn one_server() -> Value {
-    let mut day = day();
-    day["fleet"]["servers"] = json!(1);
-    day["fleet"]["racks"] = json!(1);
-    day["fleet"]["notes_late_ms"] = json!(0);
-    day["fleet"]["notes_every_ms"] = json!(600);
-    for product in day["products"].as_array_mut().expect("there are products") {
+pub fn one_server_scenario() -> Value {
+    let mut scenario = base_scenario();
+    scenario["fleet"]["servers"] = json!(1);
+    scenario["fleet"]["racks"] = json!(1);
+    scenario["fleet"]["notes_late_ms"] = json!(0);
+    scenario["fleet"]["notes_every_ms"] = json!(600);
+    for product in scenario["products"].as_array_mut().expect("there are products") {
         product["holders"] = json!(1);
         product["seconds"] = json!([60, 60]);
     }
-    day
+    scenario
 }
 
-pub fn get(target: &str) -> String {
+pub fn get_request(target: &str) -> String {
     format!("GET {target} HTTP/1.1\r\nHost: front\r\n\r\n")
 }
 
-pub fn text(message: &Message) -> &str {
+pub fn body_text(message: &Message) -> &str {
     std::str::from_utf8(&message.body).expect("answers are text")
 }
 
 /// Where a manifest says that its segments are.
-pub fn base(manifest: &Message) -> String {
-    let text = text(manifest);
+pub fn segment_base_url(manifest: &Message) -> String {
+    let text = body_text(manifest);
     let (_, rest) = text.split_once("<BaseURL>").expect("a manifest has its base");
     rest.split_once("</BaseURL>").expect("a manifest has its base").0.to_string()
 }
 
 /// A day on which a set-up is waited for as long as the viewer waits.
-pub fn patient() -> Value {
-    let mut day = day();
-    day["rules"]["allocations"] = json!(1);
-    day["products"][0]["time_limit_ms"] = json!(20_000);
-    day
+pub fn long_time_limit_scenario() -> Value {
+    let mut scenario = base_scenario();
+    scenario["rules"]["allocations"] = json!(1);
+    scenario["products"][0]["time_limit_ms"] = json!(20_000);
+    scenario
 }
