--- a/crates/edge/tests/bounds.rs
+++ b/crates/edge/tests/bounds.rs
@@ -1,4 +1,5 @@
-//! How much a front takes on at once, and what it takes for a request at all, each story on real sockets.
+//! Limits of a front on pending plays, connections and request heads, and its answers to unsupported requests, on real
+//! sockets.
 
 mod test_fleet;
 
@@ -11,8 +12,8 @@
 
 const FREE: usize = 0;
 
-/// The most set-ups that were out at once, each until its server was done or saw its connection end. A connection that
-/// the front has closed may be seen to end a little after the next set-up is.
+/// The highest number of set-ups that were pending at once, each until its server completed it or observed the end of its
+/// connection. A server may observe that end up to 25 ms after the next set-up.
 fn max_pending_set_ups(fleet: &TestFleet) -> usize {
     const MAX_CLOSE_DELAY_MS: f64 = 25.0;
     let seen = fleet.log.observations();
@@ -39,7 +40,7 @@
     scenario["limits"] = json!({ "deciding": 200 });
     scenario["admission"] = json!({ "least": 200, "most": 200, "work_ms": 1e9, "behind_ms": 1e9 });
     let fleet = TestFleet::start_with(scenario).await;
-    // Two seconds of work: by then far more than two hundred have asked, on any machine.
+    // Two seconds of work: in that time far more than 200 requests arrive, on any machine.
     fleet.set_faults(|a| a.slow = 400.0);
     let mut pending = Vec::new();
     for i in 0..1000 {
@@ -47,15 +48,15 @@
     }
     let (mut played, mut limited) = (0, 0);
     for request in pending {
-        let answer = request.await.expect("no player dies");
+        let answer = request.await.expect("the player task succeeds");
         played += usize::from(answer.status == 200);
         let at_limit = body_text(&answer).contains("limit of deciding");
         assert!(!at_limit || answer.status == 503 && answer.header("retry-after").is_some());
         limited += usize::from(at_limit);
     }
-    assert!(played >= 100 && limited >= 100, "{played} played, {limited} were told of the limit");
+    assert!(played >= 100 && limited >= 100, "{played} played, {limited} were declined at the limit");
     let max_pending = max_pending_set_ups(&fleet);
-    assert!(max_pending <= 200, "{max_pending} set-ups out at once");
+    assert!(max_pending <= 200, "{max_pending} set-ups pending at once");
     fleet.assert_rules_kept();
 }
 
@@ -67,34 +68,34 @@
         "least": 8, "most": 8, "queue": 100, "reserve_ms": 400, "work_ms": 1e9, "behind_ms": 1e9,
     });
     let fleet = TestFleet::start_with(scenario).await;
-    // A list that is told anew vouches for its servers: none is taken for cold, which has a pace of its own.
+    // After a second list the front takes no server for cold; cold servers would be limited in rate.
     fleet.stage.list(0, ListedState::Ready { started: 0.0 });
     fleet.wait_for_log("list taken", 2).await;
-    // Eight set-ups of 100 ms at once, for a second and a bit: under a hundred of three hundred.
+    // Eight set-ups of 100 ms at once, for little more than a second: under 100 of the 300 requests are served.
     fleet.set_faults(|a| a.slow = 20.0);
     let mut pending = Vec::new();
     for i in 0..300 {
         pending.push(fleet.send_manifest_request(0, &format!("s{i}"), FREE).await);
     }
-    // Some of those that wait leave.
+    // Ten of the waiting viewers leave.
     pending.drain(250..260).for_each(|one| one.leave());
     let pending: Vec<_> = pending.into_iter().map(|one| one.read_in_background()).collect();
     let (mut played, mut overloaded) = (0, 0);
     for request in pending {
-        let answer = request.await.expect("no player dies");
+        let answer = request.await.expect("the player task succeeds");
         played += usize::from(answer.status == 200);
         overloaded += usize::from(answer.status == 503 && body_text(&answer).contains("too many plays"));
     }
-    assert!(played >= 8 && overloaded >= 100, "{played} played, {overloaded} were told");
+    assert!(played >= 8 && overloaded >= 100, "{played} played, {overloaded} were declined");
     let max_pending = max_pending_set_ups(&fleet);
-    assert!(max_pending <= 8, "{max_pending} set-ups out at once");
+    assert!(max_pending <= 8, "{max_pending} set-ups pending at once");
     fleet.assert_rules_kept();
 }
 
-#[test_case("GET / HTTP/1.1\r\nHost: f\r\n\r\n", 404; "nothing there")]
-#[test_case("POST /v1/free/x/manifest.mpd HTTP/1.1\r\nHost: f\r\n\r\n", 405; "another method")]
-#[test_case("POST / HTTP/1.1\r\nHost: f\r\nContent-Length: 3\r\n\r\nabc", 413; "a body")]
-#[test_case("nonsense\r\n\r\n", 400; "nonsense")]
+#[test_case("GET / HTTP/1.1\r\nHost: f\r\n\r\n", 404; "unknown path")]
+#[test_case("POST /v1/free/x/manifest.mpd HTTP/1.1\r\nHost: f\r\n\r\n", 405; "unsupported method")]
+#[test_case("POST / HTTP/1.1\r\nHost: f\r\nContent-Length: 3\r\n\r\nabc", 413; "request with a body")]
+#[test_case("nonsense\r\n\r\n", 400; "malformed request")]
 #[tokio::test]
 async fn unsupported_request_gets_its_error_status(request: &str, status: u16) {
     let fleet = TestFleet::start().await;
@@ -109,14 +110,14 @@
     let fleet = TestFleet::start_with(scenario).await;
     let long_head = format!("GET /{} HTTP/1.1\r\nHost: f\r\n\r\n", "x".repeat(4000));
     assert_eq!(fleet.send_raw(&long_head).await.unwrap().status, 431);
-    // A head that never comes whole.
+    // A request head that is never completed.
     assert_eq!(fleet.send_raw("GET / HTTP/1.1\r\nHo").await.unwrap().status, 408);
     let mut connections = Vec::new();
     for _ in 0..3 {
         connections.push(TcpStream::connect(fleet.front_addresses[0]).await.expect("a connection"));
     }
-    fleet.wait_until("all three are taken", || true).await;
-    let refusal = fleet.send_raw(&get_request("/")).await.expect("a word before it closes");
+    fleet.wait_until("all three connections are accepted", || true).await;
+    let refusal = fleet.send_raw(&get_request("/")).await.expect("a response before the front closes");
     assert_eq!((refusal.status, refusal.header("retry-after")), (503, Some("1")));
     drop(connections);
 }
--- a/crates/edge/tests/dash.rs
+++ b/crates/edge/tests/dash.rs
@@ -1,5 +1,5 @@
-//! What players expect of DASH besides a play's plain path, each story on real sockets: live titles, titles that a
-//! manifest describes, HEAD, conditional requests, and passes through time.
+//! DASH features beyond the plain play, on real sockets: live titles, titles that a manifest file describes, HEAD,
+//! conditional requests, preflight requests and the renewal of session tokens.
 
 mod test_fleet;
 
@@ -12,7 +12,7 @@
 
 const FREE: usize = 0;
 
-/// Lists titles otherwise, and waits until the front has read it.
+/// Changes the free title in the list, and waits until the front has taken or rejected the new list.
 async fn replace_title(fleet: &TestFleet, change: impl Fn(&mut Value)) {
     let file = fleet.folder().join("list.json");
     let mut list: Value = serde_json::from_str(&std::fs::read_to_string(&file).unwrap()).unwrap();
@@ -23,19 +23,21 @@
     };
     let before = lists_read();
     replace(&file, list.to_string()).unwrap();
-    fleet.wait_until("the front has looked at the list", || lists_read() > before).await;
+    fleet.wait_until("the front has read the list", || lists_read() > before).await;
 }
 
+/// The time of the recorder, in ms since the epoch.
 fn now_ms(fleet: &TestFleet) -> u64 {
     fleet.log.now() as u64
 }
 
+/// Sends a request with one more header line (or none) on a connection that is closed afterwards.
 async fn send_request(fleet: &TestFleet, method: &str, target: &str, header: &str) -> Message {
     let text = format!("{method} {target} HTTP/1.1\r\nHost: f\r\nConnection: close\r\n{header}\r\n");
-    fleet.send_raw(&text).await.expect("an answer comes")
+    fleet.send_raw(&text).await.expect("the front responds")
 }
 
-/// The number in a segment that came whole.
+/// The number of the segment in a response; panics where the segment is not intact.
 fn segment_number(answer: &Message) -> u64 {
     content::parse(&answer.body).filter(|c| c.intact).expect("a whole segment").number
 }
@@ -43,7 +45,7 @@
 #[tokio::test]
 async fn live_title_is_served_from_its_window_to_its_end() {
     let fleet = TestFleet::start().await;
-    // It began 6.5 s ago, has one more second to run, and keeps 3 s.
+    // Live since 6.5 s, with a window of 3 s; its last segment, of 8, is complete 8 s after the start.
     let live_since_ms = now_ms(&fleet) - 6_500;
     let live = json!({ "from_ms": live_since_ms, "update_ms": 500, "window_ms": 3000 });
     replace_title(&fleet, |title| {
@@ -60,23 +62,23 @@
     assert_eq!(mpd.availabilityStartTime.unwrap().timestamp_millis() as u64, live_since_ms);
     let base_url = segment_base_url(&manifest);
     let segment_status = async |n: u64| fleet.get(&format!("{base_url}0/{n}.m4s")).await.status;
-    assert_eq!(segment_status(1).await, 404, "kept no more");
+    assert_eq!(segment_status(1).await, 404, "segment 1 has left the window");
     assert_eq!(segment_status(6).await, 200);
-    assert_eq!(segment_status(9).await, 404, "there will never be one");
+    assert_eq!(segment_status(9).await, 404, "the title has eight segments");
     let last_segment_at_ms = live_since_ms + 8_000;
     fleet.wait_until("the last segment is complete", || now_ms(&fleet) > last_segment_at_ms).await;
-    // The player asks where it was told to, with its pass, and gets another one.
+    // The player refreshes the manifest at its `Location`, with its session token, and gets a new token.
     let again = fleet.get(&mpd.locations[0].url).await;
     assert_eq!(again.status, 200);
     assert!(again.header("date").is_some() && again.header("cache-control") == Some("no-store"));
-    assert_ne!(test_fleet::segment_base_url(&again), base_url, "a pass whose time begins anew");
-    // The last one comes once it is there, and the play ends after it.
+    assert_ne!(test_fleet::segment_base_url(&again), base_url, "the new session token has a new time");
+    // The last segment is served once it is complete, and the play ends after it.
     assert_eq!(
         segment_number(&fleet.get(&format!("{}1/8.m4s", test_fleet::segment_base_url(&again))).await),
         8
     );
     fleet
-        .wait_for_observations("the play's end", |seen| {
+        .wait_for_observations("the end of the play", |seen| {
             seen.iter().any(|s| matches!(s.what, Observed::Closed { .. }))
         })
         .await;
@@ -85,6 +87,7 @@
     fleet.assert_rules_kept();
 }
 
+/// A manifest of two periods: the first is addressed by `$Time$`, the second by `$Number$`.
 const TWO_PERIODS_MPD: &str = r#"<MPD mediaPresentationDuration="PT9S"><Period id="a">
 <AdaptationSet contentType="video"><SegmentTemplate timescale="1000" media="$Time$">
 <SegmentTimeline><S t="0" d="1000" r="2"/><S d="2000"/></SegmentTimeline></SegmentTemplate>
@@ -115,7 +118,7 @@
     for file in ["1-t500.m4s", "2-t0.m4s", "5-t0.m4s", "7.m4s", "1-t99999999999.m4s"] {
         assert_eq!(get_segment(file).await.status, 404, "{file}");
     }
-    // A manifest that can't be read leaves the list as it was.
+    // An invalid manifest file leaves the current list in use.
     std::fs::write(fleet.folder().join("two.mpd"), &TWO_PERIODS_MPD[..200]).unwrap();
     replace_title(&fleet, |title| title["holders"] = json!(3)).await;
     assert!(fleet.front_log(0).contains("titles[0].manifest"), "the log names the title");
@@ -136,16 +139,19 @@
         manifest_head.starts_with("HTTP/1.1 405") && manifest_head.contains("\r\nAllow: "),
         "{manifest_head}"
     );
-    assert_eq!(set_up_count(&fleet.log.observations()), 0, "a HEAD takes no play");
+    assert_eq!(set_up_count(&fleet.log.observations()), 0, "a HEAD request starts no play");
     let manifest = fleet.fetch_manifest("s", FREE).await;
     let target = format!("{}1/2.m4s", segment_base_url(&manifest));
     let segment = fleet.get(&target).await;
-    let etag = segment.header("etag").expect("the server's tag is passed on").to_string();
+    let etag = segment.header("etag").expect("the tag of the server is relayed").to_string();
     assert!(segment.header("cache-control").is_some_and(|c| c.starts_with("private, max-age=")));
     let head =
         send_and_read_all(&fleet, &format!("HEAD {target} HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n"))
             .await;
-    assert!(head.starts_with("HTTP/1.1 200") && head.ends_with("\r\n\r\n"), "a head and no body: {head}");
+    assert!(
+        head.starts_with("HTTP/1.1 200") && head.ends_with("\r\n\r\n"),
+        "the response has no body: {head}"
+    );
     assert!(head.contains(&format!("Content-Length: {}", segment.body.len())));
     let unchanged = send_request(&fleet, "GET", &target, &format!("If-None-Match: \"x\", {etag}\r\n")).await;
     assert_eq!(
@@ -162,7 +168,7 @@
     fleet.assert_rules_kept();
 }
 
-/// Everything that the front says until it closes.
+/// Sends text and returns everything that the front sends until it closes.
 async fn send_and_read_all(fleet: &TestFleet, text: &str) -> String {
     use tokio::io::AsyncReadExt;
     let mut peer = fleet.connect(0).await.unwrap();
@@ -172,7 +178,7 @@
     String::from_utf8(received).unwrap()
 }
 
-/// What is held under the same address may be another edition by the time that a read is taken up again.
+/// By the time a read is resumed, the server may hold another edition of the segment under the same address.
 #[tokio::test]
 async fn resumed_read_never_mixes_bytes_of_two_editions() {
     let mut scenario = base_scenario();
@@ -193,7 +199,7 @@
         fleet.wait_for_log("Again", 1).await;
         fleet.set_faults(|a| (a.stall, a.edition) = (0.0, 2));
     });
-    assert!(received_bytes < 200_000, "the player sees that it is short: {received_bytes}");
+    assert!(received_bytes < 200_000, "the response is shorter than announced: {received_bytes} bytes");
     fleet.wait_for_log("errand failed", 2).await;
     fleet.set_faults(|a| a.stall = 0.0);
     assert_eq!(segment_number(&fleet.get(&target).await), 2);
--- a/crates/edge/tests/failures.rs
+++ b/crates/edge/tests/failures.rs
@@ -1,5 +1,5 @@
-//! What can go wrong between players, a front and its servers, each story on real sockets: the front is the
-//! program itself, the servers are stand-ins, and the rules are checked on what both sides saw.
+//! Failures between players, a front and its servers, on real sockets: the front is the program itself, the servers are
+//! fakes, and the rules are checked on what both sides observed.
 
 mod test_fleet;
 
@@ -28,16 +28,18 @@
         let file = if number == 0 { "init.mp4".to_string() } else { format!("{number}.m4s") };
         let segment = fleet.get(&format!("{base_url}1/{file}")).await;
         assert_eq!(segment.status, 200);
-        let content = content::parse(&segment.body).expect("it says what it is");
+        let content = content::parse(&segment.body).expect("the segment describes its content");
         assert!(
             content.intact && content.number == number && content.title == fleet.titles[FREE].name,
             "{content:?}"
         );
         assert!(segment.header("cmsd-dynamic").is_some_and(|h| h.contains("mb=")));
     }
-    assert_eq!(fleet.get(&format!("{base_url}1/5.m4s")).await.status, 404, "there are four");
-    // The last segment has gone out: the play ends by itself, and its server is told.
-    fleet.wait_for_observations("the server's end of the play", |seen| closed_count(seen) == 1).await;
+    assert_eq!(fleet.get(&format!("{base_url}1/5.m4s")).await.status, 404, "the title has four segments");
+    // After the last segment the play ends by itself, and its server is notified.
+    fleet
+        .wait_for_observations("the server observes the end of the play", |seen| closed_count(seen) == 1)
+        .await;
     fleet
         .wait_until("the play is freed", || fleet.boxes.model().servers.iter().all(|s| s.plays.is_empty()))
         .await;
@@ -52,7 +54,7 @@
     let answer = fleet.fetch_manifest("s", FREE).await;
     assert_eq!((answer.status, answer.header("retry-after")), (503, Some("1")));
     let paid = fleet.fetch_manifest("p", PAID).await;
-    assert!([502, 504].contains(&paid.status), "it may have run: {}", paid.status);
+    assert!([502, 504].contains(&paid.status), "the set-up may have run: {}", paid.status);
     fleet.assert_rules_kept();
 }
 
@@ -61,12 +63,12 @@
     let fleet = TestFleet::start().await;
     fleet.set_faults(|a| a.half_heads = 1.0);
     assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 503);
-    assert!(fleet.set_up_servers().len() > 1, "a play that may be set up again is");
+    assert!(fleet.set_up_servers().len() > 1, "a free play is set up again");
     fleet.assert_rules_kept();
 }
 
-#[test_case(FREE, 200, 2; "free: sent again elsewhere")]
-#[test_case(PAID, 502, 1; "paid: never sent again, nor called declined")]
+#[test_case(FREE, 200, 2; "free: sent to another server")]
+#[test_case(PAID, 502, 1; "paid: neither sent again nor declined")]
 #[tokio::test]
 async fn reset_after_the_set_up_ran_is_retried_only_for_free_plays(
     product: usize,
@@ -77,7 +79,7 @@
     fleet.set_faults(|a| a.reset = 1.0);
     let pending = fleet.send_manifest_request(0, "s", product).await;
     fleet.wait_for_observations("a set-up", |seen| set_up_count(seen) == 1).await;
-    // Only the first server is ill.
+    // Only the first server keeps the fault.
     let first = fleet.set_up_servers()[0];
     fleet.set_faults_except(first, |a| a.reset = 0.0);
     assert_eq!(pending.response().await.status, status);
@@ -86,8 +88,8 @@
     fleet.assert_rules_kept();
 }
 
-/// The front has much to do at once, so that resets come in before it has looked at the connections that it wrote on. How long all
-/// that takes is not what is held here: viewers wait.
+/// The front is busy, so that resets arrive before it has polled the connections that it wrote to. The time limit is long,
+/// because this test does not check how long that takes.
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
 async fn concurrent_paid_set_ups_are_not_sent_again_after_a_reset() {
     let mut scenario = base_scenario();
@@ -99,7 +101,7 @@
     fleet.wait_for_log("list taken", 2).await;
     fleet.set_faults(|a| a.reset = 1.0);
     assert_eq!(fleet.count_concurrent_plays(400, PAID).await, 0);
-    assert_eq!(fleet.set_up_servers().len(), 400, "one each");
+    assert_eq!(fleet.set_up_servers().len(), 400, "one set-up for each play");
     fleet.assert_rules_kept();
 }
 
@@ -113,8 +115,8 @@
     fleet.set_faults_except(first, |a| a.slow = 1.0);
     assert_eq!(pending.response().await.status, 200);
     assert_eq!(fleet.set_up_servers().len(), 2);
-    // The first connection was closed before the second set-up went out, so no late answer has a way back.
-    fleet.wait_for_observations("the first one's end", |seen| closed_count(seen) == 1).await;
+    // The first connection was closed before the second set-up was sent, so a late response cannot arrive.
+    fleet.wait_for_observations("the end of the first set-up", |seen| closed_count(seen) == 1).await;
     fleet.assert_rules_kept();
 }
 
@@ -128,7 +130,7 @@
     assert_eq!((first.status, second.status), (200, 200));
     assert_eq!(first.body, second.body);
     let again = fleet.fetch_manifest("s", FREE).await;
-    assert_eq!(again.status, 200, "asked again later: the same play");
+    assert_eq!(again.status, 200, "a later request gets the same play");
     assert_eq!(fleet.get(&format!("{}0/1.m4s", segment_base_url(&again))).await.status, 200);
     assert_eq!(fleet.set_up_servers().len(), 1);
     fleet.assert_rules_kept();
@@ -142,7 +144,7 @@
     fleet.wait_for_observations("a set-up", |seen| set_up_count(seen) == 1).await;
     pending.leave();
     fleet.wait_for_observations("the set-up is withdrawn", |seen| closed_count(seen) == 1).await;
-    assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 410, "it has left");
+    assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 410, "the viewer has left");
     assert_eq!(fleet.set_up_servers().len(), 1);
     fleet.assert_rules_kept();
 }
@@ -185,7 +187,7 @@
             Ok(0) | Err(_) => break true,
             Ok(n) => read += n,
         }
-        // What lies in buffers may still be read; the front's end of it shows as soon as it is gone.
+        // Buffered bytes can still be read after the front has closed; its log shows the close at once.
         let log = fleet.front_log(0);
         if log.contains("too slow") {
             let mut rest = Vec::new();
@@ -198,7 +200,7 @@
     fleet.assert_rules_kept();
 }
 
-/// A house whose one play has a segment of 200 kB to fetch, and that segment's address.
+/// Starts a fleet with one play; returns it with the target of a segment of 200 kB.
 async fn start_with_segment(reads: serde_json::Value) -> (TestFleet, String) {
     let mut scenario = base_scenario();
     scenario["ladder"] = json!([{ "rate_kb": 200, "earns": 1 }]);
@@ -209,6 +211,7 @@
     (fleet, format!("{base_url}0/2.m4s"))
 }
 
+/// Whether the bytes are the whole segment 2.
 fn is_segment_2(bytes: &[u8]) -> bool {
     content::parse(bytes).is_some_and(|c| c.intact && c.number == 2)
 }
@@ -219,16 +222,16 @@
 async fn interrupted_segment_read_resumes_at_the_missing_byte(
     set_fault: fn(&mut pulleystair_fake_servers::model::ServerFaults),
 ) {
-    // Each try brings half of what is left; ten of them leave a 200th, which comes once the server is well.
+    // Each try reads half of the remaining bytes; ten tries leave less than a 200th, which is read once the fault is over.
     let (fleet, target) = start_with_segment(json!({ "tries": 50, "free": 100 })).await;
     fleet.set_faults(set_fault);
     let (fetched, ()) = tokio::join!(fleet.get(&target), async {
-        fleet.wait_until("a further try", || fleet.front_log(0).contains("Again")).await;
+        fleet.wait_until("another try of the read", || fleet.front_log(0).contains("Again")).await;
         fleet.set_faults(|a| (a.cut, a.stall) = (0.0, 0.0));
     });
     assert_eq!(fetched.status, 200);
-    assert!(is_segment_2(&fetched.body), "no byte is missing or twice");
-    assert_eq!(fleet.set_up_servers().len(), 1, "and no second allocation was made for it");
+    assert!(is_segment_2(&fetched.body), "no byte is missing or duplicated");
+    assert_eq!(fleet.set_up_servers().len(), 1, "the resumed read made no second allocation");
     fleet.assert_rules_kept();
 }
 
@@ -247,11 +250,14 @@
     let mut bytes = Vec::new();
     peer.stream.read_to_end(&mut bytes).await.expect("the front closes");
     let body = bytes.windows(4).position(|w| w == b"\r\n\r\n").map(|at| bytes.split_off(at + 4));
-    let body = body.expect("a head had come");
-    assert!(body.len() < 200_000, "the player sees that it is short");
+    let body = body.expect("the response has a head");
+    assert!(body.len() < 200_000, "the body is shorter than announced");
     assert_eq!(body, content::generate(&fleet.titles[FREE].name, 0, 2, 200_000)[..body.len()]);
     fleet.set_faults(|a| (a.cut, a.no_ranges) = (0.0, 0.0));
-    assert!(is_segment_2(&fleet.get(&target).await.body), "asked again by the player, it comes");
+    assert!(
+        is_segment_2(&fleet.get(&target).await.body),
+        "a new request of the player gets the whole segment"
+    );
     fleet.assert_rules_kept();
 }
 
@@ -279,7 +285,7 @@
     assert_eq!(fetch_range("bytes=900000-").await.status, 416);
     assert!(
         is_segment_2(&fetch_range("bytes=-100").await.body),
-        "a form that is not served in parts gets the whole"
+        "a suffix range is answered with the whole segment"
     );
     fleet.assert_rules_kept();
 }
@@ -290,8 +296,8 @@
     scenario["fleet"]["streams"] = json!(24);
     let fleet = TestFleet::start_with(scenario).await;
     fleet.restart_all_servers_cold().await;
-    assert!(fleet.count_concurrent_plays(60, FREE).await > 0, "they take plays at their pace");
-    assert!(fleet.set_up_servers().len() < 60, "not all at once");
+    assert!(fleet.count_concurrent_plays(60, FREE).await > 0, "cold servers take some plays");
+    assert!(fleet.set_up_servers().len() < 60, "cold servers do not take all plays at once");
     fleet.assert_rules_kept();
 }
 
@@ -305,7 +311,7 @@
         fleet.stage.list(server, ListedState::Draining { started: 0.0 });
     }
     assert_eq!(pending.response().await.status, 503);
-    assert_eq!(fleet.fetch_manifest("later", FREE).await.status, 503, "nobody may take it");
+    assert_eq!(fleet.fetch_manifest("later", FREE).await.status, 503, "no holder may take it");
     fleet.assert_rules_kept();
 }
 
@@ -317,12 +323,12 @@
     assert_eq!(fleet.send_manifest_request(0, "s", FREE).await.response().await.status, 200);
     fleet.fronts.kill(0).await;
     fleet
-        .wait_until("the lease runs out", || fleet.boxes.model().servers.iter().all(|s| s.plays.is_empty()))
+        .wait_until("the lease expires", || fleet.boxes.model().servers.iter().all(|s| s.plays.is_empty()))
         .await;
     assert_eq!(
         fleet.send_manifest_request(1, "s2", FREE).await.response().await.status,
         200,
-        "the viewer came back elsewhere"
+        "another front serves the viewer"
     );
     fleet.assert_rules_kept();
 }
@@ -337,12 +343,14 @@
         log.matches(what).count()
     };
     std::fs::write(&file, &list_text[..list_text.len() / 2]).expect("the list is written");
-    fleet.wait_until("the front says so", || log_count("list not taken") >= 1).await;
-    assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 200, "the list in hand stays");
+    fleet.wait_until("the front logs the rejected list", || log_count("list not taken") >= 1).await;
+    assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 200, "the current list stays in use");
     std::fs::write(&file, list_text.replace("\"weight\":1.0", "\"weight\":-1")).expect("the list is written");
-    fleet.wait_until("the front names the value", || log_count("servers[0].weight: found -1") >= 1).await;
+    fleet
+        .wait_until("the front logs the invalid value", || log_count("servers[0].weight: found -1") >= 1)
+        .await;
     fleet.stage.list(0, ListedState::Draining { started: 0.0 });
-    fleet.wait_until("the whole list is taken", || log_count("\"draining\":1") >= 1).await;
+    fleet.wait_until("the valid list is taken", || log_count("\"draining\":1") >= 1).await;
     fleet.assert_rules_kept();
 }
 
@@ -353,7 +361,7 @@
     let file = fleet.folder().join("list.json");
     let mut list: serde_json::Value =
         serde_json::from_str(&std::fs::read_to_string(&file).unwrap()).expect("the list reads");
-    // The title that plays is gone, the other one stands in its place.
+    // The title of the running play is removed, and the other title takes its index.
     list["titles"].as_array_mut().unwrap().remove(FREE);
     std::fs::write(&file, list.to_string()).expect("the list is written");
     fleet
@@ -364,7 +372,7 @@
         .await;
     let segment = fleet.get(&format!("{}0/2.m4s", segment_base_url(&manifest))).await;
     assert_eq!(content::parse(&segment.body).expect("a segment").title, fleet.titles[FREE].name);
-    assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 200, "asked again: the same play");
+    assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 200, "a repeated request gets the same play");
     assert_eq!(fleet.get(&fleet.manifest_target("new", FREE)).await.status, 404);
     assert_eq!(fleet.fetch_manifest("p", PAID).await.status, 200);
     fleet.assert_rules_kept();
--- a/crates/edge/tests/interleaved_events.rs
+++ b/crates/edge/tests/interleaved_events.rs
@@ -1,5 +1,5 @@
-//! What happens on several connections at once, in the order that hurts: words that overtake each other, reads that
-//! wait behind one that fails, files that come in parts, each story on real sockets.
+//! Events on several connections in unfavourable order, on real sockets: rung changes that overtake each other, reads
+//! queued behind one that fails, and files that are written in parts.
 
 mod test_fleet;
 
@@ -19,10 +19,10 @@
 const FREE: usize = 0;
 const PAID: usize = 1;
 
-/// No event takes longer on any machine; it bounds a hang.
+/// Time after which a wait fails. It only bounds a hang: no awaited event takes this long on any machine.
 const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// The rungs of all plays of a product, as their servers have them.
+/// The rungs of all plays of a product, as the servers know them.
 fn play_rungs(fleet: &TestFleet, product: usize) -> Vec<usize> {
     let world = fleet.boxes.model();
     let plays = world.servers.iter().flat_map(|s| s.plays.values());
@@ -41,19 +41,19 @@
         scenario["products"][product]["first_frame_target_ms"] = json!(10_000);
     }
     let fleet = TestFleet::start_with(scenario).await;
-    // Its answer tells that the link is free.
+    // With the response the front learns that the link is free.
     assert_eq!(fleet.fetch_manifest("first", PAID).await.status, 200);
     fleet.set_faults(|a| a.slow = 60.0);
     let low_importance = fleet.send_manifest_request(0, "cheap", FREE).await;
     fleet
-        .wait_for_observations("its set-up", |seen| {
+        .wait_for_observations("the set-up of the free play", |seen| {
             seen.iter().any(|s| matches!(&s.what, Observed::SetUp { rung: 1, product: FREE, .. }))
         })
         .await;
-    // The link does not carry both on the high rung, and this one is worth ten times as much.
+    // The link does not carry both plays on the high rung, and the paid one is worth ten times as much.
     let high_importance = fleet.send_manifest_request(0, "dear", PAID).await;
     assert_eq!((low_importance.response().await.status, high_importance.response().await.status), (200, 200));
-    fleet.wait_until("the server has heard of the step", || play_rungs(&fleet, FREE) == [0]).await;
+    fleet.wait_until("the server knows the lower rung", || play_rungs(&fleet, FREE) == [0]).await;
     fleet.assert_rules_kept();
 }
 
@@ -65,10 +65,12 @@
     ]);
     let fleet = TestFleet::start_with(scenario).await;
     assert_eq!(fleet.fetch_manifest_up_to("s", FREE, 2).await.status, 200);
-    // A link of 25 kB under a play of 40: it goes to 20, and its server is slow to do so.
+    // A link of 25 kB for a play of 40 kB: the play is stepped down to 20 kB, and its server applies that late.
     fleet.set_faults(|a| (a.link, a.late_steps_ms) = (0.000_25, 2_500.0));
-    fleet.wait_until("a step is under way", || fleet.boxes.model().servers[0].steps_read == 1).await;
-    // Now it is one of 5 kB, and a further step would be carried out at once.
+    fleet
+        .wait_until("the server reads a rung change", || fleet.boxes.model().servers[0].steps_read == 1)
+        .await;
+    // A link of 5 kB: a further rung change would be applied at once.
     fleet.set_faults(|a| (a.link, a.late_steps_ms) = (0.000_05, 0.0));
     let rung_changes = |seen: &[Observation]| -> Vec<usize> {
         let rung = |s: &Observation| match s.what {
@@ -77,8 +79,8 @@
         };
         seen.iter().filter_map(rung).collect()
     };
-    fleet.wait_for_observations("both are carried out", |seen| rung_changes(seen).len() == 2).await;
-    assert_eq!(rung_changes(&fleet.log.observations()), [1, 0], "in the order in which they were decided");
+    fleet.wait_for_observations("both rung changes are applied", |seen| rung_changes(seen).len() == 2).await;
+    assert_eq!(rung_changes(&fleet.log.observations()), [1, 0], "applied in the order of the decisions");
 }
 
 #[tokio::test]
@@ -87,23 +89,26 @@
     scenario["limits"] = json!({ "segment_ms": 300 });
     let fleet = TestFleet::start_with(scenario).await;
     assert_eq!(fleet.fetch_manifest_up_to("s", FREE, 1).await.status, 200);
-    // Steps are read and not answered in time; the front gives up each word.
+    // The server reads rung changes and does not respond in time; the front abandons each request.
     fleet.set_faults(|a| (a.link, a.late_steps_ms) = (0.000_15, 3_600_000.0));
-    fleet.wait_until("a step is under way", || fleet.boxes.model().servers[0].steps_read >= 1).await;
+    fleet
+        .wait_until("the server reads a rung change", || fleet.boxes.model().servers[0].steps_read >= 1)
+        .await;
     fleet.set_faults(|a| a.late_steps_ms = 0.0);
-    fleet.wait_until("the server has heard of it", || play_rungs(&fleet, FREE) == [0]).await;
+    fleet.wait_until("the server knows the lower rung", || play_rungs(&fleet, FREE) == [0]).await;
 }
 
-/// A media server in the test's own hands: what is asked of it comes out, and what it answers goes in.
+/// A media server that the test controls: it yields the requests that it reads, and the test writes the responses.
 struct ManualServer {
     requests: mpsc::UnboundedReceiver<(HttpPeer, String)>,
     address: SocketAddr,
 }
 
 impl ManualServer {
+    /// Listens on a free port.
     async fn open() -> ManualServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("its address");
+        let address = listener.local_addr().expect("the listener has an address");
         let (requests_sender, requests) = mpsc::unbounded_channel();
         tokio::spawn(async move {
             loop {
@@ -119,11 +124,13 @@
         ManualServer { requests, address }
     }
 
-    /// The next request of this method, and its connection.
+    /// Waits for the next request of a method; returns its connection, and its method and target. Others are dropped.
     async fn next(&mut self, method: &str) -> (HttpPeer, String) {
         loop {
-            let (peer, request_line) =
-                timeout(MAX_WAIT, self.requests.recv()).await.expect("a request").expect("it listens");
+            let (peer, request_line) = timeout(MAX_WAIT, self.requests.recv())
+                .await
+                .expect("a request arrives")
+                .expect("the server is listening");
             if request_line.starts_with(method) {
                 return (peer, request_line);
             }
@@ -131,20 +138,21 @@
     }
 }
 
-/// Lists all servers at this address, and waits until the front has read it.
+/// Gives all servers in the list this address, and waits until the front has taken the list.
 async fn move_servers(fleet: &TestFleet, address: SocketAddr) {
-    let taken = fleet.front_log(0).matches("list taken").count();
+    let lists_taken = fleet.front_log(0).matches("list taken").count();
     let file = fleet.folder().join("list.json");
     let mut list: serde_json::Value =
-        serde_json::from_str(&std::fs::read_to_string(&file).expect("the list")).expect("it reads");
+        serde_json::from_str(&std::fs::read_to_string(&file).expect("the list")).expect("the list is JSON");
     for server in list["servers"].as_array_mut().expect("servers") {
         server["address"] = json!(address);
     }
     replace(&file, list.to_string()).expect("the list is replaced");
-    fleet.wait_for_log("list taken", taken + 1).await;
+    fleet.wait_for_log("list taken", lists_taken + 1).await;
 }
 
-/// A house with one play at a server by hand, that it sets up; where the play's segments are, and its set-up's connection.
+/// Starts a fleet with one play at a [`ManualServer`]; returns the fleet, the server, the base URL of the play's segments
+/// and the connection of its set-up.
 async fn start_with_manual_server(reads: serde_json::Value) -> (TestFleet, ManualServer, String, HttpPeer) {
     let mut scenario = base_scenario();
     scenario["limits"] = json!({ "server_connections": 1 });
@@ -154,12 +162,14 @@
     move_servers(&fleet, server.address).await;
     let pending = fleet.send_manifest_request(0, "s", FREE).await;
     let (mut peer, _) = server.next("POST").await;
-    peer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.expect("it is told");
+    peer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .await
+        .expect("the response is written");
     let base_url = segment_base_url(&pending.response().await);
     (fleet, server, base_url, peer)
 }
 
-/// Sends a request whose answer is waited for later, and makes sure that the front has read it.
+/// Sends a request without waiting for its response, and makes sure that the front has read it.
 async fn begin_request(fleet: &TestFleet, target: &str) -> HttpPeer {
     let mut peer = fleet.connect(0).await.expect("a connection");
     peer.write(get_request(target).as_bytes()).await.expect("the request is taken");
@@ -174,12 +184,12 @@
     let mut first = begin_request(&fleet, &format!("{base_url}0/1.m4s")).await;
     let (current, _) = server.next("GET").await;
     let mut queued = begin_request(&fleet, &format!("{base_url}0/2.m4s")).await;
-    // The server has moved to where nobody can connect, which shows at once, and its last connection is reset.
+    // The server moves to an address that refuses connections at once, and its current connection is reset.
     move_servers(&fleet, "127.255.255.255:9".parse().expect("an address")).await;
     current.reset();
     for peer in [&mut first, &mut queued] {
-        let answer = timeout(MAX_WAIT, peer.read_response()).await.expect("an answer, not silence");
-        assert_eq!(answer.expect("a whole one").expect("one").status, 502);
+        let answer = timeout(MAX_WAIT, peer.read_response()).await.expect("the front responds");
+        assert_eq!(answer.expect("the response is complete").expect("a response").status, 502);
     }
 }
 
@@ -194,7 +204,7 @@
     current
         .write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok")
         .await
-        .expect("it is told");
+        .expect("the response is written");
     let (_, request_line) = server.next("GET").await;
     assert!(request_line.ends_with("/0/3"), "{request_line}");
 }
@@ -204,7 +214,9 @@
     let fleet = TestFleet::start_with_shell_prefix(base_scenario(), "ulimit -n 48").await;
     let mut connections = Vec::new();
     while !fleet.front_log(0).contains("connection not taken") {
-        connections.push(TcpStream::connect(fleet.front_addresses[0]).await.expect("the system takes it"));
+        connections.push(
+            TcpStream::connect(fleet.front_addresses[0]).await.expect("the system accepts the connection"),
+        );
         tokio::task::yield_now().await;
     }
     for server in 0..4 {
@@ -212,17 +224,17 @@
     }
     fleet.wait_for_log("list not taken", 1).await;
     drop(connections);
-    // The last list of the four, or one before it, could not be read; nothing replaces it any more.
+    // The last of the four lists, or one before it, could not be read; no later replacement makes the front read it again.
     fleet.wait_for_log("\"draining\":4", 1).await;
-    assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 503, "nobody may take it");
+    assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 503, "no server may take it");
     assert!(fleet.set_up_servers().is_empty());
     fleet.assert_rules_kept();
 }
 
-/// A token of this portal key for a session.
+/// Entry token for a session, signed with a portal key.
 fn sign_token(fleet: &TestFleet, key_number: u8, session: &str) -> String {
-    let ring =
-        KeyRing::new(&[(format!("portal-{key_number}"), vec![b'a' + key_number; 40])]).expect("a ring");
+    let ring = KeyRing::new(&[(format!("portal-{key_number}"), vec![b'a' + key_number; 40])])
+        .expect("the key ring is valid");
     ring.sign(&EntryToken {
         jti: session.into(),
         sub: "viewer".into(),
@@ -246,8 +258,8 @@
     let target =
         format!("/v1/free/{}/manifest.mpd?token={}", fleet.titles[FREE].name, sign_token(&fleet, 3, "s"));
     assert_eq!(fleet.get(&target).await.status, 401);
-    replace(&fleet.folder().join("late.key"), [b'a' + 3; 40]).expect("the secret comes");
+    replace(&fleet.folder().join("late.key"), [b'a' + 3; 40]).expect("the secret is written");
     fleet.wait_for_log("keys taken", 1).await;
     assert_eq!(fleet.get(&target).await.status, 200);
-    assert_eq!(fleet.front_log(0).matches("keys not taken").count(), 1, "told once");
+    assert_eq!(fleet.front_log(0).matches("keys not taken").count(), 1, "the rejection is logged once");
 }
--- a/crates/edge/tests/keys.rs
+++ b/crates/edge/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Tokens, the keys that sign them, and passes, while a front is in service.
+//! Entry tokens, session tokens and the keys that sign them, while a front is running.
 
 mod test_fleet;
 
@@ -12,6 +12,7 @@
 const FREE: usize = 0;
 const PAID: usize = 1;
 
+/// Claims of an entry token for session `s` that hardly expires.
 fn entry_token(fleet: &TestFleet) -> EntryToken {
     let (product, title) = (fleet.day.products[FREE].name.clone(), fleet.titles[FREE].name.clone());
     EntryToken { jti: "s".into(), sub: "v".into(), product, title, top: 1, exp: u64::MAX >> 12 }
@@ -32,7 +33,11 @@
         let answer = fleet.get(&format!("/v1/free/{title}/manifest.mpd?token={token}")).await;
         assert_eq!(answer.status, status, "{token:.20}");
         let segment = fleet.get(&format!("/s/{token}/0/1.m4s")).await;
-        assert!([401, 404].contains(&segment.status), "no pass: {}", segment.status);
+        assert!(
+            [401, 404].contains(&segment.status),
+            "an entry token is no session token: {}",
+            segment.status
+        );
     }
     assert_eq!(fleet.get(&format!("/v1/free/none/manifest.mpd?token={valid}")).await.status, 403);
     assert!(fleet.set_up_servers().is_empty());
@@ -42,12 +47,13 @@
     assert_eq!(fleet.send_raw(&bearer).await.unwrap().status, 200);
     let other_viewer = portal_keys().sign(&EntryToken { sub: "w".into(), ..entry_token(&fleet) });
     let answer = fleet.get(&format!("/v1/free/{title}/manifest.mpd?token={other_viewer}")).await;
-    assert_eq!(answer.status, 403, "another viewer's session");
+    assert_eq!(answer.status, 403, "the session belongs to another viewer");
     let log = fleet.front_log(0);
-    assert!(!log.is_empty() && !log.contains(&valid[..20]), "no token in a log");
+    assert!(!log.is_empty() && !log.contains(&valid[..20]), "the log contains a token");
 }
 
-/// Puts these keys in service, a portal's and a front's by their numbers, and waits until the front has looked.
+/// Replaces the keys of the portal and of the front by those of the given numbers, and waits until the front has taken or
+/// rejected them.
 async fn replace_keys(fleet: &TestFleet, entry: &[u8], pass: &[u8], revoked: &[&str]) {
     let files_read = || {
         fleet.front_log(0).matches("keys taken").count()
@@ -64,17 +70,18 @@
     };
     let key_set = json!({ "entry": keys("portal", entry), "pass": keys("pass", pass), "revoked": revoked });
     replace(&fleet.folder().join("keys.json"), key_set.to_string()).expect("keys are replaced");
-    fleet.wait_until("the front has looked at the keys", || files_read() > read_before).await;
+    fleet.wait_until("the front has read the keys", || files_read() > read_before).await;
 }
 
+/// The secret of a key number.
 fn secret(n: u8) -> Vec<u8> {
     vec![b'a' + n; 40]
 }
 
-/// Asks for a session with a token of this portal key; the status.
+/// Status of a manifest request whose entry token is signed with a portal key.
 async fn status_with_portal_key(fleet: &TestFleet, key: u8, session: &str) -> u16 {
     let token = KeyRing::new(&[(format!("portal-{key}"), secret(key))])
-        .expect("a ring")
+        .expect("the key ring is valid")
         .sign(&EntryToken { jti: session.into(), ..entry_token(fleet) });
     fleet.get(&format!("/v1/free/{}/manifest.mpd?token={token}", fleet.titles[FREE].name)).await.status
 }
@@ -89,12 +96,15 @@
         replace_keys(&fleet, &[n, n + 1], &[n], &[]).await;
         assert_eq!(status_with_portal_key(&fleet, n, &format!("s{n}")).await, 200);
         let segment = fleet.get(&format!("{}0/1.m4s", segment_base_url(&first))).await;
-        assert_eq!(segment.status, 200, "its pass is read within the overlap");
+        assert_eq!(segment.status, 200, "its session token is accepted within the overlap");
     }
-    assert_eq!(status_with_portal_key(&fleet, 2, "old").await, 200, "so is an entry token");
+    assert_eq!(status_with_portal_key(&fleet, 2, "old").await, 200, "an old entry token is accepted too");
     assert_eq!(status_with_portal_key(&fleet, 20, "unknown").await, 401);
     assert_eq!(fleet.set_up_servers().len(), 12);
-    assert!(!fleet.front_log(0).contains(std::str::from_utf8(&secret(3)).unwrap()), "no secret in a log");
+    assert!(
+        !fleet.front_log(0).contains(std::str::from_utf8(&secret(3)).unwrap()),
+        "the log contains a secret"
+    );
     fleet.assert_rules_kept();
 }
 
@@ -107,7 +117,7 @@
     replace_keys(&fleet, &[3], &[3], &[]).await;
     let start = tokio::time::Instant::now();
     while status_with_portal_key(&fleet, 2, "old").await != 401 {
-        assert!(start.elapsed() < Duration::from_secs(20), "it is read for ever");
+        assert!(start.elapsed() < Duration::from_secs(20), "the replaced key is still accepted");
     }
     assert_eq!(status_with_portal_key(&fleet, 3, "new").await, 200);
 }
@@ -119,7 +129,7 @@
     let fleet = TestFleet::start_with(scenario).await;
     replace_keys(&fleet, &[2], &[2], &[]).await;
     let was_refused = |n: usize| fleet.front_log(0).matches("keys not taken").count() == n;
-    // The portal's keys are good, the front's too many: neither is taken.
+    // The keys of the portal are valid, those of the front too many: neither is taken.
     replace_keys(&fleet, &[3], &[3, 4, 5, 6], &[]).await;
     assert!(was_refused(1) && fleet.front_log(0).contains("4 keys"));
     assert_eq!(
@@ -127,14 +137,14 @@
         (401, 200)
     );
     std::fs::write(fleet.folder().join("keys.json"), "{ \"entry\": [").expect("half a file is written");
-    fleet.wait_until("it is refused", || was_refused(2)).await;
-    // Another secret under a known id.
+    fleet.wait_until("the truncated file is rejected", || was_refused(2)).await;
+    // A changed secret under a known key id.
     std::fs::write(fleet.folder().join("pass-2.key"), secret(9)).expect("a key is written");
     let changed_secret = json!({
         "entry": [{ "kid": "portal-2", "file": "portal-2.key" }], "pass": [{ "kid": "pass-2", "file": "pass-2.key" }],
     });
     std::fs::write(fleet.folder().join("keys.json"), changed_secret.to_string()).expect("keys are written");
-    fleet.wait_until("it is refused", || was_refused(3)).await;
+    fleet.wait_until("the changed secret is rejected", || was_refused(3)).await;
     assert!(fleet.front_log(0).contains("a new secret needs a new id"));
     assert_eq!(status_with_portal_key(&fleet, 2, "c").await, 200);
 }
@@ -148,7 +158,7 @@
     assert_eq!(status_with_portal_key(&fleet, 2, "bad").await, 200);
     assert_eq!(status_with_portal_key(&fleet, 2, "good").await, 200);
     replace_keys(&fleet, &[2], &[2], &["bad", "later"]).await;
-    fleet.wait_for_observations("its end at the server", |seen| closed_count(seen) == 1).await;
+    fleet.wait_for_observations("the end of the play at the server", |seen| closed_count(seen) == 1).await;
     assert_eq!(status_with_portal_key(&fleet, 2, "bad").await, 403);
     assert_eq!(status_with_portal_key(&fleet, 2, "later").await, 403);
     assert_eq!(status_with_portal_key(&fleet, 2, "good").await, 200);
@@ -163,15 +173,15 @@
     let manifest = fleet.fetch_manifest("s", FREE).await;
     let target = format!("{}0/init.mp4", segment_base_url(&manifest));
     let start = tokio::time::Instant::now();
-    // Well past its own time, which is whole seconds.
+    // Well past the validity of the token, which is in whole seconds.
     while start.elapsed() < Duration::from_millis(4600) {
         assert_eq!(fleet.get(&target).await.status, 200, "after {:?}", start.elapsed());
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     tokio::time::sleep(Duration::from_millis(3200)).await;
-    assert_eq!(fleet.get(&target).await.status, 410, "paused for longer than it lasts");
+    assert_eq!(fleet.get(&target).await.status, 410, "the token expires in a pause");
     let again = fleet.fetch_manifest("s", FREE).await;
-    assert_eq!(again.status, 200, "the same play, with a new pass");
+    assert_eq!(again.status, 200, "the same play, with a new session token");
     assert_eq!(fleet.get(&format!("{}0/1.m4s", segment_base_url(&again))).await.status, 200);
     assert_eq!(fleet.set_up_servers().len(), 1);
     fleet.assert_rules_kept();
--- a/crates/edge/tests/load_and_tokens.rs
+++ b/crates/edge/tests/load_and_tokens.rs
@@ -1,5 +1,5 @@
-//! Crowds, several fronts at once, fronts that die at the worst moment, passes in wrong hands or out of time, and
-//! clocks that disagree, each story on real sockets.
+//! Load, sessions at several fronts, fronts that are killed, session tokens that are expired or used by others, and
+//! clocks that disagree, on real sockets.
 
 mod test_fleet;
 
@@ -21,6 +21,7 @@
 const FREE: usize = 0;
 const PAID: usize = 1;
 
+/// Base scenario with two fronts that poll their keys every 20 ms.
 fn two_front_scenario() -> serde_json::Value {
     let mut scenario = base_scenario();
     scenario["fronts"] = json!(2);
@@ -28,17 +29,20 @@
     scenario
 }
 
-/// A session's name whose home is this one of two fronts.
+/// Name of a session whose home is the given one of two fronts.
 fn session_with_home(front: usize) -> String {
     (0..)
         .map(|n| format!("s{n}"))
         .find(|name| home_front(name, 2) == front)
-        .expect("each front is home to half")
+        .expect("each front is the home of half of the names")
 }
 
+/// Waits until both fronts know the home of every session.
 async fn wait_for_homes(fleet: &TestFleet) {
     for front in 0..2 {
-        fleet.wait_until("the homes are known", || fleet.front_log(front).contains("homes taken")).await;
+        fleet
+            .wait_until("the front knows the homes", || fleet.front_log(front).contains("homes taken"))
+            .await;
     }
 }
 
@@ -47,7 +51,7 @@
     let fleet = TestFleet::start_with(two_front_scenario()).await;
     wait_for_homes(&fleet).await;
     fleet.set_faults(|a| a.slow = 20.0);
-    // What may be set up again is a play at each; what may not is taken by its home alone.
+    // A free session plays at each front; a paid one is redirected to its home.
     let (first, second) = (
         fleet.send_manifest_request(0, "free", FREE).await,
         fleet.send_manifest_request(1, "free", FREE).await,
@@ -66,12 +70,12 @@
         first.header("location").map(|at| at.split('?').next()),
         Some(home_location.split('?').next())
     );
-    assert_eq!(set_up_count(&fleet.log.observations()), 3, "the paid one once");
+    assert_eq!(set_up_count(&fleet.log.observations()), 3, "the paid session is set up once");
     fleet.assert_rules_kept();
 }
 
-/// The viewer of a paid play whose front died in the middle may ask where it will: it is not set up again before
-/// its home is back, and there it is a new play, for the home has forgotten that it ever was.
+/// A paid play whose front was killed during its set-up is not set up at another front: only its home may, once it is
+/// back. There the play is a new one, because the home keeps nothing of the old one.
 #[tokio::test]
 async fn paid_play_of_a_killed_front_is_not_set_up_at_another_front() {
     let fleet = TestFleet::start_with(two_front_scenario()).await;
@@ -80,11 +84,11 @@
     let (free, paid) = ("s", session_with_home(0));
     let pending =
         [fleet.send_manifest_request(0, free, FREE).await, fleet.send_manifest_request(0, &paid, PAID).await];
-    fleet.wait_for_observations("both are out", |seen| set_up_count(seen) == 2).await;
+    fleet.wait_for_observations("both set-ups are pending", |seen| set_up_count(seen) == 2).await;
     fleet.fronts.kill(0).await;
     pending.into_iter().for_each(|one| one.leave());
     fleet
-        .wait_for_observations("servers see the end", |seen| {
+        .wait_for_observations("servers observe the end of both", |seen| {
             seen.iter().filter(|s| matches!(s.what, Observed::Closed { .. })).count() == 2
         })
         .await;
@@ -92,12 +96,12 @@
     assert_eq!(
         fleet.send_manifest_request(1, free, FREE).await.response().await.status,
         200,
-        "elsewhere at once"
+        "a free play is served by the other front at once"
     );
     assert_eq!(
         fleet.send_manifest_request(1, &paid, PAID).await.response().await.status,
         307,
-        "not elsewhere"
+        "a paid play is redirected to its home"
     );
     assert_eq!(set_up_count(&fleet.log.observations()), 3);
     fleet.assert_rules_kept();
@@ -118,7 +122,7 @@
         viewers.push(tokio::spawn(async move {
             sleep_until(arrives_at).await;
             let (mut requested, mut last) = (0, 0);
-            // Each asks until it is served, three in ten of them in new sessions every 300 ms.
+            // Three in ten viewers retry every 300 ms in a new session, up to four times, until they are served.
             for try_number in 0..4 {
                 requested += 1;
                 last = fleet.fetch_manifest(&format!("s{n}-{try_number}"), FREE).await.status;
@@ -132,16 +136,13 @@
     }
     let (mut requested, mut served, mut declined) = (0, 0, 0);
     for viewer in viewers {
-        let (times, status) = viewer.await.expect("no viewer dies");
+        let (times, status) = viewer.await.expect("the viewer task succeeds");
         requested += times;
         served += usize::from(status == 200);
         declined += usize::from(status == 503);
         assert!([200, 503, 504].contains(&status), "{status}");
     }
-    assert!(
-        requested >= 5000 && served >= 500,
-        "{requested} asked, {served} served, {declined} told to stay away"
-    );
+    assert!(requested >= 5000 && served >= 500, "{requested} requests, {served} served, {declined} declined");
     fleet.assert_rules_kept();
 }
 
@@ -152,11 +153,11 @@
     let fleet = TestFleet::start_with(scenario).await;
     let mut slow_connections = Vec::new();
     for _ in 0..20 {
-        let at = fleet.front_addresses[0];
+        let front_address = fleet.front_addresses[0];
         slow_connections.push(tokio::spawn(async move {
-            let mut stream = TcpStream::connect(at).await.expect("a connection");
+            let mut stream = TcpStream::connect(front_address).await.expect("a connection");
             let (mut read, mut write) = stream.split();
-            let drip = async {
+            let write_slowly = async {
                 for byte in get_request("/v1/free/free-0/manifest.mpd").bytes().cycle() {
                     if tokio::io::AsyncWriteExt::write_all(&mut write, &[byte]).await.is_err() {
                         break;
@@ -166,7 +167,7 @@
             };
             let mut answer = Vec::new();
             tokio::select! {
-                _ = drip => {}
+                _ = write_slowly => {}
                 _ = read.read_to_end(&mut answer) => {}
             }
             String::from_utf8_lossy(&answer).starts_with("HTTP/1.1 408")
@@ -176,18 +177,19 @@
         assert_eq!(fleet.fetch_manifest(&format!("s{n}"), FREE).await.status, 200);
     }
     for connection in slow_connections {
-        assert!(connection.await.expect("no player dies"), "each is told that its time is up");
+        assert!(connection.await.expect("the player task succeeds"), "each slow head gets status 408");
     }
     fleet.assert_rules_kept();
 }
 
+/// Manifest target of a session whose entry token expires at `exp`, in seconds since the epoch.
 fn manifest_target_expiring(fleet: &TestFleet, session: &str, exp: u64) -> String {
     let (product, title) = (fleet.day.products[FREE].name.clone(), fleet.titles[FREE].name.clone());
-    let entry = EntryToken { jti: session.into(), sub: "v".into(), product, title, top: 1, exp };
-    address::manifest_path(&entry.product, &entry.title, &portal_keys().sign(&entry))
+    let claims = EntryToken { jti: session.into(), sub: "v".into(), product, title, top: 1, exp };
+    address::manifest_path(&claims.product, &claims.title, &portal_keys().sign(&claims))
 }
 
-/// To the front, a portal whose clock was stepped and a front's own that was are the same: they disagree.
+/// The front cannot tell whether its own clock or that of the portal is off; it only sees that they disagree.
 #[tokio::test]
 async fn token_expiry_tolerates_the_configured_clock_skew() {
     let mut scenario = base_scenario();
@@ -195,14 +197,14 @@
     let fleet = TestFleet::start_with(scenario).await;
     let now = (fleet.log.now() / 1000.0) as u64;
     let running = fleet.fetch_manifest("s", FREE).await;
-    // A token of a minute by a portal that is 10 s behind has run out 10 s early, and one that is ahead lasts.
+    // A token from a portal whose clock is 10 s behind expires 10 s early; one from a clock that is ahead expires late.
     assert_eq!(fleet.get(&manifest_target_expiring(&fleet, "behind", now - 10)).await.status, 200);
     assert_eq!(fleet.get(&manifest_target_expiring(&fleet, "ahead", now + 70)).await.status, 200);
     assert_eq!(fleet.get(&manifest_target_expiring(&fleet, "gone", now - 20)).await.status, 410);
     assert_eq!(
         fleet.get(&format!("{}0/1.m4s", segment_base_url(&running))).await.status,
         200,
-        "what plays goes on"
+        "a running play continues"
     );
     assert_eq!(set_up_count(&fleet.log.observations()), 3);
     fleet.assert_rules_kept();
@@ -216,26 +218,29 @@
     let fleet = TestFleet::start_with(scenario).await;
     let late_manifest = fleet.fetch_manifest("late", FREE).await;
     let quick_manifest = fleet.fetch_manifest("quick", FREE).await;
-    // The link is so slow that the segment takes longer than the pass lasts.
+    // The link is so slow that the segment takes longer than the session token is valid.
     fleet.set_faults(|a| a.link = 0.002);
     let requested_at = Instant::now();
     let segment = fleet.get(&format!("{}0/1.m4s", segment_base_url(&quick_manifest))).await;
-    assert!(requested_at.elapsed() > Duration::from_millis(1000), "it took longer than the pass lasts");
-    assert!(content::parse(&segment.body).is_some_and(|c| c.intact), "what was begun comes whole");
+    assert!(
+        requested_at.elapsed() > Duration::from_millis(1000),
+        "the segment took longer than the session token is valid"
+    );
+    assert!(content::parse(&segment.body).is_some_and(|c| c.intact), "a segment that was begun is completed");
     fleet.set_faults(|a| a.link = 1.0);
     let first = fleet.get(&format!("{}0/1.m4s", segment_base_url(&late_manifest))).await;
     assert_eq!(first.status, 410, "{}", body_text(&first));
-    // The same entry token, still good, gets the same play and a pass anew.
+    // The entry token is still valid: it gets the same play with a new session token.
     let again = fleet.fetch_manifest("late", FREE).await;
     assert_eq!(fleet.get(&format!("{}0/1.m4s", segment_base_url(&again))).await.status, 200);
-    assert_eq!(set_up_count(&fleet.log.observations()), 2, "no second allocation was made for it");
+    assert_eq!(set_up_count(&fleet.log.observations()), 2, "the repeated request made no second allocation");
     fleet.assert_rules_kept();
 }
 
-/// A request from another of this machine's addresses.
+/// Status of a request that is sent from the given loopback address.
 async fn fetch_status_from(address: [u8; 4], fleet: &TestFleet, target: &str) -> u16 {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-    socket.bind((address, 0).into()).expect("all of 127/8 is this machine");
+    socket.bind((address, 0).into()).expect("every address in 127/8 is local");
     let mut peer = HttpPeer::new(socket.connect(fleet.front_addresses[0]).await.expect("a connection"));
     peer.write(get_request(target).as_bytes()).await.expect("the request is taken");
     peer.read_response().await.expect("an answer").expect("an answer").status
@@ -249,12 +254,12 @@
     let target = format!("{}0/1.m4s", segment_base_url(&fleet.fetch_manifest("s", FREE).await));
     assert_eq!(fetch_status_from([127, 0, 0, 1], &fleet, &target).await, 200);
     assert_eq!(fetch_status_from([127, 0, 0, 2], &fleet, &target).await, 403);
-    // Where addresses tell nothing, a pass that is handed round is held to what one viewer reads at once.
+    // At the same address, a shared session token is limited to the parallel fetches of one viewer.
     fleet.set_faults(|a| a.stall = 1.0);
     let peers = [fleet.connect(0).await.unwrap(), fleet.connect(0).await.unwrap()];
     for mut peer in peers {
         peer.write(get_request(&target).as_bytes()).await.unwrap();
-        assert!(peer.read_more().await.unwrap(), "it has begun");
+        assert!(peer.read_more().await.unwrap(), "the segment has begun");
         std::mem::forget(peer);
     }
     assert_eq!(fleet.get(&target).await.status, 429);
@@ -291,8 +296,8 @@
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
     let mut plays = 0;
     for viewer in viewers {
-        plays += viewer.await.expect("no play was dropped");
+        plays += viewer.await.expect("the viewer's plays succeed");
     }
-    assert!(plays >= 16, "{plays} plays meanwhile");
+    assert!(plays >= 16, "only {plays} plays during the replacements");
     fleet.assert_rules_kept();
 }
--- a/crates/edge/tests/many_fronts.rs
+++ b/crates/edge/tests/many_fronts.rs
@@ -1,6 +1,6 @@
-//! Many fronts as processes that share, with faults between them: every word that they exchange goes over relays on
-//! loopback, which drop, delay, double, reorder and split. What holds is asserted on what servers saw on their sockets,
-//! and on what fronts say when asked.
+//! Several front processes that share state, with faults between them: every message that they exchange goes over
+//! relays on loopback, which drop, delay, duplicate and reorder messages and split the fleet. The assertions are on what
+//! servers observed on their sockets and on the status that fronts report.
 
 mod sharing;
 mod test_fleet;
@@ -19,19 +19,21 @@
 
 const FREE: usize = 0;
 
+/// The front, with log level `debug` for the target `play`.
 fn edge_program() -> Program {
     let mut program = Program::edge(env!("CARGO_BIN_EXE_pulleystair-edge").into());
     program.words[3] = "info,play=debug".into();
     program
 }
 
-/// Servers of another zone cost nothing, so that all are used.
+/// Sets the price of servers in another zone to 0, so that all servers are used.
 fn clear_cross_zone_prices(folder: &Path, fronts: usize) {
     (0..fronts).for_each(|f| {
         sharing::change_front_config(folder, f, |config| config["prices"]["cross_zone"] = json!(0))
     });
 }
 
+/// Sorted names of the servers in a status report that match.
 fn server_names(status: &Value, matches_server: impl Fn(&Value) -> bool) -> Vec<String> {
     let all = status["servers"].as_array().into_iter().flatten().filter(|s| matches_server(s));
     let mut names: Vec<String> = all.map(|s| s["server"].as_str().expect("a name").to_string()).collect();
@@ -39,30 +41,32 @@
     names
 }
 
+/// Sorted names of the servers that a front doubts.
 fn doubted_servers(status: &Value) -> Vec<String> {
     server_names(status, |s| s["doubted"] == true)
 }
 
+/// The pace of each front towards server 0, as reported in its status.
 fn paces(fleet: &TestFleet, fronts: std::ops::Range<usize>) -> Vec<f64> {
     fronts.map(|front| query_status(fleet, front)["servers"][0]["pace"].as_f64().expect("a pace")).collect()
 }
 
-/// All fronts hear each other, and know what they have lent.
+/// Waits until all fronts hear each other, and then for 1.1 loan periods, so that each knows what it has lent.
 async fn wait_until_all_heard(fleet: &TestFleet, fronts: usize, lend_ms: f64) {
-    wait_until("all hear each other", || {
+    wait_until("all fronts hear each other", || {
         (0..fronts).all(|f| query_status(fleet, f)["unheard"].as_array().is_some_and(Vec::is_empty))
     })
     .await;
     sleep(Duration::from_secs_f64(lend_ms * 1.1 / 1000.0)).await;
 }
 
-// ---- 1: a budget that holds ----
+// ---- 1: the shared budget for a cold server ----
 
 const STREAMS: u32 = 500;
 const COLD_MS: f64 = 9_000.0;
 
-/// What all fronts together may send the cold server in a window that begins and ends so long after its start: the whole
-/// pace over it, and one play each that had its turn.
+/// Set-ups that all fronts together may send a cold server from `from` to `to`, in ms after its start: the pace at the end
+/// of the window over its length, and one play for each front that had its turn.
 fn max_set_ups(fronts: usize, from: f64, to: f64) -> f64 {
     let pace =
         |at: f64| f64::from(STREAMS) / COLD_MS * (0.3 + 0.7 * (at / COLD_MS).clamp(0.0, 1.0)) * 2.5 * 0.6;
@@ -80,38 +84,38 @@
     scenario["products"][FREE]["first_frame_target_ms"] = json!(14_000);
     let mut fleet = TestFleet::start_first(scenario, edge_program(), 8, |_, _| {}).await;
     wait_until_all_heard(&fleet, 8, 1_200.0).await;
-    let relays = fleet.fronts.between.clone().expect("they share");
+    let relays = fleet.fronts.between.clone().expect("the fronts share state");
     fleet.stage.restart(0);
-    let started = fleet.log.now();
-    // A crowd at two fronts: the others' parts are lent.
-    let mut waiting = send_play_requests(&fleet, "first", &[0, 1], 120).await;
+    let restarted_at = fleet.log.now();
+    // Many plays at two fronts: the other fronts lend them their parts.
+    let mut pending = send_play_requests(&fleet, "first", &[0, 1], 120).await;
     wait_until("parts are lent", || paces(&fleet, 0..2).iter().all(|p| *p > 1.5)).await;
     let lent_paces = paces(&fleet, 2..8);
     assert!(lent_paces.iter().all(|p| (0.25..1.0).contains(p)), "{lent_paces:?}");
-    // Nobody hears anybody, then half of them are killed and come back.
+    // Front 0 is split from the others; then messages are lost and half of the fronts are killed and restarted.
     relays.split(|front| front == 0);
-    wait_until("front 0 has its own part alone", || paces(&fleet, 0..1) == [1.0]).await;
+    wait_until("front 0 has only its own part", || paces(&fleet, 0..1) == [1.0]).await;
     let split_at_ms = fleet.log.now();
-    wait_until("it goes on unaided", || {
+    wait_until("set-ups of front 0 without the others", || {
         let seen = fleet.log.observations();
         seen.iter().filter(|s| s.at > split_at_ms && matches!(s.what, Observed::SetUp { .. })).count() >= 6
     })
     .await;
-    relays.change(|from, to, way| {
-        (way.open, way.lost, way.doubled, way.late_ms) = (from != 3 || to != 0, 0.2, 0.2, 10.0)
+    relays.change(|from, to, link| {
+        (link.open, link.lost, link.doubled, link.late_ms) = (from != 3 || to != 0, 0.2, 0.2, 10.0)
     });
     for front in 4..8 {
         fleet.restart(front).await;
     }
-    waiting.extend(send_play_requests(&fleet, "second", &[0, 1, 2, 3, 4, 5, 6, 7], 12).await);
-    wait_until("the server is warm", || fleet.log.now() > started + COLD_MS + 500.0).await;
-    drop(waiting);
+    pending.extend(send_play_requests(&fleet, "second", &[0, 1, 2, 3, 4, 5, 6, 7], 12).await);
+    wait_until("the server is warm", || fleet.log.now() > restarted_at + COLD_MS + 500.0).await;
+    drop(pending);
     let set_up_times: Vec<f64> = fleet
         .log
         .observations()
         .iter()
-        .filter(|s| s.at >= started && matches!(s.what, Observed::SetUp { .. }))
-        .map(|s| s.at - started)
+        .filter(|s| s.at >= restarted_at && matches!(s.what, Observed::SetUp { .. }))
+        .map(|s| s.at - restarted_at)
         .filter(|at| *at < COLD_MS)
         .collect();
     assert!(set_up_times.len() > 100, "{} set-ups", set_up_times.len());
@@ -125,21 +129,21 @@
     fleet.assert_rules_kept();
 }
 
-// ---- 2: who is doubted ----
+// ---- 2: doubted servers ----
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
 async fn server_failing_at_two_fronts_is_doubted_by_no_front() {
     let _exclusive = sharing::exclusive_run().await;
     let unresponsive = start_unresponsive_server();
-    let fleet = TestFleet::start_first(sharing_scenario(5, 4), edge_program(), 5, |set, folder| {
+    let fleet = TestFleet::start_first(sharing_scenario(5, 4), edge_program(), 5, |testbed, folder| {
         (0..2).for_each(|front| {
-            sharing::override_server_addresses(set, folder, front, &[(0, unresponsive.address)])
+            sharing::override_server_addresses(testbed, folder, front, &[(0, unresponsive.address)])
         });
     })
     .await;
     wait_until_all_heard(&fleet, 5, 0.0).await;
     run_plays(&fleet, "a", &[0, 1, 2, 3, 4], 14).await;
-    wait_until("words have gone round", || {
+    wait_until("messages have been exchanged", || {
         (0..5).all(|f| query_status(&fleet, f)["exchange"]["taken"].as_u64() > Some(40))
     })
     .await;
@@ -148,8 +152,8 @@
     }
 }
 
-/// Three of eight say that every server fails. While the others are served nobody is doubted; once none has anything to
-/// say, no more than a quarter of the links, and the first play that is served there takes it back.
+/// Three of eight fronts report that every server fails. While the others have recent successes no server is doubted; once
+/// their reports are old, at most a quarter of the links is doubted, until a play succeeds there.
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
 async fn false_failure_reports_doubt_a_quarter_of_servers_until_a_play_succeeds() {
     let _exclusive = sharing::exclusive_run().await;
@@ -158,28 +162,33 @@
         (5..8).map(|front| FakeFront::start(&fleet, front, "here", FakeFront::report_all_failing)).collect();
     wait_until_all_heard(&fleet, 5, 0.0).await;
     run_plays(&fleet, "a", &[0, 1, 2, 3, 4], 30).await;
-    // What each was served the others have heard by then.
+    // By then each front has heard of the successes of the others.
     let messages_taken = |f| query_status(&fleet, f)["exchange"]["taken"].as_u64().unwrap_or(0);
     let taken_before: Vec<u64> = (0..5).map(messages_taken).collect();
-    wait_until("words of that have gone round", || (0..5).all(|f| messages_taken(f) >= taken_before[f] + 24))
-        .await;
+    wait_until("reports of the successes have been exchanged", || {
+        (0..5).all(|f| messages_taken(f) >= taken_before[f] + 24)
+    })
+    .await;
     let doubting_none = (0..5).filter(|f| doubted_servers(&query_status(&fleet, *f)).is_empty()).count();
-    assert_eq!(doubting_none, 5, "outvoted by those that were served");
-    wait_until("words of the honest are old", || doubted_servers(&query_status(&fleet, 0)).len() == 2).await;
+    assert_eq!(doubting_none, 5, "the successes of others outvote the false reports");
+    wait_until("the reports of the real fronts are old", || {
+        doubted_servers(&query_status(&fleet, 0)).len() == 2
+    })
+    .await;
     let doubted = doubted_servers(&query_status(&fleet, 0));
-    // Eight servers of one size; titles with four holders.
+    // A quarter of eight servers of equal size; titles have four holders.
     assert_eq!(doubted.len(), 2);
     let mut n = 0;
     while doubted_servers(&query_status(&fleet, 0)).iter().any(|s| doubted.contains(s)) {
         n += 1;
-        assert!(n < 60, "never taken back");
+        assert!(n < 60, "the servers are still doubted");
         run_plays_from_title(&fleet, &format!("b{n}"), 4 * n, &[0], 4).await;
     }
     drop(false_reporters);
     fleet.assert_rules_kept();
 }
 
-/// Zone north can't reach south's servers. North's fronts infer that south is lost to them; south's doubt none.
+/// The fronts of zone north can't reach the servers of zone south. They infer that south is lost; those of south doubt none.
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
 async fn unreachable_zone_is_inferred_lost_only_by_the_zone_that_cannot_reach_it() {
     let _exclusive = sharing::exclusive_run().await;
@@ -187,16 +196,18 @@
     let mut scenario = sharing_scenario(6, 8);
     scenario["zones"] = json!(["north", "south"]);
     let south: Vec<_> = [1, 3, 5, 7].map(|server| (server, unresponsive.address)).to_vec();
-    let fleet = TestFleet::start_first(scenario, edge_program(), 6, |set, folder| {
+    let fleet = TestFleet::start_first(scenario, edge_program(), 6, |testbed, folder| {
         clear_cross_zone_prices(folder, 6);
-        [0, 2, 4].iter().for_each(|front| sharing::override_server_addresses(set, folder, *front, &south));
+        [0, 2, 4]
+            .iter()
+            .for_each(|front| sharing::override_server_addresses(testbed, folder, *front, &south));
     })
     .await;
     wait_until_all_heard(&fleet, 6, 0.0).await;
     let (mut inferred_count, mut n) = (0, 0);
     while inferred_count < 3 {
         n += 1;
-        assert!(n < 20, "never inferred: {inferred_count}");
+        assert!(n < 20, "only {inferred_count} fronts inferred the lost zone");
         run_plays_from_title(&fleet, &format!("c{n}"), 3 * n, &[0, 1, 2, 3, 4, 5], 3).await;
         let lost_zones: Vec<Value> = (0..6).map(|f| query_status(&fleet, f)["zone_lost"].clone()).collect();
         inferred_count = [0, 2, 4].iter().filter(|f| lost_zones[**f] == "south").count();
@@ -212,19 +223,19 @@
     let mut n = 0;
     while (0..6).any(|f| !query_status(&fleet, f)["zone_lost"].is_null()) {
         n += 1;
-        assert!(n < 40, "never taken back");
+        assert!(n < 40, "the zone still counts as lost");
         run_plays_from_title(&fleet, &format!("d{n}"), 3 * n, &[0, 2, 4], 3).await;
     }
     fleet.assert_rules_kept();
 }
 
-// ---- 3: a zone is lost ----
+// ---- 3: a lost zone ----
 
-/// Time-outs of each front while half of the servers are silent.
+/// Number of time-outs of each front while half of the servers, one of two zones, do not respond.
 async fn count_time_outs(is_sharing: bool) -> Vec<usize> {
     let mut scenario = sharing_scenario(6, 8);
     scenario["zones"] = json!(["north", "south"]);
-    // What is doubted is tried seldom.
+    // Doubted servers are tried rarely.
     scenario["fleet"]["streams"] = json!(40);
     scenario["rules"]["cold_ms"] = json!(3_000);
     if !is_sharing {
@@ -236,13 +247,13 @@
     if is_sharing {
         wait_until_all_heard(&fleet, 6, 0.0).await;
     }
-    // The list at start counts as old, and all on it as cold.
+    // At its start a front takes its list for old and all servers on it for cold: wait until they are warm.
     sleep(Duration::from_millis(3_000)).await;
     run_plays(&fleet, "a", &[0, 1, 2, 3, 4, 5], 6).await;
     for server in [1, 3, 5, 7] {
         fleet.boxes.model().servers[server].faults.silent = true;
     }
-    // One after the other, as in thin traffic.
+    // One play after the other, as in light traffic.
     for n in 0..14 {
         run_plays_from_title(&fleet, &format!("b{n}"), n, &[0, 1, 2, 3, 4, 5], 1).await;
     }
@@ -254,25 +265,29 @@
 async fn sharing_reduces_time_outs_when_a_zone_is_lost() {
     let _exclusive = sharing::exclusive_run().await;
     let (separate, shared) = (count_time_outs(false).await, count_time_outs(true).await);
-    println!("time-outs of each front, alone {separate:?}, together {shared:?}");
+    println!("time-outs of each front: {separate:?} without sharing, {shared:?} with sharing");
     let (separate, shared) = (separate.iter().sum::<usize>(), shared.iter().sum::<usize>());
-    assert!(separate > 12 && shared * 3 < separate * 2, "{shared} of {separate}");
+    assert!(
+        separate > 12 && shared * 3 < separate * 2,
+        "{shared} time-outs with sharing, {separate} without"
+    );
 }
 
-// ---- 5: what other holders would have taken ----
+// ---- 5: estimates of what other holders would have taken ----
 
+/// Runs 512 plays at eight fronts with server `m1` slower by `slower_ms`; returns the estimates that each front reports.
 async fn run_estimates(slower_ms: f64) -> (TestFleet, Vec<Value>) {
     let mut scenario = sharing_scenario(8, 4);
     scenario["zones"] = json!(["north", "south"]);
     scenario["sharing"]["bucket_ms"] = json!(600_000);
     let fleet = TestFleet::start_first(scenario, edge_program(), 8, |_, _| {}).await;
     wait_until_all_heard(&fleet, 8, 0.0).await;
-    // Work of 5 ms, and so many times that.
+    // The factor on 5 ms of work that adds `slower_ms`.
     fleet.boxes.model().servers[1].faults.slow = 1.0 + slower_ms / 5.0;
     for n in 0..8 {
         run_plays(&fleet, &format!("p{n}"), &[0, 1, 2, 3, 4, 5, 6, 7], 8).await;
     }
-    wait_until("all plays are known to all", || {
+    wait_until("all fronts know the plays of all", || {
         (0..8).all(|front| query_status(&fleet, front)["whatif"]["plays"].as_u64() >= Some(480))
     })
     .await;
@@ -280,6 +295,7 @@
     (fleet, estimates)
 }
 
+/// Names of the servers that a report calls slow.
 fn slow_servers(whatif: &Value) -> Vec<String> {
     let all = whatif["servers"].as_array().into_iter().flatten().filter(|s| s["slow"] == true);
     all.map(|s| s["server"].as_str().expect("a name").to_string()).collect()
@@ -292,16 +308,19 @@
     for whatif in &estimates {
         assert_eq!(slow_servers(whatif), ["m1"], "{whatif}");
         let server = whatif["servers"].as_array().and_then(|all| all.iter().find(|s| s["server"] == "m1"));
-        let more = &server.expect("it is known")["more"];
-        let (low, mean, high) =
-            (more["low"].as_f64().unwrap(), more["mean"].as_f64().unwrap(), more["high"].as_f64().unwrap());
-        // As the stand-ins know it; sockets and sleeps add a few ms.
-        assert!(low - 8.0 <= 60.0 && 60.0 <= high + 8.0 && mean > 40.0, "{more}");
+        let delay_estimate = &server.expect("the report has m1")["more"];
+        let (low, mean, high) = (
+            delay_estimate["low"].as_f64().unwrap(),
+            delay_estimate["mean"].as_f64().unwrap(),
+            delay_estimate["high"].as_f64().unwrap(),
+        );
+        // The fake servers add 60 ms; sockets and sleeps add a few more.
+        assert!(low - 8.0 <= 60.0 && 60.0 <= high + 8.0 && mean > 40.0, "{delay_estimate}");
         assert_eq!((whatif["over"]["heard"].as_u64(), whatif["undecided"].as_bool()), (Some(8), Some(false)));
     }
-    let relays = fleet.fronts.between.clone().expect("they share");
+    let relays = fleet.fronts.between.clone().expect("the fronts share state");
     relays.split(|front| front < 4);
-    wait_until("half are unheard", || {
+    wait_until("half of the fronts are unheard", || {
         query_status(&fleet, 0)["unheard"].as_array().is_some_and(|u| u.len() == 4)
     })
     .await;
@@ -311,7 +330,10 @@
         partial_report["policies"].as_array().is_some_and(|all| all.iter().all(|p| p["robust"].is_null()))
     );
     relays.heal();
-    wait_until("all say so again", || slow_servers(&query_status(&fleet, 0)["whatif"]) == ["m1"]).await;
+    wait_until("front 0 names the slow server again", || {
+        slow_servers(&query_status(&fleet, 0)["whatif"]) == ["m1"]
+    })
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
--- a/crates/edge/tests/retry_amplification.rs
+++ b/crates/edge/tests/retry_amplification.rs
@@ -1,6 +1,6 @@
-//! The most that one play can cause, with every layer that repeats provoked at once: players that ask twice and come
-//! back, fronts that hold the same session, the decisions' further allocations, and reads of segments taken up again.
-//! Counted on the servers' sockets. `docs/review-of-parts.md` has the table that this holds the program to.
+//! The maximum load that one play can cause, with every layer that retries provoked at once: players that request twice and
+//! come back, fronts that hold the same session, further allocations by the placement, and resumed reads of segments.
+//! Counted on the servers' sockets. `docs/review-of-parts.md` has the table of the maxima that this checks.
 
 mod test_fleet;
 
@@ -13,7 +13,7 @@
 const ALLOCATIONS: usize = 3;
 const READ_TRIES: usize = 2;
 
-/// Set-ups of a session, as servers read them.
+/// Number of set-ups of a session that servers have read.
 fn session_set_ups(fleet: &TestFleet, expected_session: &str) -> usize {
     let seen = fleet.log.observations();
     seen.iter()
@@ -21,11 +21,13 @@
         .count()
 }
 
+/// Number of segment requests that all servers have read.
 fn total_segments_read(fleet: &TestFleet) -> usize {
     fleet.boxes.model().servers.iter().map(|s| s.segments_read).sum()
 }
 
-/// Asked for four times at once at each front, by players that wait, and twice more when they have been answered.
+/// Requests a session four times at once at each of two fronts and, after the responses, twice more at each; returns all
+/// statuses.
 async fn request_repeatedly(fleet: &TestFleet, session: &str, product: usize) -> Vec<u16> {
     let mut pending = Vec::new();
     for n in 0..8 {
@@ -50,18 +52,20 @@
     scenario["reads"] = json!({ "tries": READ_TRIES, "free": 100 });
     let fleet = TestFleet::start_with(scenario).await;
     for front in 0..2 {
-        fleet.wait_until("the homes are known", || fleet.front_log(front).contains("homes taken")).await;
+        fleet
+            .wait_until("the front knows the homes", || fleet.front_log(front).contains("homes taken"))
+            .await;
     }
     fleet.set_faults(|a| a.errors = 1.0);
-    // May be set up again: as often as the decisions may, at each front that is asked.
+    // A free play: at each requested front, as many set-ups as the placement may make.
     let statuses = request_repeatedly(&fleet, "free", FREE).await;
     assert!(statuses.iter().all(|status| *status == 503), "{statuses:?}");
     assert_eq!(session_set_ups(&fleet, "free"), 2 * ALLOCATIONS);
-    // May not: once in all, whoever is asked and however often.
+    // A paid play: one set-up in all, whichever front is requested and however often.
     let statuses = request_repeatedly(&fleet, "paid", PAID).await;
     assert!(statuses.iter().all(|status| [307, 502].contains(status)), "{statuses:?}");
     assert_eq!(session_set_ups(&fleet, "paid"), 1);
-    // A play that runs, and whose server then sends half of every segment.
+    // A running play whose server then sends half of every segment.
     fleet.set_faults(|a| (a.errors, a.cut) = (0.0, 1.0));
     let manifest = fleet.fetch_manifest("plays", FREE).await;
     let reads_before = total_segments_read(&fleet);
@@ -71,21 +75,25 @@
                 .send_raw(&test_fleet::get_request(&format!("{}0/1.m4s", segment_base_url(&manifest))))
                 .await
                 .is_none(),
-            "it came short"
+            "the segment is incomplete"
         );
         assert_eq!(
             total_segments_read(&fleet) - reads_before,
             asked * READ_TRIES,
-            "reads of one segment, asked for {asked} times"
+            "reads of one segment, requested {asked} times"
         );
-        assert_eq!(fleet.fetch_manifest("plays", FREE).await.status, 200, "and the manifest meanwhile");
+        assert_eq!(fleet.fetch_manifest("plays", FREE).await.status, 200, "the manifest is still served");
     }
-    assert_eq!(session_set_ups(&fleet, "plays"), 1, "no read, and no asking again, sets it up anew");
+    assert_eq!(
+        session_set_ups(&fleet, "plays"),
+        1,
+        "neither reads nor repeated requests set the play up again"
+    );
     fleet.assert_rules_kept();
 }
 
-/// What the decisions chose is what the sockets show: a play's reads go to the server of its set-up and nowhere else, on
-/// the rung that it was set up on or a lower one, of its own title and product.
+/// The placement alone chooses: the reads of a play go only to the server of its set-up, on the rung of the set-up or a
+/// lower one, for its own title and product.
 #[tokio::test]
 async fn reads_use_the_server_rung_and_title_of_the_set_up() {
     let fleet = TestFleet::start().await;
@@ -111,7 +119,7 @@
                 }
                 _ => None,
             })
-            .expect("it was set up");
+            .expect("the play was set up");
         for asked in 0..2 {
             let segment = fleet.get(&format!("{}{asked}/1.m4s", segment_base_url(&manifest))).await;
             let content = pulleystair_fake_servers::content::parse(&segment.body).expect("a segment");
--- a/crates/edge/tests/rule_violations.rs
+++ b/crates/edge/tests/rule_violations.rs
@@ -1,6 +1,6 @@
-//! Fronts broken on purpose, one for each rule: the real front, told other terms than those it is held to. Each must be
-//! found to break that rule and no other by what its players and servers saw; a checker that passes one of them is
-//! worth nothing.
+//! Fronts that break a rule on purpose, one for each rule: the real front, with another configuration than the one that
+//! the rules are checked against. By the observations of its players and servers the checker must find that it breaks
+//! that rule and no other; a checker that passes one of them is useless.
 
 mod test_fleet;
 
@@ -14,7 +14,7 @@
 const FREE: usize = 0;
 const PAID: usize = 1;
 
-/// A front whose rundown is changed by this word of sed before it starts.
+/// Starts a fleet whose front reads a configuration that was changed by a sed script, unlike the scenario.
 async fn start_with_changed_config(scenario: Value, sed_script: &str) -> TestFleet {
     TestFleet::start_with_shell_prefix(
         scenario,
@@ -23,6 +23,7 @@
     .await
 }
 
+/// Rule 1: the front has twice the time limit of its players.
 async fn run_late_answers() -> TestFleet {
     let fleet =
         start_with_changed_config(base_scenario(), "s/\"time_limit_ms\": 1500/\"time_limit_ms\": 3000/")
@@ -32,6 +33,7 @@
     fleet
 }
 
+/// Rule 2: the front takes the paid product for one that may be set up again.
 async fn run_paid_retry() -> TestFleet {
     let fleet = start_with_changed_config(base_scenario(), "s/\"non_idempotent\"/\"read_like\"/").await;
     fleet.set_faults(|a| a.errors = 1.0);
@@ -39,6 +41,7 @@
     fleet
 }
 
+/// Rule 3: the front does not read the list again and sends plays to draining servers.
 async fn run_ignored_drains() -> TestFleet {
     let mut scenario = base_scenario();
     scenario["limits"] = json!({ "list_poll_ms": 300 });
@@ -47,12 +50,13 @@
     for server in 0..4 {
         fleet.stage.list(server, ListedState::Draining { started: 0.0 });
     }
-    // The grace, and what may be seen late: the rule's own time.
+    // The drain grace of the rule, and the delay that it allows for observations.
     tokio::time::sleep(Duration::from_millis(700)).await;
     fleet.fetch_manifest("s", FREE).await;
     fleet
 }
 
+/// Rule 4: the front takes cold servers for warm after 1 ms.
 async fn run_cold_overload() -> TestFleet {
     let mut scenario = base_scenario();
     scenario["fleet"]["streams"] = json!(24);
@@ -62,12 +66,13 @@
         fleet.stage.restart(server);
     }
     fleet.wait_for_log("list taken", 2).await;
-    // Until then a front may not have read what it was told: the check's own time.
+    // The checker allows a front this time to read the list.
     tokio::time::sleep(Duration::from_millis(300)).await;
     fleet.count_concurrent_plays(100, FREE).await;
     fleet
 }
 
+/// Rule 5: the front does not know the floor of the free product.
 async fn run_below_rung_floor() -> TestFleet {
     let mut scenario = base_scenario();
     scenario["fleet"]["link_kb"] = json!(15.0);
@@ -77,6 +82,7 @@
     fleet
 }
 
+/// Rule 6: the front has a budget of 50 further allocations instead of none.
 async fn run_over_retry_budget() -> TestFleet {
     let mut scenario = base_scenario();
     scenario["rules"]["budget"] = json!({ "span_ms": 5000, "share": 0, "free": 0 });
@@ -88,10 +94,10 @@
 
 #[test_case(1; "answers late")]
 #[test_case(2; "sends a paid set-up again")]
-#[test_case(3; "does not hear of drains")]
-#[test_case(4; "rushes cold servers")]
-#[test_case(5; "goes under the floor")]
-#[test_case(6; "knows no budget")]
+#[test_case(3; "ignores drains")]
+#[test_case(4; "overloads cold servers")]
+#[test_case(5; "goes below the rung floor")]
+#[test_case(6; "exceeds the retry budget")]
 #[tokio::test]
 async fn checker_finds_the_one_rule_that_a_misconfigured_front_breaks(rule: u8) {
     let fleet = match rule {
@@ -109,11 +115,13 @@
     write_history(&history, &format!("broken-{rule}"));
 }
 
-/// With `PULLEYSTAIR_HISTORIES` set to a folder, the history is written there, to be kept in `crates/rule-checker/histories`.
+/// Writes the history to the folder that `PULLEYSTAIR_HISTORIES` names, if it is set; the files are kept in
+/// `crates/rule-checker/histories`.
 fn write_history(history: &pulleystair_rule_checker::history::History, name: &str) {
     if let Some(folder) = std::env::var_os("PULLEYSTAIR_HISTORIES") {
         let file = std::path::Path::new(&folder).join(format!("{name}.jsonl"));
-        std::fs::write(file, history.to_text().expect("a history is plain")).expect("it is written");
+        std::fs::write(file, history.to_text().expect("the history serializes"))
+            .expect("the history is written");
     }
 }
 
@@ -128,7 +136,7 @@
     let pending = fleet.send_manifest_request(0, "out", PAID).await;
     fleet
         .wait_for_observations(
-            "its set-up",
+            "the paid set-up",
             |seen| matches!(seen.last(), Some(s) if matches!(s.what, Observed::SetUp { .. })),
         )
         .await;
--- a/crates/edge/tests/sharing/mod.rs
+++ b/crates/edge/tests/sharing/mod.rs
@@ -1,5 +1,6 @@
-//! What stories of many fronts have in common: their day, crowds, a front that is played by the test, and what fronts say.
-#![allow(dead_code)] // Each file of stories uses a part of it.
+//! Helpers for tests of several fronts that share state: their scenario, many plays at once, a front simulated by the
+//! test, and the status that fronts report. Used by the targets `many_fronts` and `rollout`.
+#![allow(dead_code)] // Each test target uses a part of it.
 
 use crate::test_fleet::{self, TestFleet};
 use pulleystair_edge::config::Config;
@@ -16,16 +17,17 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// No event of these stories takes longer on any machine; it bounds a hang.
+/// Time after which a wait fails. It only bounds a hang: no awaited event takes this long on any machine.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// Fleets of processes run one after the other, so that none is slow for want of a core.
+/// Guard that lets only one fleet of processes run at a time, so that none is slowed down by a lack of cores.
 pub async fn exclusive_run() -> tokio::sync::MutexGuard<'static, ()> {
     static FLEET: tokio::sync::Mutex<()> = tokio::sync::Mutex::const_new(());
     FLEET.lock().await
 }
 
-/// A day of so many fronts that share and so many servers, all of one zone, with titles of four holders.
+/// Scenario of fronts that share state and of servers, all in one zone, with eight titles a product and up to four
+/// holders a title.
 pub fn sharing_scenario(fronts: usize, servers: usize) -> Value {
     let mut scenario = test_fleet::base_scenario();
     scenario["fronts"] = json!(fronts);
@@ -44,26 +46,28 @@
     scenario
 }
 
+/// Loads the configuration file of a front.
 fn load_front_config(fleet: &TestFleet, front: usize) -> Config {
-    Config::read(&fleet.folder().join(format!("front-{front}.json"))).expect("its rundown reads")
+    Config::read(&fleet.folder().join(format!("front-{front}.json")))
+        .expect("the configuration of the front loads")
 }
 
-/// What a front says when it is asked.
+/// Status report of a running front, as JSON.
 pub fn query_status(fleet: &TestFleet, front: usize) -> Value {
     let config = load_front_config(fleet, front);
-    tokio::task::block_in_place(|| query(&config)).expect("a front that runs answers")
+    tokio::task::block_in_place(|| query(&config)).expect("the running front reports its status")
 }
 
-/// Waits until something is so.
+/// Polls a condition until it holds, for at most [`MAX_WAIT`]; `what` names it in the panic message.
 pub async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < MAX_WAIT, "never came: {what}");
+        assert!(start.elapsed() < MAX_WAIT, "timed out waiting for: {what}");
         sleep(Duration::from_millis(30)).await;
     }
 }
 
-/// So many plays at each of these fronts at once, for all titles in turn; none has been answered yet.
+/// Sends `count` play requests to each of `fronts` at once, for titles 0 to 7 in turn, without reading the responses.
 pub async fn send_play_requests(
     fleet: &TestFleet,
     session_prefix: &str,
@@ -73,6 +77,7 @@
     send_play_requests_from(fleet, session_prefix, 0, fronts, count).await
 }
 
+/// Like [`send_play_requests`], beginning with the given title.
 async fn send_play_requests_from(
     fleet: &TestFleet,
     session_prefix: &str,
@@ -93,14 +98,14 @@
     requests
 }
 
-/// The same, with all answers waited for.
+/// Like [`send_play_requests`], and waits for all responses.
 pub async fn run_plays(fleet: &TestFleet, session_prefix: &str, fronts: &[usize], count: usize) {
     for pending in send_play_requests(fleet, session_prefix, fronts, count).await {
         pending.response().await;
     }
 }
 
-/// The same, from another title on.
+/// Like [`run_plays`], beginning with the given title.
 pub async fn run_plays_from_title(
     fleet: &TestFleet,
     session_prefix: &str,
@@ -113,29 +118,35 @@
     }
 }
 
-/// A server that takes connections and never says a word.
+/// A server that accepts connections into its backlog and never responds.
 pub struct UnresponsiveServer {
     pub address: SocketAddr,
     _listener: TcpListener,
 }
 
+/// Listens on a free port without ever reading.
 pub fn start_unresponsive_server() -> UnresponsiveServer {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    UnresponsiveServer { address: listener.local_addr().expect("its address"), _listener: listener }
+    UnresponsiveServer {
+        address: listener.local_addr().expect("the listener has an address"),
+        _listener: listener,
+    }
 }
 
+/// Changes a JSON file and replaces it atomically.
 fn change_json(file: &Path, change: impl FnOnce(&mut Value)) {
-    let mut json: Value =
-        serde_json::from_slice(&std::fs::read(file).expect("it is there")).expect("it is JSON");
+    let mut json: Value = serde_json::from_slice(&std::fs::read(file).expect("the file is readable"))
+        .expect("the file is JSON");
     change(&mut json);
-    pulleystair_fake_servers::files::replace(file, json.to_string()).expect("it is written");
+    pulleystair_fake_servers::files::replace(file, json.to_string()).expect("the file is replaced");
 }
 
+/// Changes the configuration file of a front; the front reads it when it starts.
 pub fn change_front_config(folder: &Path, front: usize, change: impl FnOnce(&mut Value)) {
     change_json(&folder.join(format!("front-{front}.json")), change);
 }
 
-/// A front's own list, in which some servers are to be had elsewhere.
+/// Gives a front a server list of its own, `list-N.json`, in which some servers have another address.
 pub fn override_server_addresses(
     _testbed: &Testbed,
     folder: &Path,
@@ -143,7 +154,7 @@
     servers: &[(usize, SocketAddr)],
 ) {
     let list_name = format!("list-{front}.json");
-    std::fs::copy(folder.join("list.json"), folder.join(&list_name)).expect("it is copied");
+    std::fs::copy(folder.join("list.json"), folder.join(&list_name)).expect("the list is copied");
     change_json(&folder.join(&list_name), |list| {
         for server in list["servers"].as_array_mut().expect("there are servers") {
             let replacement = servers.iter().find(|s| server["name"] == format!("m{}", s.0));
@@ -153,14 +164,14 @@
     change_front_config(folder, front, |config| config["list"] = json!(list_name));
 }
 
-/// That list is as all others again.
+/// Replaces the front's own list by the common one.
 pub fn restore_server_addresses(fleet: &TestFleet, front: usize) {
-    let text = std::fs::read(fleet.folder().join("list.json")).expect("it is there");
+    let text = std::fs::read(fleet.folder().join("list.json")).expect("the common list is readable");
     pulleystair_fake_servers::files::replace(&fleet.folder().join(format!("list-{front}.json")), text)
-        .expect("written");
+        .expect("the list is replaced");
 }
 
-/// A front that the test plays: a real fellow behind a socket of its own, without plays.
+/// A front simulated by the test: a real [`FleetMember`] on a socket of its own, without plays.
 pub struct FakeFront {
     stop: Arc<AtomicBool>,
 }
@@ -172,13 +183,14 @@
 }
 
 impl FakeFront {
-    /// Says that all servers fail.
+    /// Reports a timed-out allocation for each of the servers `m0` to `m7`.
     pub fn report_all_failing(member: &mut FleetMember, now: f64) {
         (0..8).for_each(|server| {
             member.on_result(now, stable_id(&format!("m{server}")), AllocationResult::TimedOut)
         });
     }
 
+    /// Like [`FakeFront::start_with`], for an action without state.
     pub fn start(
         fleet: &TestFleet,
         front: usize,
@@ -188,16 +200,17 @@
         FakeFront::start_with(fleet, front, zone, before_tick)
     }
 
+    /// Joins the fleet as `front` in a thread, in the place of a real one; `before_tick` runs before each gossip tick.
     pub fn start_with(
         fleet: &TestFleet,
         front: usize,
         zone: &str,
         mut before_tick: impl FnMut(&mut FleetMember, f64) + Send + 'static,
     ) -> FakeFront {
-        let relays = fleet.fronts.between.clone().expect("they share");
+        let relays = fleet.fronts.between.clone().expect("the fronts share state");
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        socket.set_read_timeout(Some(Duration::from_millis(10))).expect("a time-out");
-        relays.listens(front, socket.local_addr().expect("its address"));
+        socket.set_read_timeout(Some(Duration::from_millis(10))).expect("the read time-out is set");
+        relays.listens(front, socket.local_addr().expect("the socket has an address"));
         let config = load_front_config(fleet, front);
         let sharing = &config.sharing;
         let others: Vec<usize> = (0..config.fronts).filter(|i| *i != front).collect();
@@ -230,7 +243,7 @@
         };
         let mut member =
             FleetMember::new(member_config, wall_clock_ms(), wall_clock_ms() as u64, front as u64)
-                .expect("it fits");
+                .expect("the member accepts its configuration");
         let stop = Arc::new(AtomicBool::new(false));
         let stop_requested = stop.clone();
         std::thread::spawn(move || {
--- a/crates/edge/tests/test_fleet/mod.rs
+++ b/crates/edge/tests/test_fleet/mod.rs
@@ -1,6 +1,6 @@
-//! A small house on loopback: stand-in servers, fronts as processes, and one player's hands. What is seen on
-//! the sockets is checked by the rules at the end of every story.
-#![allow(dead_code)] // Each file of stories uses a part of it.
+//! Test fleet on loopback: fake media servers, fronts as processes, and requests of players. At its end a test checks
+//! the rules on what was observed on the sockets. Used by all test targets that start fronts.
+#![allow(dead_code)] // Each test target uses a part of it.
 
 use pulleystair_dash::address;
 use pulleystair_dash::token::EntryToken;
@@ -22,18 +22,21 @@
 use tokio::time::{Instant, sleep};
 use tokio_rustls::TlsConnector;
 
-/// No event of these stories takes longer than this on any machine; it bounds a hang, and proves nothing.
+/// Time after which a wait fails. It only bounds a hang: no awaited event takes this long on any machine.
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
+/// A running fleet. It dereferences to the lab's [`Testbed`], which holds the fake servers, the fronts and the recorder.
 pub struct TestFleet {
     testbed: Testbed,
+    /// Player-side address of each started front.
     pub front_addresses: Vec<SocketAddr>,
     folder: tempfile::TempDir,
     next_request_id: AtomicU64,
     tls_connector: Option<TlsConnector>,
 }
 
-/// Two products, `free` and `paid`, each with one title that all of four servers hold.
+/// Scenario with one front, four servers and two products, `free` and `paid`. Each product has one title, which all
+/// servers hold.
 pub fn base_scenario() -> Value {
     let product = |name: &str, effect: &str| {
         json!({
@@ -71,15 +74,17 @@
 }
 
 impl TestFleet {
+    /// Starts the base scenario.
     pub async fn start() -> TestFleet {
         TestFleet::start_with(base_scenario()).await
     }
 
+    /// Starts all fronts of a scenario.
     pub async fn start_with(scenario: Value) -> TestFleet {
         TestFleet::start_program(scenario, Program::edge(env!("CARGO_BIN_EXE_pulleystair-edge").into())).await
     }
 
-    /// A house whose fronts are started by a shell after this word, which limits what they may have.
+    /// Starts all fronts by a shell that runs `shell_prefix` first, which limits their resources or changes their files.
     pub async fn start_with_shell_prefix(scenario: Value, shell_prefix: &str) -> TestFleet {
         let edge = Program::edge(env!("CARGO_BIN_EXE_pulleystair-edge").into());
         let mut arguments = vec!["-c".to_string(), format!("{shell_prefix}; exec \"$0\" \"$@\"")];
@@ -88,43 +93,45 @@
         TestFleet::start_program(scenario, Program { path: "/bin/sh".into(), words: arguments }).await
     }
 
+    /// Starts all fronts of a scenario as processes of `program`.
     async fn start_program(scenario: Value, program: Program) -> TestFleet {
         let count = scenario["fronts"].as_u64().expect("a number") as usize;
         TestFleet::start_first(scenario, program, count, |_, _| {}).await
     }
 
-    /// A house of which only the first fronts are started, after its files were changed.
+    /// Starts only the first `count` fronts, after `change` has changed the files in the folder of the fleet.
     pub async fn start_first(
         scenario: Value,
         program: Program,
         count: usize,
         change: impl FnOnce(&Testbed, &Path),
     ) -> TestFleet {
-        let scenario: Scenario = serde_json::from_value(scenario).expect("the day reads");
-        let folder = tempfile::tempdir().expect("a folder can be had");
-        let testbed = Testbed::build(scenario, program, folder.path()).await.expect("the set is built");
+        let scenario: Scenario = serde_json::from_value(scenario).expect("the scenario parses");
+        let folder = tempfile::tempdir().expect("a temporary folder is created");
+        let testbed = Testbed::build(scenario, program, folder.path()).await.expect("the testbed is built");
         change(&testbed, folder.path());
         let mut front_addresses = Vec::new();
         for front in 0..count {
             front_addresses.push(testbed.fronts.start(front).await.expect("the fronts start"));
         }
-        let tls_connector = testbed.fronts.connector().expect("an authority's own connector");
+        let tls_connector = testbed.fronts.connector().expect("the TLS connector is built");
         TestFleet { testbed, front_addresses, folder, next_request_id: AtomicU64::new(1), tls_connector }
     }
 
-    /// Kills a front outright and starts it anew.
+    /// Kills a front with SIGKILL and starts it again.
     pub async fn restart(&mut self, front: usize) {
         self.fronts.kill(front).await;
-        self.front_addresses[front] = self.fronts.start(front).await.expect("it starts again");
+        self.front_addresses[front] = self.fronts.start(front).await.expect("the front starts again");
     }
 
+    /// Sends a signal to a front by `kill`; `name` is an option such as `-TERM`.
     pub async fn signal(&self, front: usize, name: &str) {
         let process_id = self.fronts.process(front).expect("the front runs").to_string();
         let sent = tokio::process::Command::new("kill").args([name, &process_id]).status().await;
         assert!(sent.expect("a signal is sent").success());
     }
 
-    /// The latest sums that a front wrote to its log, by name.
+    /// The latest statistics that a front wrote to its log (target `tally`), by name.
     pub fn latest_stats(&self, front: usize) -> serde_json::Map<String, Value> {
         let log = self.front_log(front);
         let mut lines = log.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
@@ -132,26 +139,30 @@
         last.and_then(|line| line.as_object().cloned()).unwrap_or_default()
     }
 
+    /// Folder with the files and logs of the fronts.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// Changes what ails all servers.
+    /// Changes the injected faults of all servers.
     pub fn set_faults(&self, change: impl Fn(&mut ServerFaults)) {
         self.boxes.model().servers.iter_mut().for_each(|s| change(&mut s.faults));
     }
 
-    /// Changes what ails all servers but this one.
+    /// Changes the injected faults of all servers except one.
     pub fn set_faults_except(&self, excluded: usize, change: impl Fn(&mut ServerFaults)) {
         let mut model = self.boxes.model();
         let others = model.servers.iter_mut().enumerate().filter(|(server, _)| *server != excluded);
         others.for_each(|(_, s)| change(&mut s.faults));
     }
 
+    /// Signed entry token for a product and the title of the same index (its only title in the base scenario), for rungs up
+    /// to 1.
     pub fn entry_token(&self, session: &str, product: usize) -> String {
         self.entry_token_up_to(session, product, 1)
     }
 
+    /// Like [`TestFleet::entry_token`], for rungs up to `max_rung`. The token expires in ten minutes.
     fn entry_token_up_to(&self, session: &str, product: usize, max_rung: usize) -> String {
         self.fronts.sign(&EntryToken {
             jti: session.into(),
@@ -163,12 +174,13 @@
         })
     }
 
+    /// Request target of the manifest, for a session of a product and the title of the same index.
     pub fn manifest_target(&self, session: &str, product: usize) -> String {
         let (product_name, title_name) = (&self.day.products[product].name, &self.titles[product].name);
         address::manifest_path(product_name, title_name, &self.entry_token(session, product))
     }
 
-    /// The same for any of the day's titles, by its place among all.
+    /// Sends a manifest request of a session for any title of the scenario, by its index among all titles.
     pub async fn send_title_request(&self, front: usize, session: &str, title: usize) -> PendingRequest {
         let title_entry = &self.titles[title];
         let product = &self.day.products[title_entry.product].name;
@@ -184,6 +196,7 @@
         self.write_manifest_request(front, session, title, &target).await
     }
 
+    /// Writes a manifest request on a new connection and records it as asked.
     async fn write_manifest_request(
         &self,
         front: usize,
@@ -191,7 +204,7 @@
         title: usize,
         target: &str,
     ) -> PendingRequest {
-        let mut peer = self.connect(front).await.expect("the front takes connections");
+        let mut peer = self.connect(front).await.expect("the front accepts connections");
         let request = self.next_request_id.fetch_add(1, Ordering::Relaxed);
         let title_entry = &self.titles[title];
         self.log.record(Observed::Asked {
@@ -206,13 +219,13 @@
         PendingRequest { peer, request, log: self.log.clone() }
     }
 
-    /// Writes a manifest request of a session; its answer is to be waited for by [`Asking::answer`].
+    /// Sends a manifest request of a session to a front; [`PendingRequest::response`] waits for the response.
     pub async fn send_manifest_request(&self, front: usize, session: &str, product: usize) -> PendingRequest {
         let target = self.manifest_target(session, product);
         self.write_manifest_request(front, session, product, &target).await
     }
 
-    /// Asks for a play of up to this rung, outside the log of requests.
+    /// Requests a play of up to `max_rung`, without recording the request.
     pub async fn fetch_manifest_up_to(&self, session: &str, product: usize, max_rung: usize) -> Message {
         let (product_name, title_name) = (&self.day.products[product].name, &self.titles[product].name);
         self.get(&address::manifest_path(
@@ -223,11 +236,12 @@
         .await
     }
 
+    /// Requests a manifest from front 0 and waits for the response.
     pub async fn fetch_manifest(&self, session: &str, product: usize) -> Message {
         self.send_manifest_request(0, session, product).await.response().await
     }
 
-    /// So many sessions `s0`, `s1`, ... ask at once; how many of them play.
+    /// Lets sessions `s0`, `s1`, ... request manifests of front 0 concurrently; returns how many got status 200.
     pub async fn count_concurrent_plays(&self, count: usize, product: usize) -> usize {
         let mut pending = Vec::new();
         for i in 0..count {
@@ -235,12 +249,12 @@
         }
         let mut played = 0;
         for request in pending {
-            played += usize::from(request.await.expect("no player dies").status == 200);
+            played += usize::from(request.await.expect("the player task succeeds").status == 200);
         }
         played
     }
 
-    /// All servers start anew, cold, and the first front has read of each: its list was put up alone, and taken.
+    /// Restarts all servers cold, one after the other, and waits each time until front 0 has taken the list that says so.
     pub async fn restart_all_servers_cold(&self) {
         for server in 0..self.day.fleet.servers {
             let lists_taken = self.front_log(0).matches("list taken").count();
@@ -250,7 +264,7 @@
         }
     }
 
-    /// A connection to a front, under TLS where the day has it.
+    /// Connects to a front, with TLS where the scenario enables it.
     pub async fn connect(&self, front: usize) -> std::io::Result<HttpPeer> {
         HttpPeer::connect(
             self.front_addresses[front],
@@ -259,40 +273,46 @@
         .await
     }
 
+    /// The whole log of a front so far; empty where there is none.
     pub fn front_log(&self, front: usize) -> String {
         std::fs::read_to_string(self.folder().join(format!("front-{front}.log"))).unwrap_or_default()
     }
 
-    /// Waits until the front has said this so many times.
+    /// Waits until the log of front 0 contains a text `times` times.
     pub async fn wait_for_log(&self, what: &str, times: usize) {
         self.wait_until(what, || self.front_log(0).matches(what).count() >= times).await;
     }
 
-    /// Any other request, on a connection of its own.
+    /// Sends a GET request to front 0 on a new connection; returns the response.
     pub async fn get(&self, target: &str) -> Message {
-        self.send_raw(&get_request(target)).await.expect("an answer comes")
+        self.send_raw(&get_request(target)).await.expect("the front responds")
     }
 
-    /// Sends text as it is; none if the front closes without an answer.
+    /// Sends text unchanged to front 0 on a new connection; `None` if the front closes without a response.
     pub async fn send_raw(&self, text: &str) -> Option<Message> {
         let mut peer = self.connect(0).await.ok()?;
         peer.write(text.as_bytes()).await.ok()?;
-        tokio::time::timeout(MAX_WAIT, peer.read_response()).await.expect("the front does something").ok()?
+        tokio::time::timeout(MAX_WAIT, peer.read_response())
+            .await
+            .expect("the front responds or closes")
+            .ok()?
     }
 
-    /// Waits until something has been seen.
+    /// Waits until the recorded observations fulfil `is_seen`; `what` names the event in the panic message.
     pub async fn wait_for_observations(&self, what: &str, is_seen: impl Fn(&[Observation]) -> bool) {
         self.wait_until(what, || is_seen(&self.log.observations())).await;
     }
 
+    /// Polls a condition until it holds, for at most [`MAX_WAIT`].
     pub async fn wait_until(&self, what: &str, condition: impl Fn() -> bool) {
         let start = Instant::now();
         while !condition() {
-            assert!(start.elapsed() < MAX_WAIT, "never came: {what}");
+            assert!(start.elapsed() < MAX_WAIT, "timed out waiting for: {what}");
             sleep(Duration::from_millis(5)).await;
         }
     }
 
+    /// The server of each set-up that servers have read, in order of observation.
     pub fn set_up_servers(&self) -> Vec<usize> {
         let seen = self.log.observations();
         let server = |s: &Observation| match s.what {
@@ -302,19 +322,20 @@
         seen.iter().filter_map(server).collect()
     }
 
-    /// What has been seen so far, with the terms that it is held to.
+    /// The observations so far, with the terms that the rules apply to them and the rules that the run is meant to break.
     pub fn history(&self, what: &str, breaks: &[u8]) -> History {
         History::new(what, breaks, self.day.terms(), self.log.observations())
     }
 
-    /// All rules must have been kept, on a log that holds something.
+    /// Asserts that the observations contain requests and break no rule.
     pub fn assert_rules_kept(&self) {
         let (breaches, covered) = check(&self.log.observations(), &self.day.terms());
-        assert!(covered.requests > 0, "nothing was checked");
+        assert!(covered.requests > 0, "no request was observed");
         assert!(breaches.is_empty(), "{breaches:?}");
     }
 }
 
+/// A manifest request whose response has not been read.
 pub struct PendingRequest {
     pub peer: HttpPeer,
     request: u64,
@@ -322,41 +343,43 @@
 }
 
 impl PendingRequest {
+    /// Waits for the response and records it.
     pub async fn response(mut self) -> Message {
         let answer =
-            tokio::time::timeout(MAX_WAIT, self.peer.read_response()).await.expect("an answer comes");
-        let answer = answer.expect("the answer is whole").expect("the front answers");
+            tokio::time::timeout(MAX_WAIT, self.peer.read_response()).await.expect("a response arrives");
+        let answer = answer.expect("the response is complete").expect("the front responds");
         self.log.record(Observed::Answered { request: self.request, status: answer.status });
         answer
     }
 
-    /// Reads while others ask: what is seen of an answer is when it came, not when it was its turn to be looked at.
+    /// Reads the response in a task of its own, so that the recorded moment is that of arrival and not that of a later await.
     pub fn read_in_background(self) -> tokio::task::JoinHandle<Message> {
         tokio::spawn(self.response())
     }
 
-    /// That the connection broke, as a player sees it.
+    /// Observation that the connection broke before a response, as its player sees it.
     pub fn connection_lost(&self) -> Observed {
         Observed::Cut { request: self.request }
     }
 
-    /// Closes without waiting for the answer.
+    /// Closes the connection without waiting for the response, and records that the viewer left.
     pub fn leave(self) {
         self.log.record(Observed::Left { request: self.request });
     }
 }
 
-/// How many set-ups servers have read.
+/// Number of set-ups that servers have read.
 pub fn set_up_count(seen: &[Observation]) -> usize {
     seen.iter().filter(|s| matches!(s.what, Observed::SetUp { .. })).count()
 }
 
-/// How many set-ups servers have seen the end of.
+/// Number of set-ups whose end servers have observed.
 pub fn closed_count(seen: &[Observation]) -> usize {
     seen.iter().filter(|s| matches!(s.what, Observed::Closed { .. })).count()
 }
 
-/// That day with one server, which holds all, and short notes on it.
+/// The base scenario with a single server, which holds all titles, plays of 60 s, and frequent notes (every 600 ms, not
+/// delayed).
 pub fn one_server_scenario() -> Value {
     let mut scenario = base_scenario();
     scenario["fleet"]["servers"] = json!(1);
@@ -370,22 +393,25 @@
     scenario
 }
 
+/// Text of a GET request.
 pub fn get_request(target: &str) -> String {
     format!("GET {target} HTTP/1.1\r\nHost: front\r\n\r\n")
 }
 
+/// Body of a response as text.
 pub fn body_text(message: &Message) -> &str {
-    std::str::from_utf8(&message.body).expect("answers are text")
+    std::str::from_utf8(&message.body).expect("the body is UTF-8")
 }
 
-/// Where a manifest says that its segments are.
+/// The `BaseURL` of a manifest, to which segment paths are appended.
 pub fn segment_base_url(manifest: &Message) -> String {
     let text = body_text(manifest);
-    let (_, rest) = text.split_once("<BaseURL>").expect("a manifest has its base");
-    rest.split_once("</BaseURL>").expect("a manifest has its base").0.to_string()
+    let (_, rest) = text.split_once("<BaseURL>").expect("the manifest has a BaseURL");
+    rest.split_once("</BaseURL>").expect("the manifest closes its BaseURL").0.to_string()
 }
 
-/// A day on which a set-up is waited for as long as the viewer waits.
+/// Scenario with one allocation per play and a time limit of 20 s for free plays, so that a set-up is awaited for as long
+/// as the viewer waits.
 pub fn long_time_limit_scenario() -> Value {
     let mut scenario = base_scenario();
     scenario["rules"]["allocations"] = json!(1);
--- a/crates/edge/tests/tls.rs
+++ b/crates/edge/tests/tls.rs
@@ -1,5 +1,4 @@
-//! TLS between players, a front and its servers, and certificates that are replaced, wrong or run out, each
-//! story on real sockets.
+//! TLS between players, a front and its servers, with certificates that are replaced, invalid or expired, on real sockets.
 
 mod test_fleet;
 
@@ -17,6 +16,7 @@
 const FREE: usize = 0;
 const PAID: usize = 1;
 
+/// Base scenario with TLS, certificates polled every 20 ms and 400 ms for a request head.
 fn tls_scenario() -> Value {
     let mut scenario = base_scenario();
     scenario["tls"] = json!(true);
@@ -24,15 +24,16 @@
     scenario
 }
 
+/// The time so many seconds from now.
 fn seconds_from_now(seconds: u64) -> SystemTime {
     SystemTime::now() + Duration::from_secs(seconds)
 }
 
-/// The certificate that a front shows on this connection.
+/// The certificate that the front presented on a connection.
 fn shown_certificate(peer: &HttpPeer) -> Vec<u8> {
-    let Stream::Tls(stream) = &peer.stream else { panic!("the connection is sealed") };
+    let Stream::Tls(stream) = &peer.stream else { panic!("the connection has no TLS") };
     let (_, connection) = stream.get_ref();
-    connection.peer_certificates().expect("the front shows a certificate")[0].to_vec()
+    connection.peer_certificates().expect("the front presents a certificate")[0].to_vec()
 }
 
 #[tokio::test]
@@ -48,7 +49,7 @@
         );
     }
     fleet
-        .wait_for_observations("the server's end", |seen| {
+        .wait_for_observations("the end of the play at the server", |seen| {
             seen.iter().any(|s| matches!(s.what, Observed::Closed { .. }))
         })
         .await;
@@ -60,14 +61,14 @@
     let fleet = TestFleet::start_with(tls_scenario()).await;
     let mut plain = HttpPeer::new(TcpStream::connect(fleet.front_addresses[0]).await.unwrap());
     plain.write(get_request("/").as_bytes()).await.unwrap();
-    assert!(!matches!(plain.read_response().await, Ok(Some(_))), "nothing is said in the open");
+    assert!(!matches!(plain.read_response().await, Ok(Some(_))), "no response in plain text");
     let mut silent = TcpStream::connect(fleet.front_addresses[0]).await.unwrap();
-    assert_eq!(silent.read(&mut [0; 16]).await.unwrap_or(0), 0, "closed once its time is up");
+    assert_eq!(silent.read(&mut [0; 16]).await.unwrap_or(0), 0, "closed after the time for a request head");
     assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 200);
     fleet.assert_rules_kept();
 }
 
-/// Servers whose certificate the front does not take get nothing of a request, so a paid play may go elsewhere.
+/// A server whose certificate the front rejects gets no part of a request, so even a paid play may go to another server.
 #[tokio::test]
 async fn servers_with_an_invalid_certificate_get_no_set_up() {
     let mut scenario = tls_scenario();
@@ -79,8 +80,9 @@
     let authority = fleet.fronts.authority.as_ref().unwrap();
     let foreign_authority = CertificateAuthority::default();
     let expired = authority.issue("m1", SystemTime::now() - Duration::from_secs(5));
-    let other = authority.issue("m9", seconds_from_now(1000));
-    let certificates = [(0, foreign_authority.issue("m0", seconds_from_now(1000))), (1, expired), (2, other)];
+    let other_name = authority.issue("m9", seconds_from_now(1000));
+    let certificates =
+        [(0, foreign_authority.issue("m0", seconds_from_now(1000))), (1, expired), (2, other_name)];
     for (server, certificate) in &certificates {
         fleet.boxes.set_tls(*server, Some(authority.acceptor(certificate, None).unwrap()));
     }
@@ -88,12 +90,12 @@
         let product = if n % 2 == 0 { FREE } else { PAID };
         assert_eq!(fleet.fetch_manifest(&format!("s{n}"), product).await.status, 200);
     }
-    assert_eq!(fleet.set_up_servers(), [3; 6], "only one server is what it says");
-    assert!(fleet.front_log(0).contains("TLS"), "the log tells why");
+    assert_eq!(fleet.set_up_servers(), [3; 6], "only one server has a valid certificate");
+    assert!(fleet.front_log(0).contains("TLS"), "the log names TLS as the cause");
     fleet.assert_rules_kept();
 }
 
-/// A server that wants the front's certificate and gets none says so after the request may have reached it.
+/// A server that requires a certificate of the front rejects its absence only after the request may have reached it.
 #[tokio::test]
 async fn servers_that_reject_the_client_certificate_count_as_failed() {
     let fleet = TestFleet::start_with(tls_scenario()).await;
@@ -106,7 +108,11 @@
             .set_tls(server, Some(authority.acceptor(&certificate, Some(&foreign_authority)).unwrap()));
     }
     assert!([502, 503].contains(&fleet.fetch_manifest("s", FREE).await.status));
-    assert_eq!(fleet.fetch_manifest("p", PAID).await.status, 502, "it may have run, for all the front knows");
+    assert_eq!(
+        fleet.fetch_manifest("p", PAID).await.status,
+        502,
+        "the set-up may have run, as far as the front knows"
+    );
     assert_eq!(set_up_count(&fleet.log.observations()), 0);
 }
 
@@ -121,21 +127,21 @@
     let mut certificate_before = shown_certificate(&old_connection);
     for n in 1..=10 {
         fleet.fronts.renew_certificates().unwrap();
-        // One for each side.
+        // One line for the players' side and one for the servers'.
         fleet.wait_for_log("certificates taken", 2 * n).await;
         old_connection.write(get_request(&target).as_bytes()).await.unwrap();
         assert_eq!(
             old_connection.read_response().await.unwrap().unwrap().status,
             200,
-            "the old connection lives on"
+            "the old connection stays open"
         );
         let shown_now = shown_certificate(&fleet.connect(0).await.unwrap());
-        assert_ne!(shown_now, certificate_before, "new ones get the new certificate");
+        assert_ne!(shown_now, certificate_before, "new connections get the new certificate");
         certificate_before = shown_now;
         assert_eq!(
             fleet.fetch_manifest(&format!("s{n}"), PAID).await.status,
             200,
-            "servers take the new one too"
+            "servers accept the new certificate"
         );
     }
     fleet.assert_rules_kept();
@@ -147,7 +153,7 @@
     let certificate_before = shown_certificate(&fleet.connect(0).await.unwrap());
     let folder = fleet.folder().join("players");
     let valid_key = std::fs::read(folder.join("key.pem")).unwrap();
-    // A key that fits no more, then an expired set, then half of a good one.
+    // A key that does not fit the certificate, then an expired certificate, then a truncated key.
     std::fs::write(folder.join("key.pem"), fleet.fronts.certificate(seconds_from_now(1000)).unwrap().key)
         .unwrap();
     fleet.wait_for_log("key does not fit", 1).await;
@@ -165,14 +171,18 @@
     assert_eq!(shown_certificate(&fleet.connect(0).await.unwrap()), certificate_before);
     assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 200);
     let log = fleet.front_log(0);
-    assert!(!log.contains("BEGIN") && !log.contains(&lossy_text(&valid_key)[40..80]), "no key in the log");
-    // A good set is taken after bad ones.
+    assert!(
+        !log.contains("BEGIN") && !log.contains(&lossy_text(&valid_key)[40..80]),
+        "the log contains key material"
+    );
+    // A valid set is taken after the invalid ones.
     fleet.fronts.certificate(seconds_from_now(1000)).unwrap().write_files(&folder).unwrap();
     fleet.wait_for_log("certificates taken", 1).await;
     assert_ne!(shown_certificate(&fleet.connect(0).await.unwrap()), certificate_before);
     fleet.assert_rules_kept();
 }
 
+/// Bytes as text, with replacement characters where they are not UTF-8.
 fn lossy_text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
@@ -186,16 +196,20 @@
     fleet.fronts.certificate(seconds_from_now(3)).unwrap().write_files(&folder).unwrap();
     fleet.wait_for_log("certificates taken", 1).await;
     fleet.wait_for_log("certificate runs out soon", 1).await;
-    let mut old_connection = fleet.connect(0).await.expect("it still holds");
+    let mut old_connection = fleet.connect(0).await.expect("the certificate is still valid");
     let manifest = fleet.fetch_manifest("s", FREE).await;
     fleet.wait_for_log("certificate has expired", 1).await;
     let target = format!("{}1/1.m4s", segment_base_url(&manifest));
     old_connection.write(get_request(&target).as_bytes()).await.unwrap();
-    assert_eq!(old_connection.read_response().await.unwrap().unwrap().status, 200, "what was open goes on");
-    // One that has not been here before, so nothing is taken up from an earlier connection.
+    assert_eq!(
+        old_connection.read_response().await.unwrap().unwrap().status,
+        200,
+        "the open connection still works"
+    );
+    // A new connector has no TLS session to resume, so the handshake checks the certificate.
     let new_connector = fleet.fronts.connector().unwrap().unwrap();
     let refused = HttpPeer::connect(fleet.front_addresses[0], Some((&new_connector, FRONT))).await;
-    assert!(refused.is_err(), "players do not take it any more");
+    assert!(refused.is_err(), "players reject the expired certificate");
     fleet.fronts.certificate(seconds_from_now(1000)).unwrap().write_files(&folder).unwrap();
     fleet.wait_for_log("certificates taken", 2).await;
     assert_eq!(fleet.get(&target).await.status, 200);
@@ -242,7 +256,7 @@
         assert_eq!(
             set_up_count(&fleet.log.observations()),
             usize::from(is_accepted),
-            "strangers cost no allocation"
+            "rejected players cause no allocation"
         );
     }
 }
