--- a/crates/membership/src/endpoints.rs
+++ b/crates/membership/src/endpoints.rs
@@ -7,84 +7,87 @@
 use oorandom::Rand64;
 
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct EndpointConfig {
     /// Ceiling of the first wait and of all, ms.
-    pub first: f64,
-    pub most: f64,
-    /// An endpoint is slow from this many times the quickest one's delay on, and at least so many ms.
-    pub slow: f64,
-    pub slow_ms: f64,
+    pub first_delay_ms: f64,
+    pub max_delay_ms: f64,
+    /// An endpoint is slow from this many times the fastest one's delay on, and at least so many ms.
+    pub slow_factor: f64,
+    pub min_slow_ms: f64,
 }
 
 /// Part by which one answer moves what an endpoint's delay is taken for.
-const RECENT: f64 = 0.3;
+const LATENCY_SMOOTHING: f64 = 0.3;
 
 #[derive(Clone, Debug, Default)]
 struct Endpoint {
-    delay: Option<f64>,
+    latency_ms: Option<f64>,
     /// Failures since its last answer, and from when it may be asked again.
     failures: u32,
-    from: f64,
+    retry_at: f64,
 }
 
 #[derive(Clone, Debug)]
 pub struct Endpoints {
-    terms: Terms,
-    all: Vec<Endpoint>,
-    present: usize,
-    rnd: Rand64,
+    config: EndpointConfig,
+    endpoints: Vec<Endpoint>,
+    current: usize,
+    rng: Rand64,
 }
 
 impl Endpoints {
     /// Fronts begin at different endpoints.
-    pub fn new(terms: Terms, count: usize, seed: u64) -> Endpoints {
-        let mut rnd = Rand64::new(seed.into());
+    pub fn new(config: EndpointConfig, count: usize, seed: u64) -> Endpoints {
+        let mut rng = Rand64::new(seed.into());
         let count = count.max(1);
-        let present = rnd.rand_range(0..count as u64) as usize;
-        Endpoints { terms, all: vec![Endpoint::default(); count], present, rnd }
+        let current = rng.rand_range(0..count as u64) as usize;
+        Endpoints { config, endpoints: vec![Endpoint::default(); count], current, rng }
     }
 
-    /// Whom to ask, and how long to wait before that, ms: the present one while it answers, else whichever may be
-    /// asked soonest, and of those that may the quickest.
-    pub fn next(&mut self, now: f64) -> (usize, f64) {
-        let present = &self.all[self.present];
-        if present.failures > 0 || self.slow(self.present) {
-            let wait = |e: &Endpoint| (e.from - now).max(0.0);
+    /// Whom to ask, and how long to wait before that, ms: the current one while it answers, else whichever may be
+    /// asked soonest, and of those that may the fastest.
+    pub fn select(&mut self, now: f64) -> (usize, f64) {
+        let current = &self.endpoints[self.current];
+        if current.failures > 0 || self.is_slow(self.current) {
+            let delay = |e: &Endpoint| (e.retry_at - now).max(0.0);
             let order = |a: &usize, b: &usize| {
-                let (a, b) = (&self.all[*a], &self.all[*b]);
-                let delay = |e: &Endpoint| e.delay.unwrap_or(0.0);
-                wait(a)
-                    .total_cmp(&wait(b))
+                let (a, b) = (&self.endpoints[*a], &self.endpoints[*b]);
+                let latency = |e: &Endpoint| e.latency_ms.unwrap_or(0.0);
+                delay(a)
+                    .total_cmp(&delay(b))
                     .then(a.failures.cmp(&b.failures))
-                    .then(delay(a).total_cmp(&delay(b)))
+                    .then(latency(a).total_cmp(&latency(b)))
             };
-            // From the one after the present on, so that equal ones take turns.
-            let count = self.all.len();
-            let turn = (1..=count).map(|step| (self.present + step) % count);
-            self.present = turn.min_by(order).unwrap_or(self.present);
+            // From the one after the current on, so that equal ones take turns.
+            let count = self.endpoints.len();
+            let in_turn = (1..=count).map(|step| (self.current + step) % count);
+            self.current = in_turn.min_by(order).unwrap_or(self.current);
         }
-        (self.present, (self.all[self.present].from - now).max(0.0))
+        (self.current, (self.endpoints[self.current].retry_at - now).max(0.0))
     }
 
     /// It answered after this, ms, apart from the time it was asked to wait.
-    pub fn answered(&mut self, endpoint: usize, delay: f64) {
-        let it = &mut self.all[endpoint];
-        it.delay = Some(it.delay.map_or(delay, |known| known + RECENT * (delay - known)));
-        (it.failures, it.from) = (0, 0.0);
+    pub fn on_response(&mut self, endpoint: usize, latency_ms: f64) {
+        let endpoint = &mut self.endpoints[endpoint];
+        endpoint.latency_ms = Some(
+            endpoint.latency_ms.map_or(latency_ms, |known| known + LATENCY_SMOOTHING * (latency_ms - known)),
+        );
+        (endpoint.failures, endpoint.retry_at) = (0, 0.0);
     }
 
-    pub fn failed(&mut self, now: f64, endpoint: usize) {
-        let it = &mut self.all[endpoint];
-        let ceiling = (self.terms.first * 2f64.powi(it.failures.min(30) as i32)).min(self.terms.most);
-        it.failures += 1;
-        it.from = now + ceiling * self.rnd.rand_float();
+    pub fn on_failure(&mut self, now: f64, endpoint: usize) {
+        let endpoint = &mut self.endpoints[endpoint];
+        let ceiling = (self.config.first_delay_ms * 2f64.powi(endpoint.failures.min(30) as i32))
+            .min(self.config.max_delay_ms);
+        endpoint.failures += 1;
+        endpoint.retry_at = now + ceiling * self.rng.rand_float();
     }
 
-    fn slow(&self, endpoint: usize) -> bool {
-        let others = self.all.iter().filter(|e| e.failures == 0).filter_map(|e| e.delay);
-        let quickest = others.min_by(f64::total_cmp);
-        let limit = quickest.map(|q| (q * self.terms.slow).max(self.terms.slow_ms));
-        matches!((self.all[endpoint].delay, limit), (Some(delay), Some(limit)) if delay > limit)
+    fn is_slow(&self, endpoint: usize) -> bool {
+        let others = self.endpoints.iter().filter(|e| e.failures == 0).filter_map(|e| e.latency_ms);
+        let fastest = others.min_by(f64::total_cmp);
+        let limit = fastest.map(|q| (q * self.config.slow_factor).max(self.config.min_slow_ms));
+        matches!((self.endpoints[endpoint].latency_ms, limit), (Some(latency), Some(limit)) if latency > limit)
     }
 }
 
@@ -92,79 +95,84 @@
 mod tests {
     use super::*;
 
-    const TERMS: Terms = Terms { first: 200.0, most: 10_000.0, slow: 4.0, slow_ms: 100.0 };
+    const CONFIG: EndpointConfig = EndpointConfig {
+        first_delay_ms: 200.0,
+        max_delay_ms: 10_000.0,
+        slow_factor: 4.0,
+        min_slow_ms: 100.0,
+    };
 
     #[test]
-    fn the_present_one_is_kept_while_it_answers() {
-        let mut it = Endpoints::new(TERMS, 3, 1);
-        let (first, wait) = it.next(0.0);
-        assert_eq!(wait, 0.0);
+    fn the_current_endpoint_is_kept_while_it_responds() {
+        let mut endpoints = Endpoints::new(CONFIG, 3, 1);
+        let (first, delay) = endpoints.select(0.0);
+        assert_eq!(delay, 0.0);
         for n in 1..100 {
-            it.answered(first, 5.0);
-            assert_eq!(it.next(f64::from(n)), (first, 0.0));
+            endpoints.on_response(first, 5.0);
+            assert_eq!(endpoints.select(f64::from(n)), (first, 0.0));
         }
     }
 
     #[test]
-    fn a_dead_one_is_left_at_once_and_tried_again_later() {
-        let mut it = Endpoints::new(TERMS, 2, 1);
-        let (dead, _) = it.next(0.0);
-        it.failed(0.0, dead);
-        let (other, wait) = it.next(0.0);
-        assert!(other != dead && wait == 0.0);
-        it.failed(1.0, other);
-        let (next, wait) = it.next(1.0);
-        assert!(wait <= 200.0, "whichever may be asked sooner: {next} in {wait}");
+    fn an_unreachable_endpoint_is_left_at_once_and_retried_later() {
+        let mut endpoints = Endpoints::new(CONFIG, 2, 1);
+        let (dead, _) = endpoints.select(0.0);
+        endpoints.on_failure(0.0, dead);
+        let (other, delay) = endpoints.select(0.0);
+        assert!(other != dead && delay == 0.0);
+        endpoints.on_failure(1.0, other);
+        let (next, delay) = endpoints.select(1.0);
+        assert!(delay <= 200.0, "whichever may be asked sooner: {next} in {delay}");
     }
 
     #[test]
-    fn a_slow_one_is_left_for_a_quicker_one_and_a_quick_one_is_never_slow() {
-        let mut it = Endpoints::new(TERMS, 2, 1);
-        let (slow, _) = it.next(0.0);
+    fn a_slow_endpoint_is_left_for_a_faster_one_and_a_fast_one_never_counts_as_slow() {
+        let mut endpoints = Endpoints::new(CONFIG, 2, 1);
+        let (slow, _) = endpoints.select(0.0);
         let other = 1 - slow;
-        it.answered(slow, 900.0);
-        assert_eq!(it.next(1.0).0, slow, "nothing is known to be quicker");
-        it.answered(other, 8.0);
-        assert_eq!(it.next(2.0).0, other);
-        it.answered(other, 30.0);
-        assert_eq!(it.next(3.0).0, other, "many times its own best, and still quick");
+        endpoints.on_response(slow, 900.0);
+        assert_eq!(endpoints.select(1.0).0, slow, "nothing is known to be quicker");
+        endpoints.on_response(other, 8.0);
+        assert_eq!(endpoints.select(2.0).0, other);
+        endpoints.on_response(other, 30.0);
+        assert_eq!(endpoints.select(3.0).0, other, "many times its own best, and still quick");
     }
 
     #[test]
-    fn waits_grow_to_their_ceiling() {
-        let mut it = Endpoints::new(TERMS, 1, 7);
-        let mut most = 0.0f64;
+    fn retry_delays_grow_up_to_the_maximum() {
+        let mut endpoints = Endpoints::new(CONFIG, 1, 7);
+        let mut longest_delay = 0.0f64;
         for n in 0..200 {
-            it.failed(0.0, 0);
-            let (_, wait) = it.next(0.0);
-            assert!(wait <= (200.0 * 2f64.powi(n.min(30))).min(10_000.0));
-            most = most.max(wait);
+            endpoints.on_failure(0.0, 0);
+            let (_, delay) = endpoints.select(0.0);
+            assert!(delay <= (200.0 * 2f64.powi(n.min(30))).min(10_000.0));
+            longest_delay = longest_delay.max(delay);
         }
-        assert!(most > 9_000.0);
-        it.answered(0, 3.0);
-        assert_eq!(it.next(0.0).1, 0.0);
+        assert!(longest_delay > 9_000.0);
+        endpoints.on_response(0, 3.0);
+        assert_eq!(endpoints.select(0.0).1, 0.0);
     }
 
     /// Three hundred fronts lose the registry at the same moment, and it is back after eight seconds.
     #[test]
-    fn no_herd_comes_back_together() {
-        let mut at = vec![0; 40];
+    fn retries_of_many_fronts_are_spread_over_time() {
+        let mut returns_by_100_ms = vec![0; 40];
         for seed in 0..300 {
-            let mut it = Endpoints::new(TERMS, 3, seed);
+            let mut endpoints = Endpoints::new(CONFIG, 3, seed);
             let mut now = 0.0;
             loop {
-                let (endpoint, wait) = it.next(now);
-                now += wait;
+                let (endpoint, delay) = endpoints.select(now);
+                now += delay;
                 if now >= 8_000.0 {
                     break;
                 }
                 // A refused connection is told within a millisecond.
                 now += 1.0;
-                it.failed(now, endpoint);
+                endpoints.on_failure(now, endpoint);
             }
-            at[((now - 8_000.0) / 100.0) as usize % 40] += 1;
+            returns_by_100_ms[((now - 8_000.0) / 100.0) as usize % 40] += 1;
         }
-        let most = at.iter().max().copied().unwrap_or(0);
-        assert!(most <= 75, "of 300 within a tenth of a second: {at:?}");
+        let max_returns = returns_by_100_ms.iter().max().copied().unwrap_or(0);
+        assert!(max_returns <= 75, "of 300 within a tenth of a second: {returns_by_100_ms:?}");
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,6 +1,6 @@
 //! Who belongs to the fleet. Several sources of the list (a file, a registry) pour into one [`View`]; it settles order,
 //! duplicates, servers in two sources, lists that shrink suspiciously, and how far old lists are trusted. Free of I/O:
-//! callers hand in the time, ms, and what a source told; they ask for the list when [`Taken::changed`] says so, and call
+//! callers hand in the time, ms, and what a source told; they ask for the list when [`UpdateResult::changed`] says so, and call
 //! [`View::tick`] when [`View::next_deadline`] has come.
 //!
 //! [`endpoints`] decides which of a registry's endpoints is asked next and when, [`snapshot`] is the last list as bytes.
@@ -12,7 +12,7 @@
 mod settle;
 pub mod snapshot;
 
-pub use settle::{Offer, Say, Says, settle};
+pub use settle::{Availability, Report, ReportedState, settle_reports};
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -23,19 +23,19 @@
 pub struct MembershipConfig {
     /// A list that loses more than this part of its servers in one step is held back for so long, ms; removals in it
     /// count once the source has told the same again after that.
-    pub shrink: f64,
-    pub hold: f64,
+    pub max_shrink_share: f64,
+    pub hold_ms: f64,
     /// A server that came back so often within a span, ms, gets nothing new until it has stayed for as long.
-    pub flaps: usize,
-    pub flap_span: f64,
+    pub max_returns: usize,
+    pub return_window_ms: f64,
     /// A list older than this, ms, adds servers only as long as no source is in step.
-    pub old: f64,
+    pub max_list_age_ms: f64,
     /// How long it is remembered that a source has told a server gone, ms.
-    pub forget: f64,
+    pub forget_gone_after_ms: f64,
 }
 
 /// A list shorter than this may lose servers without suspicion, but not all of them.
-const FEW: usize = 4;
+const MIN_SERVERS_FOR_SHARE: usize = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -56,16 +56,17 @@
     pub weight: f64,
     pub standing: Standing,
     /// When its process started, ms since 1970; 0 for long ago.
-    pub started: f64,
+    #[serde(rename = "started")]
+    pub started_at: f64,
 }
 
 /// What a source tells.
 #[derive(Clone, Debug)]
 pub enum Update {
     /// All servers as of a revision, so old when it was told, ms.
-    Whole { revision: u64, age: f64, servers: Vec<Server> },
+    Full { revision: u64, age_ms: f64, servers: Vec<Server> },
     /// What a revision changed.
-    Change { revision: u64, put: Vec<Server>, gone: Vec<String> },
+    Change { revision: u64, put: Vec<Server>, removed: Vec<String> },
     /// Nothing, but the source is there.
     Alive,
     /// The connection broke, or the revision to go on from is compacted: what follows must be whole.
@@ -74,26 +75,26 @@
 
 /// What became of news.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Taken {
+pub struct UpdateResult {
     /// The list is another one now.
     pub changed: bool,
     /// The source is to be asked for all of it.
-    pub whole_wanted: bool,
-    pub held: Option<Held>,
+    pub full_list_needed: bool,
+    pub held_back: Option<HoldReason>,
 }
 
 /// Why a part of the news is held back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Held {
+pub enum HoldReason {
     /// So many of so many servers were gone at once.
-    Shrunk { gone: usize, of: usize },
+    Shrunk { removed: usize, total: usize },
     /// The revision went back: a stale follower, or a registry that was set up anew.
     Backwards { from: u64, to: u64 },
 }
 
 /// A server that plays may go to, or that still has some.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedServer {
     pub server: Server,
     /// Told by an old list alone.
     pub cached: bool,
@@ -104,38 +105,38 @@
     revision: u64,
     /// It has told all, and every change since.
     in_step: bool,
-    heard: Option<f64>,
-    said: HashMap<String, Said>,
+    last_heard_at: Option<f64>,
+    reports: HashMap<String, ServerReport>,
     /// How many of them it lists.
-    there: usize,
+    listed_count: usize,
     /// Servers whose removal is held back, and since when.
-    held: Option<(f64, BTreeSet<String>)>,
+    held_removals: Option<(f64, BTreeSet<String>)>,
     /// A revision that is lower than one seen before, and since when.
-    backwards: Option<(f64, u64)>,
+    lower_revision: Option<(f64, u64)>,
 }
 
 /// A source's last word on a server; `server` is as it was before where it is gone.
 #[derive(Clone)]
-struct Said {
+struct ServerReport {
     server: Server,
     gone: bool,
-    old: bool,
-    at: f64,
+    from_old_list: bool,
+    reported_at: f64,
 }
 
 /// A server as the view has it.
 #[derive(Clone)]
 struct Member {
     server: Server,
-    offer: Option<Offer>,
+    availability: Option<Availability>,
     /// When it came back lately, and until when it gets nothing new for that.
-    comings: VecDeque<f64>,
-    out_until: f64,
+    returned_at: VecDeque<f64>,
+    drained_until: f64,
 }
 
 #[derive(Clone)]
 pub struct View {
-    terms: MembershipConfig,
+    config: MembershipConfig,
     sources: Vec<Source>,
     members: BTreeMap<String, Member>,
     /// Servers on which sources differ, which a mere word from one of them may settle otherwise.
@@ -143,9 +144,9 @@
 }
 
 impl View {
-    pub fn new(terms: MembershipConfig, sources: usize) -> View {
+    pub fn new(config: MembershipConfig, sources: usize) -> View {
         View {
-            terms,
+            config,
             sources: (0..sources).map(|_| Source::default()).collect(),
             members: BTreeMap::new(),
             disputed: BTreeSet::new(),
@@ -158,252 +159,296 @@
     }
 
     /// When a source was last heard.
-    pub fn heard(&self, source: usize) -> Option<f64> {
-        self.sources[source].heard
+    pub fn last_heard_at(&self, source: usize) -> Option<f64> {
+        self.sources[source].last_heard_at
     }
 
     /// Takes what a source tells.
-    pub fn apply(&mut self, now: f64, source: usize, news: Update) -> Taken {
-        let stepped = self.in_step();
-        let (mut touched, mut taken) = match news {
-            Update::Whole { revision, age, servers } => self.whole(now, source, revision, age, servers),
-            Update::Change { revision, put, gone } => self.change(now, source, revision, put, gone),
-            Update::Alive => (BTreeSet::new(), Taken::default()),
+    pub fn apply(&mut self, now: f64, source: usize, update: Update) -> UpdateResult {
+        let was_in_step = self.in_step();
+        let (mut affected, mut result) = match update {
+            Update::Full { revision, age_ms, servers } => {
+                self.apply_full_list(now, source, revision, age_ms, servers)
+            }
+            Update::Change { revision, put, removed } => {
+                self.apply_change(now, source, revision, put, removed)
+            }
+            Update::Alive => (BTreeSet::new(), UpdateResult::default()),
             Update::Lost => {
                 self.sources[source].in_step = false;
-                return Taken { whole_wanted: true, ..Taken::default() };
+                return UpdateResult { full_list_needed: true, ..UpdateResult::default() };
             }
         };
-        self.sources[source].heard = Some(now);
-        if stepped != self.in_step() {
+        self.sources[source].last_heard_at = Some(now);
+        if was_in_step != self.in_step() {
             // Whether old lists may add depends on it.
-            touched.extend(self.members.keys().cloned());
+            affected.extend(self.members.keys().cloned());
         }
-        touched.extend(self.disputed.iter().cloned());
-        taken.changed = self.refresh(now, touched);
-        taken
+        affected.extend(self.disputed.iter().cloned());
+        result.changed = self.update_members(now, affected);
+        result
     }
 
     fn in_step(&self) -> bool {
         self.sources.iter().any(|s| s.in_step)
     }
 
-    fn whole(
+    fn apply_full_list(
         &mut self,
         now: f64,
         source: usize,
         revision: u64,
-        age: f64,
+        age_ms: f64,
         servers: Vec<Server>,
-    ) -> (BTreeSet<String>, Taken) {
-        let (hold, old) = (self.terms.hold, age > self.terms.old);
-        let it = &mut self.sources[source];
-        if revision < it.revision {
-            let (since, lowest) = *it.backwards.get_or_insert((now, revision));
+    ) -> (BTreeSet<String>, UpdateResult) {
+        let (hold_ms, is_old) = (self.config.hold_ms, age_ms > self.config.max_list_age_ms);
+        let source_state = &mut self.sources[source];
+        if revision < source_state.revision {
+            let (since, lower_revision) = *source_state.lower_revision.get_or_insert((now, revision));
             // What stays lower is a new history; until then only drains are taken from it.
-            if now < since + hold || revision < lowest {
-                let drains = servers.into_iter().filter(|s| s.standing == Standing::Draining);
-                let drains = drains.filter(|s| it.said.get(&s.name).is_some_and(|said| !said.gone)).collect();
-                let touched = it.put(now, drains, old);
-                let held = Some(Held::Backwards { from: it.revision, to: revision });
-                return (touched, Taken { whole_wanted: true, held, ..Taken::default() });
+            if now < since + hold_ms || revision < lower_revision {
+                let draining = servers.into_iter().filter(|s| s.standing == Standing::Draining);
+                let draining = draining
+                    .filter(|s| source_state.reports.get(&s.name).is_some_and(|report| !report.gone))
+                    .collect();
+                let affected = source_state.record_servers(now, draining, is_old);
+                let held_back = Some(HoldReason::Backwards { from: source_state.revision, to: revision });
+                return (
+                    affected,
+                    UpdateResult { full_list_needed: true, held_back, ..UpdateResult::default() },
+                );
             }
         }
-        it.backwards = None;
+        source_state.lower_revision = None;
         // A list as old as that is no ground to go on from.
-        (it.revision, it.in_step) = (revision, !old);
-        let names: BTreeSet<&str> = servers.iter().map(|s| s.name.as_str()).collect();
-        let there = it.said.iter().filter(|(_, said)| !said.gone);
-        let gone: Vec<String> =
-            there.map(|(name, _)| name.clone()).filter(|name| !names.contains(name.as_str())).collect();
-        if let Some((_, held)) = it.held.as_mut() {
-            held.retain(|name| !names.contains(name.as_str()));
+        (source_state.revision, source_state.in_step) = (revision, !is_old);
+        let listed_names: BTreeSet<&str> = servers.iter().map(|s| s.name.as_str()).collect();
+        let known = source_state.reports.iter().filter(|(_, report)| !report.gone);
+        let removed: Vec<String> = known
+            .map(|(name, _)| name.clone())
+            .filter(|name| !listed_names.contains(name.as_str()))
+            .collect();
+        if let Some((_, held)) = source_state.held_removals.as_mut() {
+            held.retain(|name| !listed_names.contains(name.as_str()));
         }
-        let mut touched = it.put(now, servers, old);
-        let held = self.remove(now, source, gone, &mut touched);
-        (touched, Taken { whole_wanted: held.is_some() || old, held, ..Taken::default() })
+        let mut affected = source_state.record_servers(now, servers, is_old);
+        let held_back = self.apply_removals(now, source, removed, &mut affected);
+        (
+            affected,
+            UpdateResult {
+                full_list_needed: held_back.is_some() || is_old,
+                held_back,
+                ..UpdateResult::default()
+            },
+        )
     }
 
-    fn change(
+    fn apply_change(
         &mut self,
         now: f64,
         source: usize,
         revision: u64,
         put: Vec<Server>,
-        gone: Vec<String>,
-    ) -> (BTreeSet<String>, Taken) {
-        let it = &mut self.sources[source];
-        if !it.in_step {
+        removed: Vec<String>,
+    ) -> (BTreeSet<String>, UpdateResult) {
+        let source_state = &mut self.sources[source];
+        if !source_state.in_step {
             // Something in between may be missing.
-            return (BTreeSet::new(), Taken { whole_wanted: true, ..Taken::default() });
+            return (BTreeSet::new(), UpdateResult { full_list_needed: true, ..UpdateResult::default() });
         }
-        if revision <= it.revision {
+        if revision <= source_state.revision {
             // A duplicate, or one that came late: what is known is newer.
-            return (BTreeSet::new(), Taken::default());
+            return (BTreeSet::new(), UpdateResult::default());
         }
-        it.revision = revision;
-        if let Some((_, held)) = it.held.as_mut() {
+        source_state.revision = revision;
+        if let Some((_, held)) = source_state.held_removals.as_mut() {
             put.iter().for_each(|server| {
                 held.remove(&server.name);
             });
         }
-        let mut touched = it.put(now, put, false);
-        let held = self.remove(now, source, gone, &mut touched);
-        (touched, Taken { whole_wanted: held.is_some(), held, ..Taken::default() })
+        let mut affected = source_state.record_servers(now, put, false);
+        let held_back = self.apply_removals(now, source, removed, &mut affected);
+        (
+            affected,
+            UpdateResult { full_list_needed: held_back.is_some(), held_back, ..UpdateResult::default() },
+        )
     }
 
     /// Takes servers out of a source's list, or holds that back where too many go at once.
-    fn remove(
+    fn apply_removals(
         &mut self,
         now: f64,
         source: usize,
-        gone: Vec<String>,
-        touched: &mut BTreeSet<String>,
-    ) -> Option<Held> {
-        let terms = self.terms;
-        let it = &mut self.sources[source];
-        let of = it.there;
-        let mut out: BTreeSet<String> =
-            gone.into_iter().filter(|name| it.said.get(name).is_some_and(|said| !said.gone)).collect();
-        let (since, held) = it.held.take().unwrap_or((now, BTreeSet::new()));
-        out.extend(held);
-        let many = out.len() == of && of > 0 || of >= FEW && out.len() as f64 > terms.shrink * of as f64;
-        let wait = many && now < since + terms.hold;
+        removed: Vec<String>,
+        affected: &mut BTreeSet<String>,
+    ) -> Option<HoldReason> {
+        let config = self.config;
+        let source_state = &mut self.sources[source];
+        let total = source_state.listed_count;
+        let mut removals: BTreeSet<String> = removed
+            .into_iter()
+            .filter(|name| source_state.reports.get(name).is_some_and(|report| !report.gone))
+            .collect();
+        let (since, already_held) = source_state.held_removals.take().unwrap_or((now, BTreeSet::new()));
+        removals.extend(already_held);
+        let too_many = removals.len() == total && total > 0
+            || total >= MIN_SERVERS_FOR_SHARE
+                && removals.len() as f64 > config.max_shrink_share * total as f64;
+        let hold = too_many && now < since + config.hold_ms;
         // One that drained already has nothing to lose by being gone.
-        let drained =
-            |name: &String| it.said.get(name).is_some_and(|s| s.server.standing == Standing::Draining);
-        let (now_gone, later): (BTreeSet<String>, BTreeSet<String>) =
-            out.into_iter().partition(|name| !wait || drained(name));
-        let count = later.len();
-        it.held = (count > 0).then_some((since, later));
-        for name in now_gone {
-            if let Some(said) = it.said.get_mut(&name) {
-                (said.gone, said.at) = (true, now);
-                it.there -= 1;
+        let was_draining = |name: &String| {
+            source_state.reports.get(name).is_some_and(|s| s.server.standing == Standing::Draining)
+        };
+        let (gone_now, held): (BTreeSet<String>, BTreeSet<String>) =
+            removals.into_iter().partition(|name| !hold || was_draining(name));
+        let held_count = held.len();
+        source_state.held_removals = (held_count > 0).then_some((since, held));
+        for name in gone_now {
+            if let Some(report) = source_state.reports.get_mut(&name) {
+                (report.gone, report.reported_at) = (true, now);
+                source_state.listed_count -= 1;
             }
-            touched.insert(name);
+            affected.insert(name);
         }
-        (count > 0).then_some(Held::Shrunk { gone: count, of })
+        (held_count > 0).then_some(HoldReason::Shrunk { removed: held_count, total })
     }
 
     /// When something becomes due by time alone.
     pub fn next_deadline(&self) -> Option<f64> {
-        let holds = self.sources.iter().filter_map(|s| Some(s.held.as_ref()?.0 + self.terms.hold));
-        let out =
-            self.members.values().filter(|m| m.offer.is_some()).map(|m| m.out_until).filter(|t| *t > 0.0);
-        holds.chain(out).min_by(f64::total_cmp)
+        let hold_ends =
+            self.sources.iter().filter_map(|s| Some(s.held_removals.as_ref()?.0 + self.config.hold_ms));
+        let drain_ends = self
+            .members
+            .values()
+            .filter(|m| m.availability.is_some())
+            .map(|m| m.drained_until)
+            .filter(|t| *t > 0.0);
+        hold_ends.chain(drain_ends).min_by(f64::total_cmp)
     }
 
     /// Takes up what has become due; true where the list is another one now. A removal that was held back counts only
     /// if its source has been heard since: one that is cut off has not told it again.
     pub fn tick(&mut self, now: f64) -> bool {
-        let mut touched = BTreeSet::new();
+        let mut affected = BTreeSet::new();
         for source in 0..self.sources.len() {
-            let it = &self.sources[source];
-            let ripe = it.held.as_ref().is_some_and(|(since, _)| {
-                now >= since + self.terms.hold
-                    && it.heard.is_some_and(|heard| heard >= since + self.terms.hold)
+            let source_state = &self.sources[source];
+            let is_due = source_state.held_removals.as_ref().is_some_and(|(since, _)| {
+                now >= since + self.config.hold_ms
+                    && source_state
+                        .last_heard_at
+                        .is_some_and(|heard_at| heard_at >= since + self.config.hold_ms)
             });
-            if ripe {
-                self.remove(now, source, Vec::new(), &mut touched);
+            if is_due {
+                self.apply_removals(now, source, Vec::new(), &mut affected);
             }
         }
-        let forget = self.terms.forget;
-        for it in &mut self.sources {
-            it.said.retain(|_, said| !said.gone || now < said.at + forget);
+        let forget_after = self.config.forget_gone_after_ms;
+        for source_state in &mut self.sources {
+            source_state.reports.retain(|_, report| !report.gone || now < report.reported_at + forget_after);
         }
-        let back = self.members.iter().filter(|(_, m)| m.out_until > 0.0 && m.out_until <= now);
-        touched.extend(back.map(|(name, _)| name.clone()));
-        self.refresh(now, touched)
+        let settled = self.members.iter().filter(|(_, m)| m.drained_until > 0.0 && m.drained_until <= now);
+        affected.extend(settled.map(|(name, _)| name.clone()));
+        self.update_members(now, affected)
     }
 
     /// Settles these servers anew; true where one of them now stands otherwise.
-    fn refresh(&mut self, now: f64, touched: BTreeSet<String>) -> bool {
+    fn update_members(&mut self, now: f64, affected: BTreeSet<String>) -> bool {
         let in_step = self.in_step();
         let mut changed = false;
-        for name in touched {
-            let words: Vec<(usize, &Said)> = (0..self.sources.len())
-                .filter_map(|source| Some((source, self.sources[source].said.get(&name)?)))
+        for name in affected {
+            let reports: Vec<(usize, &ServerReport)> = (0..self.sources.len())
+                .filter_map(|source| Some((source, self.sources[source].reports.get(&name)?)))
                 .collect();
-            let says: Vec<Says> = words
+            let inputs: Vec<Report> = reports
                 .iter()
-                .map(|(source, said)| Says {
-                    say: match (said.gone, said.server.standing) {
-                        (true, _) => Say::Gone,
-                        (false, Standing::Draining) => Say::Draining,
-                        (false, Standing::Ready) => Say::Ready,
+                .map(|(source, report)| Report {
+                    state: match (report.gone, report.server.standing) {
+                        (true, _) => ReportedState::Gone,
+                        (false, Standing::Draining) => ReportedState::Draining,
+                        (false, Standing::Ready) => ReportedState::Ready,
                     },
-                    started: said.server.started,
-                    at: said.at,
-                    heard: self.sources[*source].heard.unwrap_or(f64::NEG_INFINITY),
-                    old: said.old,
+                    process_started_at: report.server.started_at,
+                    reported_at: report.reported_at,
+                    last_heard_at: self.sources[*source].last_heard_at.unwrap_or(f64::NEG_INFINITY),
+                    from_old_list: report.from_old_list,
                 })
                 .collect();
-            let differ = says.iter().any(|s| s.say != says[0].say || s.started != says[0].started);
-            let offer = settle(&says, in_step);
+            let is_disputed = inputs
+                .iter()
+                .any(|s| s.state != inputs[0].state || s.process_started_at != inputs[0].process_started_at);
+            let availability = settle_reports(&inputs, in_step);
             // The newest process is the one that counts; of two words on it, the first source's.
-            let newest = words.iter().rev().max_by(|a, b| a.1.server.started.total_cmp(&b.1.server.started));
-            let server = newest.map(|(_, said)| said.server.clone());
-            if differ {
+            let newest =
+                reports.iter().rev().max_by(|a, b| a.1.server.started_at.total_cmp(&b.1.server.started_at));
+            let server = newest.map(|(_, report)| report.server.clone());
+            if is_disputed {
                 self.disputed.insert(name.clone());
             } else {
                 self.disputed.remove(&name);
             }
-            changed |= self.member(now, name, server, offer);
+            changed |= self.update_member(now, name, server, availability);
         }
         changed
     }
 
-    fn member(&mut self, now: f64, name: String, server: Option<Server>, offer: Option<Offer>) -> bool {
-        let (terms, known) = (self.terms, self.members.get(&name));
+    fn update_member(
+        &mut self,
+        now: f64,
+        name: String,
+        server: Option<Server>,
+        availability: Option<Availability>,
+    ) -> bool {
+        let (config, known) = (self.config, self.members.get(&name));
         let Some(mut server) = server else { return self.members.remove(&name).is_some() };
         // Another address is another process, whatever it says of its start.
-        if known.is_some_and(|m| m.server.address != server.address && server.started <= m.server.started) {
-            server.started = now;
+        if known
+            .is_some_and(|m| m.server.address != server.address && server.started_at <= m.server.started_at)
+        {
+            server.started_at = now;
         } else if let Some(m) = known.filter(|m| m.server.address == server.address) {
-            server.started = server.started.max(m.server.started);
+            server.started_at = server.started_at.max(m.server.started_at);
         }
-        let Some(it) = self.members.get_mut(&name) else {
-            let offered = offer.is_some();
-            let it = Member { server, offer, comings: VecDeque::new(), out_until: 0.0 };
-            self.members.insert(name, it);
-            return offered;
+        let Some(member) = self.members.get_mut(&name) else {
+            let is_listed = availability.is_some();
+            let member = Member { server, availability, returned_at: VecDeque::new(), drained_until: 0.0 };
+            self.members.insert(name, member);
+            return is_listed;
         };
-        let back = it.offer.is_none() && offer.is_some();
-        if back {
-            it.comings.retain(|at| *at > now - terms.flap_span);
-            it.comings.push_back(now);
-            if it.comings.len() >= terms.flaps {
-                it.out_until = now + terms.flap_span;
+        let has_returned = member.availability.is_none() && availability.is_some();
+        if has_returned {
+            member.returned_at.retain(|at| *at > now - config.return_window_ms);
+            member.returned_at.push_back(now);
+            if member.returned_at.len() >= config.max_returns {
+                member.drained_until = now + config.return_window_ms;
             }
         }
-        let quiet = it.out_until > 0.0 && it.out_until <= now;
-        if quiet {
-            (it.out_until, it.comings) = (0.0, VecDeque::new());
+        let has_settled = member.drained_until > 0.0 && member.drained_until <= now;
+        if has_settled {
+            (member.drained_until, member.returned_at) = (0.0, VecDeque::new());
         }
-        let changed = quiet || (it.offer, &it.server) != (offer, &server);
-        (it.server, it.offer) = (server, offer);
+        let changed = has_settled || (member.availability, &member.server) != (availability, &server);
+        (member.server, member.availability) = (server, availability);
         changed
     }
 
     /// The list as it is: servers that may get plays, and those that drain, by name.
-    pub fn list(&self, now: f64) -> Vec<Listed> {
+    pub fn list(&self, now: f64) -> Vec<ListedServer> {
         let mut by_address: HashMap<SocketAddr, (f64, &str)> = HashMap::new();
-        let offered = || self.members.iter().filter(|(_, m)| m.offer.is_some());
+        let listed = || self.members.iter().filter(|(_, m)| m.availability.is_some());
         // Two names at one address: the process that started last is the one that is there.
-        for (name, m) in offered() {
-            let at = by_address.entry(m.server.address).or_insert((m.server.started, name));
-            if m.server.started > at.0 {
-                *at = (m.server.started, name);
+        for (name, m) in listed() {
+            let newest = by_address.entry(m.server.address).or_insert((m.server.started_at, name));
+            if m.server.started_at > newest.0 {
+                *newest = (m.server.started_at, name);
             }
         }
-        let there = offered().filter(|(name, m)| by_address[&m.server.address].1 == name.as_str());
-        there
+        let current = listed().filter(|(name, m)| by_address[&m.server.address].1 == name.as_str());
+        current
             .map(|(_, m)| {
-                let out = m.offer == Some(Offer::Draining) || m.out_until > now;
-                let standing = if out { Standing::Draining } else { Standing::Ready };
+                let drains = m.availability == Some(Availability::Draining) || m.drained_until > now;
+                let standing = if drains { Standing::Draining } else { Standing::Ready };
                 let server = Server { standing, ..m.server.clone() };
-                Listed { server, cached: m.offer == Some(Offer::Cached) }
+                ListedServer { server, cached: m.availability == Some(Availability::Cached) }
             })
             .collect()
     }
@@ -411,24 +456,28 @@
 
 impl Source {
     /// Takes what is told of servers; of two words on one the process that started later counts.
-    fn put(&mut self, now: f64, servers: Vec<Server>, old: bool) -> BTreeSet<String> {
-        let mut touched = BTreeSet::new();
+    fn record_servers(&mut self, now: f64, servers: Vec<Server>, from_old_list: bool) -> BTreeSet<String> {
+        let mut affected = BTreeSet::new();
         for server in servers {
             let name = server.name.clone();
-            let twice = touched.contains(&name);
-            if twice && self.said.get(&name).is_some_and(|said| said.server.started >= server.started) {
+            let repeated = affected.contains(&name);
+            if repeated
+                && self.reports.get(&name).is_some_and(|report| report.server.started_at >= server.started_at)
+            {
                 continue;
             }
-            let same = self
-                .said
-                .get(&name)
-                .is_some_and(|said| !said.gone && said.server == server && said.old == old);
-            if !same {
-                self.there += usize::from(self.said.get(&name).is_none_or(|said| said.gone));
-                self.said.insert(name.clone(), Said { server, gone: false, old, at: now });
-                touched.insert(name);
+            let unchanged = self.reports.get(&name).is_some_and(|report| {
+                !report.gone && report.server == server && report.from_old_list == from_old_list
+            });
+            if !unchanged {
+                self.listed_count += usize::from(self.reports.get(&name).is_none_or(|report| report.gone));
+                self.reports.insert(
+                    name.clone(),
+                    ServerReport { server, gone: false, from_old_list, reported_at: now },
+                );
+                affected.insert(name);
             }
         }
-        touched
+        affected
     }
 }
--- a/crates/membership/src/settle.rs
+++ b/crates/membership/src/settle.rs
@@ -2,7 +2,7 @@
 
 /// A source's word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Say {
+pub enum ReportedState {
     Ready,
     Draining,
     Gone,
@@ -10,20 +10,20 @@
 
 /// A source's word on a server, and what it is worth.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Says {
-    pub say: Say,
+pub struct Report {
+    pub state: ReportedState,
     /// Of which process, by its start.
-    pub started: f64,
+    pub process_started_at: f64,
     /// When it was said, and when its source was last heard.
-    pub at: f64,
-    pub heard: f64,
+    pub reported_at: f64,
+    pub last_heard_at: f64,
     /// It stood in a list that was old already.
-    pub old: bool,
+    pub from_old_list: bool,
 }
 
 /// How a server is offered to the decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum Availability {
     Ready,
     /// Ready by an old list alone: it may have restarted meanwhile.
     Cached,
@@ -36,54 +36,58 @@
 /// 2. who says that it drains is believed;
 /// 3. who says that it is gone is believed, unless another source says that it is ready and has been heard since;
 /// 4. an old list adds a server only while no source is in step.
-pub fn settle(says: &[Says], in_step: bool) -> Option<Offer> {
-    let newest = says.iter().map(|s| s.started).max_by(f64::total_cmp)?;
-    let of = |say: Say| says.iter().filter(move |s| s.started == newest && s.say == say);
-    let gone = of(Say::Gone).map(|s| s.at).max_by(f64::total_cmp);
-    let stands = |s: &&Says| gone.is_none_or(|gone| s.heard > gone);
-    if of(Say::Draining).next().is_some() {
+pub fn settle_reports(reports: &[Report], in_step: bool) -> Option<Availability> {
+    let newest = reports.iter().map(|r| r.process_started_at).max_by(f64::total_cmp)?;
+    let on_newest = |state: ReportedState| {
+        reports.iter().filter(move |r| r.process_started_at == newest && r.state == state)
+    };
+    let gone_at = on_newest(ReportedState::Gone).map(|r| r.reported_at).max_by(f64::total_cmp);
+    let is_not_overruled = |r: &&Report| gone_at.is_none_or(|gone_at| r.last_heard_at > gone_at);
+    if on_newest(ReportedState::Draining).next().is_some() {
         // One that drains and is gone from elsewhere is gone.
-        return of(Say::Draining).any(|s| stands(&s)).then_some(Offer::Draining);
+        return on_newest(ReportedState::Draining)
+            .any(|r| is_not_overruled(&r))
+            .then_some(Availability::Draining);
     }
-    let mut ready = of(Say::Ready).filter(stands).peekable();
+    let mut ready = on_newest(ReportedState::Ready).filter(is_not_overruled).peekable();
     ready.peek()?;
-    if ready.any(|s| !s.old) {
-        return Some(Offer::Ready);
+    if ready.any(|r| !r.from_old_list) {
+        return Some(Availability::Ready);
     }
-    (!in_step).then_some(Offer::Cached)
+    (!in_step).then_some(Availability::Cached)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use Say::{Draining, Gone, Ready};
+    use ReportedState::{Draining, Gone, Ready};
     use test_case::test_case;
 
-    fn says(say: Say, started: f64, at: f64, heard: f64) -> Says {
-        Says { say, started, at, heard, old: false }
+    fn report(state: ReportedState, process_started_at: f64, reported_at: f64, last_heard_at: f64) -> Report {
+        Report { state, process_started_at, reported_at, last_heard_at, from_old_list: false }
     }
 
-    fn old(s: Says) -> Says {
-        Says { old: true, ..s }
+    fn from_old_list(report: Report) -> Report {
+        Report { from_old_list: true, ..report }
     }
 
     #[test_case(&[], true, None; "nobody knows it")]
-    #[test_case(&[says(Ready, 0.0, 1.0, 1.0)], true, Some(Offer::Ready); "ready")]
-    #[test_case(&[says(Draining, 0.0, 1.0, 1.0)], true, Some(Offer::Draining); "drains")]
-    #[test_case(&[says(Gone, 0.0, 1.0, 1.0)], true, None; "gone")]
-    #[test_case(&[says(Ready, 0.0, 1.0, 9.0), says(Draining, 0.0, 2.0, 2.0)], true, Some(Offer::Draining); "a drain is believed from anybody")]
-    #[test_case(&[says(Draining, 0.0, 1.0, 1.0), says(Ready, 0.0, 2.0, 9.0)], true, Some(Offer::Draining); "whichever came last")]
-    #[test_case(&[says(Ready, 0.0, 1.0, 1.0), says(Gone, 0.0, 2.0, 2.0)], true, None; "gone, and who lists it is not heard")]
-    #[test_case(&[says(Ready, 0.0, 1.0, 3.0), says(Gone, 0.0, 2.0, 2.0)], true, Some(Offer::Ready); "gone from one, and the other is heard and lists it")]
-    #[test_case(&[says(Draining, 0.0, 1.0, 1.0), says(Gone, 0.0, 2.0, 2.0)], true, None; "drained and gone")]
-    #[test_case(&[says(Draining, 5.0, 1.0, 1.0), says(Ready, 9.0, 2.0, 2.0)], true, Some(Offer::Ready); "the process that drained is replaced")]
-    #[test_case(&[says(Gone, 5.0, 3.0, 3.0), says(Ready, 9.0, 2.0, 2.0)], true, Some(Offer::Ready); "the process that is gone is replaced")]
-    #[test_case(&[says(Ready, 5.0, 3.0, 3.0), says(Gone, 9.0, 2.0, 2.0)], true, None; "the newer process is gone")]
-    #[test_case(&[old(says(Ready, 0.0, 1.0, 1.0))], false, Some(Offer::Cached); "an old list, and nothing better")]
-    #[test_case(&[old(says(Ready, 0.0, 1.0, 1.0))], true, None; "an old list beside a source in step")]
-    #[test_case(&[old(says(Ready, 0.0, 1.0, 1.0)), says(Ready, 0.0, 2.0, 2.0)], true, Some(Offer::Ready); "an old list and a new one")]
-    #[test_case(&[old(says(Draining, 0.0, 1.0, 1.0)), says(Ready, 0.0, 2.0, 2.0)], true, Some(Offer::Draining); "a drain is believed from an old list")]
-    fn words_come_to(all: &[Says], in_step: bool, offer: Option<Offer>) {
-        assert_eq!(settle(all, in_step), offer);
+    #[test_case(&[report(Ready, 0.0, 1.0, 1.0)], true, Some(Availability::Ready); "ready")]
+    #[test_case(&[report(Draining, 0.0, 1.0, 1.0)], true, Some(Availability::Draining); "drains")]
+    #[test_case(&[report(Gone, 0.0, 1.0, 1.0)], true, None; "gone")]
+    #[test_case(&[report(Ready, 0.0, 1.0, 9.0), report(Draining, 0.0, 2.0, 2.0)], true, Some(Availability::Draining); "a drain is believed from anybody")]
+    #[test_case(&[report(Draining, 0.0, 1.0, 1.0), report(Ready, 0.0, 2.0, 9.0)], true, Some(Availability::Draining); "whichever came last")]
+    #[test_case(&[report(Ready, 0.0, 1.0, 1.0), report(Gone, 0.0, 2.0, 2.0)], true, None; "gone, and who lists it is not heard")]
+    #[test_case(&[report(Ready, 0.0, 1.0, 3.0), report(Gone, 0.0, 2.0, 2.0)], true, Some(Availability::Ready); "gone from one, and the other is heard and lists it")]
+    #[test_case(&[report(Draining, 0.0, 1.0, 1.0), report(Gone, 0.0, 2.0, 2.0)], true, None; "drained and gone")]
+    #[test_case(&[report(Draining, 5.0, 1.0, 1.0), report(Ready, 9.0, 2.0, 2.0)], true, Some(Availability::Ready); "the process that drained is replaced")]
+    #[test_case(&[report(Gone, 5.0, 3.0, 3.0), report(Ready, 9.0, 2.0, 2.0)], true, Some(Availability::Ready); "the process that is gone is replaced")]
+    #[test_case(&[report(Ready, 5.0, 3.0, 3.0), report(Gone, 9.0, 2.0, 2.0)], true, None; "the newer process is gone")]
+    #[test_case(&[from_old_list(report(Ready, 0.0, 1.0, 1.0))], false, Some(Availability::Cached); "an old list, and nothing better")]
+    #[test_case(&[from_old_list(report(Ready, 0.0, 1.0, 1.0))], true, None; "an old list beside a source in step")]
+    #[test_case(&[from_old_list(report(Ready, 0.0, 1.0, 1.0)), report(Ready, 0.0, 2.0, 2.0)], true, Some(Availability::Ready); "an old list and a new one")]
+    #[test_case(&[from_old_list(report(Draining, 0.0, 1.0, 1.0)), report(Ready, 0.0, 2.0, 2.0)], true, Some(Availability::Draining); "a drain is believed from an old list")]
+    fn reports_settle_to(reports: &[Report], in_step: bool, expected: Option<Availability>) {
+        assert_eq!(settle_reports(reports, in_step), expected);
     }
 }
--- a/crates/membership/tests/explore.rs
+++ b/crates/membership/tests/explore.rs
@@ -1,15 +1,21 @@
 //! Every order of events of a small registry, up to a depth, against the real view: two sources, compaction, breaks,
 //! repeats and reconnects.
 //!
-//! What must hold in every state that is reached: no server is offered for new plays that the registry has told gone or
+//! What must hold in every state that is visited: no server is offered for new plays that the registry has told gone or
 //! draining, by its newest word that arrived; none is lost for good, and the view converges: once the connection is
 //! back and all is delivered, it is what the registry is.
 
 use pulleystair_membership::{MembershipConfig, Server, Standing, Update, View};
 use std::collections::{BTreeMap, VecDeque};
 
-const TERMS: MembershipConfig =
-    MembershipConfig { shrink: 0.9, hold: 1000.0, flaps: 1000, flap_span: 5000.0, old: 2000.0, forget: 1e9 };
+const CONFIG: MembershipConfig = MembershipConfig {
+    max_shrink_share: 0.9,
+    hold_ms: 1000.0,
+    max_returns: 1000,
+    return_window_ms: 5000.0,
+    max_list_age_ms: 2000.0,
+    forget_gone_after_ms: 1e9,
+};
 /// So many events in a row. Each more takes about eight times as long.
 const DEPTH: usize = 6;
 /// Registry and file.
@@ -27,7 +33,7 @@
         cell: n,
         weight: 1.0,
         standing,
-        started: 0.0,
+        started_at: 0.0,
     }
 }
 
@@ -70,7 +76,7 @@
     compacted: usize,
     connected: bool,
     /// Revisions on their way.
-    under_way: VecDeque<usize>,
+    in_flight: VecDeque<usize>,
     /// The newest state that has arrived.
     arrived: usize,
     view: View,
@@ -80,43 +86,43 @@
     fn new() -> World {
         // m2 is there always, m1 is in the file too.
         let state: State = [0, 1, 2].map(|n| (n, Standing::Ready)).into();
-        let mut view = View::new(TERMS, 2);
-        view.apply(0.0, REGISTRY, Update::Whole { revision: 0, age: 0.0, servers: servers(&state) });
+        let mut view = View::new(CONFIG, 2);
+        view.apply(0.0, REGISTRY, Update::Full { revision: 0, age_ms: 0.0, servers: servers(&state) });
         let file = vec![server(1, Standing::Ready)];
-        view.apply(0.0, FILE, Update::Whole { revision: 0, age: 0.0, servers: file });
+        view.apply(0.0, FILE, Update::Full { revision: 0, age_ms: 0.0, servers: file });
         World {
             now: 0.0,
             history: vec![state],
             compacted: 0,
             connected: true,
-            under_way: VecDeque::new(),
+            in_flight: VecDeque::new(),
             arrived: 0,
             view,
         }
     }
 
-    fn tell(&mut self, news: Update) {
-        self.view.apply(self.now, REGISTRY, news);
+    fn update(&mut self, update: Update) {
+        self.view.apply(self.now, REGISTRY, update);
     }
 
-    fn change(&mut self, revision: usize) -> Update {
+    fn change_at(&mut self, revision: usize) -> Update {
         let (before, after) = (&self.history[revision - 1], &self.history[revision]);
         let put = after.iter().filter(|(n, s)| before.get(n) != Some(s));
-        let gone = before.keys().filter(|n| !after.contains_key(n));
+        let removed = before.keys().filter(|n| !after.contains_key(n));
         Update::Change {
             revision: revision as u64,
             put: put.map(|(n, s)| server(*n, *s)).collect(),
-            gone: gone.map(|n| format!("m{n}")).collect(),
+            removed: removed.map(|n| format!("m{n}")).collect(),
         }
     }
 
     fn deliver(&mut self, revision: usize) {
-        let news = self.change(revision);
-        self.tell(news);
+        let update = self.change_at(revision);
+        self.update(update);
         self.arrived = self.arrived.max(revision);
     }
 
-    fn set(&mut self, change: impl Fn(&mut State)) -> bool {
+    fn change_registry(&mut self, change: impl Fn(&mut State)) -> bool {
         let mut state = self.history[self.history.len() - 1].clone();
         change(&mut state);
         if state == self.history[self.history.len() - 1] {
@@ -124,25 +130,25 @@
         }
         self.history.push(state);
         if self.connected {
-            self.under_way.push_back(self.history.len() - 1);
+            self.in_flight.push_back(self.history.len() - 1);
         }
         true
     }
 
     /// Does it; false where there is nothing to do.
-    fn does(&mut self, event: Event) -> bool {
+    fn apply(&mut self, event: Event) -> bool {
         self.now += 1.0;
         match event {
-            Event::Add(n) => self.set(|state| {
+            Event::Add(n) => self.change_registry(|state| {
                 state.insert(n, Standing::Ready);
             }),
-            Event::Drain(n) => self.set(|state| {
+            Event::Drain(n) => self.change_registry(|state| {
                 state.entry(n).and_modify(|s| *s = Standing::Draining);
             }),
-            Event::Remove(n) => self.set(|state| {
+            Event::Remove(n) => self.change_registry(|state| {
                 state.remove(&n);
             }),
-            Event::Deliver => match self.under_way.pop_front() {
+            Event::Deliver => match self.in_flight.pop_front() {
                 Some(revision) => {
                     self.deliver(revision);
                     true
@@ -150,13 +156,13 @@
                 None => false,
             },
             Event::Repeat if self.arrived > 0 && self.connected => {
-                let news = self.change(self.arrived);
-                self.tell(news);
+                let update = self.change_at(self.arrived);
+                self.update(update);
                 true
             }
             Event::Break if self.connected => {
-                (self.connected, self.under_way) = (false, VecDeque::new());
-                self.tell(Update::Lost);
+                (self.connected, self.in_flight) = (false, VecDeque::new());
+                self.update(Update::Lost);
                 true
             }
             Event::Compact if self.compacted + 1 < self.history.len() => {
@@ -180,78 +186,78 @@
         self.connected = true;
         match self.view.revision(REGISTRY) {
             Some(known) if known as usize >= self.compacted => {
-                self.under_way = (known as usize + 1..self.history.len()).collect();
+                self.in_flight = (known as usize + 1..self.history.len()).collect();
             }
             _ => {
                 self.arrived = self.history.len() - 1;
-                let news = Update::Whole {
+                let update = Update::Full {
                     revision: self.arrived as u64,
-                    age: 0.0,
+                    age_ms: 0.0,
                     servers: servers(&self.history[self.arrived]),
                 };
-                self.tell(news);
+                self.update(update);
             }
         }
     }
 
-    fn ready(&self) -> Vec<usize> {
+    fn ready_servers(&self) -> Vec<usize> {
         let list = self.view.list(self.now).into_iter();
         list.filter(|l| l.server.standing == Standing::Ready).map(|l| l.server.cell).collect()
     }
 
-    fn holds(&self, path: &[Event]) {
-        let told = &self.history[self.arrived];
-        for n in self.ready() {
-            let by_file = n == 1 && told.get(&n).is_none();
+    fn assert_invariants(&self, path: &[Event]) {
+        let known = &self.history[self.arrived];
+        for n in self.ready_servers() {
+            let is_in_file = n == 1 && known.get(&n).is_none();
             assert!(
-                told.get(&n) == Some(&Standing::Ready) || by_file,
+                known.get(&n) == Some(&Standing::Ready) || is_in_file,
                 "m{n} is offered, and the registry told {:?}: {path:?}",
-                told.get(&n)
+                known.get(&n)
             );
         }
     }
 
     /// The connection comes back and all is delivered.
-    fn converges(mut self, path: &[Event]) {
+    fn assert_convergence(mut self, path: &[Event]) {
         if !self.connected {
             self.reconnect();
         }
-        while let Some(revision) = self.under_way.pop_front() {
+        while let Some(revision) = self.in_flight.pop_front() {
             self.deliver(revision);
         }
-        self.now += TERMS.hold + 1.0;
-        self.tell(Update::Alive);
+        self.now += CONFIG.hold_ms + 1.0;
+        self.update(Update::Alive);
         self.view.tick(self.now);
         self.view.apply(self.now + 1.0, FILE, Update::Alive);
-        let list: State =
+        let listed: State =
             self.view.list(self.now + 1.0).iter().map(|l| (l.server.cell, l.server.standing)).collect();
         let mut registry = self.history[self.history.len() - 1].clone();
         // The file is there and goes on listing this one.
         registry.entry(1).or_insert(Standing::Ready);
-        assert_eq!(list, registry, "{path:?}");
+        assert_eq!(listed, registry, "{path:?}");
     }
 }
 
-fn explore(world: &World, path: &mut Vec<Event>, reached: &mut usize) {
-    *reached += 1;
-    world.holds(path);
-    world.clone().converges(path);
+fn explore(world: &World, path: &mut Vec<Event>, visited: &mut usize) {
+    *visited += 1;
+    world.assert_invariants(path);
+    world.clone().assert_convergence(path);
     if path.len() == DEPTH {
         return;
     }
     for event in EVENTS {
         let mut next = world.clone();
-        if next.does(event) {
+        if next.apply(event) {
             path.push(event);
-            explore(&next, path, reached);
+            explore(&next, path, visited);
             path.pop();
         }
     }
 }
 
 #[test]
-fn every_order_of_events_keeps_what_must_hold() {
-    let mut reached = 0;
-    explore(&World::new(), &mut Vec::new(), &mut reached);
-    assert!(reached > 10_000, "{reached} states");
+fn every_order_of_events_keeps_the_invariants_and_converges() {
+    let mut visited = 0;
+    explore(&World::new(), &mut Vec::new(), &mut visited);
+    assert!(visited > 10_000, "{visited} states");
 }
