--- a/crates/registry/src/blocking.rs
+++ b/crates/registry/src/blocking.rs
@@ -1,8 +1,8 @@
-//! Blocking queries: the health of a service's instances, asked with the index of the last answer, and answered when
+//! BlockingQuery queries: the health of a service's instances, asked with the index of the last answer, and answered when
 //! something has changed or the wait is over (Consul's HTTP interface: health endpoint, blocking queries, consistency
 //! modes). Each answer is whole.
 
-use crate::{MOST_BYTES, MOST_SERVERS, RegistryError, Told};
+use crate::{MAX_BYTES, MAX_SERVERS, RegistryError, ServerMetadata};
 use pulleystair_membership::{Server, Standing, Update};
 use serde::Deserialize;
 use std::collections::HashMap;
@@ -10,14 +10,14 @@
 
 /// Which service is followed, and how.
 #[derive(Clone, Debug)]
-pub struct Blocking {
+pub struct BlockingQuery {
     service: String,
-    /// How long a query may wait for a change, s; the registry adds up to a sixteenth to it.
-    wait: u64,
+    /// How long a query may wait for a change, s; the registry adds up to a sixteenth to query.
+    wait_s: u64,
     /// Whether any server of the registry may answer, however far behind.
-    stale: bool,
+    allow_stale: bool,
     /// Of the last answer; 0 asks for all at once.
-    index: u64,
+    last_index: u64,
 }
 
 #[derive(Deserialize)]
@@ -55,29 +55,32 @@
     status: String,
 }
 
-impl Blocking {
-    pub fn new(service: &str, wait: u64, stale: bool) -> Blocking {
-        Blocking { service: service.into(), wait, stale, index: 0 }
+impl BlockingQuery {
+    pub fn new(service: &str, wait_s: u64, allow_stale: bool) -> BlockingQuery {
+        BlockingQuery { service: service.into(), wait_s, allow_stale, last_index: 0 }
     }
 
     /// What to ask for next.
-    pub fn target(&self) -> String {
-        let stale = if self.stale { "&stale" } else { "" };
-        match self.index {
-            0 => format!("/v1/health/service/{}?{}", self.service, stale.trim_start_matches('&')),
-            index => format!("/v1/health/service/{}?index={index}&wait={}s{stale}", self.service, self.wait),
+    pub fn request_target(&self) -> String {
+        let stale_parameter = if self.allow_stale { "&stale" } else { "" };
+        match self.last_index {
+            0 => format!("/v1/health/service/{}?{}", self.service, stale_parameter.trim_start_matches('&')),
+            index => format!(
+                "/v1/health/service/{}?index={index}&wait={}s{stale_parameter}",
+                self.service, self.wait_s
+            ),
         }
     }
 
     /// How long the answer may take, ms, before the connection counts as silent.
-    pub fn patience(&self) -> f64 {
-        let wait = self.wait as f64 * 1000.0;
-        if self.index == 0 { 5_000.0 } else { wait + wait / 16.0 + 5_000.0 }
+    pub fn response_timeout(&self) -> f64 {
+        let wait_ms = self.wait_s as f64 * 1000.0;
+        if self.last_index == 0 { 5_000.0 } else { wait_ms + wait_ms / 16.0 + 5_000.0 }
     }
 
     /// The connection broke, or the query is to begin anew.
-    pub fn lost(&mut self) -> Update {
-        self.index = 0;
+    pub fn reset(&mut self) -> Update {
+        self.last_index = 0;
         Update::Lost
     }
 
@@ -90,59 +93,62 @@
         body: &[u8],
     ) -> Result<Update, RegistryError> {
         if status != 200 {
-            return Err(RegistryError::Status(status));
+            return Err(RegistryError::UnexpectedStatus(status));
         }
-        if body.len() > MOST_BYTES {
+        if body.len() > MAX_BYTES {
             return Err(RegistryError::TooLarge(body.len()));
         }
-        let number = |name: &'static str| header(name).and_then(|v| v.trim().parse::<u64>().ok());
-        let revision = number("X-Consul-Index").ok_or(RegistryError::Header("X-Consul-Index"))?;
+        let numeric_header = |name: &'static str| header(name).and_then(|v| v.trim().parse::<u64>().ok());
+        let revision =
+            numeric_header("X-Consul-Index").ok_or(RegistryError::MissingHeader("X-Consul-Index"))?;
         if header("X-Consul-KnownLeader").is_some_and(|v| v.trim() == "false") {
             return Err(RegistryError::NoLeader);
         }
-        if revision == self.index && revision > 0 {
+        if revision == self.last_index && revision > 0 {
             return Ok(Update::Alive);
         }
-        let age = number("X-Consul-LastContact").unwrap_or(0) as f64;
+        let age_ms = numeric_header("X-Consul-LastContact").unwrap_or(0) as f64;
         let entries: Vec<Entry> =
-            serde_json::from_slice(body).map_err(|e| RegistryError::Json(e.to_string()))?;
-        if entries.len() > MOST_SERVERS {
-            return Err(RegistryError::TooMany);
+            serde_json::from_slice(body).map_err(|e| RegistryError::InvalidJson(e.to_string()))?;
+        if entries.len() > MAX_SERVERS {
+            return Err(RegistryError::TooManyServers);
         }
-        let servers: Result<Vec<Option<Server>>, RegistryError> = entries.into_iter().map(server).collect();
+        let servers: Result<Vec<Option<Server>>, RegistryError> =
+            entries.into_iter().map(parse_instance).collect();
         let servers = servers?.into_iter().flatten().collect();
-        self.index = if revision < self.index { 0 } else { revision };
-        Ok(Update::Whole { revision, age, servers })
+        self.last_index = if revision < self.last_index { 0 } else { revision };
+        Ok(Update::Full { revision, age_ms, servers })
     }
 }
 
 /// An instance as a server: one that fails a check is not there, one under maintenance or warning drains.
-fn server(entry: Entry) -> Result<Option<Server>, RegistryError> {
+fn parse_instance(entry: Entry) -> Result<Option<Server>, RegistryError> {
     let Entry { node, service, checks } = entry;
-    let bad = |cause: String| RegistryError::Server(service.id.chars().take(64).collect(), cause);
-    let at = if service.address.is_empty() { &node.address } else { &service.address };
-    let ip: IpAddr =
-        at.parse().map_err(|_| bad(format!("address is {:?}", at.chars().take(64).collect::<String>())))?;
-    let kept = |c: &Check| c.id.starts_with("_service_maintenance") || c.id == "_node_maintenance";
-    let drains = checks.iter().any(|c| kept(c) || c.status == "warning");
-    if checks.iter().any(|c| !kept(c) && c.status == "critical") {
+    let invalid = |cause: String| RegistryError::InvalidServer(service.id.chars().take(64).collect(), cause);
+    let address = if service.address.is_empty() { &node.address } else { &service.address };
+    let ip: IpAddr = address
+        .parse()
+        .map_err(|_| invalid(format!("address is {:?}", address.chars().take(64).collect::<String>())))?;
+    let is_maintenance = |c: &Check| c.id.starts_with("_service_maintenance") || c.id == "_node_maintenance";
+    let drains = checks.iter().any(|c| is_maintenance(c) || c.status == "warning");
+    if checks.iter().any(|c| !is_maintenance(c) && c.status == "critical") {
         return Ok(None);
     }
-    let told = |name: &str| service.meta.get(name).map(String::as_str);
-    let wanted = |name: &str| told(name).ok_or_else(|| bad(format!("meta has no {name}")));
-    let number = |name: &str, other: f64| match told(name) {
-        Some(text) => text.parse::<f64>().map_err(|_| bad(format!("meta {name} is no number"))),
-        None => Ok(other),
+    let meta_value = |name: &str| service.meta.get(name).map(String::as_str);
+    let required = |name: &str| meta_value(name).ok_or_else(|| invalid(format!("meta has no {name}")));
+    let number_or = |name: &str, default: f64| match meta_value(name) {
+        Some(text) => text.parse::<f64>().map_err(|_| invalid(format!("meta {name} is no number"))),
+        None => Ok(default),
     };
-    let it = Told {
-        zone: wanted("zone")?.into(),
-        kind: wanted("kind")?.into(),
-        cell: wanted("cell")?.parse().map_err(|_| bad("meta cell is no number".into()))?,
-        weight: number("weight", 1.0)?,
-        started_ms: number("started_ms", 0.0)?,
+    let metadata = ServerMetadata {
+        zone: required("zone")?.into(),
+        kind: required("kind")?.into(),
+        cell: required("cell")?.parse().map_err(|_| invalid("meta cell is no number".into()))?,
+        weight: number_or("weight", 1.0)?,
+        started_ms: number_or("started_ms", 0.0)?,
     };
     let standing = if drains { Standing::Draining } else { Standing::Ready };
-    it.server(&service.id, SocketAddr::new(ip, service.port), standing).map(Some)
+    metadata.into_server(&service.id, SocketAddr::new(ip, service.port), standing).map(Some)
 }
 
 #[cfg(test)]
@@ -157,26 +163,26 @@
         )
     }
 
-    fn ask(it: &mut Blocking, index: u64, body: &str) -> Result<Update, RegistryError> {
-        it.on_response(200, |name| (name == "X-Consul-Index").then(|| index.to_string()), body.as_bytes())
+    fn respond(query: &mut BlockingQuery, index: u64, body: &str) -> Result<Update, RegistryError> {
+        query.on_response(200, |name| (name == "X-Consul-Index").then(|| index.to_string()), body.as_bytes())
     }
 
-    fn standings(news: Update) -> Vec<(String, Standing)> {
-        let Update::Whole { servers, .. } = news else { panic!("{news:?} is not whole") };
+    fn standings(update: Update) -> Vec<(String, Standing)> {
+        let Update::Full { servers, .. } = update else { panic!("{update:?} is not whole") };
         servers.into_iter().map(|s| (s.name, s.standing)).collect()
     }
 
     #[test]
-    fn an_index_is_followed_and_one_that_goes_back_begins_anew() {
-        let mut it = Blocking::new("media", 60, true);
-        assert_eq!(it.target(), "/v1/health/service/media?stale");
+    fn the_index_is_followed_and_a_lower_one_restarts_the_query() {
+        let mut query = BlockingQuery::new("media", 60, true);
+        assert_eq!(query.request_target(), "/v1/health/service/media?stale");
         let list = format!("[{}]", entry("m4", ""));
-        assert_eq!(standings(ask(&mut it, 7, &list).unwrap()), [("m4".into(), Standing::Ready)]);
-        assert_eq!(it.target(), "/v1/health/service/media?index=7&wait=60s&stale");
-        assert!(it.patience() > 63_750.0, "the registry may add a sixteenth");
-        assert!(matches!(ask(&mut it, 7, &list), Ok(Update::Alive)), "the wait was over");
-        assert!(matches!(ask(&mut it, 3, &list), Ok(Update::Whole { revision: 3, .. })));
-        assert_eq!(it.target(), "/v1/health/service/media?stale");
+        assert_eq!(standings(respond(&mut query, 7, &list).unwrap()), [("m4".into(), Standing::Ready)]);
+        assert_eq!(query.request_target(), "/v1/health/service/media?index=7&wait=60s&stale");
+        assert!(query.response_timeout() > 63_750.0, "the registry may add a sixteenth");
+        assert!(matches!(respond(&mut query, 7, &list), Ok(Update::Alive)), "the wait was over");
+        assert!(matches!(respond(&mut query, 3, &list), Ok(Update::Full { revision: 3, .. })));
+        assert_eq!(query.request_target(), "/v1/health/service/media?stale");
     }
 
     #[test_case(r#"{"CheckID":"c","Status":"passing"}"#, Some(Standing::Ready); "passing")]
@@ -185,10 +191,10 @@
     #[test_case(r#"{"CheckID":"_node_maintenance","Status":"critical"}"#, Some(Standing::Draining); "node under maintenance")]
     #[test_case(r#"{"CheckID":"_service_maintenance:m","Status":"critical"}"#, Some(Standing::Draining); "service under maintenance")]
     #[test_case(r#"{"CheckID":"_node_maintenance","Status":"critical"},{"CheckID":"c","Status":"critical"}"#, None; "under maintenance and dead")]
-    fn health_is_standing(checks: &str, standing: Option<Standing>) {
-        let mut it = Blocking::new("media", 60, false);
-        let news = ask(&mut it, 1, &format!("[{}]", entry("m", checks))).unwrap();
-        assert_eq!(standings(news).first().map(|s| s.1), standing);
+    fn health_checks_map_to_standings(checks: &str, standing: Option<Standing>) {
+        let mut query = BlockingQuery::new("media", 60, false);
+        let update = respond(&mut query, 1, &format!("[{}]", entry("m", checks))).unwrap();
+        assert_eq!(standings(update).first().map(|s| s.1), standing);
     }
 
     #[test_case("", "not read: "; "nothing")]
@@ -199,37 +205,37 @@
     #[test_case("\"4\" -> \"four\"", "m: meta cell is no number"; "no cell")]
     #[test_case("2.5 -> -1", "m: weight is -1"; "a weight below zero")]
     #[test_case("9000 -> 90000", "not read: "; "no port")]
-    fn a_bad_answer_tells_nothing_and_the_query_goes_on(change: &str, says: &str) {
-        let mut it = Blocking::new("media", 60, false);
-        ask(&mut it, 7, "[]").unwrap();
+    fn a_malformed_response_is_an_error_and_the_index_stays(change: &str, expected: &str) {
+        let mut query = BlockingQuery::new("media", 60, false);
+        respond(&mut query, 7, "[]").unwrap();
         let body = match change.split_once(" -> ") {
-            Some((find, put)) => format!("[{}]", entry("m", "")).replace(find, put),
+            Some((old, new)) => format!("[{}]", entry("m", "")).replace(old, new),
             None => change.to_string(),
         };
-        let fault = ask(&mut it, 8, &body).unwrap_err().to_string();
-        assert!(fault.contains(says), "{fault}");
-        assert!(it.target().contains("index=7"));
+        let error = respond(&mut query, 8, &body).unwrap_err().to_string();
+        assert!(error.contains(expected), "{error}");
+        assert!(query.request_target().contains("index=7"));
     }
 
     #[test]
-    fn answers_without_index_or_leader_and_other_statuses_tell_nothing() {
-        let mut it = Blocking::new("media", 60, false);
-        assert_eq!(it.on_response(500, |_| None, b"").unwrap_err(), RegistryError::Status(500));
+    fn responses_without_index_or_leader_and_error_statuses_are_errors() {
+        let mut query = BlockingQuery::new("media", 60, false);
+        assert_eq!(query.on_response(500, |_| None, b"").unwrap_err(), RegistryError::UnexpectedStatus(500));
         assert_eq!(
-            it.on_response(200, |_| None, b"[]").unwrap_err(),
-            RegistryError::Header("X-Consul-Index")
+            query.on_response(200, |_| None, b"[]").unwrap_err(),
+            RegistryError::MissingHeader("X-Consul-Index")
         );
-        let headless = |name: &str| match name {
+        let without_leader = |name: &str| match name {
             "X-Consul-Index" => Some("9".to_string()),
             "X-Consul-KnownLeader" => Some("false".to_string()),
             _ => None,
         };
-        assert_eq!(it.on_response(200, headless, b"[]").unwrap_err(), RegistryError::NoLeader);
-        let stale = |name: &str| match name {
+        assert_eq!(query.on_response(200, without_leader, b"[]").unwrap_err(), RegistryError::NoLeader);
+        let behind = |name: &str| match name {
             "X-Consul-Index" => Some("9".to_string()),
             "X-Consul-LastContact" => Some("4500".to_string()),
             _ => None,
         };
-        assert!(matches!(it.on_response(200, stale, b"[]"), Ok(Update::Whole { age: 4500.0, .. })));
+        assert!(matches!(query.on_response(200, behind, b"[]"), Ok(Update::Full { age_ms: 4500.0, .. })));
     }
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -11,56 +11,61 @@
 use std::net::SocketAddr;
 
 /// The largest answer that is read, bytes, and the most servers in one.
-pub const MOST_BYTES: usize = 64 << 20;
-pub const MOST_SERVERS: usize = 100_000;
+pub const MAX_BYTES: usize = 64 << 20;
+pub const MAX_SERVERS: usize = 100_000;
 
 /// Why an answer tells nothing.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RegistryError {
     #[error("answered {0}")]
-    Status(u16),
+    UnexpectedStatus(u16),
     #[error("no {0} header with a number")]
-    Header(&'static str),
-    #[error("{0} bytes; {MOST_BYTES} at most")]
+    MissingHeader(&'static str),
+    #[error("{0} bytes; {MAX_BYTES} at most")]
     TooLarge(usize),
-    #[error("over {MOST_SERVERS} servers")]
-    TooMany,
+    #[error("over {MAX_SERVERS} servers")]
+    TooManyServers,
     #[error("not read: {0}")]
-    Json(String),
+    InvalidJson(String),
     #[error("{0}: {1}")]
-    Server(String, String),
+    InvalidServer(String, String),
     #[error("knows no leader")]
     NoLeader,
     #[error("watch ended: {0}")]
-    Cancelled(String),
+    WatchCancelled(String),
 }
 
 /// What is told of a server beside its name, address and standing: as metadata of a service, or the value of a key.
 #[derive(Clone, Debug, Deserialize)]
-struct Told {
+struct ServerMetadata {
     zone: String,
     kind: String,
     cell: usize,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     weight: f64,
     #[serde(default)]
     started_ms: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-impl Told {
-    fn server(self, name: &str, address: SocketAddr, standing: Standing) -> Result<Server, RegistryError> {
-        let bad = |cause: String| RegistryError::Server(name.chars().take(64).collect(), cause);
+impl ServerMetadata {
+    fn into_server(
+        self,
+        name: &str,
+        address: SocketAddr,
+        standing: Standing,
+    ) -> Result<Server, RegistryError> {
+        let invalid = |cause: String| RegistryError::InvalidServer(name.chars().take(64).collect(), cause);
         if !(self.weight.is_finite() && self.weight > 0.0) {
-            return Err(bad(format!("weight is {}", self.weight)));
+            return Err(invalid(format!("weight is {}", self.weight)));
         }
         if !(self.started_ms.is_finite() && self.started_ms >= 0.0) {
-            return Err(bad(format!("started_ms is {}", self.started_ms)));
+            return Err(invalid(format!("started_ms is {}", self.started_ms)));
         }
-        let Told { zone, kind, cell, weight, started_ms: started } = self;
-        Ok(Server { name: name.into(), address, zone, kind, cell, weight, standing, started })
+        let ServerMetadata { zone, kind, cell, weight, started_ms: started_at } = self;
+        Ok(Server { name: name.into(), address, zone, kind, cell, weight, standing, started_at })
     }
 }
--- a/crates/registry/src/watch.rs
+++ b/crates/registry/src/watch.rs
@@ -3,7 +3,7 @@
 //! server's name, its value a JSON object with `address`, `zone`, `kind`, `cell`, and where wanted `weight`, `started_ms` and
 //! `state` (`ready` or `draining`).
 
-use crate::{MOST_BYTES, MOST_SERVERS, RegistryError, Told};
+use crate::{MAX_BYTES, MAX_SERVERS, RegistryError, ServerMetadata};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use pulleystair_membership::{Server, Standing, Update};
@@ -30,7 +30,7 @@
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Header {
-    #[serde(deserialize_with = "number")]
+    #[serde(deserialize_with = "deserialize_u64")]
     revision: u64,
 }
 
@@ -53,7 +53,7 @@
     header: Header,
     created: bool,
     canceled: bool,
-    #[serde(deserialize_with = "number")]
+    #[serde(deserialize_with = "deserialize_u64")]
     compact_revision: u64,
     cancel_reason: String,
     events: Vec<Event>,
@@ -73,7 +73,7 @@
     #[serde(default)]
     state: State,
     #[serde(flatten)]
-    told: Told,
+    metadata: ServerMetadata,
 }
 
 #[derive(Deserialize, Default)]
@@ -85,14 +85,14 @@
 }
 
 /// A 64-bit number, as text or as it is.
-fn number<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
+fn deserialize_u64<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
     enum Form {
         Number(u64),
         Text(String),
     }
-    match Form::deserialize(from)? {
+    match Form::deserialize(deserializer)? {
         Form::Number(n) => Ok(n),
         Form::Text(text) => text.parse().map_err(serde::de::Error::custom),
     }
@@ -108,7 +108,7 @@
         self.revision
     }
 
-    fn keys(&self) -> (String, String) {
+    fn encoded_key_range(&self) -> (String, String) {
         // The end of a prefix's keys: its last byte that can be raised, raised.
         let mut end = self.prefix.clone().into_bytes();
         while end.pop_if(|b| *b == 0xff).is_some() {}
@@ -120,118 +120,120 @@
     }
 
     /// Target and body of the read of all.
-    pub fn range(&self) -> (&'static str, String) {
-        let (key, range_end) = self.keys();
+    pub fn range_request(&self) -> (&'static str, String) {
+        let (key, range_end) = self.encoded_key_range();
         ("/v3/kv/range", json!({ "key": key, "range_end": range_end }).to_string())
     }
 
     /// Target and body of the watch; its answer is a stream of lines for [`Watch::on_line`].
-    pub fn watch(&self) -> (&'static str, String) {
-        let (key, range_end) = self.keys();
-        let from = self.revision.unwrap_or(0) + 1;
-        let it = json!({
-            "key": key, "range_end": range_end, "start_revision": from.to_string(), "progress_notify": true,
+    pub fn watch_request(&self) -> (&'static str, String) {
+        let (key, range_end) = self.encoded_key_range();
+        let start_revision = self.revision.unwrap_or(0) + 1;
+        let create_request = json!({
+            "key": key, "range_end": range_end, "start_revision": start_revision.to_string(), "progress_notify": true,
         });
-        ("/v3/watch", json!({ "create_request": it }).to_string())
+        ("/v3/watch", json!({ "create_request": create_request }).to_string())
     }
 
     /// All is to be read anew.
-    pub fn lost(&mut self) -> Update {
+    pub fn reset(&mut self) -> Update {
         self.revision = None;
         Update::Lost
     }
 
     /// Takes the answer to the read of all.
-    pub fn read(&mut self, status: u16, body: &[u8]) -> Result<Update, RegistryError> {
+    pub fn on_range_response(&mut self, status: u16, body: &[u8]) -> Result<Update, RegistryError> {
         if status != 200 {
-            return Err(RegistryError::Status(status));
+            return Err(RegistryError::UnexpectedStatus(status));
         }
-        if body.len() > MOST_BYTES {
+        if body.len() > MAX_BYTES {
             return Err(RegistryError::TooLarge(body.len()));
         }
-        let range: Range = serde_json::from_slice(body).map_err(|e| RegistryError::Json(e.to_string()))?;
-        if range.more || range.kvs.len() > MOST_SERVERS {
-            return Err(RegistryError::TooMany);
+        let range: Range =
+            serde_json::from_slice(body).map_err(|e| RegistryError::InvalidJson(e.to_string()))?;
+        if range.more || range.kvs.len() > MAX_SERVERS {
+            return Err(RegistryError::TooManyServers);
         }
         let servers: Result<Vec<Server>, RegistryError> =
-            range.kvs.iter().map(|pair| self.server(pair)).collect();
+            range.kvs.iter().map(|pair| self.parse_server(pair)).collect();
         let (revision, servers) = (range.header.revision, servers?);
         self.revision = Some(revision);
-        Ok(Update::Whole { revision, age: 0.0, servers })
+        Ok(Update::Full { revision, age_ms: 0.0, servers })
     }
 
     /// Takes a line of the watch. A revision that is compacted, or a watch that was cancelled, is [`Update::Lost`]: all is to
     /// be read anew. A value that can't be read breaks the watch too, for what it would have changed is not known.
     pub fn on_line(&mut self, line: &[u8]) -> Result<Update, RegistryError> {
-        let read: Result<Line, _> = serde_json::from_slice(line);
-        let told = match read {
-            Ok(Line { result: Some(told), error: None }) => told,
+        let parsed: Result<Line, _> = serde_json::from_slice(line);
+        let response = match parsed {
+            Ok(Line { result: Some(response), error: None }) => response,
             Ok(Line { error, .. }) => {
                 self.revision = None;
                 let cause = error.map_or("no result".into(), |e| e.to_string());
-                return Err(RegistryError::Cancelled(cause.chars().take(200).collect()));
+                return Err(RegistryError::WatchCancelled(cause.chars().take(200).collect()));
             }
             Err(e) => {
                 self.revision = None;
-                return Err(RegistryError::Json(e.to_string()));
+                return Err(RegistryError::InvalidJson(e.to_string()));
             }
         };
-        if told.compact_revision > 0 {
-            return Ok(self.lost());
+        if response.compact_revision > 0 {
+            return Ok(self.reset());
         }
-        if told.canceled {
+        if response.canceled {
             self.revision = None;
-            return Err(RegistryError::Cancelled(told.cancel_reason.chars().take(200).collect()));
+            return Err(RegistryError::WatchCancelled(response.cancel_reason.chars().take(200).collect()));
         }
-        let revision = told.header.revision;
-        if told.created || told.events.is_empty() {
+        let revision = response.header.revision;
+        if response.created || response.events.is_empty() {
             // A note of progress: everything up to there has been told.
-            if let Some(known) = self.revision.filter(|_| !told.created) {
+            if let Some(known) = self.revision.filter(|_| !response.created) {
                 self.revision = Some(known.max(revision));
             }
             return Ok(Update::Alive);
         }
-        let (mut put, mut gone) = (Vec::new(), Vec::new());
-        for event in &told.events {
-            let taken = match event.kind.as_str() {
-                "DELETE" => self.name(&event.kv.key).map(|name| {
+        let (mut put, mut removed) = (Vec::new(), Vec::new());
+        for event in &response.events {
+            let outcome = match event.kind.as_str() {
+                "DELETE" => self.server_name(&event.kv.key).map(|name| {
                     put.retain(|s: &Server| s.name != name);
-                    gone.push(name);
+                    removed.push(name);
                 }),
-                _ => self.server(&event.kv).map(|server| {
-                    gone.retain(|name| *name != server.name);
+                _ => self.parse_server(&event.kv).map(|server| {
+                    removed.retain(|name| *name != server.name);
                     put.retain(|s: &Server| s.name != server.name);
                     put.push(server);
                 }),
             };
-            if let Err(e) = taken {
+            if let Err(e) = outcome {
                 self.revision = None;
                 return Err(e);
             }
         }
         self.revision = self.revision.map(|known| known.max(revision));
-        Ok(Update::Change { revision, put, gone })
+        Ok(Update::Change { revision, put, removed })
     }
 
-    fn name(&self, key: &str) -> Result<String, RegistryError> {
-        let bad = |cause: &str| RegistryError::Server(key.chars().take(64).collect(), cause.into());
-        let key = STANDARD.decode(key).map_err(|_| bad("key is no base64"))?;
-        let key = String::from_utf8(key).map_err(|_| bad("key is no text"))?;
+    fn server_name(&self, key: &str) -> Result<String, RegistryError> {
+        let invalid =
+            |cause: &str| RegistryError::InvalidServer(key.chars().take(64).collect(), cause.into());
+        let key = STANDARD.decode(key).map_err(|_| invalid("key is no base64"))?;
+        let key = String::from_utf8(key).map_err(|_| invalid("key is no text"))?;
         let name = key.strip_prefix(&self.prefix).filter(|name| !name.is_empty() && name.len() <= 64);
-        name.map(str::to_string).ok_or_else(|| bad("key is not one that was asked for"))
+        name.map(str::to_string).ok_or_else(|| invalid("key is not one that was asked for"))
     }
 
-    fn server(&self, pair: &Pair) -> Result<Server, RegistryError> {
-        let name = self.name(&pair.key)?;
-        let bad = |cause: String| RegistryError::Server(name.clone(), cause);
-        let value = STANDARD.decode(&pair.value).map_err(|_| bad("value is no base64".into()))?;
-        let Value { address, state, told } =
-            serde_json::from_slice(&value).map_err(|e| bad(e.to_string()))?;
+    fn parse_server(&self, pair: &Pair) -> Result<Server, RegistryError> {
+        let name = self.server_name(&pair.key)?;
+        let invalid = |cause: String| RegistryError::InvalidServer(name.clone(), cause);
+        let value = STANDARD.decode(&pair.value).map_err(|_| invalid("value is no base64".into()))?;
+        let Value { address, state, metadata } =
+            serde_json::from_slice(&value).map_err(|e| invalid(e.to_string()))?;
         let standing = match state {
             State::Ready => Standing::Ready,
             State::Draining => Standing::Draining,
         };
-        told.server(&name, address, standing)
+        metadata.into_server(&name, address, standing)
     }
 }
 
@@ -247,60 +249,62 @@
         json!({ "key": STANDARD.encode(format!("/media/{name}")), "value": STANDARD.encode(value), "mod_revision": "5" })
     }
 
-    fn started() -> Watch {
-        let mut it = Watch::new("/media/");
+    fn watch_from_40() -> Watch {
+        let mut watch = Watch::new("/media/");
         let body = json!({ "header": { "revision": "40" }, "kvs": [pair("m1", VALUE)], "count": "1" });
-        let news = it.read(200, body.to_string().as_bytes()).unwrap();
+        let update = watch.on_range_response(200, body.to_string().as_bytes()).unwrap();
         assert!(
-            matches!(news, Update::Whole { revision: 40, ref servers, .. } if servers[0].standing == Standing::Draining)
+            matches!(update, Update::Full { revision: 40, ref servers, .. } if servers[0].standing == Standing::Draining)
         );
-        it
+        watch
     }
 
-    fn line(it: &mut Watch, result: serde_json::Value) -> Result<Update, RegistryError> {
-        it.on_line(json!({ "result": result }).to_string().as_bytes())
+    fn respond(watch: &mut Watch, result: serde_json::Value) -> Result<Update, RegistryError> {
+        watch.on_line(json!({ "result": result }).to_string().as_bytes())
     }
 
     #[test]
-    fn all_is_read_and_followed_from_there() {
-        let mut it = started();
-        let (target, body) = it.watch();
+    fn all_keys_are_read_and_then_watched_from_that_revision() {
+        let mut watch = watch_from_40();
+        let (target, body) = watch.watch_request();
         let body: serde_json::Value = serde_json::from_str(&body).unwrap();
         let request = &body["create_request"];
         assert_eq!((target, request["start_revision"].as_str()), ("/v3/watch", Some("41")));
-        // The keys from the prefix on, up to the next that does not begin with it.
+        // The keys from the prefix on, up to the next that does not begin with watch.
         assert_eq!(request["key"].as_str(), Some(STANDARD.encode("/media/").as_str()));
         assert_eq!(request["range_end"].as_str(), Some(STANDARD.encode("/media0").as_str()));
         assert!(matches!(
-            line(&mut it, json!({ "created": true, "header": { "revision": "45" } })),
+            respond(&mut watch, json!({ "created": true, "header": { "revision": "45" } })),
             Ok(Update::Alive)
         ));
-        assert_eq!(it.revision(), Some(40), "that a watch was made tells nothing of what it will say");
+        assert_eq!(watch.revision(), Some(40), "that a watch was made tells nothing of what watch will say");
         let events = json!([{ "kv": pair("m2", VALUE) }, { "type": "DELETE", "kv": { "key": pair("m1", "")["key"] } }]);
-        let news = line(&mut it, json!({ "header": { "revision": "47" }, "events": events })).unwrap();
-        let Update::Change { revision: 47, put, gone } = news else { panic!("{news:?}") };
-        assert_eq!((put[0].name.as_str(), gone), ("m2", vec!["m1".to_string()]));
-        assert!(matches!(line(&mut it, json!({ "header": { "revision": "60" } })), Ok(Update::Alive)));
-        assert_eq!(it.revision(), Some(60), "a note of progress");
+        let update =
+            respond(&mut watch, json!({ "header": { "revision": "47" }, "events": events })).unwrap();
+        let Update::Change { revision: 47, put, removed } = update else { panic!("{update:?}") };
+        assert_eq!((put[0].name.as_str(), removed), ("m2", vec!["m1".to_string()]));
+        assert!(matches!(respond(&mut watch, json!({ "header": { "revision": "60" } })), Ok(Update::Alive)));
+        assert_eq!(watch.revision(), Some(60), "a note of progress");
     }
 
     #[test]
-    fn a_server_removed_and_added_again_in_one_answer_is_there() {
-        let mut it = started();
-        let gone = json!({ "type": "DELETE", "kv": { "key": pair("m1", "")["key"] } });
-        let events = json!([gone, { "type": "PUT", "kv": pair("m1", VALUE) }]);
-        let news = line(&mut it, json!({ "header": { "revision": "50" }, "events": events })).unwrap();
+    fn a_server_removed_and_put_again_in_one_response_is_listed() {
+        let mut watch = watch_from_40();
+        let removed = json!({ "type": "DELETE", "kv": { "key": pair("m1", "")["key"] } });
+        let events = json!([removed, { "type": "PUT", "kv": pair("m1", VALUE) }]);
+        let update =
+            respond(&mut watch, json!({ "header": { "revision": "50" }, "events": events })).unwrap();
         assert!(
-            matches!(news, Update::Change { ref put, ref gone, .. } if put.len() == 1 && gone.is_empty())
+            matches!(update, Update::Change { ref put, ref removed, .. } if put.len() == 1 && removed.is_empty())
         );
     }
 
     #[test]
-    fn a_compacted_revision_has_all_read_anew() {
-        let mut it = started();
-        let told = json!({ "canceled": true, "compact_revision": "44", "header": { "revision": "60" } });
-        assert!(matches!(line(&mut it, told), Ok(Update::Lost)));
-        assert_eq!(it.revision(), None);
+    fn a_compacted_revision_requires_a_new_full_read() {
+        let mut watch = watch_from_40();
+        let compacted = json!({ "canceled": true, "compact_revision": "44", "header": { "revision": "60" } });
+        assert!(matches!(respond(&mut watch, compacted), Ok(Update::Lost)));
+        assert_eq!(watch.revision(), None);
     }
 
     #[test_case(r#"{"result":{"canceled":true,"cancel_reason":"no more"}}"#, "watch ended: no more"; "cancelled")]
@@ -310,16 +314,16 @@
     #[test_case(r#"{"result":{"events":[{"kv":{"key":"L21lZGlhL20x","value":"e30="}}]}}"#, "m1: missing field"; "an empty value")]
     #[test_case(r#"{"result":{"events":[{"kv"#, "not read"; "half a line")]
     #[test_case(r#"{"result":{"header":{"revision":"many"}}}"#, "not read"; "a revision that is none")]
-    fn what_can_not_be_read_breaks_the_watch(text: &str, says: &str) {
-        let mut it = started();
-        let fault = it.on_line(text.as_bytes()).unwrap_err().to_string();
-        assert!(fault.contains(says), "{fault}");
-        assert_eq!(it.revision(), None, "what it would have changed is not known");
+    fn an_unreadable_line_breaks_the_watch(text: &str, expected: &str) {
+        let mut watch = watch_from_40();
+        let error = watch.on_line(text.as_bytes()).unwrap_err().to_string();
+        assert!(error.contains(expected), "{error}");
+        assert_eq!(watch.revision(), None, "what watch would have changed is not known");
     }
 
-    #[test_case(503, "", RegistryError::Status(503); "another status")]
-    #[test_case(200, r#"{"header":{"revision":"1"},"more":true}"#, RegistryError::TooMany; "only a part")]
-    fn a_bad_read_tells_nothing(status: u16, body: &str, fault: RegistryError) {
-        assert_eq!(Watch::new("/media/").read(status, body.as_bytes()).unwrap_err(), fault);
+    #[test_case(503, "", RegistryError::UnexpectedStatus(503); "another status")]
+    #[test_case(200, r#"{"header":{"revision":"1"},"more":true}"#, RegistryError::TooManyServers; "only a part")]
+    fn a_failed_or_partial_read_is_an_error(status: u16, body: &str, expected: RegistryError) {
+        assert_eq!(Watch::new("/media/").on_range_response(status, body.as_bytes()).unwrap_err(), expected);
     }
 }
