--- a/crates/membership/src/endpoints.rs
+++ b/crates/membership/src/endpoints.rs
@@ -1,32 +1,37 @@
-//! Which of a registry's endpoints is asked next, and when. Free of I/O; chance comes from the seed.
+//! Selects the endpoint of a registry that is queried next, and the delay before the query. The module does no I/O; its
+//! random numbers come from a seed.
 //!
-//! After a failure the wait is drawn evenly from nothing to a ceiling that doubles (full jitter): fronts that lost the same
-//! registry at the same moment come back spread over the ceiling, not together. An endpoint that answers late is
-//! left for a quicker one, one that does not answer at all is left at once; both are tried again in their turn.
+//! After a failure the delay is drawn uniformly from 0 to a ceiling that doubles with each failure (full jitter), so that
+//! fronts that lost the same registry at the same moment retry spread over time. A slow endpoint is left for a
+//! faster one, and an endpoint that does not respond is left at once. Both are tried again later.
 
 use oorandom::Rand64;
 
+/// Retry delays, and when an endpoint counts as slow.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointConfig {
-    /// Ceiling of the first wait and of all, ms.
+    /// Ceiling of the delay after the first failure, and of any delay, ms.
     pub first_delay_ms: f64,
     pub max_delay_ms: f64,
-    /// An endpoint is slow from this many times the fastest one's delay on, and at least so many ms.
+    /// An endpoint is slow if its latency exceeds both this many times the fastest endpoint's latency and `min_slow_ms`.
     pub slow_factor: f64,
     pub min_slow_ms: f64,
 }
 
-/// Part by which one answer moves what an endpoint's delay is taken for.
+/// Weight of the newest response in the moving average of an endpoint's latency.
 const LATENCY_SMOOTHING: f64 = 0.3;
 
 #[derive(Clone, Debug, Default)]
 struct Endpoint {
+    /// Moving average; none before the first response.
     latency_ms: Option<f64>,
-    /// Failures since its last answer, and from when it may be asked again.
+    /// Failures since the last response.
     failures: u32,
+    /// Earliest time of the next query, ms.
     retry_at: f64,
 }
 
+/// The endpoints of one registry, and the one in use.
 #[derive(Clone, Debug)]
 pub struct Endpoints {
     config: EndpointConfig,
@@ -36,7 +41,7 @@
 }
 
 impl Endpoints {
-    /// Fronts begin at different endpoints.
+    /// Starts at an endpoint chosen by the seed, so that fronts start at different ones.
     pub fn new(config: EndpointConfig, count: usize, seed: u64) -> Endpoints {
         let mut rng = Rand64::new(seed.into());
         let count = count.max(1);
@@ -44,8 +49,8 @@
         Endpoints { config, endpoints: vec![Endpoint::default(); count], current, rng }
     }
 
-    /// Whom to ask, and how long to wait before that, ms: the current one while it answers, else whichever may be
-    /// asked soonest, and of those that may the fastest.
+    /// The endpoint to query, and the delay before the query, ms. The current endpoint is kept while it responds and is not
+    /// slow. Otherwise the one with the shortest delay is chosen, then the one with the fewest failures, then the fastest.
     pub fn select(&mut self, now: f64) -> (usize, f64) {
         let current = &self.endpoints[self.current];
         if current.failures > 0 || self.is_slow(self.current) {
@@ -58,7 +63,7 @@
                     .then(a.failures.cmp(&b.failures))
                     .then(latency(a).total_cmp(&latency(b)))
             };
-            // From the one after the current on, so that equal ones take turns.
+            // The search starts after the current endpoint, so that equal ones take turns.
             let count = self.endpoints.len();
             let in_turn = (1..=count).map(|step| (self.current + step) % count);
             self.current = in_turn.min_by(order).unwrap_or(self.current);
@@ -66,7 +71,7 @@
         (self.current, (self.endpoints[self.current].retry_at - now).max(0.0))
     }
 
-    /// It answered after this, ms, apart from the time it was asked to wait.
+    /// Records a response and its latency, ms, without the time for which the query asked the endpoint to wait.
     pub fn on_response(&mut self, endpoint: usize, latency_ms: f64) {
         let endpoint = &mut self.endpoints[endpoint];
         endpoint.latency_ms = Some(
@@ -75,6 +80,7 @@
         (endpoint.failures, endpoint.retry_at) = (0, 0.0);
     }
 
+    /// Records a failed query, and draws the delay before the next one.
     pub fn on_failure(&mut self, now: f64, endpoint: usize) {
         let endpoint = &mut self.endpoints[endpoint];
         let ceiling = (self.config.first_delay_ms * 2f64.powi(endpoint.failures.min(30) as i32))
@@ -83,6 +89,7 @@
         endpoint.retry_at = now + ceiling * self.rng.rand_float();
     }
 
+    /// Whether the endpoint is much slower than the fastest one that responds.
     fn is_slow(&self, endpoint: usize) -> bool {
         let others = self.endpoints.iter().filter(|e| e.failures == 0).filter_map(|e| e.latency_ms);
         let fastest = others.min_by(f64::total_cmp);
@@ -122,7 +129,7 @@
         assert!(other != dead && delay == 0.0);
         endpoints.on_failure(1.0, other);
         let (next, delay) = endpoints.select(1.0);
-        assert!(delay <= 200.0, "whichever may be asked sooner: {next} in {delay}");
+        assert!(delay <= 200.0, "the endpoint that may be queried sooner: {next} in {delay}");
     }
 
     #[test]
@@ -131,11 +138,15 @@
         let (slow, _) = endpoints.select(0.0);
         let other = 1 - slow;
         endpoints.on_response(slow, 900.0);
-        assert_eq!(endpoints.select(1.0).0, slow, "nothing is known to be quicker");
+        assert_eq!(endpoints.select(1.0).0, slow, "no other endpoint is known to be faster");
         endpoints.on_response(other, 8.0);
         assert_eq!(endpoints.select(2.0).0, other);
         endpoints.on_response(other, 30.0);
-        assert_eq!(endpoints.select(3.0).0, other, "many times its own best, and still quick");
+        assert_eq!(
+            endpoints.select(3.0).0,
+            other,
+            "many times its best latency, but below the minimum for slow endpoints"
+        );
     }
 
     #[test]
@@ -153,7 +164,8 @@
         assert_eq!(endpoints.select(0.0).1, 0.0);
     }
 
-    /// Three hundred fronts lose the registry at the same moment, and it is back after eight seconds.
+    /// 300 fronts lose the registry at the same moment, and it is back after 8 s. Without jitter they would all reconnect at
+    /// once.
     #[test]
     fn retries_of_many_fronts_are_spread_over_time() {
         let mut returns_by_100_ms = vec![0; 40];
@@ -166,13 +178,13 @@
                 if now >= 8_000.0 {
                     break;
                 }
-                // A refused connection is told within a millisecond.
+                // A refused connection is reported within 1 ms.
                 now += 1.0;
                 endpoints.on_failure(now, endpoint);
             }
             returns_by_100_ms[((now - 8_000.0) / 100.0) as usize % 40] += 1;
         }
         let max_returns = returns_by_100_ms.iter().max().copied().unwrap_or(0);
-        assert!(max_returns <= 75, "of 300 within a tenth of a second: {returns_by_100_ms:?}");
+        assert!(max_returns <= 75, "retries of 300 fronts within 100 ms: {returns_by_100_ms:?}");
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,12 +1,13 @@
-//! Who belongs to the fleet. Several sources of the list (a file, a registry) pour into one [`View`]; it settles order,
-//! duplicates, servers in two sources, lists that shrink suspiciously, and how far old lists are trusted. Free of I/O:
-//! callers hand in the time, ms, and what a source told; they ask for the list when [`UpdateResult::changed`] says so, and call
-//! [`View::tick`] when [`View::next_deadline`] has come.
+//! Merges the server lists of several sources (a file, a registry) into one [`View`]. The view handles late and repeated
+//! changes, servers listed by two sources, lists that shrink suspiciously, and old lists. The module does no I/O: callers
+//! pass in the time, ms, and each source's updates, read the list when [`UpdateResult::changed`] is set, and call
+//! [`View::tick`] at [`View::next_deadline`].
 //!
-//! [`endpoints`] decides which of a registry's endpoints is asked next and when, [`snapshot`] is the last list as bytes.
+//! [`endpoints`] selects the registry endpoint that is queried next; [`snapshot`] stores the last list as bytes.
 //!
-//! What takes a server out of use is believed sooner than what brings one in: a drain at once and from anybody, a
-//! removal at once unless so many go together that the list is more likely wrong than the fleet gone.
+//! Reports that take a server out of use apply sooner than reports that add one. A drain applies at once, from any
+//! source. A removal applies at once, unless so many servers are removed together that a wrong list is more likely than
+//! the loss of that many servers.
 
 pub mod endpoints;
 mod settle;
@@ -18,25 +19,28 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// How far lists are trusted.
+/// Limits on how far the lists of the sources are trusted.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipConfig {
-    /// A list that loses more than this part of its servers in one step is held back for so long, ms; removals in it
-    /// count once the source has told the same again after that.
+    /// If a list loses more than this share of its servers in one update, their removal is held back.
     pub max_shrink_share: f64,
+    /// How long removals are held back, ms; they apply once their source was heard after that time. A revision that
+    /// went back is held back for as long.
     pub hold_ms: f64,
-    /// A server that came back so often within a span, ms, gets nothing new until it has stayed for as long.
+    /// A server that came back this often within `return_window_ms` gets no new plays for the same time.
     pub max_returns: usize,
     pub return_window_ms: f64,
-    /// A list older than this, ms, adds servers only as long as no source is in step.
+    /// A list older than this, ms, adds servers only while no source is in step.
     pub max_list_age_ms: f64,
-    /// How long it is remembered that a source has told a server gone, ms.
+    /// How long a report that a server is gone is kept, ms.
     pub forget_gone_after_ms: f64,
 }
 
-/// A list shorter than this may lose servers without suspicion, but not all of them.
+/// [`MembershipConfig::max_shrink_share`] applies to lists of at least this many servers. Shorter ones may lose any share
+/// at once, but not all of their servers.
 const MIN_SERVERS_FOR_SHARE: usize = 4;
 
+/// Whether a server takes new plays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Standing {
@@ -44,7 +48,7 @@
     Draining,
 }
 
-/// A server as a source tells it.
+/// A server as a source lists it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
@@ -55,67 +59,70 @@
     pub cell: usize,
     pub weight: f64,
     pub standing: Standing,
-    /// When its process started, ms since 1970; 0 for long ago.
+    /// When the process of the server started, ms since 1970; 0 for long ago.
     #[serde(rename = "started")]
     pub started_at: f64,
 }
 
-/// What a source tells.
+/// An update from a source.
 #[derive(Clone, Debug)]
 pub enum Update {
-    /// All servers as of a revision, so old when it was told, ms.
+    /// All servers as of a revision. `age_ms` is the age of the list when it was sent.
     Full { revision: u64, age_ms: f64, servers: Vec<Server> },
-    /// What a revision changed.
+    /// The servers that a revision added, changed or removed.
     Change { revision: u64, put: Vec<Server>, removed: Vec<String> },
-    /// Nothing, but the source is there.
+    /// Nothing changed; the source is reachable.
     Alive,
-    /// The connection broke, or the revision to go on from is compacted: what follows must be whole.
+    /// The connection broke, or the revision to continue from is compacted: the next update must be a full list.
     Lost,
 }
 
-/// What became of news.
+/// Effect of an update.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UpdateResult {
-    /// The list is another one now.
+    /// Whether the merged list changed.
     pub changed: bool,
-    /// The source is to be asked for all of it.
+    /// Whether the source must be asked for its full list.
     pub full_list_needed: bool,
+    /// Why a part of the update was held back, if it was.
     pub held_back: Option<HoldReason>,
 }
 
-/// Why a part of the news is held back.
+/// Why a part of an update is held back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldReason {
-    /// So many of so many servers were gone at once.
+    /// The update removes this many of the servers that the source lists.
     Shrunk { removed: usize, total: usize },
-    /// The revision went back: a stale follower, or a registry that was set up anew.
+    /// The revision went back: the source read a stale follower, or the registry was set up anew.
     Backwards { from: u64, to: u64 },
 }
 
-/// A server that plays may go to, or that still has some.
+/// A server that may get plays, or that drains.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedServer {
     pub server: Server,
-    /// Told by an old list alone.
+    /// Whether only an old list reports the server.
     pub cached: bool,
 }
 
+/// What is known from one source.
 #[derive(Clone, Default)]
 struct Source {
     revision: u64,
-    /// It has told all, and every change since.
+    /// Whether the full list and every change since have arrived.
     in_step: bool,
     last_heard_at: Option<f64>,
+    /// The last report on each server, by name.
     reports: HashMap<String, ServerReport>,
-    /// How many of them it lists.
+    /// Number of reports on servers that are not gone.
     listed_count: usize,
     /// Servers whose removal is held back, and since when.
     held_removals: Option<(f64, BTreeSet<String>)>,
-    /// A revision that is lower than one seen before, and since when.
+    /// A revision lower than one seen before, and when it was first seen: the time, then the revision.
     lower_revision: Option<(f64, u64)>,
 }
 
-/// A source's last word on a server; `server` is as it was before where it is gone.
+/// A source's last report on a server. Where `gone` is set, `server` is as it was before its removal.
 #[derive(Clone)]
 struct ServerReport {
     server: Server,
@@ -124,26 +131,30 @@
     reported_at: f64,
 }
 
-/// A server as the view has it.
+/// A server in the merged view.
 #[derive(Clone)]
 struct Member {
     server: Server,
     availability: Option<Availability>,
-    /// When it came back lately, and until when it gets nothing new for that.
+    /// When the server came back, within [`MembershipConfig::return_window_ms`].
     returned_at: VecDeque<f64>,
+    /// The server gets no new plays before this time because it came back too often; 0 if it did not.
     drained_until: f64,
 }
 
+/// The merged server list of all sources.
 #[derive(Clone)]
 pub struct View {
     config: MembershipConfig,
     sources: Vec<Source>,
     members: BTreeMap<String, Member>,
-    /// Servers on which sources differ, which a mere word from one of them may settle otherwise.
+    /// Servers on which the sources disagree. Hearing from a source can change their availability even if its reports stay
+    /// the same.
     disputed: BTreeSet<String>,
 }
 
 impl View {
+    /// An empty view of this many sources, which callers name by index.
     pub fn new(config: MembershipConfig, sources: usize) -> View {
         View {
             config,
@@ -153,7 +164,7 @@
         }
     }
 
-    /// The revision up to which a source has told all; none if it must tell all anew.
+    /// The revision up to which all of a source's changes are known; none if its full list is needed.
     pub fn revision(&self, source: usize) -> Option<u64> {
         self.sources[source].in_step.then_some(self.sources[source].revision)
     }
@@ -163,7 +174,7 @@
         self.sources[source].last_heard_at
     }
 
-    /// Takes what a source tells.
+    /// Applies an update from a source.
     pub fn apply(&mut self, now: f64, source: usize, update: Update) -> UpdateResult {
         let was_in_step = self.in_step();
         let (mut affected, mut result) = match update {
@@ -181,7 +192,7 @@
         };
         self.sources[source].last_heard_at = Some(now);
         if was_in_step != self.in_step() {
-            // Whether old lists may add depends on it.
+            // Whether old lists may add servers depends on whether a source is in step.
             affected.extend(self.members.keys().cloned());
         }
         affected.extend(self.disputed.iter().cloned());
@@ -189,10 +200,12 @@
         result
     }
 
+    /// Whether any source is in step.
     fn in_step(&self) -> bool {
         self.sources.iter().any(|s| s.in_step)
     }
 
+    /// Replaces a source's list. Returns the names of the servers that it affects, and the effect.
     fn apply_full_list(
         &mut self,
         now: f64,
@@ -205,7 +218,7 @@
         let source_state = &mut self.sources[source];
         if revision < source_state.revision {
             let (since, lower_revision) = *source_state.lower_revision.get_or_insert((now, revision));
-            // What stays lower is a new history; until then only drains are taken from it.
+            // A revision that stays lower for the hold time is a new history; until then only drains apply.
             if now < since + hold_ms || revision < lower_revision {
                 let draining = servers.into_iter().filter(|s| s.standing == Standing::Draining);
                 let draining = draining
@@ -220,7 +233,7 @@
             }
         }
         source_state.lower_revision = None;
-        // A list as old as that is no ground to go on from.
+        // Changes can't be applied on top of a list that is too old.
         (source_state.revision, source_state.in_step) = (revision, !is_old);
         let listed_names: BTreeSet<&str> = servers.iter().map(|s| s.name.as_str()).collect();
         let known = source_state.reports.iter().filter(|(_, report)| !report.gone);
@@ -243,6 +256,7 @@
         )
     }
 
+    /// Applies a change to a source's list. Returns the names of the servers that it affects, and the effect.
     fn apply_change(
         &mut self,
         now: f64,
@@ -253,11 +267,11 @@
     ) -> (BTreeSet<String>, UpdateResult) {
         let source_state = &mut self.sources[source];
         if !source_state.in_step {
-            // Something in between may be missing.
+            // A change in between may be missing.
             return (BTreeSet::new(), UpdateResult { full_list_needed: true, ..UpdateResult::default() });
         }
         if revision <= source_state.revision {
-            // A duplicate, or one that came late: what is known is newer.
+            // A repeated or late change: the known state is newer.
             return (BTreeSet::new(), UpdateResult::default());
         }
         source_state.revision = revision;
@@ -274,7 +288,8 @@
         )
     }
 
-    /// Takes servers out of a source's list, or holds that back where too many go at once.
+    /// Removes servers from a source's list, together with those held back before. Holds the removals back if there are too
+    /// many at once. Adds the names of the removed servers to `affected`.
     fn apply_removals(
         &mut self,
         now: f64,
@@ -295,7 +310,7 @@
             || total >= MIN_SERVERS_FOR_SHARE
                 && removals.len() as f64 > config.max_shrink_share * total as f64;
         let hold = too_many && now < since + config.hold_ms;
-        // One that drained already has nothing to lose by being gone.
+        // A draining server gets no new plays anyway, so its removal is never held back.
         let was_draining = |name: &String| {
             source_state.reports.get(name).is_some_and(|s| s.server.standing == Standing::Draining)
         };
@@ -313,7 +328,7 @@
         (held_count > 0).then_some(HoldReason::Shrunk { removed: held_count, total })
     }
 
-    /// When something becomes due by time alone.
+    /// When [`View::tick`] must be called next: held removals may apply, or a server may get new plays again.
     pub fn next_deadline(&self) -> Option<f64> {
         let hold_ends =
             self.sources.iter().filter_map(|s| Some(s.held_removals.as_ref()?.0 + self.config.hold_ms));
@@ -326,8 +341,8 @@
         hold_ends.chain(drain_ends).min_by(f64::total_cmp)
     }
 
-    /// Takes up what has become due; true where the list is another one now. A removal that was held back counts only
-    /// if its source has been heard since: one that is cut off has not told it again.
+    /// Applies what has become due; true if the list changed. Held removals apply only if their source was heard
+    /// after the hold time: a source that is cut off has not confirmed them.
     pub fn tick(&mut self, now: f64) -> bool {
         let mut affected = BTreeSet::new();
         for source in 0..self.sources.len() {
@@ -351,7 +366,7 @@
         self.update_members(now, affected)
     }
 
-    /// Settles these servers anew; true where one of them now stands otherwise.
+    /// Settles the reports on these servers again; true if one of them changed.
     fn update_members(&mut self, now: f64, affected: BTreeSet<String>) -> bool {
         let in_step = self.in_step();
         let mut changed = false;
@@ -377,7 +392,7 @@
                 .iter()
                 .any(|s| s.state != inputs[0].state || s.process_started_at != inputs[0].process_started_at);
             let availability = settle_reports(&inputs, in_step);
-            // The newest process is the one that counts; of two words on it, the first source's.
+            // The newest process counts; of two reports on it, the one of the first source.
             let newest =
                 reports.iter().rev().max_by(|a, b| a.1.server.started_at.total_cmp(&b.1.server.started_at));
             let server = newest.map(|(_, report)| report.server.clone());
@@ -391,6 +406,7 @@
         changed
     }
 
+    /// Sets a server's entry in the view, or removes it; true if the list changed.
     fn update_member(
         &mut self,
         now: f64,
@@ -400,7 +416,7 @@
     ) -> bool {
         let (config, known) = (self.config, self.members.get(&name));
         let Some(mut server) = server else { return self.members.remove(&name).is_some() };
-        // Another address is another process, whatever it says of its start.
+        // A new address means a new process, whatever start time is reported.
         if known
             .is_some_and(|m| m.server.address != server.address && server.started_at <= m.server.started_at)
         {
@@ -431,11 +447,11 @@
         changed
     }
 
-    /// The list as it is: servers that may get plays, and those that drain, by name.
+    /// The merged list by name: servers that may get plays, and those that drain.
     pub fn list(&self, now: f64) -> Vec<ListedServer> {
         let mut by_address: HashMap<SocketAddr, (f64, &str)> = HashMap::new();
         let listed = || self.members.iter().filter(|(_, m)| m.availability.is_some());
-        // Two names at one address: the process that started last is the one that is there.
+        // Where two names share one address, the process that started last is the one that runs.
         for (name, m) in listed() {
             let newest = by_address.entry(m.server.address).or_insert((m.server.started_at, name));
             if m.server.started_at > newest.0 {
@@ -455,7 +471,8 @@
 }
 
 impl Source {
-    /// Takes what is told of servers; of two words on one the process that started later counts.
+    /// Records reports on servers, and returns the names of those that changed. Where an update lists a server twice, the
+    /// process that started later counts.
     fn record_servers(&mut self, now: f64, servers: Vec<Server>, from_old_list: bool) -> BTreeSet<String> {
         let mut affected = BTreeSet::new();
         for server in servers {
--- a/crates/membership/src/settle.rs
+++ b/crates/membership/src/settle.rs
@@ -1,6 +1,6 @@
-//! What several sources' words on one server come to.
+//! Settles what several sources report of one server into its availability. Times are in ms.
 
-/// A source's word.
+/// State of a server as a source reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedState {
     Ready,
@@ -8,34 +8,35 @@
     Gone,
 }
 
-/// A source's word on a server, and what it is worth.
+/// A source's report on a server, and what decides whether it counts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Report {
     pub state: ReportedState,
-    /// Of which process, by its start.
+    /// Start of the process that the report is about.
     pub process_started_at: f64,
-    /// When it was said, and when its source was last heard.
     pub reported_at: f64,
+    /// When the source of the report was last heard.
     pub last_heard_at: f64,
-    /// It stood in a list that was old already.
+    /// Whether the list that held the report was too old when it arrived.
     pub from_old_list: bool,
 }
 
-/// How a server is offered to the decisions.
+/// Availability of a server to the placement logic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
     Ready,
-    /// Ready by an old list alone: it may have restarted meanwhile.
+    /// Only an old list reports the server ready: it may have restarted since.
     Cached,
     Draining,
 }
 
-/// Settles it, in this order:
+/// Settles the reports on one server; none if it is not listed. `in_step` tells whether any source is in step. The rules, in
+/// this order:
 ///
-/// 1. only words on the process that started last count;
-/// 2. who says that it drains is believed;
-/// 3. who says that it is gone is believed, unless another source says that it is ready and has been heard since;
-/// 4. an old list adds a server only while no source is in step.
+/// 1. Only reports on the process that started last count.
+/// 2. A report that the server drains counts, whichever source it comes from.
+/// 3. A report that the server is gone counts, unless another source reports it present and was heard since.
+/// 4. An old list adds a server only while no source is in step.
 pub fn settle_reports(reports: &[Report], in_step: bool) -> Option<Availability> {
     let newest = reports.iter().map(|r| r.process_started_at).max_by(f64::total_cmp)?;
     let on_newest = |state: ReportedState| {
@@ -44,7 +45,7 @@
     let gone_at = on_newest(ReportedState::Gone).map(|r| r.reported_at).max_by(f64::total_cmp);
     let is_not_overruled = |r: &&Report| gone_at.is_none_or(|gone_at| r.last_heard_at > gone_at);
     if on_newest(ReportedState::Draining).next().is_some() {
-        // One that drains and is gone from elsewhere is gone.
+        // A server that drains in one source and is gone from another is gone.
         return on_newest(ReportedState::Draining)
             .any(|r| is_not_overruled(&r))
             .then_some(Availability::Draining);
@@ -71,22 +72,22 @@
         Report { from_old_list: true, ..report }
     }
 
-    #[test_case(&[], true, None; "nobody knows it")]
+    #[test_case(&[], true, None; "no source reports it")]
     #[test_case(&[report(Ready, 0.0, 1.0, 1.0)], true, Some(Availability::Ready); "ready")]
-    #[test_case(&[report(Draining, 0.0, 1.0, 1.0)], true, Some(Availability::Draining); "drains")]
+    #[test_case(&[report(Draining, 0.0, 1.0, 1.0)], true, Some(Availability::Draining); "draining")]
     #[test_case(&[report(Gone, 0.0, 1.0, 1.0)], true, None; "gone")]
-    #[test_case(&[report(Ready, 0.0, 1.0, 9.0), report(Draining, 0.0, 2.0, 2.0)], true, Some(Availability::Draining); "a drain is believed from anybody")]
-    #[test_case(&[report(Draining, 0.0, 1.0, 1.0), report(Ready, 0.0, 2.0, 9.0)], true, Some(Availability::Draining); "whichever came last")]
-    #[test_case(&[report(Ready, 0.0, 1.0, 1.0), report(Gone, 0.0, 2.0, 2.0)], true, None; "gone, and who lists it is not heard")]
-    #[test_case(&[report(Ready, 0.0, 1.0, 3.0), report(Gone, 0.0, 2.0, 2.0)], true, Some(Availability::Ready); "gone from one, and the other is heard and lists it")]
+    #[test_case(&[report(Ready, 0.0, 1.0, 9.0), report(Draining, 0.0, 2.0, 2.0)], true, Some(Availability::Draining); "a drain counts from any source")]
+    #[test_case(&[report(Draining, 0.0, 1.0, 1.0), report(Ready, 0.0, 2.0, 9.0)], true, Some(Availability::Draining); "a drain counts before a later report of ready")]
+    #[test_case(&[report(Ready, 0.0, 1.0, 1.0), report(Gone, 0.0, 2.0, 2.0)], true, None; "gone, and the source that lists it was not heard since")]
+    #[test_case(&[report(Ready, 0.0, 1.0, 3.0), report(Gone, 0.0, 2.0, 2.0)], true, Some(Availability::Ready); "gone from one source, and the other lists it and was heard since")]
     #[test_case(&[report(Draining, 0.0, 1.0, 1.0), report(Gone, 0.0, 2.0, 2.0)], true, None; "drained and gone")]
     #[test_case(&[report(Draining, 5.0, 1.0, 1.0), report(Ready, 9.0, 2.0, 2.0)], true, Some(Availability::Ready); "the process that drained is replaced")]
     #[test_case(&[report(Gone, 5.0, 3.0, 3.0), report(Ready, 9.0, 2.0, 2.0)], true, Some(Availability::Ready); "the process that is gone is replaced")]
     #[test_case(&[report(Ready, 5.0, 3.0, 3.0), report(Gone, 9.0, 2.0, 2.0)], true, None; "the newer process is gone")]
-    #[test_case(&[from_old_list(report(Ready, 0.0, 1.0, 1.0))], false, Some(Availability::Cached); "an old list, and nothing better")]
+    #[test_case(&[from_old_list(report(Ready, 0.0, 1.0, 1.0))], false, Some(Availability::Cached); "an old list alone")]
     #[test_case(&[from_old_list(report(Ready, 0.0, 1.0, 1.0))], true, None; "an old list beside a source in step")]
     #[test_case(&[from_old_list(report(Ready, 0.0, 1.0, 1.0)), report(Ready, 0.0, 2.0, 2.0)], true, Some(Availability::Ready); "an old list and a new one")]
-    #[test_case(&[from_old_list(report(Draining, 0.0, 1.0, 1.0)), report(Ready, 0.0, 2.0, 2.0)], true, Some(Availability::Draining); "a drain is believed from an old list")]
+    #[test_case(&[from_old_list(report(Draining, 0.0, 1.0, 1.0)), report(Ready, 0.0, 2.0, 2.0)], true, Some(Availability::Draining); "a drain counts from an old list")]
     fn reports_settle_to(reports: &[Report], in_step: bool, expected: Option<Availability>) {
         assert_eq!(settle_reports(reports, in_step), expected);
     }
--- a/crates/membership/src/snapshot.rs
+++ b/crates/membership/src/snapshot.rs
@@ -1,45 +1,48 @@
-//! The last list, as bytes to keep over a restart: a line that tells kind, version, checksum and length, then JSON. A front
-//! that starts while its sources are away begins with it, as with an old list. Whoever writes it to disk does so beside
-//! the old one and renames.
+//! The last server list as bytes that outlive a restart: a header line with kind, version, checksum (CRC-32C) and length, then
+//! JSON. A front that starts while its sources are unreachable starts from the snapshot, which counts as an old list.
+//! The caller writes the file beside the old one and renames it.
 
 use crate::Server;
 use serde::{Deserialize, Serialize};
 
 const FILE_KIND: &str = "pulleystair-list";
 const VERSION: u32 = 1;
-/// The largest that is read, bytes: over a hundred thousand servers.
+/// Size limit of a snapshot, bytes: enough for over 100 000 servers.
 pub const MAX_BYTES: usize = 64 << 20;
-/// The first line at most, bytes.
+/// Size limit of the header line, bytes.
 const MAX_HEADER_BYTES: usize = 96;
 
+/// A server list as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Snapshot {
-    /// When it was taken, ms since 1970, and of which revision.
+    /// When the snapshot was taken, ms since 1970.
     #[serde(rename = "taken")]
     pub taken_at: f64,
+    /// Revision of the list.
     pub revision: u64,
     pub servers: Vec<Server>,
 }
 
-/// Why a snapshot is not taken.
+/// Why a snapshot is rejected.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    #[error("{0} bytes; {MAX_BYTES} at most")]
+    #[error("snapshot has {0} bytes, more than {MAX_BYTES}")]
     TooLarge(usize),
-    #[error("is no list of this program's")]
+    #[error("not a server list written by this program")]
     NotASnapshot,
-    #[error("version {0}; {VERSION} is read")]
+    #[error("snapshot version {0} is not supported; expected {VERSION}")]
     UnsupportedVersion(u32),
-    #[error("holds {0} bytes where {1} were written")]
+    #[error("snapshot holds {0} bytes of JSON; its header says {1}")]
     WrongLength(usize, usize),
-    #[error("checksum is {0:08x} where {1:08x} was written")]
+    #[error("snapshot checksum is {0:08x}; its header says {1:08x}")]
     WrongChecksum(u32, u32),
-    #[error("is no list: {0}")]
+    #[error("snapshot is not a valid server list: {0}")]
     InvalidJson(String),
 }
 
 impl Snapshot {
+    /// The snapshot as header line and JSON.
     pub fn encode(&self) -> Vec<u8> {
         let body = serde_json::to_vec(self).expect("servers are plain values");
         let checksum = crc32c::crc32c(&body);
@@ -48,6 +51,7 @@
         encoded
     }
 
+    /// Checks header, length and checksum, and parses the list.
     pub fn decode(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
         if bytes.len() > MAX_BYTES {
             return Err(SnapshotError::TooLarge(bytes.len()));
--- a/crates/membership/tests/explore.rs
+++ b/crates/membership/tests/explore.rs
@@ -1,9 +1,9 @@
-//! Every order of events of a small registry, up to a depth, against the real view: two sources, compaction, breaks,
-//! repeats and reconnects.
+//! Runs every sequence of events of a small registry, up to a fixed length, against the real view: two sources, compaction,
+//! lost connections, repeated changes and reconnects.
 //!
-//! What must hold in every state that is visited: no server is offered for new plays that the registry has told gone or
-//! draining, by its newest word that arrived; none is lost for good, and the view converges: once the connection is
-//! back and all is delivered, it is what the registry is.
+//! Two invariants are checked in every state. No server is listed for new plays that the newest delivered state of the
+//! registry reports gone or draining. And the view converges: once the connection is back and every change is
+//! delivered, the view equals the registry, and no server is missing for good.
 
 use pulleystair_membership::{MembershipConfig, Server, Standing, Update, View};
 use std::collections::{BTreeMap, VecDeque};
@@ -16,12 +16,14 @@
     max_list_age_ms: 2000.0,
     forget_gone_after_ms: 1e9,
 };
-/// So many events in a row. Each more takes about eight times as long.
+/// Number of events in a sequence. Each further event takes about eight times as long.
 const DEPTH: usize = 6;
-/// Registry and file.
+/// Index of the registry among the sources.
 const REGISTRY: usize = 0;
+/// Index of the list file among the sources.
 const FILE: usize = 1;
 
+/// Standing of each server in the registry, by number.
 type State = BTreeMap<usize, Standing>;
 
 fn server(n: usize, standing: Standing) -> Server {
@@ -51,7 +53,7 @@
     Break,
     Compact,
     Reconnect,
-    /// The other source is heard.
+    /// The file is read, unchanged.
     FileHeard,
 }
 
@@ -71,20 +73,21 @@
 #[derive(Clone)]
 struct World {
     now: f64,
-    /// The registry at each revision, and the one below which changes are compacted.
+    /// State of the registry at each revision.
     history: Vec<State>,
+    /// Changes below this revision are compacted.
     compacted: usize,
     connected: bool,
-    /// Revisions on their way.
+    /// Revisions that were sent and have not arrived.
     in_flight: VecDeque<usize>,
-    /// The newest state that has arrived.
+    /// Revision of the newest state that has arrived.
     arrived: usize,
     view: View,
 }
 
 impl World {
     fn new() -> World {
-        // m2 is there always, m1 is in the file too.
+        // m2 is never removed; m1 is in the file too.
         let state: State = [0, 1, 2].map(|n| (n, Standing::Ready)).into();
         let mut view = View::new(CONFIG, 2);
         view.apply(0.0, REGISTRY, Update::Full { revision: 0, age_ms: 0.0, servers: servers(&state) });
@@ -101,10 +104,12 @@
         }
     }
 
+    /// Passes an update of the registry to the view.
     fn update(&mut self, update: Update) {
         self.view.apply(self.now, REGISTRY, update);
     }
 
+    /// The change that a revision made.
     fn change_at(&mut self, revision: usize) -> Update {
         let (before, after) = (&self.history[revision - 1], &self.history[revision]);
         let put = after.iter().filter(|(n, s)| before.get(n) != Some(s));
@@ -122,6 +127,7 @@
         self.arrived = self.arrived.max(revision);
     }
 
+    /// Changes the registry; false if its state stays the same.
     fn change_registry(&mut self, change: impl Fn(&mut State)) -> bool {
         let mut state = self.history[self.history.len() - 1].clone();
         change(&mut state);
@@ -135,7 +141,7 @@
         true
     }
 
-    /// Does it; false where there is nothing to do.
+    /// Applies an event; false if it would change nothing.
     fn apply(&mut self, event: Event) -> bool {
         self.now += 1.0;
         match event {
@@ -181,7 +187,7 @@
         }
     }
 
-    /// As a client does: it goes on from what it has where that is not compacted, or reads all.
+    /// Reconnects as a client does: it continues from its revision unless that is compacted, and reads the full list if it is.
     fn reconnect(&mut self) {
         self.connected = true;
         match self.view.revision(REGISTRY) {
@@ -200,24 +206,26 @@
         }
     }
 
+    /// Numbers of the servers that the view lists as ready.
     fn ready_servers(&self) -> Vec<usize> {
         let list = self.view.list(self.now).into_iter();
         list.filter(|l| l.server.standing == Standing::Ready).map(|l| l.server.cell).collect()
     }
 
+    /// Checks that each listed server is ready in the newest state that arrived, or in the file.
     fn assert_invariants(&self, path: &[Event]) {
         let known = &self.history[self.arrived];
         for n in self.ready_servers() {
             let is_in_file = n == 1 && known.get(&n).is_none();
             assert!(
                 known.get(&n) == Some(&Standing::Ready) || is_in_file,
-                "m{n} is offered, and the registry told {:?}: {path:?}",
+                "m{n} is listed as ready, but the registry reported {:?}: {path:?}",
                 known.get(&n)
             );
         }
     }
 
-    /// The connection comes back and all is delivered.
+    /// Restores the connection, delivers every change, and checks that the view equals the registry.
     fn assert_convergence(mut self, path: &[Event]) {
         if !self.connected {
             self.reconnect();
@@ -232,12 +240,13 @@
         let listed: State =
             self.view.list(self.now + 1.0).iter().map(|l| (l.server.cell, l.server.standing)).collect();
         let mut registry = self.history[self.history.len() - 1].clone();
-        // The file is there and goes on listing this one.
+        // The file still lists m1.
         registry.entry(1).or_insert(Standing::Ready);
         assert_eq!(listed, registry, "{path:?}");
     }
 }
 
+/// Checks this state, and all that follow from it by one more event, up to [`DEPTH`].
 fn explore(world: &World, path: &mut Vec<Event>, visited: &mut usize) {
     *visited += 1;
     world.assert_invariants(path);
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -1,4 +1,4 @@
-//! What sources of the list do to a view, told as short stories, and random ones against a simple model.
+//! Tests of the view: fixed sequences of updates, and random ones against a simple model of a registry.
 
 use proptest::prelude::*;
 use pulleystair_membership::{HoldReason, MembershipConfig, Server, Standing, Update, UpdateResult, View};
@@ -38,12 +38,13 @@
     Update::Change { revision, put: put.to_vec(), removed: removed.iter().map(|n| format!("m{n}")).collect() }
 }
 
-/// Those that may get plays, by their numbers.
+/// Numbers of the servers that may get new plays.
 fn ready(view: &View, now: f64) -> Vec<usize> {
     let list = view.list(now).into_iter().filter(|l| l.server.standing == Standing::Ready);
     list.map(|l| l.server.cell).collect()
 }
 
+/// A view of two sources, the first of which lists this many servers at revision 10.
 fn view_with(count: usize) -> View {
     let mut view = View::new(CONFIG, 2);
     assert!(view.apply(0.0, 0, full_list(10, (0..count).map(server))).changed);
@@ -55,8 +56,12 @@
     let mut view = view_with(8);
     assert!(view.apply(1.0, 0, change(11, &[draining(2)], &[5])).changed);
     assert_eq!(ready(&view, 1.0), [0, 1, 3, 4, 6, 7]);
-    assert_eq!(view.apply(2.0, 0, change(11, &[server(2)], &[])), UpdateResult::default(), "told twice");
-    assert_eq!(view.apply(2.0, 0, change(9, &[server(5)], &[])), UpdateResult::default(), "told late");
+    assert_eq!(
+        view.apply(2.0, 0, change(11, &[server(2)], &[])),
+        UpdateResult::default(),
+        "a repeated change"
+    );
+    assert_eq!(view.apply(2.0, 0, change(9, &[server(5)], &[])), UpdateResult::default(), "a late change");
     assert_eq!(view.revision(0), Some(11));
 }
 
@@ -64,16 +69,16 @@
 fn after_a_lost_connection_only_a_full_list_is_accepted() {
     let mut view = view_with(8);
     assert!(view.apply(1.0, 0, Update::Lost).full_list_needed);
-    assert_eq!((view.revision(0), ready(&view, 1.0).len()), (None, 8), "the last view goes on");
+    assert_eq!((view.revision(0), ready(&view, 1.0).len()), (None, 8), "the last list stays in use");
     assert!(
         view.apply(2.0, 0, change(30, &[server(9)], &[])).full_list_needed,
-        "what came between is not known"
+        "the changes in between are not known"
     );
     view.apply(3.0, 0, full_list(40, (0..7).map(|n| if n == 3 { draining(3) } else { server(n) })));
     assert_eq!(
         ready(&view, 3.0),
         [0, 1, 2, 4, 5, 6],
-        "drained and removed meanwhile: nothing from first contact on"
+        "servers drained or removed meanwhile get no new plays after the first full list"
     );
 }
 
@@ -87,7 +92,7 @@
     assert_eq!(ready(&view, 500.0), [1, 2, 3, 4, 5, 6, 7], "a drain is never held back");
     assert!(!view.tick(900.0));
     view.apply(950.0, 0, full_list(13, (0..8).map(server)));
-    assert!(!view.tick(5000.0), "it was a mistake");
+    assert!(!view.tick(5000.0), "the shrunk lists were a mistake");
     assert_eq!(ready(&view, 5000.0).len(), 8);
 }
 
@@ -96,7 +101,7 @@
     let mut view = view_with(8);
     view.apply(1.0, 0, full_list(11, [server(0)]));
     assert_eq!(view.next_deadline(), Some(1001.0));
-    assert!(!view.tick(1001.0), "the source has not been heard since");
+    assert!(!view.tick(1001.0), "the source was not heard after the hold time");
     assert_eq!(ready(&view, 1001.0).len(), 8);
     view.apply(1100.0, 0, Update::Alive);
     assert!(view.tick(1100.0));
@@ -110,10 +115,10 @@
     let stale =
         view.apply(2.0, 0, full_list(15, (0..8).map(|n| if n == 4 { draining(4) } else { server(n) })));
     assert_eq!(stale.held_back, Some(HoldReason::Backwards { from: 20, to: 15 }));
-    assert_eq!(ready(&view, 2.0), [0, 2, 3, 5, 6, 7, 9], "only the drain is taken");
+    assert_eq!(ready(&view, 2.0), [0, 2, 3, 5, 6, 7, 9], "only the drain applies");
     view.apply(900.0, 0, full_list(16, (0..4).map(server)));
     assert_eq!(ready(&view, 900.0).len(), 7);
-    // The registry was set up anew: what stays lower is the new history.
+    // The registry was set up anew: a revision that stays lower is the new history.
     let result = view.apply(1100.0, 0, full_list(17, (0..6).map(server)));
     assert_eq!((result.held_back, view.revision(0)), (None, Some(17)));
     assert_eq!(ready(&view, 1100.0), [0, 1, 2, 3, 4, 5]);
@@ -123,10 +128,14 @@
 fn a_process_replaced_under_the_same_name_or_address_counts_as_new() {
     let mut view = view_with(4);
     view.apply(100.0, 0, change(11, &[Server { address: ([127, 0, 0, 1], 9999).into(), ..server(1) }], &[]));
-    assert_eq!(view.list(100.0)[1].server.started_at, 100.0, "cold from when it was first seen");
+    assert_eq!(
+        view.list(100.0)[1].server.started_at,
+        100.0,
+        "a new address counts as started when first seen"
+    );
     view.apply(200.0, 0, change(12, &[Server { started_at: 150.0, ..server(2) }], &[]));
     assert_eq!(view.list(200.0)[2].server.started_at, 150.0);
-    // Another name at the address of an old one: the old process is there no more.
+    // A new name at the address of an old server: the old process no longer runs.
     let replacement =
         Server { name: "m7".into(), address: server(3).address, started_at: 180.0, ..server(7) };
     view.apply(300.0, 0, change(13, &[replacement], &[]));
@@ -146,7 +155,7 @@
         }
     }
     assert!(!ready(&view, 20.0).contains(&2));
-    assert_eq!(view.list(20.0).len(), 8, "what plays there goes on");
+    assert_eq!(view.list(20.0).len(), 8, "its running plays go on");
     let deadline = view.next_deadline().unwrap();
     assert!(view.tick(deadline) && ready(&view, deadline).contains(&2));
 }
@@ -170,7 +179,7 @@
     view.apply(2.0, 0, change(11, &[], &[6]));
     assert!(!ready(&view, 2.0).contains(&6));
     view.apply(3.0, 1, Update::Alive);
-    assert!(ready(&view, 3.0).contains(&6), "the other one is there and still lists it");
+    assert!(ready(&view, 3.0).contains(&6), "the other source was heard since and still lists it");
     view.apply(4.0, 1, change(2, &[draining(6)], &[]));
     assert!(!ready(&view, 4.0).contains(&6));
 }
@@ -185,6 +194,7 @@
     assert_eq!(ready(&view, 1000.0).len(), 100_000);
 }
 
+/// A change of the registry, or of what arrives from it.
 #[derive(Clone, Debug)]
 enum Operation {
     SetState(usize, Option<Standing>),
@@ -214,13 +224,13 @@
 }
 
 proptest! {
-    /// A registry whose events are lost, repeated, late or stale: in the end the view is what the registry is, and
-    /// at no time is a server offered that the newest word delivered does not call ready.
+    /// Changes of the registry are lost, repeated, late or stale. In the end the view equals the registry, and at no time
+    /// does it list a server as ready that is not ready in the newest state delivered.
     #[test]
     fn the_view_converges_to_the_registry(operations in prop::collection::vec(operation(), 1..120)) {
         let config = MembershipConfig { max_shrink_share: 1.0, max_returns: 1000, ..CONFIG };
         let mut view = View::new(config, 1);
-        // Two servers that never change keep the list from emptying.
+        // Two servers that never change keep the list from becoming empty.
         let mut history: Vec<State> = vec![[(8, Standing::Ready), (9, Standing::Ready)].into()];
         let (mut events, mut now) = (Vec::<Update>::new(), 0.0);
         let mut known_state = history[0].clone();
@@ -245,12 +255,12 @@
                     history.push(state);
                     events.push(Update::Change { revision, put, removed });
                 }
-                // In order, but for those that overtake.
+                // Changes arrive in order, except where a later one overtakes.
                 Operation::Deliver(position) | Operation::Repeat(position) if position < events.len() => {
                     let update = if matches!(operation, Operation::Repeat(_)) { events[position].clone() } else { events.remove(position) };
                     let Update::Change { revision, .. } = &update else { unreachable!("only changes are sent") };
                     let has_gap = view.revision(0).is_some_and(|known| *revision > known + 1);
-                    // A watch that leaves out revisions is not one to go on from: its client tells so.
+                    // A client that misses revisions can't continue the watch and reports it as lost.
                     let update = if has_gap { Update::Lost } else { update };
                     view.apply(now, 0, update);
                 }
@@ -272,7 +282,7 @@
                 known_state = history[known as usize].clone();
             }
             for n in ready(&view, now) {
-                prop_assert_eq!(known_state.get(&n), Some(&Standing::Ready), "{} is offered", n);
+                prop_assert_eq!(known_state.get(&n), Some(&Standing::Ready), "m{} is listed as ready", n);
             }
         }
         let revision = history.len() as u64 - 1;
--- a/crates/registry/src/blocking.rs
+++ b/crates/registry/src/blocking.rs
@@ -1,6 +1,6 @@
-//! BlockingQuery queries: the health of a service's instances, asked with the index of the last answer, and answered when
-//! something has changed or the wait is over (Consul's HTTP interface: health endpoint, blocking queries, consistency
-//! modes). Each answer is whole.
+//! Blocking queries of the health of a service's instances: a query carries the index of the last response, and is answered
+//! when something changed or its wait time has passed (Consul's HTTP API: health endpoint, blocking queries, consistency
+//! modes). Each response holds the full list.
 
 use crate::{MAX_BYTES, MAX_SERVERS, RegistryError, ServerMetadata};
 use pulleystair_membership::{Server, Standing, Update};
@@ -8,18 +8,19 @@
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 
-/// Which service is followed, and how.
+/// A repeated blocking query of one service.
 #[derive(Clone, Debug)]
 pub struct BlockingQuery {
     service: String,
-    /// How long a query may wait for a change, s; the registry adds up to a sixteenth to query.
+    /// How long a query may wait for a change, s; the registry adds up to a sixteenth to it.
     wait_s: u64,
-    /// Whether any server of the registry may answer, however far behind.
+    /// Whether any server of the registry may answer, however stale its data.
     allow_stale: bool,
-    /// Of the last answer; 0 asks for all at once.
+    /// Index of the last response; 0 asks for an immediate response.
     last_index: u64,
 }
 
+/// An instance in the response of the health endpoint; its parts are named as in the API.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Entry {
@@ -56,11 +57,12 @@
 }
 
 impl BlockingQuery {
+    /// `wait_s` is the time for which a query may wait for a change, s.
     pub fn new(service: &str, wait_s: u64, allow_stale: bool) -> BlockingQuery {
         BlockingQuery { service: service.into(), wait_s, allow_stale, last_index: 0 }
     }
 
-    /// What to ask for next.
+    /// Request target of the next query.
     pub fn request_target(&self) -> String {
         let stale_parameter = if self.allow_stale { "&stale" } else { "" };
         match self.last_index {
@@ -72,20 +74,20 @@
         }
     }
 
-    /// How long the answer may take, ms, before the connection counts as silent.
+    /// How long the response may take, ms, before the connection counts as silent.
     pub fn response_timeout(&self) -> f64 {
         let wait_ms = self.wait_s as f64 * 1000.0;
         if self.last_index == 0 { 5_000.0 } else { wait_ms + wait_ms / 16.0 + 5_000.0 }
     }
 
-    /// The connection broke, or the query is to begin anew.
+    /// Resets the index after the connection broke, or to start the query anew.
     pub fn reset(&mut self) -> Update {
         self.last_index = 0;
         Update::Lost
     }
 
-    /// Takes an answer. An index that is lower than before, or not above 0, begins anew, as the interface asks of its
-    /// clients; the view decides what to make of such a list.
+    /// Parses a response. An index that is lower than before, or 0, resets the query, as the API demands of its
+    /// clients; the membership view decides whether to use such a list.
     pub fn on_response(
         &mut self,
         status: u16,
@@ -121,7 +123,7 @@
     }
 }
 
-/// An instance as a server: one that fails a check is not there, one under maintenance or warning drains.
+/// An instance as a server: none if a check is critical; draining if it is under maintenance or a check warns.
 fn parse_instance(entry: Entry) -> Result<Option<Server>, RegistryError> {
     let Entry { node, service, checks } = entry;
     let invalid = |cause: String| RegistryError::InvalidServer(service.id.chars().take(64).collect(), cause);
@@ -137,13 +139,13 @@
     let meta_value = |name: &str| service.meta.get(name).map(String::as_str);
     let required = |name: &str| meta_value(name).ok_or_else(|| invalid(format!("meta has no {name}")));
     let number_or = |name: &str, default: f64| match meta_value(name) {
-        Some(text) => text.parse::<f64>().map_err(|_| invalid(format!("meta {name} is no number"))),
+        Some(text) => text.parse::<f64>().map_err(|_| invalid(format!("meta {name} is not a number"))),
         None => Ok(default),
     };
     let metadata = ServerMetadata {
         zone: required("zone")?.into(),
         kind: required("kind")?.into(),
-        cell: required("cell")?.parse().map_err(|_| invalid("meta cell is no number".into()))?,
+        cell: required("cell")?.parse().map_err(|_| invalid("meta cell is not a number".into()))?,
         weight: number_or("weight", 1.0)?,
         started_ms: number_or("started_ms", 0.0)?,
     };
@@ -168,7 +170,7 @@
     }
 
     fn standings(update: Update) -> Vec<(String, Standing)> {
-        let Update::Full { servers, .. } = update else { panic!("{update:?} is not whole") };
+        let Update::Full { servers, .. } = update else { panic!("{update:?} is not a full list") };
         servers.into_iter().map(|s| (s.name, s.standing)).collect()
     }
 
@@ -180,7 +182,10 @@
         assert_eq!(standings(respond(&mut query, 7, &list).unwrap()), [("m4".into(), Standing::Ready)]);
         assert_eq!(query.request_target(), "/v1/health/service/media?index=7&wait=60s&stale");
         assert!(query.response_timeout() > 63_750.0, "the registry may add a sixteenth");
-        assert!(matches!(respond(&mut query, 7, &list), Ok(Update::Alive)), "the wait was over");
+        assert!(
+            matches!(respond(&mut query, 7, &list), Ok(Update::Alive)),
+            "the wait time has passed without a change"
+        );
         assert!(matches!(respond(&mut query, 3, &list), Ok(Update::Full { revision: 3, .. })));
         assert_eq!(query.request_target(), "/v1/health/service/media?stale");
     }
@@ -190,21 +195,21 @@
     #[test_case(r#"{"CheckID":"c","Status":"critical"}"#, None; "critical")]
     #[test_case(r#"{"CheckID":"_node_maintenance","Status":"critical"}"#, Some(Standing::Draining); "node under maintenance")]
     #[test_case(r#"{"CheckID":"_service_maintenance:m","Status":"critical"}"#, Some(Standing::Draining); "service under maintenance")]
-    #[test_case(r#"{"CheckID":"_node_maintenance","Status":"critical"},{"CheckID":"c","Status":"critical"}"#, None; "under maintenance and dead")]
+    #[test_case(r#"{"CheckID":"_node_maintenance","Status":"critical"},{"CheckID":"c","Status":"critical"}"#, None; "under maintenance and critical")]
     fn health_checks_map_to_standings(checks: &str, standing: Option<Standing>) {
         let mut query = BlockingQuery::new("media", 60, false);
         let update = respond(&mut query, 1, &format!("[{}]", entry("m", checks))).unwrap();
         assert_eq!(standings(update).first().map(|s| s.1), standing);
     }
 
-    #[test_case("", "not read: "; "nothing")]
-    #[test_case("[{\"Node\"", "not read: "; "half a document")]
-    #[test_case("{}", "not read: "; "no list")]
-    #[test_case("10.0.0.7 -> here", "m: address is \"here\""; "no address")]
+    #[test_case("", "not valid: "; "empty body")]
+    #[test_case("[{\"Node\"", "not valid: "; "truncated document")]
+    #[test_case("{}", "not valid: "; "not a list")]
+    #[test_case("10.0.0.7 -> here", "m: address is \"here\""; "invalid address")]
     #[test_case("\"zone\" -> \"zoom\"", "m: meta has no zone"; "no zone")]
-    #[test_case("\"4\" -> \"four\"", "m: meta cell is no number"; "no cell")]
-    #[test_case("2.5 -> -1", "m: weight is -1"; "a weight below zero")]
-    #[test_case("9000 -> 90000", "not read: "; "no port")]
+    #[test_case("\"4\" -> \"four\"", "m: meta cell is not a number"; "invalid cell")]
+    #[test_case("2.5 -> -1", "m: weight is -1"; "negative weight")]
+    #[test_case("9000 -> 90000", "not valid: "; "port out of range")]
     fn a_malformed_response_is_an_error_and_the_index_stays(change: &str, expected: &str) {
         let mut query = BlockingQuery::new("media", 60, false);
         respond(&mut query, 7, "[]").unwrap();
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,7 +1,7 @@
-//! The two published forms of registries, as what to ask and what an answer tells: [`blocking`] queries with an index, and
-//! [`watch`] from a revision. No I/O: a caller sends what it is handed, hands back what came, and passes the
-//! [`Update`](pulleystair_membership::Update) on to the view. What does not read is a [`RegistryError`], and the query goes on from
-//! where it was.
+//! Requests to two kinds of registries, and parsing of their responses: [`blocking`] queries with an index, and [`watch`]es
+//! from a revision. The module does no I/O: a caller sends the requests, passes the responses in, and applies the resulting
+//! [`Update`](pulleystair_membership::Update) to the membership view. A response that can't be used is a
+//! [`RegistryError`]: a blocking query continues from its last index, a watch starts again with a full read.
 
 pub mod blocking;
 pub mod watch;
@@ -10,32 +10,35 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The largest answer that is read, bytes, and the most servers in one.
+/// Size limit of a response, bytes.
 pub const MAX_BYTES: usize = 64 << 20;
+/// Maximum number of servers in a response.
 pub const MAX_SERVERS: usize = 100_000;
 
-/// Why an answer tells nothing.
+/// Why a response is not used.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RegistryError {
-    #[error("answered {0}")]
+    #[error("registry answered with status {0}")]
     UnexpectedStatus(u16),
-    #[error("no {0} header with a number")]
+    #[error("response has no {0} header with a number")]
     MissingHeader(&'static str),
-    #[error("{0} bytes; {MAX_BYTES} at most")]
+    #[error("response has {0} bytes, more than {MAX_BYTES}")]
     TooLarge(usize),
-    #[error("over {MAX_SERVERS} servers")]
+    #[error("response is incomplete or lists over {MAX_SERVERS} servers")]
     TooManyServers,
-    #[error("not read: {0}")]
+    #[error("response is not valid: {0}")]
     InvalidJson(String),
+    /// Name or key of the server, and the cause.
     #[error("{0}: {1}")]
     InvalidServer(String, String),
-    #[error("knows no leader")]
+    #[error("registry has no leader")]
     NoLeader,
     #[error("watch ended: {0}")]
     WatchCancelled(String),
 }
 
-/// What is told of a server beside its name, address and standing: as metadata of a service, or the value of a key.
+/// What a registry holds of a server beside its name, address and standing: metadata of a service instance, or part of a
+/// key's value.
 #[derive(Clone, Debug, Deserialize)]
 struct ServerMetadata {
     zone: String,
@@ -52,6 +55,7 @@
 }
 
 impl ServerMetadata {
+    /// Checks weight and start time, and completes the server.
     fn into_server(
         self,
         name: &str,
--- a/crates/registry/src/watch.rs
+++ b/crates/registry/src/watch.rs
@@ -1,7 +1,7 @@
-//! Watches from a revision: all keys under a prefix are read once, then followed from the read's revision (etcd's JSON
-//! gateway: `/v3/kv/range`, `/v3/watch`; 64-bit numbers come as text, keys and values in base64). A key is the prefix and a
-//! server's name, its value a JSON object with `address`, `zone`, `kind`, `cell`, and where wanted `weight`, `started_ms` and
-//! `state` (`ready` or `draining`).
+//! Watches from a revision: all keys under a prefix are read once, then watched from the revision of that read (etcd's JSON
+//! gateway: `/v3/kv/range`, `/v3/watch`; 64-bit numbers are sent as text, keys and values in base64). A key is the prefix
+//! followed by a server's name. Its value is a JSON object with `address`, `zone`, `kind`, `cell`, and optionally `weight`,
+//! `started_ms` and `state` (`ready` or `draining`).
 
 use crate::{MAX_BYTES, MAX_SERVERS, RegistryError, ServerMetadata};
 use base64::Engine;
@@ -11,13 +11,15 @@
 use serde_json::json;
 use std::net::SocketAddr;
 
+/// A watch on all keys under a prefix.
 #[derive(Clone, Debug)]
 pub struct Watch {
     prefix: String,
-    /// Up to which all is known; none until all was read.
+    /// Revision up to which all changes are known; none before the full read.
     revision: Option<u64>,
 }
 
+/// Response to the range request.
 #[derive(Deserialize)]
 struct Range {
     header: Header,
@@ -34,6 +36,7 @@
     revision: u64,
 }
 
+/// A key and its value, both in base64.
 #[derive(Deserialize)]
 struct Pair {
     key: String,
@@ -41,12 +44,14 @@
     value: String,
 }
 
+/// A line of the watch stream.
 #[derive(Deserialize)]
 struct Line {
     result: Option<Answer>,
     error: Option<serde_json::Value>,
 }
 
+/// A watch response.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct Answer {
@@ -61,12 +66,13 @@
 
 #[derive(Deserialize)]
 struct Event {
-    /// Left out for a put.
+    /// `DELETE`; left out for a put.
     #[serde(rename = "type", default)]
     kind: String,
     kv: Pair,
 }
 
+/// The value of a server's key.
 #[derive(Deserialize)]
 struct Value {
     address: SocketAddr,
@@ -84,7 +90,7 @@
     Draining,
 }
 
-/// A 64-bit number, as text or as it is.
+/// Reads a 64-bit number that is sent as text or as a number.
 fn deserialize_u64<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
@@ -99,17 +105,19 @@
 }
 
 impl Watch {
+    /// A watch that has not read the keys yet.
     pub fn new(prefix: &str) -> Watch {
         Watch { prefix: prefix.into(), revision: None }
     }
 
-    /// The revision from which a watch would go on; none where all is to be read first.
+    /// The revision after which the watch continues; none if a full read is needed first.
     pub fn revision(&self) -> Option<u64> {
         self.revision
     }
 
+    /// First key and end of the range of keys with the prefix, in base64.
     fn encoded_key_range(&self) -> (String, String) {
-        // The end of a prefix's keys: its last byte that can be raised, raised.
+        // The end of the range is the prefix with its last byte below 0xff incremented.
         let mut end = self.prefix.clone().into_bytes();
         while end.pop_if(|b| *b == 0xff).is_some() {}
         match end.last_mut() {
@@ -119,13 +127,13 @@
         (STANDARD.encode(&self.prefix), STANDARD.encode(end))
     }
 
-    /// Target and body of the read of all.
+    /// Target and body of the request that reads all keys.
     pub fn range_request(&self) -> (&'static str, String) {
         let (key, range_end) = self.encoded_key_range();
         ("/v3/kv/range", json!({ "key": key, "range_end": range_end }).to_string())
     }
 
-    /// Target and body of the watch; its answer is a stream of lines for [`Watch::on_line`].
+    /// Target and body of the watch request; the response is a stream of lines for [`Watch::on_line`].
     pub fn watch_request(&self) -> (&'static str, String) {
         let (key, range_end) = self.encoded_key_range();
         let start_revision = self.revision.unwrap_or(0) + 1;
@@ -135,13 +143,13 @@
         ("/v3/watch", json!({ "create_request": create_request }).to_string())
     }
 
-    /// All is to be read anew.
+    /// Forgets the revision, so that all keys are read anew.
     pub fn reset(&mut self) -> Update {
         self.revision = None;
         Update::Lost
     }
 
-    /// Takes the answer to the read of all.
+    /// Parses the response to [`Watch::range_request`].
     pub fn on_range_response(&mut self, status: u16, body: &[u8]) -> Result<Update, RegistryError> {
         if status != 200 {
             return Err(RegistryError::UnexpectedStatus(status));
@@ -161,15 +169,15 @@
         Ok(Update::Full { revision, age_ms: 0.0, servers })
     }
 
-    /// Takes a line of the watch. A revision that is compacted, or a watch that was cancelled, is [`Update::Lost`]: all is to
-    /// be read anew. A value that can't be read breaks the watch too, for what it would have changed is not known.
+    /// Parses a line of the watch stream. If the revision is compacted ([`Update::Lost`]) or the watch was cancelled (an
+    /// error), all keys must be read anew. An unreadable value breaks the watch too, because its change is not known.
     pub fn on_line(&mut self, line: &[u8]) -> Result<Update, RegistryError> {
         let parsed: Result<Line, _> = serde_json::from_slice(line);
         let response = match parsed {
             Ok(Line { result: Some(response), error: None }) => response,
             Ok(Line { error, .. }) => {
                 self.revision = None;
-                let cause = error.map_or("no result".into(), |e| e.to_string());
+                let cause = error.map_or("line has no result".into(), |e| e.to_string());
                 return Err(RegistryError::WatchCancelled(cause.chars().take(200).collect()));
             }
             Err(e) => {
@@ -186,7 +194,7 @@
         }
         let revision = response.header.revision;
         if response.created || response.events.is_empty() {
-            // A note of progress: everything up to there has been told.
+            // A progress notification: all changes up to its revision have been sent.
             if let Some(known) = self.revision.filter(|_| !response.created) {
                 self.revision = Some(known.max(revision));
             }
@@ -214,19 +222,22 @@
         Ok(Update::Change { revision, put, removed })
     }
 
+    /// The server's name from a key in base64.
     fn server_name(&self, key: &str) -> Result<String, RegistryError> {
         let invalid =
             |cause: &str| RegistryError::InvalidServer(key.chars().take(64).collect(), cause.into());
-        let key = STANDARD.decode(key).map_err(|_| invalid("key is no base64"))?;
-        let key = String::from_utf8(key).map_err(|_| invalid("key is no text"))?;
+        let key = STANDARD.decode(key).map_err(|_| invalid("key is not base64"))?;
+        let key = String::from_utf8(key).map_err(|_| invalid("key is not UTF-8"))?;
         let name = key.strip_prefix(&self.prefix).filter(|name| !name.is_empty() && name.len() <= 64);
-        name.map(str::to_string).ok_or_else(|| invalid("key is not one that was asked for"))
+        name.map(str::to_string)
+            .ok_or_else(|| invalid("key is outside the watched prefix or its name is empty or over 64 bytes"))
     }
 
+    /// The server that a key and its value describe.
     fn parse_server(&self, pair: &Pair) -> Result<Server, RegistryError> {
         let name = self.server_name(&pair.key)?;
         let invalid = |cause: String| RegistryError::InvalidServer(name.clone(), cause);
-        let value = STANDARD.decode(&pair.value).map_err(|_| invalid("value is no base64".into()))?;
+        let value = STANDARD.decode(&pair.value).map_err(|_| invalid("value is not base64".into()))?;
         let Value { address, state, metadata } =
             serde_json::from_slice(&value).map_err(|e| invalid(e.to_string()))?;
         let standing = match state {
@@ -270,21 +281,21 @@
         let body: serde_json::Value = serde_json::from_str(&body).unwrap();
         let request = &body["create_request"];
         assert_eq!((target, request["start_revision"].as_str()), ("/v3/watch", Some("41")));
-        // The keys from the prefix on, up to the next that does not begin with watch.
+        // The range runs from the prefix to the first key that does not begin with it.
         assert_eq!(request["key"].as_str(), Some(STANDARD.encode("/media/").as_str()));
         assert_eq!(request["range_end"].as_str(), Some(STANDARD.encode("/media0").as_str()));
         assert!(matches!(
             respond(&mut watch, json!({ "created": true, "header": { "revision": "45" } })),
             Ok(Update::Alive)
         ));
-        assert_eq!(watch.revision(), Some(40), "that a watch was made tells nothing of what watch will say");
+        assert_eq!(watch.revision(), Some(40), "the creation of the watch does not advance the revision");
         let events = json!([{ "kv": pair("m2", VALUE) }, { "type": "DELETE", "kv": { "key": pair("m1", "")["key"] } }]);
         let update =
             respond(&mut watch, json!({ "header": { "revision": "47" }, "events": events })).unwrap();
         let Update::Change { revision: 47, put, removed } = update else { panic!("{update:?}") };
         assert_eq!((put[0].name.as_str(), removed), ("m2", vec!["m1".to_string()]));
         assert!(matches!(respond(&mut watch, json!({ "header": { "revision": "60" } })), Ok(Update::Alive)));
-        assert_eq!(watch.revision(), Some(60), "a note of progress");
+        assert_eq!(watch.revision(), Some(60), "a progress notification");
     }
 
     #[test]
@@ -309,20 +320,20 @@
 
     #[test_case(r#"{"result":{"canceled":true,"cancel_reason":"no more"}}"#, "watch ended: no more"; "cancelled")]
     #[test_case(r#"{"error":{"message":"unavailable"}}"#, "unavailable"; "an error")]
-    #[test_case(r#"{"result":{"events":[{"kv":{"key":"!"}}]}}"#, "key is no base64"; "a key that is none")]
-    #[test_case(r#"{"result":{"events":[{"kv":{"key":"L290aGVyL20x"}}]}}"#, "not one that was asked for"; "another key")]
+    #[test_case(r#"{"result":{"events":[{"kv":{"key":"!"}}]}}"#, "key is not base64"; "invalid key")]
+    #[test_case(r#"{"result":{"events":[{"kv":{"key":"L290aGVyL20x"}}]}}"#, "key is outside the watched prefix"; "foreign key")]
     #[test_case(r#"{"result":{"events":[{"kv":{"key":"L21lZGlhL20x","value":"e30="}}]}}"#, "m1: missing field"; "an empty value")]
-    #[test_case(r#"{"result":{"events":[{"kv"#, "not read"; "half a line")]
-    #[test_case(r#"{"result":{"header":{"revision":"many"}}}"#, "not read"; "a revision that is none")]
+    #[test_case(r#"{"result":{"events":[{"kv"#, "not valid"; "truncated line")]
+    #[test_case(r#"{"result":{"header":{"revision":"many"}}}"#, "not valid"; "invalid revision")]
     fn an_unreadable_line_breaks_the_watch(text: &str, expected: &str) {
         let mut watch = watch_from_40();
         let error = watch.on_line(text.as_bytes()).unwrap_err().to_string();
         assert!(error.contains(expected), "{error}");
-        assert_eq!(watch.revision(), None, "what watch would have changed is not known");
+        assert_eq!(watch.revision(), None, "the change that the line held is not known");
     }
 
     #[test_case(503, "", RegistryError::UnexpectedStatus(503); "another status")]
-    #[test_case(200, r#"{"header":{"revision":"1"},"more":true}"#, RegistryError::TooManyServers; "only a part")]
+    #[test_case(200, r#"{"header":{"revision":"1"},"more":true}"#, RegistryError::TooManyServers; "incomplete response")]
     fn a_failed_or_partial_read_is_an_error(status: u16, body: &str, expected: RegistryError) {
         assert_eq!(Watch::new("/media/").on_range_response(status, body.as_bytes()).unwrap_err(), expected);
     }
