--- a/crates/dash/benches/path.rs
+++ b/crates/dash/benches/path.rs
@@ -1,19 +1,19 @@
 //! What a manifest request costs in tokens and MPDs: `cargo bench -p pulleystair-dash`.
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
-use pulleystair_dash::mpd::{self, Period, Presentation, Segments, TimelineEntry as S};
+use pulleystair_dash::mpd::{self, Period, Presentation, Segments, TimelineEntry};
 use pulleystair_dash::token::{EntryToken, KeyRing, SessionToken};
 use std::hint::black_box;
 
 const NOW: u64 = 1_764_600_000;
 
-fn ring(kids: &[&str]) -> KeyRing {
+fn make_key_ring(kids: &[&str]) -> KeyRing {
     let keys: Vec<(String, Vec<u8>)> = kids.iter().map(|kid| (kid.to_string(), vec![7; 32])).collect();
     KeyRing::new(&keys).expect("long keys are a ring")
 }
 
 fn tokens(c: &mut Criterion) {
-    let ring = ring(&["new", "old", "older"]);
+    let key_ring = make_key_ring(&["new", "old", "older"]);
     let (product, title) = ("guide".to_string(), "forms-12".to_string());
     let jti = "0f3c7a5e9b1d4826".to_string();
     let sub = "viewer-81723".to_string();
@@ -25,19 +25,22 @@
         top: 4,
         exp: NOW + 60,
     };
-    let pass = SessionToken { sid: jti, product: product.clone(), title: title.clone(), exp: NOW + 60 };
-    let (entry, signed) = (ring.sign(&entry), ring.sign(&pass));
+    let session_token =
+        SessionToken { sid: jti, product: product.clone(), title: title.clone(), exp: NOW + 60 };
+    let (entry, signed) = (key_ring.sign(&entry), key_ring.sign(&session_token));
     let forged = format!("{}AA", &signed[..signed.len() - 2]);
     let mut group = c.benchmark_group("tokens");
     group.throughput(Throughput::Elements(1));
     group.bench_function("check an entry", |b| {
-        b.iter(|| ring.verify_entry(black_box(&entry), NOW, &product, &title).is_ok())
+        b.iter(|| key_ring.verify_entry(black_box(&entry), NOW, &product, &title).is_ok())
+    });
+    group.bench_function("check a pass", |b| {
+        b.iter(|| key_ring.verify_session(black_box(&signed), NOW).is_ok())
     });
-    group.bench_function("check a pass", |b| b.iter(|| ring.verify_session(black_box(&signed), NOW).is_ok()));
     group.bench_function("refuse a forged pass", |b| {
-        b.iter(|| ring.verify_session(black_box(&forged), NOW).is_err())
+        b.iter(|| key_ring.verify_session(black_box(&forged), NOW).is_err())
     });
-    group.bench_function("sign a pass", |b| b.iter(|| ring.sign(black_box(&pass))));
+    group.bench_function("sign a pass", |b| b.iter(|| key_ring.sign(black_box(&session_token))));
     group.finish();
 }
 
@@ -46,7 +49,9 @@
     let mut plain = Presentation::plain("forms-12".into(), 600_000, 2000);
     plain.base = format!("/s/{}/", "x".repeat(200));
     plain.periods[0].bandwidths = bandwidths.clone();
-    let entries = (0..300).map(|n| S { start: n * 400_000, duration: 180_000 + n % 7, repeat: 1 }).collect();
+    let entries = (0..300)
+        .map(|n| TimelineEntry { start: n * 400_000, duration: 180_000 + n % 7, repeat: 1 })
+        .collect();
     let segments = Segments::Timeline { timescale: 90_000, entries, by_time: true };
     let timeline = Presentation {
         periods: vec![Period { id: "1".into(), start_ms: 0, segments, bandwidths }],
@@ -54,10 +59,10 @@
     };
     let mut group = c.benchmark_group("MPDs");
     group.throughput(Throughput::Elements(1));
-    for (name, it) in [("plain", &plain), ("of 300 timeline entries", &timeline)] {
-        let text = it.write();
-        assert_eq!(mpd::parse(&text).as_ref(), Ok(it));
-        group.bench_function(format!("write a {name} one"), |b| b.iter(|| black_box(it).write()));
+    for (name, presentation) in [("plain", &plain), ("of 300 timeline entries", &timeline)] {
+        let text = presentation.write();
+        assert_eq!(mpd::parse(&text).as_ref(), Ok(presentation));
+        group.bench_function(format!("write a {name} one"), |b| b.iter(|| black_box(presentation).write()));
         group.bench_function(format!("read a {name} one"), |b| {
             b.iter(|| mpd::parse(black_box(&text)).is_ok())
         });
--- a/crates/dash/src/address.rs
+++ b/crates/dash/src/address.rs
@@ -8,13 +8,13 @@
 //! that the viewer leaves. `/v1/time` tells the time, in its `Date`.
 
 /// `initialization` and `media` of the SegmentTemplate, relative to the BaseURL.
-pub const INITIALISATION: &str = "$RepresentationID$/init.mp4";
-pub const MEDIA: &str = "$RepresentationID$/$Number$.m4s";
+pub const INITIALISATION_TEMPLATE: &str = "$RepresentationID$/init.mp4";
+pub const MEDIA_TEMPLATE: &str = "$RepresentationID$/$Number$.m4s";
 /// `media` by time; FIRST stands for the Period's first number.
-pub const MEDIA_BY_TIME: &str = "$RepresentationID$/FIRST-t$Time$.m4s";
+pub const MEDIA_BY_TIME_TEMPLATE: &str = "$RepresentationID$/FIRST-t$Time$.m4s";
 
 /// Where players ask for the time.
-pub const TIME: &str = "/v1/time";
+pub const TIME_PATH: &str = "/v1/time";
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route<'a> {
@@ -68,11 +68,11 @@
 /// Reads the target of a request; none where a front serves nothing there.
 pub fn parse(target: &str) -> Option<Route<'_>> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
-    if path == TIME {
+    if path == TIME_PATH {
         return Some(Route::Time);
     }
     let mut parts = path.strip_prefix('/')?.split('/');
-    let address = match (parts.next()?, parts.next()?, parts.next()?, parts.next()) {
+    let route = match (parts.next()?, parts.next()?, parts.next()?, parts.next()) {
         ("v1", product, title, Some("manifest.mpd")) if is_valid_name(product) && is_valid_name(title) => {
             let entry = query.split('&').find_map(|pair| pair.strip_prefix("token="));
             Route::Manifest { product, title, entry }
@@ -81,27 +81,28 @@
         ("s", pass, "", None) if !pass.is_empty() => Route::Session { pass },
         ("s", pass, rung, Some(file)) if !pass.is_empty() => {
             let which = match file.strip_suffix(".m4s").map(|name| (name, name.split_once("-t"))) {
-                Some((_, Some((first, time)))) => {
-                    SegmentId::Time { first: digits(first).filter(|n| *n > 0)?, time: digits(time)? }
-                }
-                Some((number, None)) => SegmentId::Number(digits(number).filter(|n| *n > 0)?),
+                Some((_, Some((first, time)))) => SegmentId::Time {
+                    first: parse_digits(first).filter(|n| *n > 0)?,
+                    time: parse_digits(time)?,
+                },
+                Some((number, None)) => SegmentId::Number(parse_digits(number).filter(|n| *n > 0)?),
                 None if file == "init.mp4" => SegmentId::Initialisation,
                 None => return None,
             };
-            Route::Segment { pass, rung: digits(rung)?.try_into().ok()?, which }
+            Route::Segment { pass, rung: parse_digits(rung)?.try_into().ok()?, which }
         }
         _ => return None,
     };
-    parts.next().is_none().then_some(address)
+    parts.next().is_none().then_some(route)
 }
 
 /// Names of products, titles and servers as they stand in addresses: plain characters, 64 at most.
 pub fn is_valid_name(text: &str) -> bool {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
-    !text.is_empty() && text.len() <= 64 && text.bytes().all(plain) && !text.starts_with('.')
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
+    !text.is_empty() && text.len() <= 64 && text.bytes().all(is_allowed) && !text.starts_with('.')
 }
 
-fn digits(text: &str) -> Option<u64> {
-    let plain = !text.is_empty() && text.len() <= 16 && text.bytes().all(|b| b.is_ascii_digit());
-    plain.then(|| text.parse().ok())?
+fn parse_digits(text: &str) -> Option<u64> {
+    let is_number = !text.is_empty() && text.len() <= 16 && text.bytes().all(|b| b.is_ascii_digit());
+    is_number.then(|| text.parse().ok())?
 }
--- a/crates/dash/src/token.rs
+++ b/crates/dash/src/token.rs
@@ -12,11 +12,11 @@
 /// The longest token that is read, bytes.
 pub const MAX_BYTES: usize = 1024;
 /// Bytes that a key must have, RFC 7518 section 3.2: no fewer than the hash's output.
-pub const KEY_BYTES: usize = 32;
+pub const MIN_KEY_BYTES: usize = 32;
 /// Keys that may be live at once: the one in service, the one that comes, the one that goes.
 pub const MAX_KEYS: usize = 3;
 /// Keys that were taken out and are still read, at most.
-pub const MAX_LEAVING: usize = 32;
+pub const MAX_RETIRED: usize = 32;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryToken {
@@ -52,11 +52,11 @@
     #[error("token signed by no key known here")]
     UnknownKey,
     #[error("token signature wrong")]
-    Forged,
+    WrongSignature,
     #[error("token expired")]
     Expired,
     #[error("token is for another title or product")]
-    Foreign,
+    WrongTitleOrProduct,
 }
 
 impl TokenError {
@@ -64,7 +64,7 @@
     pub fn status(self) -> u16 {
         match self {
             TokenError::Expired => 410,
-            TokenError::Foreign => 403,
+            TokenError::WrongTitleOrProduct => 403,
             _ => 401,
         }
     }
@@ -72,31 +72,31 @@
 
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    #[error("key {0:?} has {1} bytes, fewer than {KEY_BYTES}")]
-    Short(String, usize),
+    #[error("key {0:?} has {1} bytes, fewer than {MIN_KEY_BYTES}")]
+    TooShort(String, usize),
     #[error("key {0:?} is there twice")]
-    Twice(String),
+    DuplicateId(String),
     #[error("{0} keys; 1 to {MAX_KEYS} are allowed")]
-    Count(usize),
+    WrongCount(usize),
     #[error("key {0:?} has another secret than before; a new secret needs a new id")]
-    Changed(String),
-    #[error("{0} keys taken out are still in their overlap; {MAX_LEAVING} may be")]
-    Leaving(usize),
+    SecretChanged(String),
+    #[error("{0} keys taken out are still in their overlap; {MAX_RETIRED} may be")]
+    TooManyRetired(usize),
 }
 
 struct Key {
     kid: String,
     /// By which a secret is known to be the same; it never leaves this module.
-    print: u64,
-    sign: EncodingKey,
-    read: DecodingKey,
+    fingerprint: u64,
+    signing_key: EncodingKey,
+    verifying_key: DecodingKey,
 }
 
 /// The live keys, the newest first, and those that were taken out and are read until their overlap ends.
 pub struct KeyRing {
     live: Vec<Key>,
     /// Until when each is read, s since 1970.
-    leaving: Vec<(Key, u64)>,
+    retired: Vec<(Key, u64)>,
 }
 
 impl fmt::Debug for KeyRing {
@@ -105,7 +105,7 @@
     }
 }
 
-fn print(secret: &[u8]) -> u64 {
+fn fingerprint(secret: &[u8]) -> u64 {
     let mut hash = std::hash::DefaultHasher::new();
     secret.hash(&mut hash);
     hash.finish()
@@ -115,63 +115,66 @@
     /// Keys by their ids; the first one signs.
     pub fn new(keys: &[(String, Vec<u8>)]) -> Result<KeyRing, KeyError> {
         if keys.is_empty() || keys.len() > MAX_KEYS {
-            return Err(KeyError::Count(keys.len()));
+            return Err(KeyError::WrongCount(keys.len()));
         }
         for (i, (kid, secret)) in keys.iter().enumerate() {
-            if secret.len() < KEY_BYTES {
-                return Err(KeyError::Short(kid.clone(), secret.len()));
+            if secret.len() < MIN_KEY_BYTES {
+                return Err(KeyError::TooShort(kid.clone(), secret.len()));
             }
             if keys[..i].iter().any(|k| k.0 == *kid) {
-                return Err(KeyError::Twice(kid.clone()));
+                return Err(KeyError::DuplicateId(kid.clone()));
             }
         }
-        let key = |(kid, secret): &(String, Vec<u8>)| Key {
+        let new_key = |(kid, secret): &(String, Vec<u8>)| Key {
             kid: kid.clone(),
-            print: print(secret),
-            sign: EncodingKey::from_secret(secret),
-            read: DecodingKey::from_secret(secret),
+            fingerprint: fingerprint(secret),
+            signing_key: EncodingKey::from_secret(secret),
+            verifying_key: DecodingKey::from_secret(secret),
         };
-        Ok(KeyRing { live: keys.iter().map(key).collect(), leaving: Vec::new() })
+        Ok(KeyRing { live: keys.iter().map(new_key).collect(), retired: Vec::new() })
     }
 
     /// Whether [`KeyRing::replace`] would take these keys.
     pub fn may_replace(&self, keys: &[(String, Vec<u8>)], now: u64) -> Result<(), KeyError> {
-        let new = KeyRing::new(keys)?;
-        let mut known = self.live.iter().chain(self.leaving.iter().map(|(k, _)| k));
-        if let Some(key) = known.find(|k| new.live.iter().any(|n| n.kid == k.kid && n.print != k.print)) {
-            return Err(KeyError::Changed(key.kid.clone()));
+        let new_ring = KeyRing::new(keys)?;
+        let mut known_keys = self.live.iter().chain(self.retired.iter().map(|(k, _)| k));
+        if let Some(key) = known_keys
+            .find(|k| new_ring.live.iter().any(|n| n.kid == k.kid && n.fingerprint != k.fingerprint))
+        {
+            return Err(KeyError::SecretChanged(key.kid.clone()));
         }
-        let stays = |key: &Key| new.live.iter().any(|n| n.kid == key.kid);
-        let out = self.live.iter().filter(|k| !stays(k)).count();
-        let leaving = out + self.leaving.iter().filter(|(k, until)| *until > now && !stays(k)).count();
-        if leaving > MAX_LEAVING { Err(KeyError::Leaving(leaving)) } else { Ok(()) }
+        let is_kept = |key: &Key| new_ring.live.iter().any(|n| n.kid == key.kid);
+        let removed_count = self.live.iter().filter(|k| !is_kept(k)).count();
+        let retired_count =
+            removed_count + self.retired.iter().filter(|(k, until)| *until > now && !is_kept(k)).count();
+        if retired_count > MAX_RETIRED { Err(KeyError::TooManyRetired(retired_count)) } else { Ok(()) }
     }
 
     /// Puts other keys in service at `now`; those taken out are read for `overlap` s more, and one that comes back
     /// is live again. Nothing changes where the new set can't be.
     pub fn replace(&mut self, keys: &[(String, Vec<u8>)], now: u64, overlap: u64) -> Result<(), KeyError> {
         self.may_replace(keys, now)?;
-        let new = KeyRing::new(keys)?;
-        let stays = |key: &Key| new.live.iter().any(|n| n.kid == key.kid);
-        self.leaving.retain(|(k, until)| *until > now && !stays(k));
-        let old = std::mem::take(&mut self.live);
-        self.leaving.extend(old.into_iter().filter(|k| !stays(k)).map(|k| (k, now + overlap)));
-        self.live = new.live;
+        let new_ring = KeyRing::new(keys)?;
+        let is_kept = |key: &Key| new_ring.live.iter().any(|n| n.kid == key.kid);
+        self.retired.retain(|(k, until)| *until > now && !is_kept(k));
+        let old_keys = std::mem::take(&mut self.live);
+        self.retired.extend(old_keys.into_iter().filter(|k| !is_kept(k)).map(|k| (k, now + overlap)));
+        self.live = new_ring.live;
         Ok(())
     }
 
-    fn key(&self, kid: &str, now: u64) -> Option<&Key> {
-        let leaving = self.leaving.iter().filter(|(_, until)| *until > now).map(|(k, _)| k);
-        self.live.iter().chain(leaving).find(|k| k.kid == kid)
+    fn find_key(&self, kid: &str, now: u64) -> Option<&Key> {
+        let retired = self.retired.iter().filter(|(_, until)| *until > now).map(|(k, _)| k);
+        self.live.iter().chain(retired).find(|k| k.kid == kid)
     }
 
     pub fn sign(&self, claims: &impl Serialize) -> String {
         let key = &self.live[0];
         let header = Header { kid: Some(key.kid.clone()), ..Header::new(Algorithm::HS256) };
-        jsonwebtoken::encode(&header, claims, &key.sign).expect("plain claims are signed by any key")
+        jsonwebtoken::encode(&header, claims, &key.signing_key).expect("plain claims are signed by any key")
     }
 
-    fn read<T: for<'a> Deserialize<'a>>(&self, token: &str, now: u64) -> Result<T, TokenError> {
+    fn verify_signature<T: for<'a> Deserialize<'a>>(&self, token: &str, now: u64) -> Result<T, TokenError> {
         if token.is_empty() {
             return Err(TokenError::Missing);
         }
@@ -180,18 +183,18 @@
         }
         let header = jsonwebtoken::decode_header(token).map_err(|_| TokenError::Malformed)?;
         if header.alg != Algorithm::HS256 {
-            return Err(TokenError::Forged);
+            return Err(TokenError::WrongSignature);
         }
-        let key = header.kid.as_deref().and_then(|kid| self.key(kid, now));
+        let key = header.kid.as_deref().and_then(|kid| self.find_key(kid, now));
         let key = key.ok_or(TokenError::UnknownKey)?;
-        let mut signature = Validation::new(Algorithm::HS256);
+        let mut validation = Validation::new(Algorithm::HS256);
         // Times are compared here, by the caller's clock.
-        signature.validate_exp = false;
-        signature.required_spec_claims.clear();
-        let token = jsonwebtoken::decode::<T>(token, &key.read, &signature);
-        Ok(token
+        validation.validate_exp = false;
+        validation.required_spec_claims.clear();
+        let decoded = jsonwebtoken::decode::<T>(token, &key.verifying_key, &validation);
+        Ok(decoded
             .map_err(|e| match e.kind() {
-                jsonwebtoken::errors::ErrorKind::InvalidSignature => TokenError::Forged,
+                jsonwebtoken::errors::ErrorKind::InvalidSignature => TokenError::WrongSignature,
                 _ => TokenError::Malformed,
             })?
             .claims)
@@ -205,9 +208,9 @@
         product: &str,
         title: &str,
     ) -> Result<EntryToken, TokenError> {
-        let entry: EntryToken = self.read(token, now)?;
+        let entry: EntryToken = self.verify_signature(token, now)?;
         if entry.product != product || entry.title != title {
-            return Err(TokenError::Foreign);
+            return Err(TokenError::WrongTitleOrProduct);
         }
         if entry.jti.is_empty() || entry.jti.len() > 64 {
             return Err(TokenError::Malformed);
@@ -216,12 +219,12 @@
     }
 
     pub fn verify_session(&self, token: &str, now: u64) -> Result<SessionToken, TokenError> {
-        let pass = self.verify_session_signature(token, now)?;
-        if pass.exp <= now { Err(TokenError::Expired) } else { Ok(pass) }
+        let session_token = self.verify_session_signature(token, now)?;
+        if session_token.exp <= now { Err(TokenError::Expired) } else { Ok(session_token) }
     }
 
     /// A pass that is ours, whether or not its time is up: a play that runs may have renewed it.
     pub fn verify_session_signature(&self, token: &str, now: u64) -> Result<SessionToken, TokenError> {
-        self.read(token, now)
+        self.verify_signature(token, now)
     }
 }
--- a/crates/dash/tests/mpd.rs
+++ b/crates/dash/tests/mpd.rs
@@ -5,19 +5,19 @@
 use test_case::test_case;
 
 fn plain(duration_ms: u64, segment_ms: u64) -> Presentation {
-    let mut it = Presentation::plain("forms & fees <1>".into(), duration_ms, segment_ms);
-    it.base = "/s/a.b.c/".into();
-    it.periods[0].bandwidths = vec![400_000, 964_000, 2_400_000];
-    it
+    let mut presentation = Presentation::plain("forms & fees <1>".into(), duration_ms, segment_ms);
+    presentation.base = "/s/a.b.c/".into();
+    presentation.periods[0].bandwidths = vec![400_000, 964_000, 2_400_000];
+    presentation
 }
 
 #[test_case(34_000, 2000, 17; "whole segments")]
 #[test_case(34_500, 2000, 18; "a short last one")]
 #[test_case(10, 2000, 1; "one short one")]
-fn a_manifest_is_read_back_by_an_independent_parser(duration_ms: u64, segment_ms: u64, segments: u64) {
-    let it = plain(duration_ms, segment_ms);
-    assert_eq!(it.segments(), Some(segments));
-    let mpd = dash_mpd::parse(&it.write()).expect("the independent parser reads it");
+fn an_independent_parser_reads_a_written_manifest(duration_ms: u64, segment_ms: u64, segments: u64) {
+    let presentation = plain(duration_ms, segment_ms);
+    assert_eq!(presentation.segments(), Some(segments));
+    let mpd = dash_mpd::parse(&presentation.write()).expect("the independent parser reads it");
     assert_eq!(mpd.mpdtype.as_deref(), Some("static"));
     assert_eq!(mpd.id.as_deref(), Some("forms & fees <1>"));
     assert_eq!(mpd.mediaPresentationDuration.unwrap().as_millis() as u64, duration_ms);
@@ -28,51 +28,51 @@
     assert_eq!((template.timescale, template.duration), (Some(1000), Some(segment_ms as f64)));
     assert_eq!(template.startNumber, Some(1));
     assert_eq!(template.media.as_deref(), Some("$RepresentationID$/$Number$.m4s"));
-    let rates: Vec<u64> = sets[0].representations.iter().filter_map(|r| r.bandwidth).collect();
-    assert_eq!(rates, [400_000, 964_000, 2_400_000]);
+    let bandwidths: Vec<u64> = sets[0].representations.iter().filter_map(|r| r.bandwidth).collect();
+    assert_eq!(bandwidths, [400_000, 964_000, 2_400_000]);
 }
 
 fn live(window_ms: u64, duration_ms: Option<u64>) -> Presentation {
-    let mut it = plain(1, 2000);
-    it.duration_ms = duration_ms;
-    it.live = Some(Live {
+    let mut presentation = plain(1, 2000);
+    presentation.duration_ms = duration_ms;
+    presentation.live = Some(Live {
         from_ms: 1_764_600_716_250,
         update_ms: Some(2000),
         window_ms: Some(window_ms),
         published_ms: 1_764_600_716_250,
     });
-    it
+    presentation
 }
 
 #[test]
-fn a_live_title_is_a_dynamic_manifest() {
-    let mut it = live(30_000, None);
-    it.location = Some("/s/a.b.c/manifest.mpd".into());
-    let mpd = dash_mpd::parse(&it.write()).expect("the independent parser reads it");
+fn a_live_title_gives_a_dynamic_manifest() {
+    let mut presentation = live(30_000, None);
+    presentation.location = Some("/s/a.b.c/manifest.mpd".into());
+    let mpd = dash_mpd::parse(&presentation.write()).expect("the independent parser reads it");
     assert_eq!(mpd.mpdtype.as_deref(), Some("dynamic"));
     assert_eq!(mpd.minimumUpdatePeriod.unwrap().as_millis(), 2000);
     assert_eq!(mpd.timeShiftBufferDepth.unwrap().as_millis(), 30_000);
     assert_eq!(mpd.availabilityStartTime.unwrap().timestamp_millis(), 1_764_600_716_250);
     assert_eq!(mpd.locations[0].url, "/s/a.b.c/manifest.mpd");
-    assert_eq!((mpd.mediaPresentationDuration, it.segments()), (None, None));
+    assert_eq!((mpd.mediaPresentationDuration, presentation.segments()), (None, None));
 }
 
 #[test]
-fn a_live_titles_segments_come_and_go() {
-    let it = live(10_000, Some(60_000));
-    let at = |ms: u64| it.available(1_764_600_716_250 + ms);
-    assert_eq!(at(0), None);
-    assert_eq!(at(1_999), None, "the first is not complete");
-    assert_eq!(at(2_000), Some((1, 1)));
-    assert_eq!(at(11_999), Some((1, 5)));
-    assert_eq!(at(12_000), Some((2, 6)), "the first has left the window");
-    assert_eq!(at(60_000), Some((26, 30)));
-    assert_eq!(at(600_000), Some((30, 30)), "it has ended");
-    assert_eq!(it.available(5), None, "long before");
+fn segments_of_a_live_title_become_available_and_expire() {
+    let presentation = live(10_000, Some(60_000));
+    let available_at = |ms: u64| presentation.available(1_764_600_716_250 + ms);
+    assert_eq!(available_at(0), None);
+    assert_eq!(available_at(1_999), None, "the first is not complete");
+    assert_eq!(available_at(2_000), Some((1, 1)));
+    assert_eq!(available_at(11_999), Some((1, 5)));
+    assert_eq!(available_at(12_000), Some((2, 6)), "the first has left the window");
+    assert_eq!(available_at(60_000), Some((26, 30)));
+    assert_eq!(available_at(600_000), Some((30, 30)), "it has ended");
+    assert_eq!(presentation.available(5), None, "long before");
 }
 
 /// Two Periods, the first by time.
-const TWO: &str = r#"<?xml version="1.0"?>
+const TWO_PERIODS: &str = r#"<?xml version="1.0"?>
 <MPD xmlns="urn:mpeg:dash:schema:mpd:2011" type="static" mediaPresentationDuration="PT1M0.5S">
   <Period id="a" duration="PT12S">
     <AdaptationSet mimeType="audio/mp4"><SegmentTemplate duration="1" media="x$Number$"/><Representation bandwidth="9"/></AdaptationSet>
@@ -92,19 +92,22 @@
 </MPD>"#;
 
 #[test]
-fn several_periods_by_time_and_by_number() {
-    let it = parse(TWO).unwrap();
-    assert_eq!((it.periods.len(), it.periods[1].start_ms, it.duration_ms), (2, 12_000, Some(60_500)));
-    assert_eq!(it.periods[1].segments, Segments::Even { segment_ms: 4000 });
-    assert_eq!(it.segments(), Some(5 + 13));
-    assert_eq!(it.longest_segment(), 4000);
-    assert_eq!([900, 180_900, 540_900, 720_900].map(|t| it.at_time(1, t)), [1, 2, 4, 5].map(Some));
-    assert_eq!([0, 901, 360_000, 1_080_900].map(|t| it.at_time(1, t)), [None; 4]);
-    assert_eq!(it.at_time(6, 900), None, "the second Period goes by number");
+fn periods_with_segments_by_time_and_by_number_are_parsed() {
+    let presentation = parse(TWO_PERIODS).unwrap();
+    assert_eq!(
+        (presentation.periods.len(), presentation.periods[1].start_ms, presentation.duration_ms),
+        (2, 12_000, Some(60_500))
+    );
+    assert_eq!(presentation.periods[1].segments, Segments::FixedDuration { segment_ms: 4000 });
+    assert_eq!(presentation.segments(), Some(5 + 13));
+    assert_eq!(presentation.longest_segment(), 4000);
+    assert_eq!([900, 180_900, 540_900, 720_900].map(|t| presentation.at_time(1, t)), [1, 2, 4, 5].map(Some));
+    assert_eq!([0, 901, 360_000, 1_080_900].map(|t| presentation.at_time(1, t)), [None; 4]);
+    assert_eq!(presentation.at_time(6, 900), None, "the second Period goes by number");
     // What is written for players goes by numbers through all of it, and reads as the same.
-    let again = parse(&it.write()).unwrap();
-    assert_eq!(again, it);
-    let mpd = dash_mpd::parse(&it.write()).expect("the independent parser reads it");
+    let reparsed = parse(&presentation.write()).unwrap();
+    assert_eq!(reparsed, presentation);
+    let mpd = dash_mpd::parse(&presentation.write()).expect("the independent parser reads it");
     let template = |p: usize| mpd.periods[p].adaptations[0].SegmentTemplate.clone().unwrap();
     assert_eq!(template(0).media.as_deref(), Some("$RepresentationID$/1-t$Time$.m4s"));
     assert_eq!((template(1).startNumber, template(0).SegmentTimeline.unwrap().segments.len()), (Some(6), 2));
@@ -123,9 +126,9 @@
 #[test_case("<MPD><Period><BaseURL>x</BaseURL></Period></MPD>", "BaseURL at byte 13: segments that lie elsewhere"; "a base below")]
 #[test_case("<MPD><Period><AdaptationSet><Representation/></AdaptationSet></Period></MPD>", "Representation at byte 28: bandwidth is missing"; "no bandwidth")]
 #[test_case("<MPD mediaPresentationDuration='PT9S'><Period/></MPD>", "Period \"1\": has no SegmentTemplate"; "no template")]
-fn a_bad_manifest_is_refused_by_its_place(text: &str, says: &str) {
-    let fault = parse(text).unwrap_err().to_string();
-    assert!(fault.contains(says), "{fault}");
+fn the_error_for_an_invalid_manifest_names_its_place(text: &str, expected: &str) {
+    let error = parse(text).unwrap_err().to_string();
+    assert!(error.contains(expected), "{error}");
 }
 
 #[test_case("timescale=\"90000\"", "timescale=\"0\"", "SegmentTemplate at byte"; "no timescale")]
@@ -138,16 +141,18 @@
 #[test_case("duration=\"120000\"", "duration=\"1\"", "Period \"b\": segments shorter than 1 ms"; "segments of no length")]
 #[test_case("PT1M0.5S", "P90D", "longer than"; "too long")]
 #[test_case("id=\"b\"", "id=\"&nope;\"", "id is malformed"; "an unknown entity")]
-fn a_spoilt_manifest_is_refused_by_its_place(find: &str, put: &str, says: &str) {
-    assert!(TWO.contains(find));
-    let fault = parse(&TWO.replacen(find, put, 1)).unwrap_err().to_string();
-    assert!(fault.contains(says), "{fault}");
+fn the_error_for_a_broken_attribute_names_its_place(old: &str, new: &str, expected: &str) {
+    assert!(TWO_PERIODS.contains(old));
+    let error = parse(&TWO_PERIODS.replacen(old, new, 1)).unwrap_err().to_string();
+    assert!(error.contains(expected), "{error}");
 }
 
 #[test]
-fn what_is_too_much_is_refused() {
-    let many = |what: &str, n: usize| TWO.replacen("<S d=", &format!("{}<S d=", what.repeat(n)), 1);
-    assert!(parse(&many("<S d=\"1\"/>", 20_000)).unwrap_err().cause.contains("entries"));
+fn manifests_over_the_limits_are_rejected() {
+    let with_more = |entry: &str, count: usize| {
+        TWO_PERIODS.replacen("<S d=", &format!("{}<S d=", entry.repeat(count)), 1)
+    };
+    assert!(parse(&with_more("<S d=\"1\"/>", 20_000)).unwrap_err().cause.contains("entries"));
     assert!(parse(&" ".repeat(2 << 20)).unwrap_err().cause.contains("bytes"));
     assert!(parse(&"<MPD>".repeat(100)).unwrap_err().cause.contains("deep"));
     let periods = format!("<MPD>{}</MPD>", "<Period/>".repeat(300));
@@ -158,23 +163,23 @@
 #[test_case(951_782_400_123, "2000-02-29T00:00:00.123Z"; "a leap day")]
 #[test_case(4_107_542_399_000, "2100-02-28T23:59:59.000Z"; "a century without one")]
 #[test_case(1_764_600_716_250, "2025-12-01T14:51:56.250Z"; "a day in december")]
-fn dates_are_those_of_the_calendar(ms: u64, text: &str) {
+fn dates_match_the_calendar(ms: u64, text: &str) {
     assert_eq!(date(ms), text);
 }
 
 fn presentation() -> impl Strategy<Value = Presentation> {
     let entries = prop::collection::vec((0u64..500, 1u64..10_000, 0u64..20), 1..6).prop_map(|raw| {
-        let mut follows = 0;
+        let mut earliest_start = 0;
         raw.into_iter()
             .map(|(gap, duration, repeat)| {
-                let start = follows + gap;
-                follows = start + duration * (repeat + 1);
+                let start = earliest_start + gap;
+                earliest_start = start + duration * (repeat + 1);
                 TimelineEntry { start, duration, repeat }
             })
             .collect()
     });
     let segments = prop_oneof![
-        (1u64..20_000).prop_map(|segment_ms| Segments::Even { segment_ms }),
+        (1u64..20_000).prop_map(|segment_ms| Segments::FixedDuration { segment_ms }),
         (1u64..100_000, entries, any::<bool>())
             .prop_map(|(timescale, entries, by_time)| Segments::Timeline { timescale, entries, by_time }),
     ];
@@ -199,9 +204,9 @@
             let periods: Vec<Period> = periods
                 .into_iter()
                 .map(|(id, length, segments)| {
-                    let it = Period { id, start_ms, segments, bandwidths: bandwidths.clone() };
+                    let period = Period { id, start_ms, segments, bandwidths: bandwidths.clone() };
                     start_ms += length;
-                    it
+                    period
                 })
                 .collect();
             let live = live.map(|(from_ms, update_ms, window_ms)| Live {
@@ -217,29 +222,29 @@
 
 proptest! {
     #[test]
-    fn what_is_written_reads_as_the_same(it in presentation()) {
-        prop_assert_eq!(parse(&it.write()), Ok(it));
+    fn a_written_manifest_parses_to_the_same(presentation in presentation()) {
+        prop_assert_eq!(parse(&presentation.write()), Ok(presentation));
     }
 
     /// Every time that a timeline names leads to a number of its own, in order, and no other time does.
     #[test]
-    fn times_and_numbers_go_together(it in presentation()) {
+    fn each_timeline_time_maps_to_its_own_number(presentation in presentation()) {
         let mut first = 1;
-        for (at, period) in it.periods.iter().enumerate() {
+        for (i, period) in presentation.periods.iter().enumerate() {
             if let Segments::Timeline { entries, by_time: true, .. } = &period.segments {
                 let times = entries.iter().flat_map(|e| (0..=e.repeat).map(|r| e.start + r * e.duration));
                 let times: Vec<u64> = times.collect();
                 for (n, time) in times.iter().enumerate() {
-                    prop_assert_eq!(it.at_time(first, *time), Some(first + n as u64));
+                    prop_assert_eq!(presentation.at_time(first, *time), Some(first + n as u64));
                     if !times.contains(&(time + 1)) {
-                        prop_assert_eq!(it.at_time(first, time + 1), None);
+                        prop_assert_eq!(presentation.at_time(first, time + 1), None);
                     }
                 }
             }
-            let mut only = it.clone();
-            only.periods.truncate(at + 1);
-            only.duration_ms = it.periods.get(at + 1).map(|next| next.start_ms).or(it.duration_ms);
-            match only.segments() {
+            let mut shortened = presentation.clone();
+            shortened.periods.truncate(i + 1);
+            shortened.duration_ms = presentation.periods.get(i + 1).map(|next| next.start_ms).or(presentation.duration_ms);
+            match shortened.segments() {
                 Some(all) => first = all + 1,
                 None => break,
             }
@@ -247,7 +252,7 @@
     }
 
     #[test]
-    fn no_text_is_a_panic(text in "(<MPD|<Period|<S|[ a-zA-Z<>/=\"'0-9&;-]){0,60}") {
+    fn no_text_makes_the_parser_panic(text in "(<MPD|<Period|<S|[ a-zA-Z<>/=\"'0-9&;-]){0,60}") {
         let _ = parse(&text);
     }
 }
