--- a/crates/dash/benches/path.rs
+++ b/crates/dash/benches/path.rs
@@ -1,4 +1,4 @@
-//! What a manifest request costs in tokens and MPDs: `cargo bench -p pulleystair-dash`.
+//! Cost of the tokens and MPDs of a manifest request: `cargo bench -p pulleystair-dash`.
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use pulleystair_dash::mpd::{self, Period, Presentation, Segments, TimelineEntry};
@@ -9,7 +9,7 @@
 
 fn make_key_ring(kids: &[&str]) -> KeyRing {
     let keys: Vec<(String, Vec<u8>)> = kids.iter().map(|kid| (kid.to_string(), vec![7; 32])).collect();
-    KeyRing::new(&keys).expect("long keys are a ring")
+    KeyRing::new(&keys).expect("keys of 32 bytes form a ring")
 }
 
 fn tokens(c: &mut Criterion) {
--- a/crates/dash/src/address.rs
+++ b/crates/dash/src/address.rs
@@ -1,71 +1,68 @@
-//! The addresses that a front serves.
+//! The paths that a front serves to players. PASS stands for the session token, ENTRY for the entry token.
 //!
-//! `/v1/PRODUCT/TITLE/manifest.mpd?token=ENTRY` asks for a play; the entry token may also come as
-//! `Authorization: Bearer`. `/s/PASS/RUNG/NUMBER.m4s` and `/s/PASS/RUNG/init.mp4` are its segments: the
-//! manifest's BaseURL holds the session token, so players need no support for query insertion
-//! (ISO/IEC 23009-1, annex I). `/s/PASS/RUNG/FIRST-tTIME.m4s` is the one that begins at that time in the Period whose
-//! first number that is. `/s/PASS/manifest.mpd` is the manifest of a play that runs, anew. `DELETE /s/PASS/` says
-//! that the viewer leaves. `/v1/time` tells the time, in its `Date`.
+//! - `/v1/PRODUCT/TITLE/manifest.mpd?token=ENTRY` requests a play. The entry token may also be sent as
+//!   `Authorization: Bearer`.
+//! - `/s/PASS/RUNG/NUMBER.m4s` and `/s/PASS/RUNG/init.mp4` are the segments of the play. The manifest's BaseURL holds the
+//!   session token, so that players need no support for query insertion (ISO/IEC 23009-1, annex I).
+//! - `/s/PASS/RUNG/FIRST-tTIME.m4s` is the segment that begins at TIME, in the Period whose first segment has the
+//!   number FIRST.
+//! - `/s/PASS/manifest.mpd` is the current manifest of a running play.
+//! - `DELETE /s/PASS/` ends the session when the viewer leaves.
+//! - `/v1/time` returns the time in its `Date` header.
 
-/// `initialization` and `media` of the SegmentTemplate, relative to the BaseURL.
+/// `initialization` of the SegmentTemplate, relative to the BaseURL.
 pub const INITIALISATION_TEMPLATE: &str = "$RepresentationID$/init.mp4";
+/// `media` of the SegmentTemplate where segments are addressed by number.
 pub const MEDIA_TEMPLATE: &str = "$RepresentationID$/$Number$.m4s";
-/// `media` by time; FIRST stands for the Period's first number.
+/// `media` of the SegmentTemplate where segments are addressed by time; FIRST stands for the number of the Period's first
+/// segment.
 pub const MEDIA_BY_TIME_TEMPLATE: &str = "$RepresentationID$/FIRST-t$Time$.m4s";
 
-/// Where players ask for the time.
+/// Path at which players read the time.
 pub const TIME_PATH: &str = "/v1/time";
 
+/// What a request target names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route<'a> {
-    Manifest {
-        product: &'a str,
-        title: &'a str,
-        entry: Option<&'a str>,
-    },
-    Segment {
-        pass: &'a str,
-        rung: usize,
-        which: SegmentId,
-    },
-    /// The manifest of a play that runs, anew.
-    Again {
-        pass: &'a str,
-    },
+    /// A new play. `entry` is the entry token in the query, if any.
+    Manifest { product: &'a str, title: &'a str, entry: Option<&'a str> },
+    /// A segment of a session; `pass` is the session token.
+    Segment { pass: &'a str, rung: usize, which: SegmentId },
+    /// The current manifest of a running play.
+    Again { pass: &'a str },
+    /// The time.
     Time,
-    Session {
-        pass: &'a str,
-    },
+    /// The session itself, which a `DELETE` ends.
+    Session { pass: &'a str },
 }
 
-/// Which of a title's segments.
+/// Names one of a title's segments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SegmentId {
+    /// The initialisation segment.
     Initialisation,
-    /// Numbered from 1 through all Periods.
+    /// By number, counted from 1 through all Periods.
     Number(u64),
-    /// That which begins at `time`, in the Period whose first number is `first`.
-    Time {
-        first: u64,
-        time: u64,
-    },
+    /// The segment that begins at `time`, in the Period whose first segment has the number `first`.
+    Time { first: u64, time: u64 },
 }
 
-/// Where a play's segments are; goes into the manifest.
-pub fn base_path(pass: &str) -> String {
-    format!("/s/{pass}/")
+/// Path under which a session's segments are served; the manifest's BaseURL.
+pub fn base_path(session_token: &str) -> String {
+    format!("/s/{session_token}/")
 }
 
-/// Where a play that runs has its manifest anew.
-pub fn refresh_path(pass: &str) -> String {
-    format!("/s/{pass}/manifest.mpd")
+/// Path of the current manifest of a running play.
+pub fn refresh_path(session_token: &str) -> String {
+    format!("/s/{session_token}/manifest.mpd")
 }
 
-pub fn manifest_path(product: &str, title: &str, entry: &str) -> String {
-    format!("/v1/{product}/{title}/manifest.mpd?token={entry}")
+/// Request target that asks for a play.
+pub fn manifest_path(product: &str, title: &str, entry_token: &str) -> String {
+    format!("/v1/{product}/{title}/manifest.mpd?token={entry_token}")
 }
 
-/// Reads the target of a request; none where a front serves nothing there.
+/// Parses a request target; none if the front serves nothing there.
 pub fn parse(target: &str) -> Option<Route<'_>> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     if path == TIME_PATH {
@@ -96,12 +93,14 @@
     parts.next().is_none().then_some(route)
 }
 
-/// Names of products, titles and servers as they stand in addresses: plain characters, 64 at most.
+/// Whether a name of a product, title or server is valid in a path: 1 to 64 ASCII letters, digits, `-`, `_` or `.`, not
+/// starting with a dot.
 pub fn is_valid_name(text: &str) -> bool {
     let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
     !text.is_empty() && text.len() <= 64 && text.bytes().all(is_allowed) && !text.starts_with('.')
 }
 
+/// Parses 1 to 16 decimal digits.
 fn parse_digits(text: &str) -> Option<u64> {
     let is_number = !text.is_empty() && text.len() <= 16 && text.bytes().all(|b| b.is_ascii_digit());
     is_number.then(|| text.parse().ok())?
--- a/crates/dash/src/lib.rs
+++ b/crates/dash/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a DASH player is handed and hands back: the manifest of a play ([`mpd`]), the addresses that lead
-//! through a front ([`address`]), and the tokens that vouch for a session ([`token`]). No I/O.
+//! The DASH side of a front: manifests ([`mpd`]), the paths that a front serves ([`address`]), and the tokens that
+//! authorize a play and its session ([`token`]). The crate does no I/O.
 
 pub mod address;
 pub mod mpd;
--- a/crates/dash/src/mpd.rs
+++ b/crates/dash/src/mpd.rs
@@ -1,73 +1,82 @@
-//! Media Presentation Descriptions (ISO/IEC 23009-1): written for players, and read where a title is described by one.
+//! Media Presentation Descriptions (MPDs, ISO/IEC 23009-1): written for players, and parsed where a title is described by an
+//! MPD file. Section numbers are those of the standard.
 //!
-//! What is known of them here is what a front needs: static and dynamic ones (5.3.1), several Periods (5.3.2), the
+//! The module supports what a front needs: static and dynamic MPDs (5.3.1), several Periods (5.3.2), the
 //! Representations of their video sets, and a SegmentTemplate by number or by time, with a duration or with a
-//! SegmentTimeline (5.3.9.4, 5.3.9.6). What is read besides is passed over; what would change where segments are
-//! and is not known (a SegmentList, a BaseURL of a lower level, an open-ended timeline) is refused by its place.
+//! SegmentTimeline (5.3.9.4, 5.3.9.6). Other elements are ignored. Unsupported elements that would change where segments
+//! are (a SegmentList, a BaseURL at a lower level, an open-ended timeline) are errors that name their place.
 //!
-//! Segments are numbered from 1 through all Periods, as media servers know them; [`Presentation::at_time`] finds the
-//! number of one that is addressed by its time.
+//! Segments are numbered from 1 through all Periods, as on the media servers; [`Presentation::at_time`] finds the
+//! number of a segment that is addressed by its time.
 
 use crate::address::{INITIALISATION_TEMPLATE, MEDIA_BY_TIME_TEMPLATE, MEDIA_TEMPLATE, TIME_PATH};
 use quick_xml::Reader;
 use quick_xml::events::{BytesDecl, BytesEnd, BytesStart, BytesText, Event};
 use quick_xml::writer::Writer;
 
-/// The largest MPD that is read, bytes; Periods, Representations of one, and timeline entries of one at most.
+/// Size limit of an MPD, bytes.
 pub const MAX_BYTES: usize = 1 << 20;
+/// Maximum number of Periods.
 pub const MAX_PERIODS: usize = 256;
+/// Maximum number of Representations in a Period.
 pub const MAX_REPRESENTATIONS: usize = 64;
+/// Maximum number of timeline entries in a Period.
 pub const MAX_TIMELINE_ENTRIES: usize = 20_000;
-/// Segments in all, and the longest presentation, ms.
+/// Maximum number of segments in all Periods.
 pub const MAX_SEGMENTS: u64 = 1_000_000;
+/// Maximum duration of a presentation, ms.
 pub const MAX_DURATION_MS: u64 = 31 * 86_400_000;
 
-/// What a manifest tells of a play.
+/// The content of a manifest.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Presentation {
     /// The title, as the MPD's id.
     pub title: String,
-    /// Where the segments are, relative to the manifest or absolute; ends in a slash. Empty where it tells none.
+    /// BaseURL of the segments, relative to the manifest or absolute; ends in a slash. Empty if the MPD has none.
     pub base: String,
-    /// Where to ask for the manifest again, if not where it came from.
+    /// URL from which players refresh the manifest, if it differs from its own.
     pub location: Option<String>,
-    /// How long it is in all, ms; none while a live title has no known end.
+    /// Total duration, ms; none while the end of a live title is not known.
     pub duration_ms: Option<u64>,
+    /// Attributes of a dynamic MPD; none for a static one.
     pub live: Option<Live>,
     pub periods: Vec<Period>,
 }
 
-/// What a dynamic one tells (5.3.1.2).
+/// Attributes of a dynamic MPD (5.3.1.2).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Live {
-    /// When its first segment began, ms since 1970: `availabilityStartTime`.
+    /// `availabilityStartTime`: when the first segment began, ms since 1970.
     pub from_ms: u64,
-    /// How often players ask again; none once nothing more will change.
+    /// `minimumUpdatePeriod`: how often players refresh the manifest, ms; none once it will not change any more.
     pub update_ms: Option<u64>,
-    /// How far back segments are kept: `timeShiftBufferDepth`; none for all of them.
+    /// `timeShiftBufferDepth`: how far back segments are kept, ms; none if all are kept.
     pub window_ms: Option<u64>,
+    /// `publishTime`, ms since 1970.
     pub published_ms: u64,
 }
 
+/// A Period and its video set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Period {
     pub id: String,
+    /// Start within the presentation, ms.
     pub start_ms: u64,
     pub segments: Segments,
     /// `bandwidth` of the Representations, lowest first, bit/s.
     pub bandwidths: Vec<u64>,
 }
 
-/// How the segments of a Period are told.
+/// Durations and addressing of the segments of a Period.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Segments {
-    /// All of a length, ms, addressed by number.
+    /// All segments have the same duration, ms, and are addressed by number.
     FixedDuration { segment_ms: u64 },
-    /// Each by its entry, in units of a second's `timescale`, and addressed by time or by number.
+    /// A timeline gives the segments' times, in units of 1/`timescale` s; they are addressed by time or by number.
     Timeline { timescale: u64, entries: Vec<TimelineEntry>, by_time: bool },
 }
 
-/// `S` of a SegmentTimeline: `repeat` more like the first, each `duration` long.
+/// An `S` element of a SegmentTimeline: a segment of this duration, followed by `repeat` more of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimelineEntry {
     pub start: u64,
@@ -75,7 +84,7 @@
     pub repeat: u64,
 }
 
-/// Why an MPD is not taken, and where: the element, and the byte that it is at.
+/// Why an MPD is rejected, and where: the element and its byte position.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{element} at byte {position}: {cause}")]
 pub struct MpdError {
@@ -84,12 +93,13 @@
     pub cause: String,
 }
 
+/// Number of segments in a Period of this duration; at least 1.
 pub fn segment_count(duration_ms: u64, segment_ms: u64) -> u64 {
     duration_ms.div_ceil(segment_ms.max(1)).max(1)
 }
 
 impl Segments {
-    /// How many there are in a Period that is so long; none while that is not known.
+    /// Number of segments in a Period of this length, ms; none while it is not known.
     fn count(&self, length_ms: Option<u64>) -> Option<u64> {
         match self {
             Segments::FixedDuration { segment_ms } => {
@@ -101,7 +111,7 @@
 }
 
 impl Presentation {
-    /// A title of one Period with segments of one length.
+    /// A static title of one Period, with segments of equal duration.
     pub fn plain(title: String, duration_ms: u64, segment_ms: u64) -> Presentation {
         Presentation {
             title,
@@ -118,13 +128,13 @@
         }
     }
 
-    /// Each Period's length, where it is known: up to the next one's start, or to the end.
+    /// Each Period and its length, ms, where it is known: up to the start of the next Period, or to the end.
     fn periods_with_lengths(&self) -> impl Iterator<Item = (&Period, Option<u64>)> {
         let ends = self.periods.iter().skip(1).map(|p| Some(p.start_ms)).chain([self.duration_ms]);
         self.periods.iter().zip(ends).map(|(p, end)| (p, end.map(|end| end.saturating_sub(p.start_ms))))
     }
 
-    /// The longest segment, ms.
+    /// Duration of the longest segment, ms.
     pub fn longest_segment(&self) -> u64 {
         let longest = self.periods.iter().map(|p| match &p.segments {
             Segments::FixedDuration { segment_ms } => *segment_ms,
@@ -135,13 +145,13 @@
         longest.max().unwrap_or(0)
     }
 
-    /// How many segments there are, numbered from 1; none while a live title has no known end.
+    /// Number of segments in all Periods; none while the end of a live title is not known.
     pub fn segments(&self) -> Option<u64> {
         self.periods_with_lengths().map(|(period, length)| period.segments.count(length)).sum()
     }
 
-    /// The number of the segment that begins at `time` in units of the Period's timescale, in the Period whose first
-    /// segment is `first`.
+    /// The number of the segment that begins at `time`, in units of the Period's timescale, in the Period whose first
+    /// segment has the number `first`.
     pub fn at_time(&self, first: u64, time: u64) -> Option<u64> {
         let mut count_before = 0;
         for (period, length) in self.periods_with_lengths() {
@@ -162,8 +172,8 @@
         None
     }
 
-    /// First and last number that may be asked for at `now`, ms since 1970 (A.3.2, A.3.4): of a live title the
-    /// segments that are complete and still kept, of another all of them. None where there is none yet.
+    /// First and last segment number that may be requested at `now`, ms since 1970 (A.3.2, A.3.4): for a live title the
+    /// segments that are complete and still kept, otherwise all of them. None if there is none yet.
     pub fn available(&self, now: u64) -> Option<(u64, u64)> {
         let Some(live) = &self.live else { return Some((1, self.segments()?)) };
         let Segments::FixedDuration { segment_ms } = self.periods.first()?.segments else {
@@ -171,16 +181,17 @@
         };
         let last = now.checked_sub(live.from_ms)? / segment_ms.max(1);
         let last = self.segments().map_or(last, |all| all.min(last));
-        // A segment is kept until its end and the window are past.
+        // A segment is kept until the time-shift window after its end has passed.
         let segments_gone = |window: u64| now.saturating_sub(live.from_ms + window) / segment_ms.max(1);
         let first = live.window_ms.map_or(1, |window| segments_gone(window) + 1);
         (last > 0).then_some((first.min(last), last))
     }
 
+    /// The MPD as XML text.
     pub fn write(&self) -> String {
         let mut writer = Writer::new_with_indent(Vec::new(), b' ', 1);
-        self.write_to(&mut writer).expect("a vector takes all that is written");
-        String::from_utf8(writer.into_inner()).expect("what is written is text")
+        self.write_to(&mut writer).expect("writing to a vector does not fail");
+        String::from_utf8(writer.into_inner()).expect("the XML is UTF-8")
     }
 
     fn write_to(&self, out: &mut Writer<Vec<u8>>) -> std::io::Result<()> {
@@ -212,7 +223,7 @@
             first_number += period.segments.count(length).unwrap_or(0);
         }
         if self.live.is_some() {
-            // Players set their clocks by the front's (5.8.4.11): segments are there by its time.
+            // Players synchronise with the front's clock (5.8.4.11), by which segments become available.
             let timing = [("schemeIdUri", "urn:mpeg:dash:utc:http-head:2014"), ("value", TIME_PATH)];
             out.create_element("UTCTiming").with_attributes(timing).write_empty()?;
         }
@@ -221,6 +232,7 @@
 }
 
 impl Period {
+    /// Writes the Period, whose first segment has the number `first_number`.
     fn write_to(&self, out: &mut Writer<Vec<u8>>, first_number: u64) -> std::io::Result<()> {
         let attributes = [("id", self.id.as_str()), ("start", &format_duration(self.start_ms))];
         out.write_event(Event::Start(BytesStart::new("Period").with_attributes(attributes)))?;
@@ -249,7 +261,7 @@
                 template.push_attribute(("timescale", timescale.to_string().as_str()));
                 template.push_attribute(("startNumber", first_number.as_str()));
                 template.push_attribute(("initialization", INITIALISATION_TEMPLATE));
-                // Times begin anew in each Period, so they go beside the number of its first segment.
+                // Times are relative to the Period, so the address also holds the number of its first segment.
                 let media = if *by_time {
                     MEDIA_BY_TIME_TEMPLATE.replace("FIRST", &first_number)
                 } else {
@@ -281,24 +293,24 @@
     }
 }
 
-/// A span of time as XML has it (XML Schema part 2, 3.2.6).
+/// A duration in XML (XML Schema part 2, 3.2.6).
 fn format_duration(ms: u64) -> String {
     format!("PT{}S", ms as f64 / 1000.0)
 }
 
-/// Days from 1970 to the first of March of that year, as years are counted from March.
+/// Days from 1970-01-01 to 1 March of a year. Years that begin in March have the leap day at their end.
 fn days_to_march(year: i64) -> i64 {
     365 * year + year.div_euclid(4) - year.div_euclid(100) + year.div_euclid(400) - 719_468
 }
 
-/// A time of day and date, in UTC (XML Schema part 2, 3.2.7).
+/// A date and time in UTC (XML Schema part 2, 3.2.7), from ms since 1970.
 pub fn date(ms: u64) -> String {
     let (days, rest) = ((ms / 86_400_000) as i64, ms % 86_400_000);
     let mut year = 1970 + days / 365;
     while days_to_march(year) > days {
         year -= 1;
     }
-    // From March on, months are 31, 30, 31, 30, 31 days long, and again.
+    // From March on, the lengths of months repeat: 31, 30, 31, 30, 31 days.
     let day_of_year = days - days_to_march(year);
     let month = (5 * day_of_year + 2) / 153;
     let day = day_of_year - (153 * month + 2) / 5 + 1;
@@ -307,9 +319,9 @@
     format!("{year:04}-{month:02}-{day:02}T{:02}:{:02}:{:02}.{ms:03}Z", s / 3600, s / 60 % 60, s % 60)
 }
 
-// ---- reading ----
+// ---- Parsing ----
 
-/// Reads `PnDTnHnMn.nS`; years and months have no fixed length and are not taken.
+/// Parses `PnDTnHnMn.nS` to ms; years and months have no fixed length and are rejected.
 fn parse_duration(text: &str) -> Option<u64> {
     let (mut ms, mut number, mut in_time) = (0f64, String::new(), false);
     for c in text.strip_prefix('P')?.chars() {
@@ -335,7 +347,7 @@
     (is_complete && ms <= 1e15).then(|| ms.round() as u64)
 }
 
-/// Reads `YYYY-MM-DDThh:mm:ss[.fff][Z]`, in UTC.
+/// Parses `YYYY-MM-DDThh:mm:ss[.fff][Z]`, in UTC, to ms since 1970.
 fn parse_date(text: &str) -> Option<u64> {
     let (day, time) = text.strip_suffix('Z').unwrap_or(text).split_once('T')?;
     let digits = |s: &str| s.bytes().all(|b| b.is_ascii_digit()).then(|| s.parse::<i64>().ok())?;
@@ -358,27 +370,31 @@
     u64::try_from(((days * 24 + hour) * 60 + minute) * 60_000 + second * 1000 + ms).ok()
 }
 
-/// A Period as it is read, before its neighbours are known.
+/// A Period as it is parsed, before its neighbours are known.
 #[derive(Default)]
 struct RawPeriod {
     id: String,
     start_ms: Option<u64>,
     duration_ms: Option<u64>,
+    /// Timescale, segment duration if given, and whether segments are addressed by time.
     template: Option<(u64, Option<u64>, bool)>,
     entries: Option<Vec<TimelineEntry>>,
     bandwidths: Vec<u64>,
 }
 
+/// Place in the document, for errors.
 struct ParseContext {
     position: u64,
     element: String,
 }
 
 impl ParseContext {
+    /// An error at the current place.
     fn error<T>(&self, cause: impl Into<String>) -> Result<T, MpdError> {
         Err(MpdError { element: self.element.clone(), position: self.position, cause: cause.into() })
     }
 
+    /// The value of an attribute without a namespace prefix, if present.
     fn attribute(&self, start: &BytesStart, name: &str) -> Result<Option<String>, MpdError> {
         for attribute in start.attributes() {
             let Ok(attribute) = attribute else { return self.error("an attribute is malformed") };
@@ -392,6 +408,7 @@
         Ok(None)
     }
 
+    /// An attribute converted by `parse`, if present; an error if it does not convert.
     fn parsed_attribute<T>(
         &self,
         start: &BytesStart,
@@ -410,28 +427,29 @@
         }
     }
 
+    /// An attribute that is an integer of at most 2^53.
     fn number_attribute(&self, start: &BytesStart, name: &str) -> Result<Option<u64>, MpdError> {
         self.parsed_attribute(start, name, |text| text.parse().ok().filter(|n| *n <= 1 << 53))
     }
 }
 
-/// Reads an MPD. What is not known is passed over or refused as the module says.
+/// Parses an MPD. Unsupported elements are ignored or rejected, as the module documentation says.
 pub fn parse(text: &str) -> Result<Presentation, MpdError> {
     let mut context = ParseContext { position: 0, element: "MPD".into() };
     if text.len() > MAX_BYTES {
-        return context.error(format!("{} bytes; {MAX_BYTES} at most", text.len()));
+        return context.error(format!("{} bytes, more than {MAX_BYTES}", text.len()));
     }
     let mut reader = Reader::from_str(text);
     let mut path: Vec<String> = Vec::new();
     let mut mpd: Option<Presentation> = None;
     let (mut raw_periods, mut content) = (Vec::<RawPeriod>::new(), String::new());
-    // Sets of other kinds than video are passed over, with all that is in them.
+    // Depth of an AdaptationSet that is skipped with its content: one that is not video, or a further video set.
     let mut skip_depth: Option<usize> = None;
     loop {
         context.position = reader.buffer_position();
         let event = match reader.read_event() {
             Ok(event) => event,
-            Err(e) => return context.error(format!("not read as XML: {e}")),
+            Err(e) => return context.error(format!("not valid XML: {e}")),
         };
         let (start, empty) = match &event {
             Event::Start(start) => (start, false),
@@ -447,12 +465,12 @@
                 let name = name.decode().unwrap_or_default();
                 match quick_xml::escape::unescape(&format!("&{name};")) {
                     Ok(text) if content.len() < 4096 => content.push_str(&text),
-                    _ => return context.error("an entity is not known"),
+                    _ => return context.error("unknown entity, or text over 4096 bytes"),
                 }
                 continue;
             }
             Event::End(_) => {
-                let Some(name) = path.pop() else { return context.error("ends what never began") };
+                let Some(name) = path.pop() else { return context.error("end tag without a start tag") };
                 let text = std::mem::take(&mut content).trim().to_string();
                 match (name.as_str(), path.len(), mpd.as_mut()) {
                     ("BaseURL", 1, Some(mpd)) if mpd.base.is_empty() => mpd.base = text,
@@ -463,9 +481,9 @@
                 context.element = path.last().cloned().unwrap_or_else(|| "MPD".into());
                 continue;
             }
-            Event::Eof if !path.is_empty() => return context.error("ends in the middle"),
+            Event::Eof if !path.is_empty() => return context.error("the document ends inside an element"),
             Event::Eof => break,
-            Event::DocType(_) => return context.error("a DOCTYPE is not taken"),
+            Event::DocType(_) => return context.error("a DOCTYPE is not allowed"),
             _ => continue,
         };
         let name = String::from_utf8_lossy(start.local_name().as_ref()).into_owned();
@@ -475,7 +493,7 @@
         if skip_depth.is_none() {
             match (parents.as_slice(), name.as_str()) {
                 ([], "MPD") if mpd.is_none() => mpd = Some(parse_root(&context, start)?),
-                ([], _) => return context.error("the root is one MPD"),
+                ([], _) => return context.error("the document must have one MPD as its root"),
                 (["MPD"], "Period") => {
                     if raw_periods.len() == MAX_PERIODS {
                         return context.error(format!("more than {MAX_PERIODS} Periods"));
@@ -490,7 +508,7 @@
                     });
                 }
                 (["MPD", "Period", ..], "BaseURL" | "SegmentList" | "SegmentBase") => {
-                    return context.error("segments that lie elsewhere are not known here");
+                    return context.error("only a SegmentTemplate is supported within a Period");
                 }
                 (["MPD", "Period"], "AdaptationSet") => {
                     let content_type =
@@ -503,11 +521,11 @@
                     let Some(raw) = raw_periods.last_mut() else { return context.error("outside a Period") };
                     let timescale = context.number_attribute(start, "timescale")?.unwrap_or(1);
                     if timescale == 0 || timescale > 1_000_000_000 {
-                        return context.error("timescale is 1 to 1000000000");
+                        return context.error("timescale is not in 1 to 1000000000");
                     }
                     let media = context.attribute(start, "media")?.unwrap_or_default();
                     if raw.template.is_some() {
-                        return context.error("one of a Period's video is known here");
+                        return context.error("more than one SegmentTemplate in the video of a Period");
                     }
                     let by_time = media.contains("$Time");
                     raw.template = Some((timescale, context.number_attribute(start, "duration")?, by_time));
@@ -544,17 +562,17 @@
             }
         }
     }
-    let Some(mpd) = mpd else { return context.error("there is none") };
+    let Some(mpd) = mpd else { return context.error("the document has no MPD element") };
     assemble(&context, mpd, raw_periods)
 }
 
-/// The attributes of the root.
+/// Parses the attributes of the root element.
 fn parse_root(context: &ParseContext, start: &BytesStart) -> Result<Presentation, MpdError> {
     let duration_ms = context.parsed_attribute(start, "mediaPresentationDuration", parse_duration)?;
     let live = match context.attribute(start, "type")?.as_deref() {
         Some("dynamic") => {
             let Some(from_ms) = context.parsed_attribute(start, "availabilityStartTime", parse_date)? else {
-                return context.error("a dynamic one has an availabilityStartTime");
+                return context.error("a dynamic MPD needs an availabilityStartTime");
             };
             Some(Live {
                 from_ms,
@@ -570,7 +588,8 @@
     Ok(Presentation { title, base: String::new(), location: None, duration_ms, live, periods: Vec::new() })
 }
 
-/// One `S` (5.3.9.6): without `t` it follows the one before; `r` of -1 goes on to an end that is not told here.
+/// Parses an `S` element (5.3.9.6). Without `t` it follows the entry before. A negative `r` would repeat up to an end that
+/// the element does not give, and is rejected.
 fn parse_timeline_entry(
     context: &ParseContext,
     element: &BytesStart,
@@ -583,7 +602,7 @@
         return context.error("d is missing or 0");
     };
     let repeat = match context.parsed_attribute(element, "r", |text| text.parse::<i64>().ok())?.unwrap_or(0) {
-        r if r < 0 => return context.error("an open-ended repetition is not known here"),
+        r if r < 0 => return context.error("an open-ended repetition is not supported"),
         r if r as u64 >= MAX_SEGMENTS => return context.error(format!("over {MAX_SEGMENTS} segments")),
         r => r as u64,
     };
@@ -591,17 +610,17 @@
         Some(e) => e.duration.checked_mul(e.repeat + 1).and_then(|length| e.start.checked_add(length)),
         None => Some(0),
     };
-    let Some(earliest_start) = earliest_start else { return context.error("times over any clock") };
+    let Some(earliest_start) = earliest_start else { return context.error("time overflow") };
     let start_time = context.number_attribute(element, "t")?.unwrap_or(earliest_start);
     if start_time < earliest_start {
         return context
-            .error(format!("t is {start_time}, before the end of the one before, {earliest_start}"));
+            .error(format!("t is {start_time}, before the end of the previous entry, {earliest_start}"));
     }
     entries.push(TimelineEntry { start: start_time, duration, repeat });
     Ok(())
 }
 
-/// Puts what was read together, and checks it as a whole.
+/// Assembles the Periods into the presentation, and checks it as a whole.
 fn assemble(
     context: &ParseContext,
     mut mpd: Presentation,
@@ -615,12 +634,12 @@
     for raw in raw_periods {
         let place = format!("Period {:?}", raw.id.chars().take(40).collect::<String>());
         let Some(start_ms) = raw.start_ms.or(end_ms) else {
-            return error(format!("{place}: has no start, and the one before no duration"));
+            return error(format!("{place}: has no start, and the previous Period has no duration"));
         };
         if end_ms.is_some_and(|end| start_ms < end)
             || mpd.periods.last().is_some_and(|p| start_ms <= p.start_ms)
         {
-            return error(format!("{place}: begins before the one before it ends"));
+            return error(format!("{place}: begins before the previous Period ends"));
         }
         let Some((timescale, duration, by_time)) = raw.template else {
             return error(format!("{place}: has no SegmentTemplate"));
@@ -643,14 +662,18 @@
             return error(format!("{place}: has no video Representation"));
         }
         if mpd.periods.last().is_some_and(|p| p.bandwidths.len() != raw.bandwidths.len()) {
-            return error(format!("{place}: has other Representations than the one before"));
+            return error(format!(
+                "{place}: has a different number of Representations than the previous Period"
+            ));
         }
         end_ms = raw.duration_ms.map(|length| start_ms.saturating_add(length));
         mpd.periods.push(Period { id: raw.id, start_ms, segments, bandwidths: raw.bandwidths });
     }
     mpd.duration_ms = mpd.duration_ms.or(end_ms).filter(|ms| *ms > 0);
     if mpd.live.is_none() && mpd.duration_ms.is_none() {
-        return error("a static one has a mediaPresentationDuration, or its last Period a duration".into());
+        return error(
+            "a static MPD needs a mediaPresentationDuration, or a duration of its last Period".into(),
+        );
     }
     if mpd.duration_ms.is_some_and(|ms| ms > MAX_DURATION_MS) {
         return error(format!("longer than {MAX_DURATION_MS} ms"));
--- a/crates/dash/src/token.rs
+++ b/crates/dash/src/token.rs
@@ -1,46 +1,51 @@
-//! Tokens as JSON Web Tokens (RFC 7519), signed by HMAC-SHA256 (RFC 7518, section 3.2).
+//! JSON Web Tokens (RFC 7519), signed with HMAC-SHA256 (RFC 7518, section 3.2).
 //!
-//! An entry token comes from the portal and asks for one play. A session token (a pass) is made by the front
-//! and opens that play's segments. Each names its key by `kid` (RFC 7515, section 4.1.4); a ring holds the
-//! keys that are live: the newest signs, all of them are read, and those taken out for some time more.
+//! An entry token is issued by the portal and asks for one play. A session token (also called a pass) is issued by the
+//! front and gives access to the segments of that play. Each token names its key by `kid` (RFC 7515, section 4.1.4). A
+//! key ring holds the live keys, of which the newest signs and all verify, and retired keys, which verify until their
+//! overlap ends. Times are in s since 1970.
 
 use jsonwebtoken::{Algorithm, DecodingKey, EncodingKey, Header, Validation};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::hash::{Hash, Hasher};
 
-/// The longest token that is read, bytes.
+/// Size limit of a token, bytes.
 pub const MAX_BYTES: usize = 1024;
-/// Bytes that a key must have, RFC 7518 section 3.2: no fewer than the hash's output.
+/// Minimum size of a key, bytes: the size of the hash's output (RFC 7518, section 3.2).
 pub const MIN_KEY_BYTES: usize = 32;
-/// Keys that may be live at once: the one in service, the one that comes, the one that goes.
+/// Maximum number of live keys: the one in use, its successor and its predecessor.
 pub const MAX_KEYS: usize = 3;
-/// Keys that were taken out and are still read, at most.
+/// Maximum number of retired keys that are still within their overlap.
 pub const MAX_RETIRED: usize = 32;
 
+/// Claims of an entry token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryToken {
-    /// The session: a request with the same one is the same play.
+    /// Identifier of the session: requests with the same one belong to the same play.
     pub jti: String,
-    /// The viewer.
+    /// Identifier of the viewer.
     pub sub: String,
     pub product: String,
     pub title: String,
     /// Highest rung that the viewer can use.
     pub top: usize,
-    /// Until when it may be used, s since 1970.
+    /// Expiry time, s since 1970.
     pub exp: u64,
 }
 
+/// Claims of a session token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionToken {
-    /// The session it was made for.
+    /// Identifier of the session: the `jti` of its entry token.
     pub sid: String,
     pub product: String,
     pub title: String,
+    /// Expiry time, s since 1970.
     pub exp: u64,
 }
 
+/// Why a token is rejected. The texts are sent to viewers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TokenError {
     #[error("token missing")]
@@ -60,7 +65,7 @@
 }
 
 impl TokenError {
-    /// The HTTP status that answers it.
+    /// HTTP status of the response to a request with such a token.
     pub fn status(self) -> u16 {
         match self {
             TokenError::Expired => 410,
@@ -70,32 +75,34 @@
     }
 }
 
+/// Why a set of keys is rejected.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
     #[error("key {0:?} has {1} bytes, fewer than {MIN_KEY_BYTES}")]
     TooShort(String, usize),
-    #[error("key {0:?} is there twice")]
+    #[error("key {0:?} is listed twice")]
     DuplicateId(String),
     #[error("{0} keys; 1 to {MAX_KEYS} are allowed")]
     WrongCount(usize),
     #[error("key {0:?} has another secret than before; a new secret needs a new id")]
     SecretChanged(String),
-    #[error("{0} keys taken out are still in their overlap; {MAX_RETIRED} may be")]
+    #[error("{0} retired keys would still be in their overlap; at most {MAX_RETIRED} are allowed")]
     TooManyRetired(usize),
 }
 
+/// A key by its id.
 struct Key {
     kid: String,
-    /// By which a secret is known to be the same; it never leaves this module.
+    /// Hash by which a changed secret is recognised; never leaves this module.
     fingerprint: u64,
     signing_key: EncodingKey,
     verifying_key: DecodingKey,
 }
 
-/// The live keys, the newest first, and those that were taken out and are read until their overlap ends.
+/// The live keys, the signing one first, and the retired keys, which verify until their overlap ends.
 pub struct KeyRing {
     live: Vec<Key>,
-    /// Until when each is read, s since 1970.
+    /// Each retired key and the end of its overlap, s since 1970.
     retired: Vec<(Key, u64)>,
 }
 
@@ -105,6 +112,7 @@
     }
 }
 
+/// Hash of a secret, to compare secrets by.
 fn fingerprint(secret: &[u8]) -> u64 {
     let mut hash = std::hash::DefaultHasher::new();
     secret.hash(&mut hash);
@@ -112,7 +120,7 @@
 }
 
 impl KeyRing {
-    /// Keys by their ids; the first one signs.
+    /// A ring of these live keys, each an id and a secret; the first one signs.
     pub fn new(keys: &[(String, Vec<u8>)]) -> Result<KeyRing, KeyError> {
         if keys.is_empty() || keys.len() > MAX_KEYS {
             return Err(KeyError::WrongCount(keys.len()));
@@ -134,7 +142,7 @@
         Ok(KeyRing { live: keys.iter().map(new_key).collect(), retired: Vec::new() })
     }
 
-    /// Whether [`KeyRing::replace`] would take these keys.
+    /// Checks whether [`KeyRing::replace`] would accept these keys at `now`, s since 1970.
     pub fn may_replace(&self, keys: &[(String, Vec<u8>)], now: u64) -> Result<(), KeyError> {
         let new_ring = KeyRing::new(keys)?;
         let mut known_keys = self.live.iter().chain(self.retired.iter().map(|(k, _)| k));
@@ -150,8 +158,8 @@
         if retired_count > MAX_RETIRED { Err(KeyError::TooManyRetired(retired_count)) } else { Ok(()) }
     }
 
-    /// Puts other keys in service at `now`; those taken out are read for `overlap` s more, and one that comes back
-    /// is live again. Nothing changes where the new set can't be.
+    /// Replaces the live keys at `now`, s since 1970. Keys that are no longer listed verify for another `overlap` s; a
+    /// retired key that is listed again becomes live. On an error, nothing changes.
     pub fn replace(&mut self, keys: &[(String, Vec<u8>)], now: u64, overlap: u64) -> Result<(), KeyError> {
         self.may_replace(keys, now)?;
         let new_ring = KeyRing::new(keys)?;
@@ -163,17 +171,20 @@
         Ok(())
     }
 
+    /// The live or retired key with this id.
     fn find_key(&self, kid: &str, now: u64) -> Option<&Key> {
         let retired = self.retired.iter().filter(|(_, until)| *until > now).map(|(k, _)| k);
         self.live.iter().chain(retired).find(|k| k.kid == kid)
     }
 
+    /// A token with these claims, signed with the first live key.
     pub fn sign(&self, claims: &impl Serialize) -> String {
         let key = &self.live[0];
         let header = Header { kid: Some(key.kid.clone()), ..Header::new(Algorithm::HS256) };
         jsonwebtoken::encode(&header, claims, &key.signing_key).expect("plain claims are signed by any key")
     }
 
+    /// Checks size, algorithm, key and signature of a token, and returns its claims.
     fn verify_signature<T: for<'a> Deserialize<'a>>(&self, token: &str, now: u64) -> Result<T, TokenError> {
         if token.is_empty() {
             return Err(TokenError::Missing);
@@ -188,7 +199,7 @@
         let key = header.kid.as_deref().and_then(|kid| self.find_key(kid, now));
         let key = key.ok_or(TokenError::UnknownKey)?;
         let mut validation = Validation::new(Algorithm::HS256);
-        // Times are compared here, by the caller's clock.
+        // The callers compare `exp` with the time that they are given.
         validation.validate_exp = false;
         validation.required_spec_claims.clear();
         let decoded = jsonwebtoken::decode::<T>(token, &key.verifying_key, &validation);
@@ -200,7 +211,7 @@
             .claims)
     }
 
-    /// Reads an entry token at `now`, s since 1970, for the product and title that are asked for.
+    /// Verifies an entry token at `now`, s since 1970, for the requested product and title.
     pub fn verify_entry(
         &self,
         token: &str,
@@ -218,12 +229,13 @@
         if entry.exp <= now { Err(TokenError::Expired) } else { Ok(entry) }
     }
 
+    /// Verifies a session token at `now`, s since 1970.
     pub fn verify_session(&self, token: &str, now: u64) -> Result<SessionToken, TokenError> {
         let session_token = self.verify_session_signature(token, now)?;
         if session_token.exp <= now { Err(TokenError::Expired) } else { Ok(session_token) }
     }
 
-    /// A pass that is ours, whether or not its time is up: a play that runs may have renewed it.
+    /// Verifies a session token except for its expiry: a running play may have renewed it.
     pub fn verify_session_signature(&self, token: &str, now: u64) -> Result<SessionToken, TokenError> {
         self.verify_signature(token, now)
     }
--- a/crates/dash/tests/mpd.rs
+++ b/crates/dash/tests/mpd.rs
@@ -1,4 +1,4 @@
-//! Manifests written, read back, and read by an independent parser; bad ones refused by their place.
+//! Manifests are written, parsed back, and parsed by an independent parser (dash-mpd). Errors name the place in the MPD.
 
 use proptest::prelude::*;
 use pulleystair_dash::mpd::{Live, Period, Presentation, Segments, TimelineEntry, date, parse};
@@ -12,12 +12,12 @@
 }
 
 #[test_case(34_000, 2000, 17; "whole segments")]
-#[test_case(34_500, 2000, 18; "a short last one")]
-#[test_case(10, 2000, 1; "one short one")]
+#[test_case(34_500, 2000, 18; "short last segment")]
+#[test_case(10, 2000, 1; "one short segment")]
 fn an_independent_parser_reads_a_written_manifest(duration_ms: u64, segment_ms: u64, segments: u64) {
     let presentation = plain(duration_ms, segment_ms);
     assert_eq!(presentation.segments(), Some(segments));
-    let mpd = dash_mpd::parse(&presentation.write()).expect("the independent parser reads it");
+    let mpd = dash_mpd::parse(&presentation.write()).expect("the independent parser accepts it");
     assert_eq!(mpd.mpdtype.as_deref(), Some("static"));
     assert_eq!(mpd.id.as_deref(), Some("forms & fees <1>"));
     assert_eq!(mpd.mediaPresentationDuration.unwrap().as_millis() as u64, duration_ms);
@@ -48,7 +48,7 @@
 fn a_live_title_gives_a_dynamic_manifest() {
     let mut presentation = live(30_000, None);
     presentation.location = Some("/s/a.b.c/manifest.mpd".into());
-    let mpd = dash_mpd::parse(&presentation.write()).expect("the independent parser reads it");
+    let mpd = dash_mpd::parse(&presentation.write()).expect("the independent parser accepts it");
     assert_eq!(mpd.mpdtype.as_deref(), Some("dynamic"));
     assert_eq!(mpd.minimumUpdatePeriod.unwrap().as_millis(), 2000);
     assert_eq!(mpd.timeShiftBufferDepth.unwrap().as_millis(), 30_000);
@@ -62,16 +62,16 @@
     let presentation = live(10_000, Some(60_000));
     let available_at = |ms: u64| presentation.available(1_764_600_716_250 + ms);
     assert_eq!(available_at(0), None);
-    assert_eq!(available_at(1_999), None, "the first is not complete");
+    assert_eq!(available_at(1_999), None, "the first segment is not complete");
     assert_eq!(available_at(2_000), Some((1, 1)));
     assert_eq!(available_at(11_999), Some((1, 5)));
-    assert_eq!(available_at(12_000), Some((2, 6)), "the first has left the window");
+    assert_eq!(available_at(12_000), Some((2, 6)), "the first segment has left the time-shift window");
     assert_eq!(available_at(60_000), Some((26, 30)));
-    assert_eq!(available_at(600_000), Some((30, 30)), "it has ended");
-    assert_eq!(presentation.available(5), None, "long before");
+    assert_eq!(available_at(600_000), Some((30, 30)), "the title has ended");
+    assert_eq!(presentation.available(5), None, "long before the start");
 }
 
-/// Two Periods, the first by time.
+/// Two Periods; the segments of the first are addressed by time, those of the second by number.
 const TWO_PERIODS: &str = r#"<?xml version="1.0"?>
 <MPD xmlns="urn:mpeg:dash:schema:mpd:2011" type="static" mediaPresentationDuration="PT1M0.5S">
   <Period id="a" duration="PT12S">
@@ -103,27 +103,27 @@
     assert_eq!(presentation.longest_segment(), 4000);
     assert_eq!([900, 180_900, 540_900, 720_900].map(|t| presentation.at_time(1, t)), [1, 2, 4, 5].map(Some));
     assert_eq!([0, 901, 360_000, 1_080_900].map(|t| presentation.at_time(1, t)), [None; 4]);
-    assert_eq!(presentation.at_time(6, 900), None, "the second Period goes by number");
-    // What is written for players goes by numbers through all of it, and reads as the same.
+    assert_eq!(presentation.at_time(6, 900), None, "segments of the second Period are addressed by number");
+    // The MPD that is written for players numbers segments through all Periods, and parses to the same presentation.
     let reparsed = parse(&presentation.write()).unwrap();
     assert_eq!(reparsed, presentation);
-    let mpd = dash_mpd::parse(&presentation.write()).expect("the independent parser reads it");
+    let mpd = dash_mpd::parse(&presentation.write()).expect("the independent parser accepts it");
     let template = |p: usize| mpd.periods[p].adaptations[0].SegmentTemplate.clone().unwrap();
     assert_eq!(template(0).media.as_deref(), Some("$RepresentationID$/1-t$Time$.m4s"));
     assert_eq!((template(1).startNumber, template(0).SegmentTimeline.unwrap().segments.len()), (Some(6), 2));
 }
 
-#[test_case("", "MPD at byte 0: there is none"; "nothing")]
-#[test_case("<MPD", "MPD at byte 0: not read as XML"; "half a tag")]
-#[test_case("<HTML></HTML>", "HTML at byte 0: the root is one MPD"; "another document")]
-#[test_case("<MPD><Period>", "ends in the middle"; "cut off")]
-#[test_case("<!DOCTYPE x [<!ENTITY a 'b'>]><MPD/>", "a DOCTYPE is not taken"; "a doctype")]
+#[test_case("", "MPD at byte 0: the document has no MPD element"; "empty document")]
+#[test_case("<MPD", "MPD at byte 0: not valid XML"; "truncated tag")]
+#[test_case("<HTML></HTML>", "HTML at byte 0: the document must have one MPD as its root"; "another document")]
+#[test_case("<MPD><Period>", "the document ends inside an element"; "truncated document")]
+#[test_case("<!DOCTYPE x [<!ENTITY a 'b'>]><MPD/>", "a DOCTYPE is not allowed"; "a doctype")]
 #[test_case("<MPD type='odd'/>", "MPD at byte 0: type is \"odd\""; "another type")]
-#[test_case("<MPD type='dynamic'/>", "availabilityStartTime"; "live since never")]
-#[test_case("<MPD type='dynamic' availabilityStartTime='yesterday'/>", "availabilityStartTime is \"yesterday\""; "no date")]
+#[test_case("<MPD type='dynamic'/>", "availabilityStartTime"; "dynamic without start time")]
+#[test_case("<MPD type='dynamic' availabilityStartTime='yesterday'/>", "availabilityStartTime is \"yesterday\""; "invalid date")]
 #[test_case("<MPD/>", "has no Period"; "no period")]
-#[test_case("<MPD mediaPresentationDuration='1 hour'/>", "mediaPresentationDuration is \"1 hour\""; "no span")]
-#[test_case("<MPD><Period><BaseURL>x</BaseURL></Period></MPD>", "BaseURL at byte 13: segments that lie elsewhere"; "a base below")]
+#[test_case("<MPD mediaPresentationDuration='1 hour'/>", "mediaPresentationDuration is \"1 hour\""; "invalid duration")]
+#[test_case("<MPD><Period><BaseURL>x</BaseURL></Period></MPD>", "BaseURL at byte 13: only a SegmentTemplate is supported"; "base url in a period")]
 #[test_case("<MPD><Period><AdaptationSet><Representation/></AdaptationSet></Period></MPD>", "Representation at byte 28: bandwidth is missing"; "no bandwidth")]
 #[test_case("<MPD mediaPresentationDuration='PT9S'><Period/></MPD>", "Period \"1\": has no SegmentTemplate"; "no template")]
 fn the_error_for_an_invalid_manifest_names_its_place(text: &str, expected: &str) {
@@ -131,14 +131,14 @@
     assert!(error.contains(expected), "{error}");
 }
 
-#[test_case("timescale=\"90000\"", "timescale=\"0\"", "SegmentTemplate at byte"; "no timescale")]
+#[test_case("timescale=\"90000\"", "timescale=\"0\"", "SegmentTemplate at byte"; "timescale zero")]
 #[test_case("d=\"360000\"", "d=\"0\"", "S at byte"; "a segment without length")]
 #[test_case("r=\"3\"", "r=\"-1\"", "open-ended"; "an open end")]
 #[test_case("r=\"3\"", "r=\"99999999\"", "over 1000000 segments"; "too many segments")]
-#[test_case("<S d=", "<S t=\"5\" d=", "t is 5, before the end of the one before, 720900"; "entries that overlap")]
-#[test_case("duration=\"PT12S\"", "", "Period \"b\": has no start"; "a period that begins nowhere")]
+#[test_case("<S d=", "<S t=\"5\" d=", "t is 5, before the end of the previous entry, 720900"; "entries that overlap")]
+#[test_case("duration=\"PT12S\"", "", "Period \"b\": has no start"; "period without start")]
 #[test_case("<Period id=\"b\">", "<Period id=\"b\" start=\"PT3S\">", "Period \"b\": begins before"; "periods that overlap")]
-#[test_case("duration=\"120000\"", "duration=\"1\"", "Period \"b\": segments shorter than 1 ms"; "segments of no length")]
+#[test_case("duration=\"120000\"", "duration=\"1\"", "Period \"b\": segments shorter than 1 ms"; "segments of almost no duration")]
 #[test_case("PT1M0.5S", "P90D", "longer than"; "too long")]
 #[test_case("id=\"b\"", "id=\"&nope;\"", "id is malformed"; "an unknown entity")]
 fn the_error_for_a_broken_attribute_names_its_place(old: &str, new: &str, expected: &str) {
@@ -159,9 +159,9 @@
     assert!(parse(&periods).unwrap_err().cause.contains("Periods"));
 }
 
-#[test_case(0, "1970-01-01T00:00:00.000Z"; "the beginning")]
+#[test_case(0, "1970-01-01T00:00:00.000Z"; "the epoch")]
 #[test_case(951_782_400_123, "2000-02-29T00:00:00.123Z"; "a leap day")]
-#[test_case(4_107_542_399_000, "2100-02-28T23:59:59.000Z"; "a century without one")]
+#[test_case(4_107_542_399_000, "2100-02-28T23:59:59.000Z"; "a century without a leap day")]
 #[test_case(1_764_600_716_250, "2025-12-01T14:51:56.250Z"; "a day in december")]
 fn dates_match_the_calendar(ms: u64, text: &str) {
     assert_eq!(date(ms), text);
@@ -226,7 +226,7 @@
         prop_assert_eq!(parse(&presentation.write()), Ok(presentation));
     }
 
-    /// Every time that a timeline names leads to a number of its own, in order, and no other time does.
+    /// Each start time in a timeline maps to its own number, in order, and no other time maps to any.
     #[test]
     fn each_timeline_time_maps_to_its_own_number(presentation in presentation()) {
         let mut first = 1;
--- a/crates/dash/tests/path.rs
+++ b/crates/dash/tests/path.rs
@@ -1,4 +1,4 @@
-//! Addresses and tokens, good and bad.
+//! Tests of request targets and tokens, valid and invalid.
 
 use pulleystair_dash::address::{self, Route, SegmentId};
 use pulleystair_dash::token::{EntryToken, KeyError, KeyRing, SessionToken, TokenError};
@@ -26,15 +26,15 @@
 
 #[test_case("/"; "root")]
 #[test_case("/v1/guide/forms"; "no file")]
-#[test_case("/v1/../forms/manifest.mpd"; "climbing")]
-#[test_case("/v1/guide/fo%2frms/manifest.mpd"; "escaped")]
-#[test_case("/s//0/1.m4s"; "no pass")]
+#[test_case("/v1/../forms/manifest.mpd"; "parent directory")]
+#[test_case("/v1/guide/fo%2frms/manifest.mpd"; "percent encoding")]
+#[test_case("/s//0/1.m4s"; "no session token")]
 #[test_case("/s/p/0/0.m4s"; "number zero")]
 #[test_case("/s/p/0/+1.m4s"; "sign")]
 #[test_case("/s/p/0/99999999999999999999.m4s"; "too many digits")]
 #[test_case("/s/p/0/1-t.m4s"; "no time")]
-#[test_case("/s/p/0/0-t5.m4s"; "a time in no Period")]
-#[test_case("/s/p/0/1.m4s/x"; "longer")]
+#[test_case("/s/p/0/0-t5.m4s"; "a time without a period")]
+#[test_case("/s/p/0/1.m4s/x"; "further path part")]
 #[test_case("s/p/0/1.m4s"; "relative")]
 fn other_targets_have_no_route(target: &str) {
     assert_eq!(address::parse(target), None);
@@ -85,7 +85,7 @@
     assert!(key_ring.verify_entry(&old, 129, "guide", "forms").is_ok());
     assert_eq!(key_ring.verify_entry(&old, 130, "guide", "forms"), Err(TokenError::UnknownKey));
     assert!(key_ring.verify_entry(&new, 130, "guide", "forms").is_ok());
-    // Back in service before its overlap has ended, it is live as any other.
+    // Listed again before its overlap has ended, the key is live like any other.
     key_ring.replace(&secrets(&[("k1", 1), ("k2", 2)]), 110, 30).unwrap();
     assert!(
         key_ring.verify_entry(&old, 500, "guide", "forms").is_ok()
@@ -102,7 +102,7 @@
     assert_eq!(key_ring.replace(&[], 10, 30), Err(KeyError::WrongCount(0)));
     assert_eq!(key_ring.replace(&secrets(&[("k1", 9)]), 10, 30), Err(KeyError::SecretChanged("k1".into())));
     assert!(key_ring.verify_entry(&token, 99, "guide", "forms").is_ok());
-    assert_eq!(key_ring.sign(&entry()), token, "the old one goes on signing");
+    assert_eq!(key_ring.sign(&entry()), token, "the old key still signs");
 }
 
 #[test]
@@ -115,7 +115,11 @@
     }
     assert!(tokens.iter().all(|t| key_ring.verify_entry(t, 39, "guide", "forms").is_ok()));
     assert_eq!(key_ring.replace(&secrets(&[("k99", 99)]), 39, 30), Err(KeyError::TooManyRetired(33)));
-    assert_eq!(key_ring.replace(&secrets(&[("k99", 99)]), 40, 30), Ok(()), "their overlap is over");
+    assert_eq!(
+        key_ring.replace(&secrets(&[("k99", 99)]), 40, 30),
+        Ok(()),
+        "the overlap of the retired keys is over"
+    );
 }
 
 #[test_case(100, "guide", "forms", TokenError::Expired, 410; "expired")]
@@ -151,7 +155,7 @@
         let mut bytes = token.clone().into_bytes();
         bytes[at] = if bytes[at] == b'A' { b'B' } else { b'A' };
         let changed = String::from_utf8(bytes).unwrap();
-        // The last character of the signature holds two bits that no byte needs.
+        // Two bits of the last character of the signature are unused, so changing them changes nothing.
         if at + 1 < token.len() {
             assert!(key_ring.verify_entry(&changed, 1, "guide", "forms").is_err(), "changed at {at}");
         }
--- a/crates/membership/src/endpoints.rs
+++ b/crates/membership/src/endpoints.rs
@@ -10,11 +10,13 @@
 /// Retry delays, and when an endpoint counts as slow.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointConfig {
-    /// Ceiling of the delay after the first failure, and of any delay, ms.
+    /// Ceiling of the delay after the first failure, ms.
     pub first_delay_ms: f64,
+    /// Ceiling of any delay, ms.
     pub max_delay_ms: f64,
     /// An endpoint is slow if its latency exceeds both this many times the fastest endpoint's latency and `min_slow_ms`.
     pub slow_factor: f64,
+    /// An endpoint with a latency up to this, ms, is never slow.
     pub min_slow_ms: f64,
 }
 
@@ -36,6 +38,7 @@
 pub struct Endpoints {
     config: EndpointConfig,
     endpoints: Vec<Endpoint>,
+    /// Index of the endpoint in use.
     current: usize,
     rng: Rand64,
 }
