--- a/crates/dash/benches/path.rs
+++ b/crates/dash/benches/manifest_request.rs
@@ -17,7 +17,7 @@
     let (product, title) = ("guide".to_string(), "forms-12".to_string());
     let jti = "0f3c7a5e9b1d4826".to_string();
     let sub = "viewer-81723".to_string();
-    let entry = EntryToken {
+    let entry_claims = EntryToken {
         jti: jti.clone(),
         sub,
         product: product.clone(),
@@ -25,22 +25,22 @@
         top: 4,
         exp: NOW + 60,
     };
-    let session_token =
+    let session_claims =
         SessionToken { sid: jti, product: product.clone(), title: title.clone(), exp: NOW + 60 };
-    let (entry, signed) = (key_ring.sign(&entry), key_ring.sign(&session_token));
-    let forged = format!("{}AA", &signed[..signed.len() - 2]);
+    let (entry_token, session_token) = (key_ring.sign(&entry_claims), key_ring.sign(&session_claims));
+    let forged = format!("{}AA", &session_token[..session_token.len() - 2]);
     let mut group = c.benchmark_group("tokens");
     group.throughput(Throughput::Elements(1));
     group.bench_function("check an entry", |b| {
-        b.iter(|| key_ring.verify_entry(black_box(&entry), NOW, &product, &title).is_ok())
+        b.iter(|| key_ring.verify_entry(black_box(&entry_token), NOW, &product, &title).is_ok())
     });
     group.bench_function("check a pass", |b| {
-        b.iter(|| key_ring.verify_session(black_box(&signed), NOW).is_ok())
+        b.iter(|| key_ring.verify_session(black_box(&session_token), NOW).is_ok())
     });
     group.bench_function("refuse a forged pass", |b| {
         b.iter(|| key_ring.verify_session(black_box(&forged), NOW).is_err())
     });
-    group.bench_function("sign a pass", |b| b.iter(|| key_ring.sign(black_box(&session_token))));
+    group.bench_function("sign a pass", |b| b.iter(|| key_ring.sign(black_box(&session_claims))));
     group.finish();
 }
 
--- a/crates/dash/src/address.rs
+++ b/crates/dash/src/address.rs
@@ -102,6 +102,6 @@
 
 /// Parses 1 to 16 decimal digits.
 fn parse_digits(text: &str) -> Option<u64> {
-    let is_number = !text.is_empty() && text.len() <= 16 && text.bytes().all(|b| b.is_ascii_digit());
-    is_number.then(|| text.parse().ok())?
+    let is_valid = !text.is_empty() && text.len() <= 16 && text.bytes().all(|b| b.is_ascii_digit());
+    is_valid.then(|| text.parse().ok())?
 }
--- a/crates/dash/src/mpd.rs
+++ b/crates/dash/src/mpd.rs
@@ -100,10 +100,10 @@
 
 impl Segments {
     /// Number of segments in a Period of this length, ms; none while it is not known.
-    fn count(&self, length_ms: Option<u64>) -> Option<u64> {
+    fn count(&self, duration_ms: Option<u64>) -> Option<u64> {
         match self {
             Segments::FixedDuration { segment_ms } => {
-                length_ms.map(|length| segment_count(length, *segment_ms))
+                duration_ms.map(|duration_ms| segment_count(duration_ms, *segment_ms))
             }
             Segments::Timeline { entries, .. } => Some(entries.iter().map(|e| e.repeat + 1).sum()),
         }
@@ -129,7 +129,7 @@
     }
 
     /// Each Period and its length, ms, where it is known: up to the start of the next Period, or to the end.
-    fn periods_with_lengths(&self) -> impl Iterator<Item = (&Period, Option<u64>)> {
+    fn periods_with_durations(&self) -> impl Iterator<Item = (&Period, Option<u64>)> {
         let ends = self.periods.iter().skip(1).map(|p| Some(p.start_ms)).chain([self.duration_ms]);
         self.periods.iter().zip(ends).map(|(p, end)| (p, end.map(|end| end.saturating_sub(p.start_ms))))
     }
@@ -147,14 +147,14 @@
 
     /// Number of segments in all Periods; none while the end of a live title is not known.
     pub fn segments(&self) -> Option<u64> {
-        self.periods_with_lengths().map(|(period, length)| period.segments.count(length)).sum()
+        self.periods_with_durations().map(|(period, duration_ms)| period.segments.count(duration_ms)).sum()
     }
 
     /// The number of the segment that begins at `time`, in units of the Period's timescale, in the Period whose first
     /// segment has the number `first`.
     pub fn at_time(&self, first: u64, time: u64) -> Option<u64> {
         let mut count_before = 0;
-        for (period, length) in self.periods_with_lengths() {
+        for (period, duration_ms) in self.periods_with_durations() {
             if count_before + 1 == first {
                 let Segments::Timeline { entries, by_time: true, .. } = &period.segments else { return None };
                 let mut number = first;
@@ -167,7 +167,7 @@
                 }
                 return None;
             }
-            count_before += period.segments.count(length)?;
+            count_before += period.segments.count(duration_ms)?;
         }
         None
     }
@@ -182,8 +182,8 @@
         let last = now.checked_sub(live.from_ms)? / segment_ms.max(1);
         let last = self.segments().map_or(last, |all| all.min(last));
         // A segment is kept until the time-shift window after its end has passed.
-        let segments_gone = |window: u64| now.saturating_sub(live.from_ms + window) / segment_ms.max(1);
-        let first = live.window_ms.map_or(1, |window| segments_gone(window) + 1);
+        let expired_count = |window: u64| now.saturating_sub(live.from_ms + window) / segment_ms.max(1);
+        let first = live.window_ms.map_or(1, |window| expired_count(window) + 1);
         (last > 0).then_some((first.min(last), last))
     }
 
@@ -218,9 +218,9 @@
             out.create_element("BaseURL").write_text_content(BytesText::new(&self.base))?;
         }
         let mut first_number = 1;
-        for (period, length) in self.periods_with_lengths() {
+        for (period, duration_ms) in self.periods_with_durations() {
             period.write_to(out, first_number)?;
-            first_number += period.segments.count(length).unwrap_or(0);
+            first_number += period.segments.count(duration_ms).unwrap_or(0);
         }
         if self.live.is_some() {
             // Players synchronise with the front's clock (5.8.4.11), by which segments become available.
@@ -666,7 +666,7 @@
                 "{place}: has a different number of Representations than the previous Period"
             ));
         }
-        end_ms = raw.duration_ms.map(|length| start_ms.saturating_add(length));
+        end_ms = raw.duration_ms.map(|duration_ms| start_ms.saturating_add(duration_ms));
         mpd.periods.push(Period { id: raw.id, start_ms, segments, bandwidths: raw.bandwidths });
     }
     mpd.duration_ms = mpd.duration_ms.or(end_ms).filter(|ms| *ms > 0);
--- a/crates/dash/src/token.rs
+++ b/crates/dash/src/token.rs
@@ -160,13 +160,13 @@
 
     /// Replaces the live keys at `now`, s since 1970. Keys that are no longer listed verify for another `overlap` s; a
     /// retired key that is listed again becomes live. On an error, nothing changes.
-    pub fn replace(&mut self, keys: &[(String, Vec<u8>)], now: u64, overlap: u64) -> Result<(), KeyError> {
+    pub fn replace(&mut self, keys: &[(String, Vec<u8>)], now: u64, overlap_s: u64) -> Result<(), KeyError> {
         self.may_replace(keys, now)?;
         let new_ring = KeyRing::new(keys)?;
         let is_kept = |key: &Key| new_ring.live.iter().any(|n| n.kid == key.kid);
         self.retired.retain(|(k, until)| *until > now && !is_kept(k));
         let old_keys = std::mem::take(&mut self.live);
-        self.retired.extend(old_keys.into_iter().filter(|k| !is_kept(k)).map(|k| (k, now + overlap)));
+        self.retired.extend(old_keys.into_iter().filter(|k| !is_kept(k)).map(|k| (k, now + overlap_s)));
         self.live = new_ring.live;
         Ok(())
     }
@@ -219,20 +219,20 @@
         product: &str,
         title: &str,
     ) -> Result<EntryToken, TokenError> {
-        let entry: EntryToken = self.verify_signature(token, now)?;
-        if entry.product != product || entry.title != title {
+        let claims: EntryToken = self.verify_signature(token, now)?;
+        if claims.product != product || claims.title != title {
             return Err(TokenError::WrongTitleOrProduct);
         }
-        if entry.jti.is_empty() || entry.jti.len() > 64 {
+        if claims.jti.is_empty() || claims.jti.len() > 64 {
             return Err(TokenError::Malformed);
         }
-        if entry.exp <= now { Err(TokenError::Expired) } else { Ok(entry) }
+        if claims.exp <= now { Err(TokenError::Expired) } else { Ok(claims) }
     }
 
     /// Verifies a session token at `now`, s since 1970.
     pub fn verify_session(&self, token: &str, now: u64) -> Result<SessionToken, TokenError> {
-        let session_token = self.verify_session_signature(token, now)?;
-        if session_token.exp <= now { Err(TokenError::Expired) } else { Ok(session_token) }
+        let claims = self.verify_session_signature(token, now)?;
+        if claims.exp <= now { Err(TokenError::Expired) } else { Ok(claims) }
     }
 
     /// Verifies a session token except for its expiry: a running play may have renewed it.
--- a/crates/dash/tests/mpd.rs
+++ b/crates/dash/tests/mpd.rs
@@ -252,7 +252,7 @@
     }
 
     #[test]
-    fn no_text_makes_the_parser_panic(text in "(<MPD|<Period|<S|[ a-zA-Z<>/=\"'0-9&;-]){0,60}") {
+    fn arbitrary_text_does_not_panic_the_parser(text in "(<MPD|<Period|<S|[ a-zA-Z<>/=\"'0-9&;-]){0,60}") {
         let _ = parse(&text);
     }
 }
--- a/crates/dash/tests/path.rs
+++ b/crates/dash/tests/targets_and_tokens.rs
@@ -49,7 +49,7 @@
     KeyRing::new(&keys).unwrap()
 }
 
-fn entry() -> EntryToken {
+fn entry_claims() -> EntryToken {
     let text = |t: &str| t.to_string();
     EntryToken {
         jti: text("s1"),
@@ -66,10 +66,10 @@
     let old = make_key_ring(&[("k1", 1)]);
     let both = make_key_ring(&[("k2", 2), ("k1", 1)]);
     let new = make_key_ring(&[("k2", 2)]);
-    let token = old.sign(&entry());
-    assert_eq!(both.verify_entry(&token, 99, "guide", "forms"), Ok(entry()));
+    let token = old.sign(&entry_claims());
+    assert_eq!(both.verify_entry(&token, 99, "guide", "forms"), Ok(entry_claims()));
     assert_eq!(new.verify_entry(&token, 99, "guide", "forms"), Err(TokenError::UnknownKey));
-    assert_eq!(new.verify_entry(&both.sign(&entry()), 99, "guide", "forms"), Ok(entry()));
+    assert_eq!(new.verify_entry(&both.sign(&entry_claims()), 99, "guide", "forms"), Ok(entry_claims()));
 }
 
 fn secrets(kids: &[(&str, u8)]) -> Vec<(String, Vec<u8>)> {
@@ -79,9 +79,9 @@
 #[test]
 fn tokens_of_a_retired_key_verify_until_its_overlap_ends() {
     let mut key_ring = make_key_ring(&[("k1", 1)]);
-    let old = key_ring.sign(&EntryToken { exp: 1000, ..entry() });
+    let old = key_ring.sign(&EntryToken { exp: 1000, ..entry_claims() });
     key_ring.replace(&secrets(&[("k2", 2)]), 100, 30).unwrap();
-    let new = key_ring.sign(&EntryToken { exp: 1000, ..entry() });
+    let new = key_ring.sign(&EntryToken { exp: 1000, ..entry_claims() });
     assert!(key_ring.verify_entry(&old, 129, "guide", "forms").is_ok());
     assert_eq!(key_ring.verify_entry(&old, 130, "guide", "forms"), Err(TokenError::UnknownKey));
     assert!(key_ring.verify_entry(&new, 130, "guide", "forms").is_ok());
@@ -96,22 +96,22 @@
 #[test]
 fn an_invalid_key_set_changes_nothing() {
     let mut key_ring = make_key_ring(&[("k1", 1)]);
-    let token = key_ring.sign(&entry());
+    let token = key_ring.sign(&entry_claims());
     let short = vec![("k2".to_string(), vec![2; 5])];
     assert_eq!(key_ring.replace(&short, 10, 30), Err(KeyError::TooShort("k2".into(), 5)));
     assert_eq!(key_ring.replace(&[], 10, 30), Err(KeyError::WrongCount(0)));
     assert_eq!(key_ring.replace(&secrets(&[("k1", 9)]), 10, 30), Err(KeyError::SecretChanged("k1".into())));
     assert!(key_ring.verify_entry(&token, 99, "guide", "forms").is_ok());
-    assert_eq!(key_ring.sign(&entry()), token, "the old key still signs");
+    assert_eq!(key_ring.sign(&entry_claims()), token, "the old key still signs");
 }
 
 #[test]
 fn the_number_of_retired_keys_is_bounded_and_all_of_them_verify() {
     let mut key_ring = make_key_ring(&[("k0", 0)]);
-    let mut tokens = vec![key_ring.sign(&entry())];
+    let mut tokens = vec![key_ring.sign(&entry_claims())];
     for n in 1..=32u8 {
         key_ring.replace(&[(format!("k{n}"), secret(n))], 10, 30).unwrap();
-        tokens.push(key_ring.sign(&entry()));
+        tokens.push(key_ring.sign(&entry_claims()));
     }
     assert!(tokens.iter().all(|t| key_ring.verify_entry(t, 39, "guide", "forms").is_ok()));
     assert_eq!(key_ring.replace(&secrets(&[("k99", 99)]), 39, 30), Err(KeyError::TooManyRetired(33)));
@@ -133,16 +133,16 @@
     status: u16,
 ) {
     let key_ring = make_key_ring(&[("k1", 1)]);
-    let error = key_ring.verify_entry(&key_ring.sign(&entry()), now, product, title).unwrap_err();
+    let error = key_ring.verify_entry(&key_ring.sign(&entry_claims()), now, product, title).unwrap_err();
     assert_eq!((error, error.status()), (expected, status));
 }
 
 #[test]
 fn altered_tokens_never_verify() {
     let key_ring = make_key_ring(&[("k1", 1)]);
-    let token = key_ring.sign(&entry());
+    let token = key_ring.sign(&entry_claims());
     assert_eq!(
-        key_ring.verify_entry(&make_key_ring(&[("k1", 9)]).sign(&entry()), 1, "guide", "forms"),
+        key_ring.verify_entry(&make_key_ring(&[("k1", 9)]).sign(&entry_claims()), 1, "guide", "forms"),
         Err(TokenError::WrongSignature)
     );
     assert_eq!(key_ring.verify_entry("", 1, "guide", "forms"), Err(TokenError::Missing));
@@ -165,13 +165,13 @@
 #[test]
 fn entry_and_session_tokens_are_not_interchangeable() {
     let key_ring = make_key_ring(&[("k1", 1)]);
-    let session_token =
+    let session_claims =
         SessionToken { sid: "s1".into(), product: "guide".into(), title: "forms".into(), exp: 100 };
-    assert_eq!(key_ring.verify_session(&key_ring.sign(&session_token), 99), Ok(session_token.clone()));
-    assert_eq!(key_ring.verify_session(&key_ring.sign(&session_token), 100), Err(TokenError::Expired));
-    assert_eq!(key_ring.verify_session(&key_ring.sign(&entry()), 99), Err(TokenError::Malformed));
+    assert_eq!(key_ring.verify_session(&key_ring.sign(&session_claims), 99), Ok(session_claims.clone()));
+    assert_eq!(key_ring.verify_session(&key_ring.sign(&session_claims), 100), Err(TokenError::Expired));
+    assert_eq!(key_ring.verify_session(&key_ring.sign(&entry_claims()), 99), Err(TokenError::Malformed));
     assert_eq!(
-        key_ring.verify_entry(&key_ring.sign(&session_token), 99, "guide", "forms"),
+        key_ring.verify_entry(&key_ring.sign(&session_claims), 99, "guide", "forms"),
         Err(TokenError::Malformed)
     );
 }
--- a/crates/membership/src/endpoints.rs
+++ b/crates/membership/src/endpoints.rs
@@ -94,9 +94,9 @@
 
     /// Whether the endpoint is much slower than the fastest one that responds.
     fn is_slow(&self, endpoint: usize) -> bool {
-        let others = self.endpoints.iter().filter(|e| e.failures == 0).filter_map(|e| e.latency_ms);
-        let fastest = others.min_by(f64::total_cmp);
-        let limit = fastest.map(|q| (q * self.config.slow_factor).max(self.config.min_slow_ms));
+        let latencies = self.endpoints.iter().filter(|e| e.failures == 0).filter_map(|e| e.latency_ms);
+        let fastest_ms = latencies.min_by(f64::total_cmp);
+        let limit = fastest_ms.map(|ms| (ms * self.config.slow_factor).max(self.config.min_slow_ms));
         matches!((self.endpoints[endpoint].latency_ms, limit), (Some(latency), Some(limit)) if latency > limit)
     }
 }
@@ -153,7 +153,7 @@
     }
 
     #[test]
-    fn retry_delays_grow_up_to_the_maximum() {
+    fn retry_delays_stay_below_a_doubling_ceiling_until_a_response() {
         let mut endpoints = Endpoints::new(CONFIG, 1, 7);
         let mut longest_delay = 0.0f64;
         for n in 0..200 {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -10,10 +10,10 @@
 //! the loss of that many servers.
 
 pub mod endpoints;
-mod settle;
+mod merge;
 pub mod snapshot;
 
-pub use settle::{Availability, Report, ReportedState, settle_reports};
+pub use merge::{Availability, Report, ReportedState, merge_reports};
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -28,7 +28,7 @@
     /// went back is held back for as long.
     pub hold_ms: f64,
     /// A server that came back this often within `return_window_ms` gets no new plays for the same time.
-    pub max_returns: usize,
+    pub drain_after_returns: usize,
     pub return_window_ms: f64,
     /// A list older than this, ms, adds servers only while no source is in step.
     pub max_list_age_ms: f64,
@@ -94,7 +94,7 @@
     /// The update removes this many of the servers that the source lists.
     Shrunk { removed: usize, total: usize },
     /// The revision went back: the source read a stale follower, or the registry was set up anew.
-    Backwards { from: u64, to: u64 },
+    LowerRevision { from: u64, to: u64 },
 }
 
 /// A server that may get plays, or that drains.
@@ -102,7 +102,7 @@
 pub struct ListedServer {
     pub server: Server,
     /// Whether only an old list reports the server.
-    pub cached: bool,
+    pub unconfirmed: bool,
 }
 
 /// What is known from one source.
@@ -110,7 +110,7 @@
 struct Source {
     revision: u64,
     /// Whether the full list and every change since have arrived.
-    in_step: bool,
+    is_synced: bool,
     last_heard_at: Option<f64>,
     /// The last report on each server, by name.
     reports: HashMap<String, ServerReport>,
@@ -166,7 +166,7 @@
 
     /// The revision up to which all of a source's changes are known; none if its full list is needed.
     pub fn revision(&self, source: usize) -> Option<u64> {
-        self.sources[source].in_step.then_some(self.sources[source].revision)
+        self.sources[source].is_synced.then_some(self.sources[source].revision)
     }
 
     /// When a source was last heard.
@@ -176,7 +176,7 @@
 
     /// Applies an update from a source.
     pub fn apply(&mut self, now: f64, source: usize, update: Update) -> UpdateResult {
-        let was_in_step = self.in_step();
+        let was_any_synced = self.any_source_synced();
         let (mut affected, mut result) = match update {
             Update::Full { revision, age_ms, servers } => {
                 self.apply_full_list(now, source, revision, age_ms, servers)
@@ -186,12 +186,12 @@
             }
             Update::Alive => (BTreeSet::new(), UpdateResult::default()),
             Update::Lost => {
-                self.sources[source].in_step = false;
+                self.sources[source].is_synced = false;
                 return UpdateResult { full_list_needed: true, ..UpdateResult::default() };
             }
         };
         self.sources[source].last_heard_at = Some(now);
-        if was_in_step != self.in_step() {
+        if was_any_synced != self.any_source_synced() {
             // Whether old lists may add servers depends on whether a source is in step.
             affected.extend(self.members.keys().cloned());
         }
@@ -201,8 +201,8 @@
     }
 
     /// Whether any source is in step.
-    fn in_step(&self) -> bool {
-        self.sources.iter().any(|s| s.in_step)
+    fn any_source_synced(&self) -> bool {
+        self.sources.iter().any(|s| s.is_synced)
     }
 
     /// Replaces a source's list. Returns the names of the servers that it affects, and the effect.
@@ -225,7 +225,7 @@
                     .filter(|s| source_state.reports.get(&s.name).is_some_and(|report| !report.gone))
                     .collect();
                 let affected = source_state.record_servers(now, draining, is_old);
-                let held_back = Some(HoldReason::Backwards { from: source_state.revision, to: revision });
+                let held_back = Some(HoldReason::LowerRevision { from: source_state.revision, to: revision });
                 return (
                     affected,
                     UpdateResult { full_list_needed: true, held_back, ..UpdateResult::default() },
@@ -234,7 +234,7 @@
         }
         source_state.lower_revision = None;
         // Changes can't be applied on top of a list that is too old.
-        (source_state.revision, source_state.in_step) = (revision, !is_old);
+        (source_state.revision, source_state.is_synced) = (revision, !is_old);
         let listed_names: BTreeSet<&str> = servers.iter().map(|s| s.name.as_str()).collect();
         let known = source_state.reports.iter().filter(|(_, report)| !report.gone);
         let removed: Vec<String> = known
@@ -266,7 +266,7 @@
         removed: Vec<String>,
     ) -> (BTreeSet<String>, UpdateResult) {
         let source_state = &mut self.sources[source];
-        if !source_state.in_step {
+        if !source_state.is_synced {
             // A change in between may be missing.
             return (BTreeSet::new(), UpdateResult { full_list_needed: true, ..UpdateResult::default() });
         }
@@ -361,14 +361,15 @@
         for source_state in &mut self.sources {
             source_state.reports.retain(|_, report| !report.gone || now < report.reported_at + forget_after);
         }
-        let settled = self.members.iter().filter(|(_, m)| m.drained_until > 0.0 && m.drained_until <= now);
-        affected.extend(settled.map(|(name, _)| name.clone()));
+        let drain_ended =
+            self.members.iter().filter(|(_, m)| m.drained_until > 0.0 && m.drained_until <= now);
+        affected.extend(drain_ended.map(|(name, _)| name.clone()));
         self.update_members(now, affected)
     }
 
     /// Settles the reports on these servers again; true if one of them changed.
     fn update_members(&mut self, now: f64, affected: BTreeSet<String>) -> bool {
-        let in_step = self.in_step();
+        let any_source_synced = self.any_source_synced();
         let mut changed = false;
         for name in affected {
             let reports: Vec<(usize, &ServerReport)> = (0..self.sources.len())
@@ -391,7 +392,7 @@
             let is_disputed = inputs
                 .iter()
                 .any(|s| s.state != inputs[0].state || s.process_started_at != inputs[0].process_started_at);
-            let availability = settle_reports(&inputs, in_step);
+            let availability = merge_reports(&inputs, any_source_synced);
             // The newest process counts; of two reports on it, the one of the first source.
             let newest =
                 reports.iter().rev().max_by(|a, b| a.1.server.started_at.total_cmp(&b.1.server.started_at));
@@ -434,15 +435,15 @@
         if has_returned {
             member.returned_at.retain(|at| *at > now - config.return_window_ms);
             member.returned_at.push_back(now);
-            if member.returned_at.len() >= config.max_returns {
+            if member.returned_at.len() >= config.drain_after_returns {
                 member.drained_until = now + config.return_window_ms;
             }
         }
-        let has_settled = member.drained_until > 0.0 && member.drained_until <= now;
-        if has_settled {
+        let has_drain_ended = member.drained_until > 0.0 && member.drained_until <= now;
+        if has_drain_ended {
             (member.drained_until, member.returned_at) = (0.0, VecDeque::new());
         }
-        let changed = has_settled || (member.availability, &member.server) != (availability, &server);
+        let changed = has_drain_ended || (member.availability, &member.server) != (availability, &server);
         (member.server, member.availability) = (server, availability);
         changed
     }
@@ -464,7 +465,7 @@
                 let drains = m.availability == Some(Availability::Draining) || m.drained_until > now;
                 let standing = if drains { Standing::Draining } else { Standing::Ready };
                 let server = Server { standing, ..m.server.clone() };
-                ListedServer { server, cached: m.availability == Some(Availability::Cached) }
+                ListedServer { server, unconfirmed: m.availability == Some(Availability::Unconfirmed) }
             })
             .collect()
     }
--- a/crates/membership/src/settle.rs
+++ b/crates/membership/src/merge.rs
@@ -26,18 +26,18 @@
 pub enum Availability {
     Ready,
     /// Only an old list reports the server ready: it may have restarted since.
-    Cached,
+    Unconfirmed,
     Draining,
 }
 
-/// Settles the reports on one server; none if it is not listed. `in_step` tells whether any source is in step. The rules, in
+/// Settles the reports on one server; none if it is not listed. `any_source_synced` tells whether any source is in step. The rules, in
 /// this order:
 ///
 /// 1. Only reports on the process that started last count.
 /// 2. A report that the server drains counts, whichever source it comes from.
 /// 3. A report that the server is gone counts, unless another source reports it present and was heard since.
 /// 4. An old list adds a server only while no source is in step.
-pub fn settle_reports(reports: &[Report], in_step: bool) -> Option<Availability> {
+pub fn merge_reports(reports: &[Report], any_source_synced: bool) -> Option<Availability> {
     let newest = reports.iter().map(|r| r.process_started_at).max_by(f64::total_cmp)?;
     let on_newest = |state: ReportedState| {
         reports.iter().filter(move |r| r.process_started_at == newest && r.state == state)
@@ -55,7 +55,7 @@
     if ready.any(|r| !r.from_old_list) {
         return Some(Availability::Ready);
     }
-    (!in_step).then_some(Availability::Cached)
+    (!any_source_synced).then_some(Availability::Unconfirmed)
 }
 
 #[cfg(test)]
@@ -84,11 +84,11 @@
     #[test_case(&[report(Draining, 5.0, 1.0, 1.0), report(Ready, 9.0, 2.0, 2.0)], true, Some(Availability::Ready); "the process that drained is replaced")]
     #[test_case(&[report(Gone, 5.0, 3.0, 3.0), report(Ready, 9.0, 2.0, 2.0)], true, Some(Availability::Ready); "the process that is gone is replaced")]
     #[test_case(&[report(Ready, 5.0, 3.0, 3.0), report(Gone, 9.0, 2.0, 2.0)], true, None; "the newer process is gone")]
-    #[test_case(&[from_old_list(report(Ready, 0.0, 1.0, 1.0))], false, Some(Availability::Cached); "an old list alone")]
+    #[test_case(&[from_old_list(report(Ready, 0.0, 1.0, 1.0))], false, Some(Availability::Unconfirmed); "an old list alone")]
     #[test_case(&[from_old_list(report(Ready, 0.0, 1.0, 1.0))], true, None; "an old list beside a source in step")]
     #[test_case(&[from_old_list(report(Ready, 0.0, 1.0, 1.0)), report(Ready, 0.0, 2.0, 2.0)], true, Some(Availability::Ready); "an old list and a new one")]
     #[test_case(&[from_old_list(report(Draining, 0.0, 1.0, 1.0)), report(Ready, 0.0, 2.0, 2.0)], true, Some(Availability::Draining); "a drain counts from an old list")]
-    fn reports_settle_to(reports: &[Report], in_step: bool, expected: Option<Availability>) {
-        assert_eq!(settle_reports(reports, in_step), expected);
+    fn reports_merge_to(reports: &[Report], any_source_synced: bool, expected: Option<Availability>) {
+        assert_eq!(merge_reports(reports, any_source_synced), expected);
     }
 }
--- a/crates/membership/src/snapshot.rs
+++ b/crates/membership/src/snapshot.rs
@@ -66,13 +66,16 @@
         if fields.next() != Some(FILE_KIND) {
             return Err(SnapshotError::NotASnapshot);
         }
-        let version = fields.next().and_then(|w| w.parse().ok()).ok_or(SnapshotError::NotASnapshot)?;
+        let version =
+            fields.next().and_then(|field| field.parse().ok()).ok_or(SnapshotError::NotASnapshot)?;
         if version != VERSION {
             return Err(SnapshotError::UnsupportedVersion(version));
         }
-        let checksum =
-            fields.next().and_then(|w| u32::from_str_radix(w, 16).ok()).ok_or(SnapshotError::NotASnapshot)?;
-        let length = fields.next().and_then(|w| w.parse().ok()).ok_or(SnapshotError::NotASnapshot)?;
+        let checksum = fields
+            .next()
+            .and_then(|field| u32::from_str_radix(field, 16).ok())
+            .ok_or(SnapshotError::NotASnapshot)?;
+        let length = fields.next().and_then(|field| field.parse().ok()).ok_or(SnapshotError::NotASnapshot)?;
         let body = &bytes[header_end + 1..];
         if body.len() != length {
             return Err(SnapshotError::WrongLength(body.len(), length));
--- a/crates/membership/tests/explore.rs
+++ b/crates/membership/tests/explore.rs
@@ -11,7 +11,7 @@
 const CONFIG: MembershipConfig = MembershipConfig {
     max_shrink_share: 0.9,
     hold_ms: 1000.0,
-    max_returns: 1000,
+    drain_after_returns: 1000,
     return_window_ms: 5000.0,
     max_list_age_ms: 2000.0,
     forget_gone_after_ms: 1e9,
@@ -71,7 +71,7 @@
 ];
 
 #[derive(Clone)]
-struct World {
+struct RegistryModel {
     now: f64,
     /// State of the registry at each revision.
     history: Vec<State>,
@@ -85,15 +85,15 @@
     view: View,
 }
 
-impl World {
-    fn new() -> World {
+impl RegistryModel {
+    fn new() -> RegistryModel {
         // m2 is never removed; m1 is in the file too.
         let state: State = [0, 1, 2].map(|n| (n, Standing::Ready)).into();
         let mut view = View::new(CONFIG, 2);
         view.apply(0.0, REGISTRY, Update::Full { revision: 0, age_ms: 0.0, servers: servers(&state) });
         let file = vec![server(1, Standing::Ready)];
         view.apply(0.0, FILE, Update::Full { revision: 0, age_ms: 0.0, servers: file });
-        World {
+        RegistryModel {
             now: 0.0,
             history: vec![state],
             compacted: 0,
@@ -213,20 +213,20 @@
     }
 
     /// Checks that each listed server is ready in the newest state that arrived, or in the file.
-    fn assert_invariants(&self, path: &[Event]) {
+    fn assert_invariants(&self, events: &[Event]) {
         let known = &self.history[self.arrived];
         for n in self.ready_servers() {
             let is_in_file = n == 1 && known.get(&n).is_none();
             assert!(
                 known.get(&n) == Some(&Standing::Ready) || is_in_file,
-                "m{n} is listed as ready, but the registry reported {:?}: {path:?}",
+                "m{n} is listed as ready, but the registry reported {:?}: {events:?}",
                 known.get(&n)
             );
         }
     }
 
     /// Restores the connection, delivers every change, and checks that the view equals the registry.
-    fn assert_convergence(mut self, path: &[Event]) {
+    fn assert_convergence(mut self, events: &[Event]) {
         if !self.connected {
             self.reconnect();
         }
@@ -242,24 +242,24 @@
         let mut registry = self.history[self.history.len() - 1].clone();
         // The file still lists m1.
         registry.entry(1).or_insert(Standing::Ready);
-        assert_eq!(listed, registry, "{path:?}");
+        assert_eq!(listed, registry, "{events:?}");
     }
 }
 
 /// Checks this state, and all that follow from it by one more event, up to [`DEPTH`].
-fn explore(world: &World, path: &mut Vec<Event>, visited: &mut usize) {
+fn explore(model: &RegistryModel, events: &mut Vec<Event>, visited: &mut usize) {
     *visited += 1;
-    world.assert_invariants(path);
-    world.clone().assert_convergence(path);
-    if path.len() == DEPTH {
+    model.assert_invariants(events);
+    model.clone().assert_convergence(events);
+    if events.len() == DEPTH {
         return;
     }
     for event in EVENTS {
-        let mut next = world.clone();
+        let mut next = model.clone();
         if next.apply(event) {
-            path.push(event);
-            explore(&next, path, visited);
-            path.pop();
+            events.push(event);
+            explore(&next, events, visited);
+            events.pop();
         }
     }
 }
@@ -267,6 +267,6 @@
 #[test]
 fn every_order_of_events_keeps_the_invariants_and_converges() {
     let mut visited = 0;
-    explore(&World::new(), &mut Vec::new(), &mut visited);
+    explore(&RegistryModel::new(), &mut Vec::new(), &mut visited);
     assert!(visited > 10_000, "{visited} states");
 }
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -7,7 +7,7 @@
 const CONFIG: MembershipConfig = MembershipConfig {
     max_shrink_share: 0.5,
     hold_ms: 1000.0,
-    max_returns: 3,
+    drain_after_returns: 3,
     return_window_ms: 5000.0,
     max_list_age_ms: 2000.0,
     forget_gone_after_ms: 60_000.0,
@@ -114,7 +114,7 @@
     view.apply(1.0, 0, change(20, &[server(9)], &[1]));
     let stale =
         view.apply(2.0, 0, full_list(15, (0..8).map(|n| if n == 4 { draining(4) } else { server(n) })));
-    assert_eq!(stale.held_back, Some(HoldReason::Backwards { from: 20, to: 15 }));
+    assert_eq!(stale.held_back, Some(HoldReason::LowerRevision { from: 20, to: 15 }));
     assert_eq!(ready(&view, 2.0), [0, 2, 3, 5, 6, 7, 9], "only the drain applies");
     view.apply(900.0, 0, full_list(16, (0..4).map(server)));
     assert_eq!(ready(&view, 900.0).len(), 7);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_process_replaced_under_the_same_name_or_address_counts_as_new() {
+fn a_new_process_under_a_known_name_or_address_replaces_the_old_one() {
     let mut view = view_with(4);
     view.apply(100.0, 0, change(11, &[Server { address: ([127, 0, 0, 1], 9999).into(), ..server(1) }], &[]));
     assert_eq!(
@@ -161,15 +161,15 @@
 }
 
 #[test]
-fn a_snapshot_lists_cached_servers_until_a_source_in_step_overrules_it() {
+fn a_snapshot_lists_unconfirmed_servers_until_another_source_is_synced() {
     let mut view = View::new(CONFIG, 2);
     let snapshot = Update::Full { revision: 5, age_ms: 1e6, servers: (0..4).map(server).collect() };
     assert!(view.apply(0.0, 1, snapshot).changed);
-    assert!(view.list(0.0).iter().all(|l| l.cached) && ready(&view, 0.0).len() == 4);
+    assert!(view.list(0.0).iter().all(|l| l.unconfirmed) && ready(&view, 0.0).len() == 4);
     assert_eq!(view.revision(1), None);
     view.apply(1.0, 0, full_list(50, [server(1), server(2), server(9)]));
     assert_eq!(ready(&view, 1.0), [1, 2, 9]);
-    assert!(view.list(1.0).iter().all(|l| !l.cached));
+    assert!(view.list(1.0).iter().all(|l| !l.unconfirmed));
 }
 
 #[test]
@@ -228,11 +228,11 @@
     /// does it list a server as ready that is not ready in the newest state delivered.
     #[test]
     fn the_view_converges_to_the_registry(operations in prop::collection::vec(operation(), 1..120)) {
-        let config = MembershipConfig { max_shrink_share: 1.0, max_returns: 1000, ..CONFIG };
+        let config = MembershipConfig { max_shrink_share: 1.0, drain_after_returns: 1000, ..CONFIG };
         let mut view = View::new(config, 1);
         // Two servers that never change keep the list from becoming empty.
         let mut history: Vec<State> = vec![[(8, Standing::Ready), (9, Standing::Ready)].into()];
-        let (mut events, mut now) = (Vec::<Update>::new(), 0.0);
+        let (mut pending, mut now) = (Vec::<Update>::new(), 0.0);
         let mut known_state = history[0].clone();
         view.apply(now, 0, full_list(0, servers(&history[0])));
         for operation in operations {
@@ -253,11 +253,11 @@
                     };
                     let removed = if standing.is_none() { vec![format!("m{n}")] } else { Vec::new() };
                     history.push(state);
-                    events.push(Update::Change { revision, put, removed });
+                    pending.push(Update::Change { revision, put, removed });
                 }
                 // Changes arrive in order, except where a later one overtakes.
-                Operation::Deliver(position) | Operation::Repeat(position) if position < events.len() => {
-                    let update = if matches!(operation, Operation::Repeat(_)) { events[position].clone() } else { events.remove(position) };
+                Operation::Deliver(position) | Operation::Repeat(position) if position < pending.len() => {
+                    let update = if matches!(operation, Operation::Repeat(_)) { pending[position].clone() } else { pending.remove(position) };
                     let Update::Change { revision, .. } = &update else { unreachable!("only changes are sent") };
                     let has_gap = view.revision(0).is_some_and(|known| *revision > known + 1);
                     // A client that misses revisions can't continue the watch and reports it as lost.
@@ -265,11 +265,11 @@
                     view.apply(now, 0, update);
                 }
                 Operation::Disconnect => {
-                    events.clear();
+                    pending.clear();
                     view.apply(now, 0, Update::Lost);
                 }
                 Operation::ReadAll => {
-                    events.clear();
+                    pending.clear();
                     view.apply(now, 0, full_list(revision - 1, servers(history.last().unwrap())));
                 }
                 Operation::ReadStale(back) => {
--- a/crates/registry/src/blocking.rs
+++ b/crates/registry/src/consul.rs
@@ -23,7 +23,7 @@
 /// An instance in the response of the health endpoint; its parts are named as in the API.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct Entry {
+struct Instance {
     node: Node,
     service: Service,
     #[serde(default)]
@@ -110,13 +110,13 @@
             return Ok(Update::Alive);
         }
         let age_ms = numeric_header("X-Consul-LastContact").unwrap_or(0) as f64;
-        let entries: Vec<Entry> =
+        let instances: Vec<Instance> =
             serde_json::from_slice(body).map_err(|e| RegistryError::InvalidJson(e.to_string()))?;
-        if entries.len() > MAX_SERVERS {
-            return Err(RegistryError::TooManyServers);
+        if instances.len() > MAX_SERVERS {
+            return Err(RegistryError::IncompleteOrTooManyServers);
         }
         let servers: Result<Vec<Option<Server>>, RegistryError> =
-            entries.into_iter().map(parse_instance).collect();
+            instances.into_iter().map(parse_instance).collect();
         let servers = servers?.into_iter().flatten().collect();
         self.last_index = if revision < self.last_index { 0 } else { revision };
         Ok(Update::Full { revision, age_ms, servers })
@@ -124,8 +124,8 @@
 }
 
 /// An instance as a server: none if a check is critical; draining if it is under maintenance or a check warns.
-fn parse_instance(entry: Entry) -> Result<Option<Server>, RegistryError> {
-    let Entry { node, service, checks } = entry;
+fn parse_instance(instance: Instance) -> Result<Option<Server>, RegistryError> {
+    let Instance { node, service, checks } = instance;
     let invalid = |cause: String| RegistryError::InvalidServer(service.id.chars().take(64).collect(), cause);
     let address = if service.address.is_empty() { &node.address } else { &service.address };
     let ip: IpAddr = address
@@ -158,7 +158,7 @@
     use super::*;
     use test_case::test_case;
 
-    fn entry(id: &str, checks: &str) -> String {
+    fn instance(id: &str, checks: &str) -> String {
         format!(
             r#"{{"Node":{{"Node":"n","Address":"10.0.0.7"}},"Service":{{"ID":"{id}","Service":"media","Address":"",
             "Port":9000,"Meta":{{"zone":"here","kind":"standard","cell":"4","weight":"2.5"}}}},"Checks":[{checks}]}}"#
@@ -175,10 +175,10 @@
     }
 
     #[test]
-    fn the_index_is_followed_and_a_lower_one_restarts_the_query() {
+    fn the_next_query_carries_the_index_and_a_lower_one_resets_it() {
         let mut query = BlockingQuery::new("media", 60, true);
         assert_eq!(query.request_target(), "/v1/health/service/media?stale");
-        let list = format!("[{}]", entry("m4", ""));
+        let list = format!("[{}]", instance("m4", ""));
         assert_eq!(standings(respond(&mut query, 7, &list).unwrap()), [("m4".into(), Standing::Ready)]);
         assert_eq!(query.request_target(), "/v1/health/service/media?index=7&wait=60s&stale");
         assert!(query.response_timeout() > 63_750.0, "the registry may add a sixteenth");
@@ -196,10 +196,10 @@
     #[test_case(r#"{"CheckID":"_node_maintenance","Status":"critical"}"#, Some(Standing::Draining); "node under maintenance")]
     #[test_case(r#"{"CheckID":"_service_maintenance:m","Status":"critical"}"#, Some(Standing::Draining); "service under maintenance")]
     #[test_case(r#"{"CheckID":"_node_maintenance","Status":"critical"},{"CheckID":"c","Status":"critical"}"#, None; "under maintenance and critical")]
-    fn health_checks_map_to_standings(checks: &str, standing: Option<Standing>) {
+    fn health_checks_map_to_standings(checks: &str, expected: Option<Standing>) {
         let mut query = BlockingQuery::new("media", 60, false);
-        let update = respond(&mut query, 1, &format!("[{}]", entry("m", checks))).unwrap();
-        assert_eq!(standings(update).first().map(|s| s.1), standing);
+        let update = respond(&mut query, 1, &format!("[{}]", instance("m", checks))).unwrap();
+        assert_eq!(standings(update).first().map(|s| s.1), expected);
     }
 
     #[test_case("", "not valid: "; "empty body")]
@@ -214,7 +214,7 @@
         let mut query = BlockingQuery::new("media", 60, false);
         respond(&mut query, 7, "[]").unwrap();
         let body = match change.split_once(" -> ") {
-            Some((old, new)) => format!("[{}]", entry("m", "")).replace(old, new),
+            Some((old, new)) => format!("[{}]", instance("m", "")).replace(old, new),
             None => change.to_string(),
         };
         let error = respond(&mut query, 8, &body).unwrap_err().to_string();
--- a/crates/registry/src/watch.rs
+++ b/crates/registry/src/etcd.rs
@@ -21,10 +21,10 @@
 
 /// Response to the range request.
 #[derive(Deserialize)]
-struct Range {
+struct RangeResponse {
     header: Header,
     #[serde(default)]
-    kvs: Vec<Pair>,
+    kvs: Vec<KeyValue>,
     #[serde(default)]
     more: bool,
 }
@@ -38,7 +38,7 @@
 
 /// A key and its value, both in base64.
 #[derive(Deserialize)]
-struct Pair {
+struct KeyValue {
     key: String,
     #[serde(default)]
     value: String,
@@ -46,15 +46,15 @@
 
 /// A line of the watch stream.
 #[derive(Deserialize)]
-struct Line {
-    result: Option<Answer>,
+struct WatchLine {
+    result: Option<WatchResponse>,
     error: Option<serde_json::Value>,
 }
 
 /// A watch response.
 #[derive(Default, Deserialize)]
 #[serde(default)]
-struct Answer {
+struct WatchResponse {
     header: Header,
     created: bool,
     canceled: bool,
@@ -69,12 +69,12 @@
     /// `DELETE`; left out for a put.
     #[serde(rename = "type", default)]
     kind: String,
-    kv: Pair,
+    kv: KeyValue,
 }
 
 /// The value of a server's key.
 #[derive(Deserialize)]
-struct Value {
+struct ServerValue {
     address: SocketAddr,
     #[serde(default)]
     state: State,
@@ -157,14 +157,14 @@
         if body.len() > MAX_BYTES {
             return Err(RegistryError::TooLarge(body.len()));
         }
-        let range: Range =
+        let response: RangeResponse =
             serde_json::from_slice(body).map_err(|e| RegistryError::InvalidJson(e.to_string()))?;
-        if range.more || range.kvs.len() > MAX_SERVERS {
-            return Err(RegistryError::TooManyServers);
+        if response.more || response.kvs.len() > MAX_SERVERS {
+            return Err(RegistryError::IncompleteOrTooManyServers);
         }
         let servers: Result<Vec<Server>, RegistryError> =
-            range.kvs.iter().map(|pair| self.parse_server(pair)).collect();
-        let (revision, servers) = (range.header.revision, servers?);
+            response.kvs.iter().map(|key_value| self.parse_server(key_value)).collect();
+        let (revision, servers) = (response.header.revision, servers?);
         self.revision = Some(revision);
         Ok(Update::Full { revision, age_ms: 0.0, servers })
     }
@@ -172,10 +172,10 @@
     /// Parses a line of the watch stream. If the revision is compacted ([`Update::Lost`]) or the watch was cancelled (an
     /// error), all keys must be read anew. An unreadable value breaks the watch too, because its change is not known.
     pub fn on_line(&mut self, line: &[u8]) -> Result<Update, RegistryError> {
-        let parsed: Result<Line, _> = serde_json::from_slice(line);
+        let parsed: Result<WatchLine, _> = serde_json::from_slice(line);
         let response = match parsed {
-            Ok(Line { result: Some(response), error: None }) => response,
-            Ok(Line { error, .. }) => {
+            Ok(WatchLine { result: Some(response), error: None }) => response,
+            Ok(WatchLine { error, .. }) => {
                 self.revision = None;
                 let cause = error.map_or("line has no result".into(), |e| e.to_string());
                 return Err(RegistryError::WatchCancelled(cause.chars().take(200).collect()));
@@ -234,11 +234,11 @@
     }
 
     /// The server that a key and its value describe.
-    fn parse_server(&self, pair: &Pair) -> Result<Server, RegistryError> {
-        let name = self.server_name(&pair.key)?;
+    fn parse_server(&self, key_value: &KeyValue) -> Result<Server, RegistryError> {
+        let name = self.server_name(&key_value.key)?;
         let invalid = |cause: String| RegistryError::InvalidServer(name.clone(), cause);
-        let value = STANDARD.decode(&pair.value).map_err(|_| invalid("value is not base64".into()))?;
-        let Value { address, state, metadata } =
+        let value = STANDARD.decode(&key_value.value).map_err(|_| invalid("value is not base64".into()))?;
+        let ServerValue { address, state, metadata } =
             serde_json::from_slice(&value).map_err(|e| invalid(e.to_string()))?;
         let standing = match state {
             State::Ready => Standing::Ready,
@@ -256,13 +256,13 @@
     const VALUE: &str =
         r#"{"address":"10.0.0.1:9000","zone":"here","kind":"standard","cell":3,"state":"draining"}"#;
 
-    fn pair(name: &str, value: &str) -> serde_json::Value {
+    fn key_value(name: &str, value: &str) -> serde_json::Value {
         json!({ "key": STANDARD.encode(format!("/media/{name}")), "value": STANDARD.encode(value), "mod_revision": "5" })
     }
 
     fn watch_from_40() -> Watch {
         let mut watch = Watch::new("/media/");
-        let body = json!({ "header": { "revision": "40" }, "kvs": [pair("m1", VALUE)], "count": "1" });
+        let body = json!({ "header": { "revision": "40" }, "kvs": [key_value("m1", VALUE)], "count": "1" });
         let update = watch.on_range_response(200, body.to_string().as_bytes()).unwrap();
         assert!(
             matches!(update, Update::Full { revision: 40, ref servers, .. } if servers[0].standing == Standing::Draining)
@@ -289,7 +289,7 @@
             Ok(Update::Alive)
         ));
         assert_eq!(watch.revision(), Some(40), "the creation of the watch does not advance the revision");
-        let events = json!([{ "kv": pair("m2", VALUE) }, { "type": "DELETE", "kv": { "key": pair("m1", "")["key"] } }]);
+        let events = json!([{ "kv": key_value("m2", VALUE) }, { "type": "DELETE", "kv": { "key": key_value("m1", "")["key"] } }]);
         let update =
             respond(&mut watch, json!({ "header": { "revision": "47" }, "events": events })).unwrap();
         let Update::Change { revision: 47, put, removed } = update else { panic!("{update:?}") };
@@ -301,8 +301,8 @@
     #[test]
     fn a_server_removed_and_put_again_in_one_response_is_listed() {
         let mut watch = watch_from_40();
-        let removed = json!({ "type": "DELETE", "kv": { "key": pair("m1", "")["key"] } });
-        let events = json!([removed, { "type": "PUT", "kv": pair("m1", VALUE) }]);
+        let removed = json!({ "type": "DELETE", "kv": { "key": key_value("m1", "")["key"] } });
+        let events = json!([removed, { "type": "PUT", "kv": key_value("m1", VALUE) }]);
         let update =
             respond(&mut watch, json!({ "header": { "revision": "50" }, "events": events })).unwrap();
         assert!(
@@ -321,7 +321,7 @@
     #[test_case(r#"{"result":{"canceled":true,"cancel_reason":"no more"}}"#, "watch ended: no more"; "cancelled")]
     #[test_case(r#"{"error":{"message":"unavailable"}}"#, "unavailable"; "an error")]
     #[test_case(r#"{"result":{"events":[{"kv":{"key":"!"}}]}}"#, "key is not base64"; "invalid key")]
-    #[test_case(r#"{"result":{"events":[{"kv":{"key":"L290aGVyL20x"}}]}}"#, "key is outside the watched prefix"; "foreign key")]
+    #[test_case(r#"{"result":{"events":[{"kv":{"key":"L290aGVyL20x"}}]}}"#, "key is outside the watched prefix"; "key outside the prefix")]
     #[test_case(r#"{"result":{"events":[{"kv":{"key":"L21lZGlhL20x","value":"e30="}}]}}"#, "m1: missing field"; "an empty value")]
     #[test_case(r#"{"result":{"events":[{"kv"#, "not valid"; "truncated line")]
     #[test_case(r#"{"result":{"header":{"revision":"many"}}}"#, "not valid"; "invalid revision")]
@@ -333,7 +333,7 @@
     }
 
     #[test_case(503, "", RegistryError::UnexpectedStatus(503); "another status")]
-    #[test_case(200, r#"{"header":{"revision":"1"},"more":true}"#, RegistryError::TooManyServers; "incomplete response")]
+    #[test_case(200, r#"{"header":{"revision":"1"},"more":true}"#, RegistryError::IncompleteOrTooManyServers; "incomplete response")]
     fn a_failed_or_partial_read_is_an_error(status: u16, body: &str, expected: RegistryError) {
         assert_eq!(Watch::new("/media/").on_range_response(status, body.as_bytes()).unwrap_err(), expected);
     }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -3,8 +3,8 @@
 //! [`Update`](pulleystair_membership::Update) to the membership view. A response that can't be used is a
 //! [`RegistryError`]: a blocking query continues from its last index, a watch starts again with a full read.
 
-pub mod blocking;
-pub mod watch;
+pub mod consul;
+pub mod etcd;
 
 use pulleystair_membership::{Server, Standing};
 use serde::Deserialize;
@@ -25,7 +25,7 @@
     #[error("response has {0} bytes, more than {MAX_BYTES}")]
     TooLarge(usize),
     #[error("response is incomplete or lists over {MAX_SERVERS} servers")]
-    TooManyServers,
+    IncompleteOrTooManyServers,
     #[error("response is not valid: {0}")]
     InvalidJson(String),
     /// Name or key of the server, and the cause.
