--- a/crates/dash/benches/manifest_request.rs
+++ b/crates/dash/benches/manifest_request.rs
@@ -31,16 +31,16 @@
     let forged = format!("{}AA", &session_token[..session_token.len() - 2]);
     let mut group = c.benchmark_group("tokens");
     group.throughput(Throughput::Elements(1));
-    group.bench_function("check an entry", |b| {
+    group.bench_function("verify an entry token", |b| {
         b.iter(|| key_ring.verify_entry(black_box(&entry_token), NOW, &product, &title).is_ok())
     });
-    group.bench_function("check a pass", |b| {
+    group.bench_function("verify a session token", |b| {
         b.iter(|| key_ring.verify_session(black_box(&session_token), NOW).is_ok())
     });
-    group.bench_function("refuse a forged pass", |b| {
+    group.bench_function("reject a forged session token", |b| {
         b.iter(|| key_ring.verify_session(black_box(&forged), NOW).is_err())
     });
-    group.bench_function("sign a pass", |b| b.iter(|| key_ring.sign(black_box(&session_claims))));
+    group.bench_function("sign a session token", |b| b.iter(|| key_ring.sign(black_box(&session_claims))));
     group.finish();
 }
 
@@ -59,11 +59,11 @@
     };
     let mut group = c.benchmark_group("MPDs");
     group.throughput(Throughput::Elements(1));
-    for (name, presentation) in [("plain", &plain), ("of 300 timeline entries", &timeline)] {
+    for (name, presentation) in [("fixed duration", &plain), ("300 timeline entries", &timeline)] {
         let text = presentation.write();
         assert_eq!(mpd::parse(&text).as_ref(), Ok(presentation));
-        group.bench_function(format!("write a {name} one"), |b| b.iter(|| black_box(presentation).write()));
-        group.bench_function(format!("read a {name} one"), |b| {
+        group.bench_function(format!("write MPD, {name}"), |b| b.iter(|| black_box(presentation).write()));
+        group.bench_function(format!("parse MPD, {name}"), |b| {
             b.iter(|| mpd::parse(black_box(&text)).is_ok())
         });
     }
--- a/crates/dash/src/address.rs
+++ b/crates/dash/src/address.rs
@@ -1,13 +1,14 @@
-//! The paths that a front serves to players. PASS stands for the session token, ENTRY for the entry token.
+//! The paths that a front serves to players. SESSION_TOKEN and ENTRY_TOKEN stand for the tokens of [`crate::token`].
 //!
-//! - `/v1/PRODUCT/TITLE/manifest.mpd?token=ENTRY` requests a play. The entry token may also be sent as
+//! - `/v1/PRODUCT/TITLE/manifest.mpd?token=ENTRY_TOKEN` requests a play. The entry token may also be sent as
 //!   `Authorization: Bearer`.
-//! - `/s/PASS/RUNG/NUMBER.m4s` and `/s/PASS/RUNG/init.mp4` are the segments of the play. The manifest's BaseURL holds the
-//!   session token, so that players need no support for query insertion (ISO/IEC 23009-1, annex I).
-//! - `/s/PASS/RUNG/FIRST-tTIME.m4s` is the segment that begins at TIME, in the Period whose first segment has the
+//! - `/s/SESSION_TOKEN/RUNG/NUMBER.m4s` and `/s/SESSION_TOKEN/RUNG/init.mp4` are the segments of the play. The
+//!   manifest's BaseURL holds the session token, so that players need no support for query insertion (ISO/IEC 23009-1,
+//!   annex I).
+//! - `/s/SESSION_TOKEN/RUNG/FIRST-tTIME.m4s` is the segment that begins at TIME, in the Period whose first segment has the
 //!   number FIRST.
-//! - `/s/PASS/manifest.mpd` is the current manifest of a running play.
-//! - `DELETE /s/PASS/` ends the session when the viewer leaves.
+//! - `/s/SESSION_TOKEN/manifest.mpd` is the current manifest of a running play.
+//! - `DELETE /s/SESSION_TOKEN/` ends the session when the viewer leaves.
 //! - `/v1/time` returns the time in its `Date` header.
 
 /// `initialization` of the SegmentTemplate, relative to the BaseURL.
@@ -57,7 +58,7 @@
     format!("/s/{session_token}/manifest.mpd")
 }
 
-/// Request target that asks for a play.
+/// Request target of a play: path and query, with the entry token.
 pub fn manifest_path(product: &str, title: &str, entry_token: &str) -> String {
     format!("/v1/{product}/{title}/manifest.mpd?token={entry_token}")
 }
@@ -93,14 +94,14 @@
     parts.next().is_none().then_some(route)
 }
 
-/// Whether a name of a product, title or server is valid in a path: 1 to 64 ASCII letters, digits, `-`, `_` or `.`, not
-/// starting with a dot.
+/// Whether a name of a product or title is valid in a path: 1 to 64 ASCII letters, digits, `-`, `_` or `.`, not starting
+/// with a dot. Names of servers follow the same rule.
 pub fn is_valid_name(text: &str) -> bool {
     let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
     !text.is_empty() && text.len() <= 64 && text.bytes().all(is_allowed) && !text.starts_with('.')
 }
 
-/// Parses 1 to 16 decimal digits.
+/// Parses 1 to 16 decimal digits. 2^53, the largest number that is accepted in an MPD, has 16 digits.
 fn parse_digits(text: &str) -> Option<u64> {
     let is_valid = !text.is_empty() && text.len() <= 16 && text.bytes().all(|b| b.is_ascii_digit());
     is_valid.then(|| text.parse().ok())?
--- a/crates/dash/src/mpd.rs
+++ b/crates/dash/src/mpd.rs
@@ -93,13 +93,14 @@
     pub cause: String,
 }
 
-/// Number of segments in a Period of this duration; at least 1.
+/// Number of segments of equal duration in a Period of this duration, both in ms; at least 1.
 pub fn segment_count(duration_ms: u64, segment_ms: u64) -> u64 {
     duration_ms.div_ceil(segment_ms.max(1)).max(1)
 }
 
 impl Segments {
-    /// Number of segments in a Period of this length, ms; none while it is not known.
+    /// Number of segments in a Period of this duration, ms. A timeline gives the number by itself; for segments of fixed
+    /// duration, the number is none if the Period's duration is not known.
     fn count(&self, duration_ms: Option<u64>) -> Option<u64> {
         match self {
             Segments::FixedDuration { segment_ms } => {
@@ -128,13 +129,13 @@
         }
     }
 
-    /// Each Period and its length, ms, where it is known: up to the start of the next Period, or to the end.
+    /// Each Period and its duration, ms, where it is known: up to the start of the next Period, or to the end.
     fn periods_with_durations(&self) -> impl Iterator<Item = (&Period, Option<u64>)> {
         let ends = self.periods.iter().skip(1).map(|p| Some(p.start_ms)).chain([self.duration_ms]);
         self.periods.iter().zip(ends).map(|(p, end)| (p, end.map(|end| end.saturating_sub(p.start_ms))))
     }
 
-    /// Duration of the longest segment, ms.
+    /// Duration of the longest segment, ms, rounded down.
     pub fn longest_segment(&self) -> u64 {
         let longest = self.periods.iter().map(|p| match &p.segments {
             Segments::FixedDuration { segment_ms } => *segment_ms,
@@ -145,7 +146,8 @@
         longest.max().unwrap_or(0)
     }
 
-    /// Number of segments in all Periods; none while the end of a live title is not known.
+    /// Number of segments in all Periods; none if a Period with segments of fixed duration has no known end, as in a live
+    /// title.
     pub fn segments(&self) -> Option<u64> {
         self.periods_with_durations().map(|(period, duration_ms)| period.segments.count(duration_ms)).sum()
     }
@@ -172,8 +174,10 @@
         None
     }
 
-    /// First and last segment number that may be requested at `now`, ms since 1970 (A.3.2, A.3.4): for a live title the
-    /// segments that are complete and still kept, otherwise all of them. None if there is none yet.
+    /// First and last segment number that may be requested at `now`, ms since 1970 (A.3.2, A.3.4). For a live title whose
+    /// first Period has segments of fixed duration, these are the segments that are complete and still kept, with that
+    /// duration for all Periods; the last complete segment stays available. For any other title they are all segments.
+    /// None if there is none yet, or if the number of all segments is needed and not known.
     pub fn available(&self, now: u64) -> Option<(u64, u64)> {
         let Some(live) = &self.live else { return Some((1, self.segments()?)) };
         let Segments::FixedDuration { segment_ms } = self.periods.first()?.segments else {
@@ -181,7 +185,7 @@
         };
         let last = now.checked_sub(live.from_ms)? / segment_ms.max(1);
         let last = self.segments().map_or(last, |all| all.min(last));
-        // A segment is kept until the time-shift window after its end has passed.
+        // A segment expires when the time-shift window after its end has passed.
         let expired_count = |window: u64| now.saturating_sub(live.from_ms + window) / segment_ms.max(1);
         let first = live.window_ms.map_or(1, |window| expired_count(window) + 1);
         (last > 0).then_some((first.min(last), last))
@@ -232,7 +236,8 @@
 }
 
 impl Period {
-    /// Writes the Period, whose first segment has the number `first_number`.
+    /// Writes the Period, whose first segment has the number `first_number`. A presentation does not hold the codec, so all
+    /// Periods are written with the same: H.264, High profile, level 3.1.
     fn write_to(&self, out: &mut Writer<Vec<u8>>, first_number: u64) -> std::io::Result<()> {
         let attributes = [("id", self.id.as_str()), ("start", &format_duration(self.start_ms))];
         out.write_event(Event::Start(BytesStart::new("Period").with_attributes(attributes)))?;
@@ -284,6 +289,7 @@
             }
         }
         for (rung, bandwidth) in self.bandwidths.iter().enumerate() {
+            // The attribute is mandatory, and `parse` rejects 0.
             let attributes = [("id", rung.to_string()), ("bandwidth", bandwidth.max(&1).to_string())];
             let attributes = attributes.iter().map(|(name, value)| (*name, value.as_str()));
             out.write_event(Event::Empty(BytesStart::new("Representation").with_attributes(attributes)))?;
@@ -298,7 +304,8 @@
     format!("PT{}S", ms as f64 / 1000.0)
 }
 
-/// Days from 1970-01-01 to 1 March of a year. Years that begin in March have the leap day at their end.
+/// Days from 1970-01-01 to 1 March of a year. Dates are computed in years that begin on 1 March, so that the leap day
+/// comes last. There are 719 468 days from 0000-03-01 to 1970-01-01.
 fn days_to_march(year: i64) -> i64 {
     365 * year + year.div_euclid(4) - year.div_euclid(100) + year.div_euclid(400) - 719_468
 }
@@ -310,7 +317,7 @@
     while days_to_march(year) > days {
         year -= 1;
     }
-    // From March on, the lengths of months repeat: 31, 30, 31, 30, 31 days.
+    // From March on, the lengths of months repeat: 31, 30, 31, 30, 31 days, 153 in all.
     let day_of_year = days - days_to_march(year);
     let month = (5 * day_of_year + 2) / 153;
     let day = day_of_year - (153 * month + 2) / 5 + 1;
@@ -321,7 +328,8 @@
 
 // ---- Parsing ----
 
-/// Parses `PnDTnHnMn.nS` to ms; years and months have no fixed length and are rejected.
+/// Parses `PnDTnHnMn.nS` to ms; years and months have no fixed length and are rejected. The order of the units is not
+/// checked.
 fn parse_duration(text: &str) -> Option<u64> {
     let (mut ms, mut number, mut in_time) = (0f64, String::new(), false);
     for c in text.strip_prefix('P')?.chars() {
@@ -347,7 +355,8 @@
     (is_complete && ms <= 1e15).then(|| ms.round() as u64)
 }
 
-/// Parses `YYYY-MM-DDThh:mm:ss[.fff][Z]`, in UTC, to ms since 1970.
+/// Parses `YYYY-MM-DDThh:mm:ss[.fff][Z]`, in UTC, to ms since 1970. A day beyond the end of its month, up to 31, counts on
+/// into the next month.
 fn parse_date(text: &str) -> Option<u64> {
     let (day, time) = text.strip_suffix('Z').unwrap_or(text).split_once('T')?;
     let digits = |s: &str| s.bytes().all(|b| b.is_ascii_digit()).then(|| s.parse::<i64>().ok())?;
@@ -421,7 +430,7 @@
                 Some(value) => Ok(Some(value)),
                 None => {
                     let shown: String = text.chars().take(40).collect();
-                    self.error(format!("{name} is {shown:?}"))
+                    self.error(format!("{name} has the invalid value {shown:?}"))
                 }
             },
         }
@@ -513,6 +522,7 @@
                 (["MPD", "Period"], "AdaptationSet") => {
                     let content_type =
                         context.attribute(start, "contentType")?.or(context.attribute(start, "mimeType")?);
+                    // A set with neither attribute counts as video.
                     let is_video = content_type.is_none_or(|kind| kind.starts_with("video"));
                     let has_video_set = raw_periods.last().is_some_and(|raw| !raw.bandwidths.is_empty());
                     skip_depth = (!is_video || has_video_set).then_some(path.len());
@@ -544,7 +554,7 @@
                     let Some(raw) = raw_periods.last_mut() else { return context.error("outside a Period") };
                     match context.number_attribute(start, "bandwidth")? {
                         Some(n) if n > 0 => raw.bandwidths.push(n),
-                        _ => return context.error("bandwidth is missing"),
+                        _ => return context.error("bandwidth is missing or 0"),
                     }
                     if raw.bandwidths.len() > MAX_REPRESENTATIONS {
                         return context.error(format!("more than {MAX_REPRESENTATIONS} Representations"));
@@ -582,7 +592,7 @@
             })
         }
         Some("static") | None => None,
-        Some(other) => return context.error(format!("type is {other:?}")),
+        Some(other) => return context.error(format!("type {other:?} is neither static nor dynamic")),
     };
     let title = context.attribute(start, "id")?.unwrap_or_default();
     Ok(Presentation { title, base: String::new(), location: None, duration_ms, live, periods: Vec::new() })
--- a/crates/dash/src/token.rs
+++ b/crates/dash/src/token.rs
@@ -1,6 +1,6 @@
 //! JSON Web Tokens (RFC 7519), signed with HMAC-SHA256 (RFC 7518, section 3.2).
 //!
-//! An entry token is issued by the portal and asks for one play. A session token (also called a pass) is issued by the
+//! An entry token is issued by the portal and asks for one play. A session token is issued by the
 //! front and gives access to the segments of that play. Each token names its key by `kid` (RFC 7515, section 4.1.4). A
 //! key ring holds the live keys, of which the newest signs and all verify, and retired keys, which verify until their
 //! overlap ends. Times are in s since 1970.
@@ -93,7 +93,7 @@
 /// A key by its id.
 struct Key {
     kid: String,
-    /// Hash by which a changed secret is recognised; never leaves this module.
+    /// Hash by which a changed secret is detected; never leaves this module.
     fingerprint: u64,
     signing_key: EncodingKey,
     verifying_key: DecodingKey,
@@ -158,7 +158,7 @@
         if retired_count > MAX_RETIRED { Err(KeyError::TooManyRetired(retired_count)) } else { Ok(()) }
     }
 
-    /// Replaces the live keys at `now`, s since 1970. Keys that are no longer listed verify for another `overlap` s; a
+    /// Replaces the live keys at `now`, s since 1970. Keys that are no longer listed verify for another `overlap_s`; a
     /// retired key that is listed again becomes live. On an error, nothing changes.
     pub fn replace(&mut self, keys: &[(String, Vec<u8>)], now: u64, overlap_s: u64) -> Result<(), KeyError> {
         self.may_replace(keys, now)?;
@@ -181,7 +181,8 @@
     pub fn sign(&self, claims: &impl Serialize) -> String {
         let key = &self.live[0];
         let header = Header { kid: Some(key.kid.clone()), ..Header::new(Algorithm::HS256) };
-        jsonwebtoken::encode(&header, claims, &key.signing_key).expect("plain claims are signed by any key")
+        jsonwebtoken::encode(&header, claims, &key.signing_key)
+            .expect("claims serialize to JSON, and HMAC accepts any key")
     }
 
     /// Checks size, algorithm, key and signature of a token, and returns its claims.
@@ -235,7 +236,7 @@
         if claims.exp <= now { Err(TokenError::Expired) } else { Ok(claims) }
     }
 
-    /// Verifies a session token except for its expiry: a running play may have renewed it.
+    /// Verifies a session token but not its expiry, for callers that extend a session's lifetime after its token was signed.
     pub fn verify_session_signature(&self, token: &str, now: u64) -> Result<SessionToken, TokenError> {
         self.verify_signature(token, now)
     }
--- a/crates/membership/src/endpoints.rs
+++ b/crates/membership/src/endpoints.rs
@@ -53,7 +53,8 @@
     }
 
     /// The endpoint to query, and the delay before the query, ms. The current endpoint is kept while it responds and is not
-    /// slow. Otherwise the one with the shortest delay is chosen, then the one with the fewest failures, then the fastest.
+    /// slow. Otherwise the one with the shortest delay is chosen, then the one with the fewest failures, then the fastest; an
+    /// endpoint that has not responded yet counts as the fastest.
     pub fn select(&mut self, now: f64) -> (usize, f64) {
         let current = &self.endpoints[self.current];
         if current.failures > 0 || self.is_slow(self.current) {
@@ -92,7 +93,8 @@
         endpoint.retry_at = now + ceiling * self.rng.rand_float();
     }
 
-    /// Whether the endpoint is much slower than the fastest one that responds.
+    /// Whether the endpoint is slow ([`EndpointConfig::slow_factor`]) compared with the fastest endpoint that responds, which
+    /// may be the endpoint itself.
     fn is_slow(&self, endpoint: usize) -> bool {
         let latencies = self.endpoints.iter().filter(|e| e.failures == 0).filter_map(|e| e.latency_ms);
         let fastest_ms = latencies.min_by(f64::total_cmp);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -24,13 +24,13 @@
 pub struct MembershipConfig {
     /// If a list loses more than this share of its servers in one update, their removal is held back.
     pub max_shrink_share: f64,
-    /// How long removals are held back, ms; they apply once their source was heard after that time. A revision that
-    /// went back is held back for as long.
+    /// How long removals are held back, ms; they apply once their source was heard after that time. A full list of a lower
+    /// revision is held back as long.
     pub hold_ms: f64,
-    /// A server that came back this often within `return_window_ms` gets no new plays for the same time.
+    /// A server that came back this many times within `return_window_ms` gets no new plays for another `return_window_ms`.
     pub drain_after_returns: usize,
     pub return_window_ms: f64,
-    /// A list older than this, ms, adds servers only while no source is in step.
+    /// A list older than this, ms, adds servers only while no source is synced.
     pub max_list_age_ms: f64,
     /// How long a report that a server is gone is kept, ms.
     pub forget_gone_after_ms: f64,
@@ -55,7 +55,9 @@
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
+    /// Kind of server, one of those that the settings define.
     pub kind: String,
+    /// Number of the cell that the server fills; the cell determines which titles the server holds.
     pub cell: usize,
     pub weight: f64,
     pub standing: Standing,
@@ -80,7 +82,7 @@
 /// Effect of an update.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UpdateResult {
-    /// Whether the merged list changed.
+    /// Whether the merged list may have changed: it is set too if a server that is not listed changed.
     pub changed: bool,
     /// Whether the source must be asked for its full list.
     pub full_list_needed: bool,
@@ -93,7 +95,7 @@
 pub enum HoldReason {
     /// The update removes this many of the servers that the source lists.
     Shrunk { removed: usize, total: usize },
-    /// The revision went back: the source read a stale follower, or the registry was set up anew.
+    /// The list's revision is lower than the known one: the source read a stale follower, or the registry was set up anew.
     LowerRevision { from: u64, to: u64 },
 }
 
@@ -101,7 +103,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedServer {
     pub server: Server,
-    /// Whether only an old list reports the server.
+    /// Whether only an old list reports the server ready.
     pub unconfirmed: bool,
 }
 
@@ -116,9 +118,11 @@
     reports: HashMap<String, ServerReport>,
     /// Number of reports on servers that are not gone.
     listed_count: usize,
-    /// Servers whose removal is held back, and since when.
+    /// Since when removals are held back, ms, and the names of the servers to remove. Removals held back later share the time
+    /// of the first.
     held_removals: Option<(f64, BTreeSet<String>)>,
-    /// A revision lower than one seen before, and when it was first seen: the time, then the revision.
+    /// When a full list of a lower revision first arrived since the last full list that was applied, ms, and the revision of
+    /// that list.
     lower_revision: Option<(f64, u64)>,
 }
 
@@ -155,10 +159,10 @@
 
 impl View {
     /// An empty view of this many sources, which callers name by index.
-    pub fn new(config: MembershipConfig, sources: usize) -> View {
+    pub fn new(config: MembershipConfig, source_count: usize) -> View {
         View {
             config,
-            sources: (0..sources).map(|_| Source::default()).collect(),
+            sources: (0..source_count).map(|_| Source::default()).collect(),
             members: BTreeMap::new(),
             disputed: BTreeSet::new(),
         }
@@ -192,7 +196,7 @@
         };
         self.sources[source].last_heard_at = Some(now);
         if was_any_synced != self.any_source_synced() {
-            // Whether old lists may add servers depends on whether a source is in step.
+            // Whether old lists may add servers depends on whether a source is synced.
             affected.extend(self.members.keys().cloned());
         }
         affected.extend(self.disputed.iter().cloned());
@@ -200,7 +204,7 @@
         result
     }
 
-    /// Whether any source is in step.
+    /// Whether any source is synced.
     fn any_source_synced(&self) -> bool {
         self.sources.iter().any(|s| s.is_synced)
     }
@@ -218,7 +222,8 @@
         let source_state = &mut self.sources[source];
         if revision < source_state.revision {
             let (since, lower_revision) = *source_state.lower_revision.get_or_insert((now, revision));
-            // A revision that stays lower for the hold time is a new history; until then only drains apply.
+            // If the revision is still lower after the hold time, and not below the first lower one, the registry was set
+            // up anew, and the list applies. Until then only the drains of listed servers apply.
             if now < since + hold_ms || revision < lower_revision {
                 let draining = servers.into_iter().filter(|s| s.standing == Standing::Draining);
                 let draining = draining
@@ -233,7 +238,7 @@
             }
         }
         source_state.lower_revision = None;
-        // Changes can't be applied on top of a list that is too old.
+        // Changes can't be applied to a list that is too old.
         (source_state.revision, source_state.is_synced) = (revision, !is_old);
         let listed_names: BTreeSet<&str> = servers.iter().map(|s| s.name.as_str()).collect();
         let known = source_state.reports.iter().filter(|(_, report)| !report.gone);
@@ -341,7 +346,7 @@
         hold_ends.chain(drain_ends).min_by(f64::total_cmp)
     }
 
-    /// Applies what has become due; true if the list changed. Held removals apply only if their source was heard
+    /// Applies what has become due; true if a server changed, listed or not. Held removals apply only if their source was heard
     /// after the hold time: a source that is cut off has not confirmed them.
     pub fn tick(&mut self, now: f64) -> bool {
         let mut affected = BTreeSet::new();
@@ -367,7 +372,7 @@
         self.update_members(now, affected)
     }
 
-    /// Settles the reports on these servers again; true if one of them changed.
+    /// Merges the reports on these servers again; true if one of them changed, listed or not.
     fn update_members(&mut self, now: f64, affected: BTreeSet<String>) -> bool {
         let any_source_synced = self.any_source_synced();
         let mut changed = false;
@@ -407,7 +412,8 @@
         changed
     }
 
-    /// Sets a server's entry in the view, or removes it; true if the list changed.
+    /// Sets a server's entry in the view, or removes it; true if the entry changed. A new entry that is not listed does not
+    /// count.
     fn update_member(
         &mut self,
         now: f64,
@@ -417,7 +423,8 @@
     ) -> bool {
         let (config, known) = (self.config, self.members.get(&name));
         let Some(mut server) = server else { return self.members.remove(&name).is_some() };
-        // A new address means a new process, whatever start time is reported.
+        // A new address means a new process: without a later start time, the process counts as started now. At the same
+        // address, the start time never decreases.
         if known
             .is_some_and(|m| m.server.address != server.address && server.started_at <= m.server.started_at)
         {
@@ -452,7 +459,8 @@
     pub fn list(&self, now: f64) -> Vec<ListedServer> {
         let mut by_address: HashMap<SocketAddr, (f64, &str)> = HashMap::new();
         let listed = || self.members.iter().filter(|(_, m)| m.availability.is_some());
-        // Where two names share one address, the process that started last is the one that runs.
+        // Where two names share one address, the process that started last is the one that runs; of equal start times, the
+        // first name is listed.
         for (name, m) in listed() {
             let newest = by_address.entry(m.server.address).or_insert((m.server.started_at, name));
             if m.server.started_at > newest.0 {
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -1,4 +1,4 @@
-//! Settles what several sources report of one server into its availability. Times are in ms.
+//! Merges the reports of several sources on one server into its availability. Times are in ms.
 
 /// State of a server as a source reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,18 +25,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
     Ready,
-    /// Only an old list reports the server ready: it may have restarted since.
+    /// Only an old list reports the server ready; it may have restarted since.
     Unconfirmed,
     Draining,
 }
 
-/// Settles the reports on one server; none if it is not listed. `any_source_synced` tells whether any source is in step. The rules, in
-/// this order:
+/// Merges the reports on one server; none if it is not listed. `any_source_synced` tells whether the list of any source is
+/// complete and current. The rules, in this order:
 ///
 /// 1. Only reports on the process that started last count.
-/// 2. A report that the server drains counts, whichever source it comes from.
-/// 3. A report that the server is gone counts, unless another source reports it present and was heard since.
-/// 4. An old list adds a server only while no source is in step.
+/// 2. If any source reports that the server drains, it is never ready: it drains, or is not listed if rule 3 discards every
+///    report of a drain.
+/// 3. The last report that the server is gone discards the other reports, except those of sources that were heard since.
+/// 4. A server that only old lists report ready is listed only while no source is synced. A drain counts from an old list
+///    too.
 pub fn merge_reports(reports: &[Report], any_source_synced: bool) -> Option<Availability> {
     let newest = reports.iter().map(|r| r.process_started_at).max_by(f64::total_cmp)?;
     let on_newest = |state: ReportedState| {
@@ -45,7 +47,7 @@
     let gone_at = on_newest(ReportedState::Gone).map(|r| r.reported_at).max_by(f64::total_cmp);
     let is_not_overruled = |r: &&Report| gone_at.is_none_or(|gone_at| r.last_heard_at > gone_at);
     if on_newest(ReportedState::Draining).next().is_some() {
-        // A server that drains in one source and is gone from another is gone.
+        // Rule 3 may discard every drain. The server is then not listed, even if another source reports it ready.
         return on_newest(ReportedState::Draining)
             .any(|r| is_not_overruled(&r))
             .then_some(Availability::Draining);
@@ -85,7 +87,7 @@
     #[test_case(&[report(Gone, 5.0, 3.0, 3.0), report(Ready, 9.0, 2.0, 2.0)], true, Some(Availability::Ready); "the process that is gone is replaced")]
     #[test_case(&[report(Ready, 5.0, 3.0, 3.0), report(Gone, 9.0, 2.0, 2.0)], true, None; "the newer process is gone")]
     #[test_case(&[from_old_list(report(Ready, 0.0, 1.0, 1.0))], false, Some(Availability::Unconfirmed); "an old list alone")]
-    #[test_case(&[from_old_list(report(Ready, 0.0, 1.0, 1.0))], true, None; "an old list beside a source in step")]
+    #[test_case(&[from_old_list(report(Ready, 0.0, 1.0, 1.0))], true, None; "an old list beside a synced source")]
     #[test_case(&[from_old_list(report(Ready, 0.0, 1.0, 1.0)), report(Ready, 0.0, 2.0, 2.0)], true, Some(Availability::Ready); "an old list and a new one")]
     #[test_case(&[from_old_list(report(Draining, 0.0, 1.0, 1.0)), report(Ready, 0.0, 2.0, 2.0)], true, Some(Availability::Draining); "a drain counts from an old list")]
     fn reports_merge_to(reports: &[Report], any_source_synced: bool, expected: Option<Availability>) {
--- a/crates/membership/src/snapshot.rs
+++ b/crates/membership/src/snapshot.rs
@@ -1,6 +1,6 @@
 //! The last server list as bytes that outlive a restart: a header line with kind, version, checksum (CRC-32C) and length,
 //! then JSON. A front that starts while its sources are unreachable starts from the snapshot, which counts as an old
-//! list. The caller writes the file beside the old one and renames it.
+//! list. The caller writes a temporary file and renames it over the old one.
 
 use crate::Server;
 use serde::{Deserialize, Serialize};
--- a/crates/membership/tests/explore.rs
+++ b/crates/membership/tests/explore.rs
@@ -2,8 +2,8 @@
 //! lost connections, repeated changes and reconnects.
 //!
 //! Two invariants are checked in every state. No server is listed for new plays that the newest delivered state of the
-//! registry reports gone or draining. And the view converges: once the connection is back and every change is
-//! delivered, the view equals the registry, and no server is missing for good.
+//! registry reports gone or draining, except one that is gone there and still in the file. And the view converges: once
+//! the connection is back and every change is delivered, the view equals the registry together with the file.
 
 use pulleystair_membership::{MembershipConfig, Server, Standing, Update, View};
 use std::collections::{BTreeMap, VecDeque};
@@ -43,14 +43,19 @@
     state.iter().map(|(n, standing)| server(*n, *standing)).collect()
 }
 
+/// A change of the registry, or of what arrives from it or from the file.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Add(usize),
     Drain(usize),
     Remove(usize),
+    /// The next change in flight arrives.
     Deliver,
+    /// The last change that arrived arrives again.
     Repeat,
+    /// The connection to the registry is lost, with all changes in flight.
     Break,
+    /// The registry drops its changes up to the newest revision.
     Compact,
     Reconnect,
     /// The file is read, unchanged.
@@ -70,6 +75,7 @@
     Event::FileHeard,
 ];
 
+/// The registry, its connection, and the view that is fed from it.
 #[derive(Clone)]
 struct RegistryModel {
     now: f64,
@@ -212,7 +218,7 @@
         list.filter(|l| l.server.standing == Standing::Ready).map(|l| l.server.cell).collect()
     }
 
-    /// Checks that each listed server is ready in the newest state that arrived, or in the file.
+    /// Checks that each server listed as ready is ready in the newest state that arrived, or gone there and in the file.
     fn assert_invariants(&self, events: &[Event]) {
         let known = &self.history[self.arrived];
         for n in self.ready_servers() {
@@ -225,7 +231,7 @@
         }
     }
 
-    /// Restores the connection, delivers every change, and checks that the view equals the registry.
+    /// Restores the connection, delivers every change, and checks that the view equals the registry together with the file.
     fn assert_convergence(mut self, events: &[Event]) {
         if !self.connected {
             self.reconnect();
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -131,11 +131,11 @@
     assert_eq!(
         view.list(100.0)[1].server.started_at,
         100.0,
-        "a new address counts as started when first seen"
+        "a process at a new address counts as started when first seen"
     );
     view.apply(200.0, 0, change(12, &[Server { started_at: 150.0, ..server(2) }], &[]));
     assert_eq!(view.list(200.0)[2].server.started_at, 150.0);
-    // A new name at the address of an old server: the old process no longer runs.
+    // A new name at the address of an old server: the old process no longer runs, and its name is not listed.
     let replacement =
         Server { name: "m7".into(), address: server(3).address, started_at: 180.0, ..server(7) };
     view.apply(300.0, 0, change(13, &[replacement], &[]));
@@ -197,14 +197,21 @@
 /// A change of the registry, or of what arrives from it.
 #[derive(Clone, Debug)]
 enum Operation {
+    /// Sets a server's standing, or removes the server.
     SetState(usize, Option<Standing>),
+    /// Delivers the pending change at this position.
     Deliver(usize),
+    /// Delivers the pending change at this position, and leaves it pending.
     Repeat(usize),
+    /// Drops all pending changes, and reports the connection as lost.
     Disconnect,
+    /// Drops all pending changes, and reads the newest full list.
     ReadAll,
+    /// Reads the full list as of this many revisions before the newest.
     ReadStale(usize),
 }
 
+/// A random operation on up to five servers.
 fn operation() -> impl Strategy<Value = Operation> {
     let standing = prop_oneof![Just(None), Just(Some(Standing::Ready)), Just(Some(Standing::Draining))];
     prop_oneof![
@@ -255,7 +262,7 @@
                     history.push(state);
                     pending.push(Update::Change { revision, put, removed });
                 }
-                // Changes arrive in order, except where a later one overtakes.
+                // Any of the first three pending changes may arrive next.
                 Operation::Deliver(position) | Operation::Repeat(position) if position < pending.len() => {
                     let update = if matches!(operation, Operation::Repeat(_)) { pending[position].clone() } else { pending.remove(position) };
                     let Update::Change { revision, .. } = &update else { unreachable!("only changes are sent") };
--- a/crates/registry/src/consul.rs
+++ b/crates/registry/src/consul.rs
@@ -1,5 +1,5 @@
-//! Blocking queries of the health of a service's instances: a query carries the index of the last response, and is answered
-//! when something changed or its wait time has passed (Consul's HTTP API: health endpoint, blocking queries, consistency
+//! Blocking queries of Consul for the health of a service's instances: a query carries the index of the last response, and
+//! is answered when something changed or its wait time has passed (HTTP API: health endpoint, blocking queries, consistency
 //! modes). Each response holds the full list.
 
 use crate::{MAX_BYTES, MAX_SERVERS, RegistryError, ServerMetadata};
@@ -57,7 +57,7 @@
 }
 
 impl BlockingQuery {
-    /// `wait_s` is the time for which a query may wait for a change, s.
+    /// A query that has no index yet. `wait_s` is the time for which a query may wait for a change, s.
     pub fn new(service: &str, wait_s: u64, allow_stale: bool) -> BlockingQuery {
         BlockingQuery { service: service.into(), wait_s, allow_stale, last_index: 0 }
     }
@@ -75,7 +75,7 @@
     }
 
     /// How long the response may take, ms, before the connection counts as silent.
-    pub fn response_timeout(&self) -> f64 {
+    pub fn response_timeout_ms(&self) -> f64 {
         let wait_ms = self.wait_s as f64 * 1000.0;
         if self.last_index == 0 { 5_000.0 } else { wait_ms + wait_ms / 16.0 + 5_000.0 }
     }
@@ -128,9 +128,9 @@
     let Instance { node, service, checks } = instance;
     let invalid = |cause: String| RegistryError::InvalidServer(service.id.chars().take(64).collect(), cause);
     let address = if service.address.is_empty() { &node.address } else { &service.address };
-    let ip: IpAddr = address
-        .parse()
-        .map_err(|_| invalid(format!("address is {:?}", address.chars().take(64).collect::<String>())))?;
+    let ip: IpAddr = address.parse().map_err(|_| {
+        invalid(format!("address {:?} is not an IP address", address.chars().take(64).collect::<String>()))
+    })?;
     let is_maintenance = |c: &Check| c.id.starts_with("_service_maintenance") || c.id == "_node_maintenance";
     let drains = checks.iter().any(|c| is_maintenance(c) || c.status == "warning");
     if checks.iter().any(|c| !is_maintenance(c) && c.status == "critical") {
@@ -181,7 +181,7 @@
         let list = format!("[{}]", instance("m4", ""));
         assert_eq!(standings(respond(&mut query, 7, &list).unwrap()), [("m4".into(), Standing::Ready)]);
         assert_eq!(query.request_target(), "/v1/health/service/media?index=7&wait=60s&stale");
-        assert!(query.response_timeout() > 63_750.0, "the registry may add a sixteenth");
+        assert!(query.response_timeout_ms() > 63_750.0, "the registry may add a sixteenth");
         assert!(
             matches!(respond(&mut query, 7, &list), Ok(Update::Alive)),
             "the wait time has passed without a change"
@@ -205,10 +205,10 @@
     #[test_case("", "not valid: "; "empty body")]
     #[test_case("[{\"Node\"", "not valid: "; "truncated document")]
     #[test_case("{}", "not valid: "; "not a list")]
-    #[test_case("10.0.0.7 -> here", "m: address is \"here\""; "invalid address")]
+    #[test_case("10.0.0.7 -> here", "m: address \"here\" is not an IP address"; "invalid address")]
     #[test_case("\"zone\" -> \"zoom\"", "m: meta has no zone"; "no zone")]
     #[test_case("\"4\" -> \"four\"", "m: meta cell is not a number"; "invalid cell")]
-    #[test_case("2.5 -> -1", "m: weight is -1"; "negative weight")]
+    #[test_case("2.5 -> -1", "m: weight -1 is not a finite number above 0"; "negative weight")]
     #[test_case("9000 -> 90000", "not valid: "; "port out of range")]
     fn a_malformed_response_is_an_error_and_the_index_stays(change: &str, expected: &str) {
         let mut query = BlockingQuery::new("media", 60, false);
--- a/crates/registry/src/etcd.rs
+++ b/crates/registry/src/etcd.rs
@@ -1,4 +1,4 @@
-//! Watches from a revision: all keys under a prefix are read once, then watched from the revision of that read (etcd's JSON
+//! Watches of etcd from a revision: all keys under a prefix are read once, then watched from the revision of that read (JSON
 //! gateway: `/v3/kv/range`, `/v3/watch`; 64-bit numbers are sent as text, keys and values in base64). A key is the prefix
 //! followed by a server's name. Its value is a JSON object with `address`, `zone`, `kind`, `cell`, and optionally `weight`,
 //! `started_ms` and `state` (`ready` or `draining`).
@@ -94,13 +94,13 @@
 fn deserialize_u64<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
-    enum Form {
+    enum NumberOrText {
         Number(u64),
         Text(String),
     }
-    match Form::deserialize(deserializer)? {
-        Form::Number(n) => Ok(n),
-        Form::Text(text) => text.parse().map_err(serde::de::Error::custom),
+    match NumberOrText::deserialize(deserializer)? {
+        NumberOrText::Number(n) => Ok(n),
+        NumberOrText::Text(text) => text.parse().map_err(serde::de::Error::custom),
     }
 }
 
@@ -117,7 +117,8 @@
 
     /// First key and end of the range of keys with the prefix, in base64.
     fn encoded_key_range(&self) -> (String, String) {
-        // The end of the range is the prefix with its last byte below 0xff incremented.
+        // The end of the range is the prefix with its last byte below 0xff incremented. If there is no such byte, it is a
+        // zero byte, which stands for all keys from the first one.
         let mut end = self.prefix.clone().into_bytes();
         while end.pop_if(|b| *b == 0xff).is_some() {}
         match end.last_mut() {
@@ -149,7 +150,8 @@
         Update::Lost
     }
 
-    /// Parses the response to [`Watch::range_request`].
+    /// Parses the response to [`Watch::range_request`], and sets the revision from which the watch continues. On an error, the
+    /// revision stays.
     pub fn on_range_response(&mut self, status: u16, body: &[u8]) -> Result<Update, RegistryError> {
         if status != 200 {
             return Err(RegistryError::UnexpectedStatus(status));
@@ -166,6 +168,7 @@
             response.kvs.iter().map(|key_value| self.parse_server(key_value)).collect();
         let (revision, servers) = (response.header.revision, servers?);
         self.revision = Some(revision);
+        // The range request does not ask for a serializable read, so it is linearizable, and the list is current.
         Ok(Update::Full { revision, age_ms: 0.0, servers })
     }
 
@@ -194,7 +197,8 @@
         }
         let revision = response.header.revision;
         if response.created || response.events.is_empty() {
-            // A progress notification: all changes up to its revision have been sent.
+            // A progress notification: all changes up to its revision have been sent. This does not hold for the response
+            // that creates the watch.
             if let Some(known) = self.revision.filter(|_| !response.created) {
                 self.revision = Some(known.max(revision));
             }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,6 +1,6 @@
-//! Requests to two kinds of registries, and parsing of their responses: [`blocking`] queries with an index, and [`watch`]es
-//! from a revision. The module does no I/O: a caller sends the requests, passes the responses in, and applies the resulting
-//! [`Update`](pulleystair_membership::Update) to the membership view. A response that can't be used is a
+//! Requests to Consul ([`consul`], blocking queries with an index) and etcd ([`etcd`], watches from a revision), and parsing
+//! of their responses. The module does no I/O: a caller sends the requests, passes the responses in, and applies the
+//! resulting [`Update`](pulleystair_membership::Update) to the membership view. A response that can't be used is a
 //! [`RegistryError`]: a blocking query continues from its last index, a watch starts again with a full read.
 
 pub mod consul;
@@ -24,7 +24,8 @@
     MissingHeader(&'static str),
     #[error("response has {0} bytes, more than {MAX_BYTES}")]
     TooLarge(usize),
-    #[error("response is incomplete or lists over {MAX_SERVERS} servers")]
+    /// A range response of etcd has further pages, or a response of either registry is too long.
+    #[error("response has further pages or lists over {MAX_SERVERS} servers")]
     IncompleteOrTooManyServers,
     #[error("response is not valid: {0}")]
     InvalidJson(String),
@@ -64,10 +65,13 @@
     ) -> Result<Server, RegistryError> {
         let invalid = |cause: String| RegistryError::InvalidServer(name.chars().take(64).collect(), cause);
         if !(self.weight.is_finite() && self.weight > 0.0) {
-            return Err(invalid(format!("weight is {}", self.weight)));
+            return Err(invalid(format!("weight {} is not a finite number above 0", self.weight)));
         }
         if !(self.started_ms.is_finite() && self.started_ms >= 0.0) {
-            return Err(invalid(format!("started_ms is {}", self.started_ms)));
+            return Err(invalid(format!(
+                "started_ms {} is not a finite number of at least 0",
+                self.started_ms
+            )));
         }
         let ServerMetadata { zone, kind, cell, weight, started_ms: started_at } = self;
         Ok(Server { name: name.into(), address, zone, kind, cell, weight, standing, started_at })
