--- a/crates/dash/src/token.rs
+++ b/crates/dash/src/token.rs
@@ -1,46 +1,51 @@
-//! Tokens as JSON Web Tokens (RFC 7519), signed by HMAC-SHA256 (RFC 7518, section 3.2).
+//! JSON Web Tokens (RFC 7519), signed with HMAC-SHA256 (RFC 7518, section 3.2).
 //!
-//! An entry token comes from the portal and asks for one play. A session token (a pass) is made by the front
-//! and opens that play's segments. Each names its key by `kid` (RFC 7515, section 4.1.4); a ring holds the
-//! keys that are live: the newest signs, all of them are read, and those taken out for some time more.
+//! An entry token is issued by the portal and asks for one play. A session token is issued by the
+//! front and gives access to the segments of that play. Each token names its key by `kid` (RFC 7515, section 4.1.4). A
+//! key ring holds the live keys, of which the newest signs and all verify, and retired keys, which verify until their
+//! overlap ends. Times are in s since 1970.
 
 use jsonwebtoken::{Algorithm, DecodingKey, EncodingKey, Header, Validation};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::hash::{Hash, Hasher};
 
-/// The longest token that is read, bytes.
+/// Size limit of a token, bytes.
 pub const MAX_BYTES: usize = 1024;
-/// Bytes that a key must have, RFC 7518 section 3.2: no fewer than the hash's output.
-pub const KEY_BYTES: usize = 32;
-/// Keys that may be live at once: the one in service, the one that comes, the one that goes.
+/// Minimum size of a key, bytes: the size of the hash's output (RFC 7518, section 3.2).
+pub const MIN_KEY_BYTES: usize = 32;
+/// Maximum number of live keys: the one in use, its successor and its predecessor.
 pub const MAX_KEYS: usize = 3;
-/// Keys that were taken out and are still read, at most.
-pub const MAX_LEAVING: usize = 32;
+/// Maximum number of retired keys that are still within their overlap.
+pub const MAX_RETIRED: usize = 32;
 
+/// Claims of an entry token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryToken {
-    /// The session: a request with the same one is the same play.
+    /// Identifier of the session: requests with the same one belong to the same play.
     pub jti: String,
-    /// The viewer.
+    /// Identifier of the viewer.
     pub sub: String,
     pub product: String,
     pub title: String,
     /// Highest rung that the viewer can use.
     pub top: usize,
-    /// Until when it may be used, s since 1970.
+    /// Expiry time, s since 1970.
     pub exp: u64,
 }
 
+/// Claims of a session token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionToken {
-    /// The session it was made for.
+    /// Identifier of the session: the `jti` of its entry token.
     pub sid: String,
     pub product: String,
     pub title: String,
+    /// Expiry time, s since 1970.
     pub exp: u64,
 }
 
+/// Why a token is rejected. The texts are sent to viewers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TokenError {
     #[error("token missing")]
@@ -52,51 +57,53 @@
     #[error("token signed by no key known here")]
     UnknownKey,
     #[error("token signature wrong")]
-    Forged,
+    WrongSignature,
     #[error("token expired")]
     Expired,
     #[error("token is for another title or product")]
-    Foreign,
+    WrongTitleOrProduct,
 }
 
 impl TokenError {
-    /// The HTTP status that answers it.
+    /// HTTP status of the response to a request with such a token.
     pub fn status(self) -> u16 {
         match self {
             TokenError::Expired => 410,
-            TokenError::Foreign => 403,
+            TokenError::WrongTitleOrProduct => 403,
             _ => 401,
         }
     }
 }
 
+/// Why a set of keys is rejected.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    #[error("key {0:?} has {1} bytes, fewer than {KEY_BYTES}")]
-    Short(String, usize),
-    #[error("key {0:?} is there twice")]
-    Twice(String),
+    #[error("key {0:?} has {1} bytes, fewer than {MIN_KEY_BYTES}")]
+    TooShort(String, usize),
+    #[error("key {0:?} is listed twice")]
+    DuplicateId(String),
     #[error("{0} keys; 1 to {MAX_KEYS} are allowed")]
-    Count(usize),
+    WrongCount(usize),
     #[error("key {0:?} has another secret than before; a new secret needs a new id")]
-    Changed(String),
-    #[error("{0} keys taken out are still in their overlap; {MAX_LEAVING} may be")]
-    Leaving(usize),
+    SecretChanged(String),
+    #[error("{0} retired keys would still be in their overlap; at most {MAX_RETIRED} are allowed")]
+    TooManyRetired(usize),
 }
 
+/// A key by its id.
 struct Key {
     kid: String,
-    /// By which a secret is known to be the same; it never leaves this module.
-    print: u64,
-    sign: EncodingKey,
-    read: DecodingKey,
+    /// Hash by which a changed secret is detected; never leaves this module.
+    fingerprint: u64,
+    signing_key: EncodingKey,
+    verifying_key: DecodingKey,
 }
 
-/// The live keys, the newest first, and those that were taken out and are read until their overlap ends.
+/// The live keys, the signing one first, and the retired keys, which verify until their overlap ends.
 pub struct KeyRing {
     live: Vec<Key>,
-    /// Until when each is read, s since 1970.
-    leaving: Vec<(Key, u64)>,
+    /// Each retired key and the end of its overlap, s since 1970.
+    retired: Vec<(Key, u64)>,
 }
 
 impl fmt::Debug for KeyRing {
@@ -105,73 +112,81 @@
     }
 }
 
-fn print(secret: &[u8]) -> u64 {
+/// Hash of a secret, to compare secrets by.
+fn fingerprint(secret: &[u8]) -> u64 {
     let mut hash = std::hash::DefaultHasher::new();
     secret.hash(&mut hash);
     hash.finish()
 }
 
 impl KeyRing {
-    /// Keys by their ids; the first one signs.
+    /// A ring of these live keys, each an id and a secret; the first one signs.
     pub fn new(keys: &[(String, Vec<u8>)]) -> Result<KeyRing, KeyError> {
         if keys.is_empty() || keys.len() > MAX_KEYS {
-            return Err(KeyError::Count(keys.len()));
+            return Err(KeyError::WrongCount(keys.len()));
         }
         for (i, (kid, secret)) in keys.iter().enumerate() {
-            if secret.len() < KEY_BYTES {
-                return Err(KeyError::Short(kid.clone(), secret.len()));
+            if secret.len() < MIN_KEY_BYTES {
+                return Err(KeyError::TooShort(kid.clone(), secret.len()));
             }
             if keys[..i].iter().any(|k| k.0 == *kid) {
-                return Err(KeyError::Twice(kid.clone()));
+                return Err(KeyError::DuplicateId(kid.clone()));
             }
         }
-        let key = |(kid, secret): &(String, Vec<u8>)| Key {
+        let new_key = |(kid, secret): &(String, Vec<u8>)| Key {
             kid: kid.clone(),
-            print: print(secret),
-            sign: EncodingKey::from_secret(secret),
-            read: DecodingKey::from_secret(secret),
+            fingerprint: fingerprint(secret),
+            signing_key: EncodingKey::from_secret(secret),
+            verifying_key: DecodingKey::from_secret(secret),
         };
-        Ok(KeyRing { live: keys.iter().map(key).collect(), leaving: Vec::new() })
+        Ok(KeyRing { live: keys.iter().map(new_key).collect(), retired: Vec::new() })
     }
 
-    /// Whether [`KeyRing::replace`] would take these keys.
+    /// Checks whether [`KeyRing::replace`] would accept these keys at `now`, s since 1970.
     pub fn may_replace(&self, keys: &[(String, Vec<u8>)], now: u64) -> Result<(), KeyError> {
-        let new = KeyRing::new(keys)?;
-        let mut known = self.live.iter().chain(self.leaving.iter().map(|(k, _)| k));
-        if let Some(key) = known.find(|k| new.live.iter().any(|n| n.kid == k.kid && n.print != k.print)) {
-            return Err(KeyError::Changed(key.kid.clone()));
+        let new_ring = KeyRing::new(keys)?;
+        let mut known_keys = self.live.iter().chain(self.retired.iter().map(|(k, _)| k));
+        if let Some(key) = known_keys
+            .find(|k| new_ring.live.iter().any(|n| n.kid == k.kid && n.fingerprint != k.fingerprint))
+        {
+            return Err(KeyError::SecretChanged(key.kid.clone()));
         }
-        let stays = |key: &Key| new.live.iter().any(|n| n.kid == key.kid);
-        let out = self.live.iter().filter(|k| !stays(k)).count();
-        let leaving = out + self.leaving.iter().filter(|(k, until)| *until > now && !stays(k)).count();
-        if leaving > MAX_LEAVING { Err(KeyError::Leaving(leaving)) } else { Ok(()) }
+        let is_kept = |key: &Key| new_ring.live.iter().any(|n| n.kid == key.kid);
+        let removed_count = self.live.iter().filter(|k| !is_kept(k)).count();
+        let retired_count =
+            removed_count + self.retired.iter().filter(|(k, until)| *until > now && !is_kept(k)).count();
+        if retired_count > MAX_RETIRED { Err(KeyError::TooManyRetired(retired_count)) } else { Ok(()) }
     }
 
-    /// Puts other keys in service at `now`; those taken out are read for `overlap` s more, and one that comes back
-    /// is live again. Nothing changes where the new set can't be.
-    pub fn replace(&mut self, keys: &[(String, Vec<u8>)], now: u64, overlap: u64) -> Result<(), KeyError> {
+    /// Replaces the live keys at `now`, s since 1970. Keys that are no longer listed verify for another `overlap_s`; a
+    /// retired key that is listed again becomes live. On an error, nothing changes.
+    pub fn replace(&mut self, keys: &[(String, Vec<u8>)], now: u64, overlap_s: u64) -> Result<(), KeyError> {
         self.may_replace(keys, now)?;
-        let new = KeyRing::new(keys)?;
-        let stays = |key: &Key| new.live.iter().any(|n| n.kid == key.kid);
-        self.leaving.retain(|(k, until)| *until > now && !stays(k));
-        let old = std::mem::take(&mut self.live);
-        self.leaving.extend(old.into_iter().filter(|k| !stays(k)).map(|k| (k, now + overlap)));
-        self.live = new.live;
+        let new_ring = KeyRing::new(keys)?;
+        let is_kept = |key: &Key| new_ring.live.iter().any(|n| n.kid == key.kid);
+        self.retired.retain(|(k, until)| *until > now && !is_kept(k));
+        let old_keys = std::mem::take(&mut self.live);
+        self.retired.extend(old_keys.into_iter().filter(|k| !is_kept(k)).map(|k| (k, now + overlap_s)));
+        self.live = new_ring.live;
         Ok(())
     }
 
-    fn key(&self, kid: &str, now: u64) -> Option<&Key> {
-        let leaving = self.leaving.iter().filter(|(_, until)| *until > now).map(|(k, _)| k);
-        self.live.iter().chain(leaving).find(|k| k.kid == kid)
+    /// The live or retired key with this id.
+    fn find_key(&self, kid: &str, now: u64) -> Option<&Key> {
+        let retired = self.retired.iter().filter(|(_, until)| *until > now).map(|(k, _)| k);
+        self.live.iter().chain(retired).find(|k| k.kid == kid)
     }
 
+    /// A token with these claims, signed with the first live key.
     pub fn sign(&self, claims: &impl Serialize) -> String {
         let key = &self.live[0];
         let header = Header { kid: Some(key.kid.clone()), ..Header::new(Algorithm::HS256) };
-        jsonwebtoken::encode(&header, claims, &key.sign).expect("plain claims are signed by any key")
+        jsonwebtoken::encode(&header, claims, &key.signing_key)
+            .expect("claims serialize to JSON, and HMAC accepts any key")
     }
 
-    fn read<T: for<'a> Deserialize<'a>>(&self, token: &str, now: u64) -> Result<T, TokenError> {
+    /// Checks size, algorithm, key and signature of a token, and returns its claims.
+    fn verify_signature<T: for<'a> Deserialize<'a>>(&self, token: &str, now: u64) -> Result<T, TokenError> {
         if token.is_empty() {
             return Err(TokenError::Missing);
         }
@@ -180,24 +195,24 @@
         }
         let header = jsonwebtoken::decode_header(token).map_err(|_| TokenError::Malformed)?;
         if header.alg != Algorithm::HS256 {
-            return Err(TokenError::Forged);
+            return Err(TokenError::WrongSignature);
         }
-        let key = header.kid.as_deref().and_then(|kid| self.key(kid, now));
+        let key = header.kid.as_deref().and_then(|kid| self.find_key(kid, now));
         let key = key.ok_or(TokenError::UnknownKey)?;
-        let mut signature = Validation::new(Algorithm::HS256);
-        // Times are compared here, by the caller's clock.
-        signature.validate_exp = false;
-        signature.required_spec_claims.clear();
-        let token = jsonwebtoken::decode::<T>(token, &key.read, &signature);
-        Ok(token
+        let mut validation = Validation::new(Algorithm::HS256);
+        // The callers compare `exp` with the time that they are given.
+        validation.validate_exp = false;
+        validation.required_spec_claims.clear();
+        let decoded = jsonwebtoken::decode::<T>(token, &key.verifying_key, &validation);
+        Ok(decoded
             .map_err(|e| match e.kind() {
-                jsonwebtoken::errors::ErrorKind::InvalidSignature => TokenError::Forged,
+                jsonwebtoken::errors::ErrorKind::InvalidSignature => TokenError::WrongSignature,
                 _ => TokenError::Malformed,
             })?
             .claims)
     }
 
-    /// Reads an entry token at `now`, s since 1970, for the product and title that are asked for.
+    /// Verifies an entry token at `now`, s since 1970, for the requested product and title.
     pub fn verify_entry(
         &self,
         token: &str,
@@ -205,23 +220,24 @@
         product: &str,
         title: &str,
     ) -> Result<EntryToken, TokenError> {
-        let entry: EntryToken = self.read(token, now)?;
-        if entry.product != product || entry.title != title {
-            return Err(TokenError::Foreign);
+        let claims: EntryToken = self.verify_signature(token, now)?;
+        if claims.product != product || claims.title != title {
+            return Err(TokenError::WrongTitleOrProduct);
         }
-        if entry.jti.is_empty() || entry.jti.len() > 64 {
+        if claims.jti.is_empty() || claims.jti.len() > 64 {
             return Err(TokenError::Malformed);
         }
-        if entry.exp <= now { Err(TokenError::Expired) } else { Ok(entry) }
+        if claims.exp <= now { Err(TokenError::Expired) } else { Ok(claims) }
     }
 
+    /// Verifies a session token at `now`, s since 1970.
     pub fn verify_session(&self, token: &str, now: u64) -> Result<SessionToken, TokenError> {
-        let pass = self.verify_session_signature(token, now)?;
-        if pass.exp <= now { Err(TokenError::Expired) } else { Ok(pass) }
+        let claims = self.verify_session_signature(token, now)?;
+        if claims.exp <= now { Err(TokenError::Expired) } else { Ok(claims) }
     }
 
-    /// A pass that is ours, whether or not its time is up: a play that runs may have renewed it.
+    /// Verifies a session token but not its expiry, for callers that extend a session's lifetime after its token was signed.
     pub fn verify_session_signature(&self, token: &str, now: u64) -> Result<SessionToken, TokenError> {
-        self.read(token, now)
+        self.verify_signature(token, now)
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,42 +1,46 @@
-//! Who belongs to the fleet. Several sources of the list (a file, a registry) pour into one [`View`]; it settles order,
-//! duplicates, servers in two sources, lists that shrink suspiciously, and how far old lists are trusted. Free of I/O:
-//! callers hand in the time, ms, and what a source told; they ask for the list when [`Taken::changed`] says so, and call
-//! [`View::tick`] when [`View::next_deadline`] has come.
+//! Merges the server lists of several sources (a file, a registry) into one [`View`]. The view handles late and repeated
+//! changes, servers listed by two sources, lists that shrink suspiciously, and old lists. The module does no I/O: callers
+//! pass in the time, ms, and each source's updates, read the list when [`UpdateResult::changed`] is set, and call
+//! [`View::tick`] at [`View::next_deadline`].
 //!
-//! [`endpoints`] decides which of a registry's endpoints is asked next and when, [`snapshot`] is the last list as bytes.
+//! [`endpoints`] selects the registry endpoint that is queried next; [`snapshot`] stores the last list as bytes.
 //!
-//! What takes a server out of use is believed sooner than what brings one in: a drain at once and from anybody, a
-//! removal at once unless so many go together that the list is more likely wrong than the fleet gone.
+//! Reports that take a server out of use apply sooner than reports that add one. A drain applies at once, from any
+//! source. A removal applies at once, unless so many servers are removed together that a wrong list is more likely than
+//! the loss of that many servers.
 
 pub mod endpoints;
-mod settle;
+mod merge;
 pub mod snapshot;
 
-pub use settle::{Offer, Say, Says, settle};
+pub use merge::{Availability, Report, ReportedState, merge_reports};
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// How far lists are trusted.
+/// Limits on how far the lists of the sources are trusted.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipConfig {
-    /// A list that loses more than this part of its servers in one step is held back for so long, ms; removals in it
-    /// count once the source has told the same again after that.
-    pub shrink: f64,
-    pub hold: f64,
-    /// A server that came back so often within a span, ms, gets nothing new until it has stayed for as long.
-    pub flaps: usize,
-    pub flap_span: f64,
-    /// A list older than this, ms, adds servers only as long as no source is in step.
-    pub old: f64,
-    /// How long it is remembered that a source has told a server gone, ms.
-    pub forget: f64,
+    /// If a list loses more than this share of its servers in one update, their removal is held back.
+    pub max_shrink_share: f64,
+    /// How long removals are held back, ms; they apply once their source was heard after that time. A full list of a lower
+    /// revision is held back as long.
+    pub hold_ms: f64,
+    /// A server that came back this many times within `return_window_ms` gets no new plays for another `return_window_ms`.
+    pub drain_after_returns: usize,
+    pub return_window_ms: f64,
+    /// A list older than this, ms, adds servers only while no source is synced.
+    pub max_list_age_ms: f64,
+    /// How long a report that a server is gone is kept, ms.
+    pub forget_gone_after_ms: f64,
 }
 
-/// A list shorter than this may lose servers without suspicion, but not all of them.
-const FEW: usize = 4;
+/// [`MembershipConfig::max_shrink_share`] applies to lists of at least this many servers. Shorter ones may lose any share
+/// at once, but not all of their servers.
+const MIN_SERVERS_FOR_SHARE: usize = 4;
 
+/// Whether a server takes new plays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Standing {
@@ -44,391 +48,462 @@
     Draining,
 }
 
-/// A server as a source tells it.
+/// A server as a source lists it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
+    /// Kind of server, one of those that the settings define.
     pub kind: String,
+    /// Number of the cell that the server fills; the cell determines which titles the server holds.
     pub cell: usize,
     pub weight: f64,
     pub standing: Standing,
-    /// When its process started, ms since 1970; 0 for long ago.
-    pub started: f64,
+    /// When the process of the server started, ms since 1970; 0 for long ago.
+    #[serde(rename = "started")]
+    pub started_at: f64,
 }
 
-/// What a source tells.
+/// An update from a source.
 #[derive(Clone, Debug)]
 pub enum Update {
-    /// All servers as of a revision, so old when it was told, ms.
-    Whole { revision: u64, age: f64, servers: Vec<Server> },
-    /// What a revision changed.
-    Change { revision: u64, put: Vec<Server>, gone: Vec<String> },
-    /// Nothing, but the source is there.
+    /// All servers as of a revision. `age_ms` is the age of the list when it was sent.
+    Full { revision: u64, age_ms: f64, servers: Vec<Server> },
+    /// The servers that a revision added, changed or removed.
+    Change { revision: u64, put: Vec<Server>, removed: Vec<String> },
+    /// Nothing changed; the source is reachable.
     Alive,
-    /// The connection broke, or the revision to go on from is compacted: what follows must be whole.
+    /// The connection broke, or the revision to continue from is compacted: the next update must be a full list.
     Lost,
 }
 
-/// What became of news.
+/// Effect of an update.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Taken {
-    /// The list is another one now.
+pub struct UpdateResult {
+    /// Whether the merged list may have changed: it is set too if a server that is not listed changed.
     pub changed: bool,
-    /// The source is to be asked for all of it.
-    pub whole_wanted: bool,
-    pub held: Option<Held>,
+    /// Whether the source must be asked for its full list.
+    pub full_list_needed: bool,
+    /// Why a part of the update was held back, if it was.
+    pub held_back: Option<HoldReason>,
 }
 
-/// Why a part of the news is held back.
+/// Why a part of an update is held back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Held {
-    /// So many of so many servers were gone at once.
-    Shrunk { gone: usize, of: usize },
-    /// The revision went back: a stale follower, or a registry that was set up anew.
-    Backwards { from: u64, to: u64 },
+pub enum HoldReason {
+    /// The update removes this many of the servers that the source lists.
+    Shrunk { removed: usize, total: usize },
+    /// The list's revision is lower than the known one: the source read a stale follower, or the registry was set up anew.
+    LowerRevision { from: u64, to: u64 },
 }
 
-/// A server that plays may go to, or that still has some.
+/// A server that may get plays, or that drains.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedServer {
     pub server: Server,
-    /// Told by an old list alone.
-    pub cached: bool,
+    /// Whether only an old list reports the server ready.
+    pub unconfirmed: bool,
 }
 
+/// What is known from one source.
 #[derive(Clone, Default)]
 struct Source {
     revision: u64,
-    /// It has told all, and every change since.
-    in_step: bool,
-    heard: Option<f64>,
-    said: HashMap<String, Said>,
-    /// How many of them it lists.
-    there: usize,
-    /// Servers whose removal is held back, and since when.
-    held: Option<(f64, BTreeSet<String>)>,
-    /// A revision that is lower than one seen before, and since when.
-    backwards: Option<(f64, u64)>,
+    /// Whether the full list and every change since have arrived.
+    is_synced: bool,
+    last_heard_at: Option<f64>,
+    /// The last report on each server, by name.
+    reports: HashMap<String, ServerReport>,
+    /// Number of reports on servers that are not gone.
+    listed_count: usize,
+    /// Since when removals are held back, ms, and the names of the servers to remove. Removals held back later share the time
+    /// of the first.
+    held_removals: Option<(f64, BTreeSet<String>)>,
+    /// When a full list of a lower revision first arrived since the last full list that was applied, ms, and the revision of
+    /// that list.
+    lower_revision: Option<(f64, u64)>,
 }
 
-/// A source's last word on a server; `server` is as it was before where it is gone.
+/// A source's last report on a server. Where `gone` is set, `server` is as it was before its removal.
 #[derive(Clone)]
-struct Said {
+struct ServerReport {
     server: Server,
     gone: bool,
-    old: bool,
-    at: f64,
+    from_old_list: bool,
+    reported_at: f64,
 }
 
-/// A server as the view has it.
+/// A server in the merged view.
 #[derive(Clone)]
 struct Member {
     server: Server,
-    offer: Option<Offer>,
-    /// When it came back lately, and until when it gets nothing new for that.
-    comings: VecDeque<f64>,
-    out_until: f64,
+    availability: Option<Availability>,
+    /// When the server came back, within [`MembershipConfig::return_window_ms`].
+    returned_at: VecDeque<f64>,
+    /// The server gets no new plays before this time because it came back too often; 0 if it did not.
+    drained_until: f64,
 }
 
+/// The merged server list of all sources.
 #[derive(Clone)]
 pub struct View {
-    terms: MembershipConfig,
+    config: MembershipConfig,
     sources: Vec<Source>,
     members: BTreeMap<String, Member>,
-    /// Servers on which sources differ, which a mere word from one of them may settle otherwise.
+    /// Servers on which the sources disagree. Hearing from a source can change their availability even if its reports stay
+    /// the same.
     disputed: BTreeSet<String>,
 }
 
 impl View {
-    pub fn new(terms: MembershipConfig, sources: usize) -> View {
+    /// An empty view of this many sources, which callers name by index.
+    pub fn new(config: MembershipConfig, source_count: usize) -> View {
         View {
-            terms,
-            sources: (0..sources).map(|_| Source::default()).collect(),
+            config,
+            sources: (0..source_count).map(|_| Source::default()).collect(),
             members: BTreeMap::new(),
             disputed: BTreeSet::new(),
         }
     }
 
-    /// The revision up to which a source has told all; none if it must tell all anew.
+    /// The revision up to which all of a source's changes are known; none if its full list is needed.
     pub fn revision(&self, source: usize) -> Option<u64> {
-        self.sources[source].in_step.then_some(self.sources[source].revision)
+        self.sources[source].is_synced.then_some(self.sources[source].revision)
     }
 
     /// When a source was last heard.
-    pub fn heard(&self, source: usize) -> Option<f64> {
-        self.sources[source].heard
+    pub fn last_heard_at(&self, source: usize) -> Option<f64> {
+        self.sources[source].last_heard_at
     }
 
-    /// Takes what a source tells.
-    pub fn apply(&mut self, now: f64, source: usize, news: Update) -> Taken {
-        let stepped = self.in_step();
-        let (mut touched, mut taken) = match news {
-            Update::Whole { revision, age, servers } => self.whole(now, source, revision, age, servers),
-            Update::Change { revision, put, gone } => self.change(now, source, revision, put, gone),
-            Update::Alive => (BTreeSet::new(), Taken::default()),
+    /// Applies an update from a source.
+    pub fn apply(&mut self, now: f64, source: usize, update: Update) -> UpdateResult {
+        let was_any_synced = self.any_source_synced();
+        let (mut affected, mut result) = match update {
+            Update::Full { revision, age_ms, servers } => {
+                self.apply_full_list(now, source, revision, age_ms, servers)
+            }
+            Update::Change { revision, put, removed } => {
+                self.apply_change(now, source, revision, put, removed)
+            }
+            Update::Alive => (BTreeSet::new(), UpdateResult::default()),
             Update::Lost => {
-                self.sources[source].in_step = false;
-                return Taken { whole_wanted: true, ..Taken::default() };
+                self.sources[source].is_synced = false;
+                return UpdateResult { full_list_needed: true, ..UpdateResult::default() };
             }
         };
-        self.sources[source].heard = Some(now);
-        if stepped != self.in_step() {
-            // Whether old lists may add depends on it.
-            touched.extend(self.members.keys().cloned());
+        self.sources[source].last_heard_at = Some(now);
+        if was_any_synced != self.any_source_synced() {
+            // Whether old lists may add servers depends on whether a source is synced.
+            affected.extend(self.members.keys().cloned());
         }
-        touched.extend(self.disputed.iter().cloned());
-        taken.changed = self.refresh(now, touched);
-        taken
+        affected.extend(self.disputed.iter().cloned());
+        result.changed = self.update_members(now, affected);
+        result
     }
 
-    fn in_step(&self) -> bool {
-        self.sources.iter().any(|s| s.in_step)
+    /// Whether any source is synced.
+    fn any_source_synced(&self) -> bool {
+        self.sources.iter().any(|s| s.is_synced)
     }
 
-    fn whole(
+    /// Replaces a source's list. Returns the names of the servers that it affects, and the effect.
+    fn apply_full_list(
         &mut self,
         now: f64,
         source: usize,
         revision: u64,
-        age: f64,
+        age_ms: f64,
         servers: Vec<Server>,
-    ) -> (BTreeSet<String>, Taken) {
-        let (hold, old) = (self.terms.hold, age > self.terms.old);
-        let it = &mut self.sources[source];
-        if revision < it.revision {
-            let (since, lowest) = *it.backwards.get_or_insert((now, revision));
-            // What stays lower is a new history; until then only drains are taken from it.
-            if now < since + hold || revision < lowest {
-                let drains = servers.into_iter().filter(|s| s.standing == Standing::Draining);
-                let drains = drains.filter(|s| it.said.get(&s.name).is_some_and(|said| !said.gone)).collect();
-                let touched = it.put(now, drains, old);
-                let held = Some(Held::Backwards { from: it.revision, to: revision });
-                return (touched, Taken { whole_wanted: true, held, ..Taken::default() });
+    ) -> (BTreeSet<String>, UpdateResult) {
+        let (hold_ms, is_old) = (self.config.hold_ms, age_ms > self.config.max_list_age_ms);
+        let source_state = &mut self.sources[source];
+        if revision < source_state.revision {
+            let (since, lower_revision) = *source_state.lower_revision.get_or_insert((now, revision));
+            // If the revision is still lower after the hold time, and not below the first lower one, the registry was set
+            // up anew, and the list applies. Until then only the drains of listed servers apply.
+            if now < since + hold_ms || revision < lower_revision {
+                let draining = servers.into_iter().filter(|s| s.standing == Standing::Draining);
+                let draining = draining
+                    .filter(|s| source_state.reports.get(&s.name).is_some_and(|report| !report.gone))
+                    .collect();
+                let affected = source_state.record_servers(now, draining, is_old);
+                let held_back = Some(HoldReason::LowerRevision { from: source_state.revision, to: revision });
+                return (
+                    affected,
+                    UpdateResult { full_list_needed: true, held_back, ..UpdateResult::default() },
+                );
             }
         }
-        it.backwards = None;
-        // A list as old as that is no ground to go on from.
-        (it.revision, it.in_step) = (revision, !old);
-        let names: BTreeSet<&str> = servers.iter().map(|s| s.name.as_str()).collect();
-        let there = it.said.iter().filter(|(_, said)| !said.gone);
-        let gone: Vec<String> =
-            there.map(|(name, _)| name.clone()).filter(|name| !names.contains(name.as_str())).collect();
-        if let Some((_, held)) = it.held.as_mut() {
-            held.retain(|name| !names.contains(name.as_str()));
+        source_state.lower_revision = None;
+        // Changes can't be applied to a list that is too old.
+        (source_state.revision, source_state.is_synced) = (revision, !is_old);
+        let listed_names: BTreeSet<&str> = servers.iter().map(|s| s.name.as_str()).collect();
+        let known = source_state.reports.iter().filter(|(_, report)| !report.gone);
+        let removed: Vec<String> = known
+            .map(|(name, _)| name.clone())
+            .filter(|name| !listed_names.contains(name.as_str()))
+            .collect();
+        if let Some((_, held)) = source_state.held_removals.as_mut() {
+            held.retain(|name| !listed_names.contains(name.as_str()));
         }
-        let mut touched = it.put(now, servers, old);
-        let held = self.remove(now, source, gone, &mut touched);
-        (touched, Taken { whole_wanted: held.is_some() || old, held, ..Taken::default() })
+        let mut affected = source_state.record_servers(now, servers, is_old);
+        let held_back = self.apply_removals(now, source, removed, &mut affected);
+        (
+            affected,
+            UpdateResult {
+                full_list_needed: held_back.is_some() || is_old,
+                held_back,
+                ..UpdateResult::default()
+            },
+        )
     }
 
-    fn change(
+    /// Applies a change to a source's list. Returns the names of the servers that it affects, and the effect.
+    fn apply_change(
         &mut self,
         now: f64,
         source: usize,
         revision: u64,
         put: Vec<Server>,
-        gone: Vec<String>,
-    ) -> (BTreeSet<String>, Taken) {
-        let it = &mut self.sources[source];
-        if !it.in_step {
-            // Something in between may be missing.
-            return (BTreeSet::new(), Taken { whole_wanted: true, ..Taken::default() });
+        removed: Vec<String>,
+    ) -> (BTreeSet<String>, UpdateResult) {
+        let source_state = &mut self.sources[source];
+        if !source_state.is_synced {
+            // A change in between may be missing.
+            return (BTreeSet::new(), UpdateResult { full_list_needed: true, ..UpdateResult::default() });
         }
-        if revision <= it.revision {
-            // A duplicate, or one that came late: what is known is newer.
-            return (BTreeSet::new(), Taken::default());
+        if revision <= source_state.revision {
+            // A repeated or late change: the known state is newer.
+            return (BTreeSet::new(), UpdateResult::default());
         }
-        it.revision = revision;
-        if let Some((_, held)) = it.held.as_mut() {
+        source_state.revision = revision;
+        if let Some((_, held)) = source_state.held_removals.as_mut() {
             put.iter().for_each(|server| {
                 held.remove(&server.name);
             });
         }
-        let mut touched = it.put(now, put, false);
-        let held = self.remove(now, source, gone, &mut touched);
-        (touched, Taken { whole_wanted: held.is_some(), held, ..Taken::default() })
+        let mut affected = source_state.record_servers(now, put, false);
+        let held_back = self.apply_removals(now, source, removed, &mut affected);
+        (
+            affected,
+            UpdateResult { full_list_needed: held_back.is_some(), held_back, ..UpdateResult::default() },
+        )
     }
 
-    /// Takes servers out of a source's list, or holds that back where too many go at once.
-    fn remove(
+    /// Removes servers from a source's list, together with those held back before. Holds the removals back if there are too
+    /// many at once. Adds the names of the removed servers to `affected`.
+    fn apply_removals(
         &mut self,
         now: f64,
         source: usize,
-        gone: Vec<String>,
-        touched: &mut BTreeSet<String>,
-    ) -> Option<Held> {
-        let terms = self.terms;
-        let it = &mut self.sources[source];
-        let of = it.there;
-        let mut out: BTreeSet<String> =
-            gone.into_iter().filter(|name| it.said.get(name).is_some_and(|said| !said.gone)).collect();
-        let (since, held) = it.held.take().unwrap_or((now, BTreeSet::new()));
-        out.extend(held);
-        let many = out.len() == of && of > 0 || of >= FEW && out.len() as f64 > terms.shrink * of as f64;
-        let wait = many && now < since + terms.hold;
-        // One that drained already has nothing to lose by being gone.
-        let drained =
-            |name: &String| it.said.get(name).is_some_and(|s| s.server.standing == Standing::Draining);
-        let (now_gone, later): (BTreeSet<String>, BTreeSet<String>) =
-            out.into_iter().partition(|name| !wait || drained(name));
-        let count = later.len();
-        it.held = (count > 0).then_some((since, later));
-        for name in now_gone {
-            if let Some(said) = it.said.get_mut(&name) {
-                (said.gone, said.at) = (true, now);
-                it.there -= 1;
+        removed: Vec<String>,
+        affected: &mut BTreeSet<String>,
+    ) -> Option<HoldReason> {
+        let config = self.config;
+        let source_state = &mut self.sources[source];
+        let total = source_state.listed_count;
+        let mut removals: BTreeSet<String> = removed
+            .into_iter()
+            .filter(|name| source_state.reports.get(name).is_some_and(|report| !report.gone))
+            .collect();
+        let (since, already_held) = source_state.held_removals.take().unwrap_or((now, BTreeSet::new()));
+        removals.extend(already_held);
+        let too_many = removals.len() == total && total > 0
+            || total >= MIN_SERVERS_FOR_SHARE
+                && removals.len() as f64 > config.max_shrink_share * total as f64;
+        let hold = too_many && now < since + config.hold_ms;
+        // A draining server gets no new plays anyway, so its removal is never held back.
+        let was_draining = |name: &String| {
+            source_state.reports.get(name).is_some_and(|s| s.server.standing == Standing::Draining)
+        };
+        let (gone_now, held): (BTreeSet<String>, BTreeSet<String>) =
+            removals.into_iter().partition(|name| !hold || was_draining(name));
+        let held_count = held.len();
+        source_state.held_removals = (held_count > 0).then_some((since, held));
+        for name in gone_now {
+            if let Some(report) = source_state.reports.get_mut(&name) {
+                (report.gone, report.reported_at) = (true, now);
+                source_state.listed_count -= 1;
             }
-            touched.insert(name);
+            affected.insert(name);
         }
-        (count > 0).then_some(Held::Shrunk { gone: count, of })
+        (held_count > 0).then_some(HoldReason::Shrunk { removed: held_count, total })
     }
 
-    /// When something becomes due by time alone.
+    /// When [`View::tick`] must be called next: held removals may apply, or a server may get new plays again.
     pub fn next_deadline(&self) -> Option<f64> {
-        let holds = self.sources.iter().filter_map(|s| Some(s.held.as_ref()?.0 + self.terms.hold));
-        let out =
-            self.members.values().filter(|m| m.offer.is_some()).map(|m| m.out_until).filter(|t| *t > 0.0);
-        holds.chain(out).min_by(f64::total_cmp)
+        let hold_ends =
+            self.sources.iter().filter_map(|s| Some(s.held_removals.as_ref()?.0 + self.config.hold_ms));
+        let drain_ends = self
+            .members
+            .values()
+            .filter(|m| m.availability.is_some())
+            .map(|m| m.drained_until)
+            .filter(|t| *t > 0.0);
+        hold_ends.chain(drain_ends).min_by(f64::total_cmp)
     }
 
-    /// Takes up what has become due; true where the list is another one now. A removal that was held back counts only
-    /// if its source has been heard since: one that is cut off has not told it again.
+    /// Applies what has become due; true if a server changed, listed or not. Held removals apply only if their source was heard
+    /// after the hold time: a source that is cut off has not confirmed them.
     pub fn tick(&mut self, now: f64) -> bool {
-        let mut touched = BTreeSet::new();
+        let mut affected = BTreeSet::new();
         for source in 0..self.sources.len() {
-            let it = &self.sources[source];
-            let ripe = it.held.as_ref().is_some_and(|(since, _)| {
-                now >= since + self.terms.hold
-                    && it.heard.is_some_and(|heard| heard >= since + self.terms.hold)
+            let source_state = &self.sources[source];
+            let is_due = source_state.held_removals.as_ref().is_some_and(|(since, _)| {
+                now >= since + self.config.hold_ms
+                    && source_state
+                        .last_heard_at
+                        .is_some_and(|heard_at| heard_at >= since + self.config.hold_ms)
             });
-            if ripe {
-                self.remove(now, source, Vec::new(), &mut touched);
+            if is_due {
+                self.apply_removals(now, source, Vec::new(), &mut affected);
             }
         }
-        let forget = self.terms.forget;
-        for it in &mut self.sources {
-            it.said.retain(|_, said| !said.gone || now < said.at + forget);
+        let forget_after = self.config.forget_gone_after_ms;
+        for source_state in &mut self.sources {
+            source_state.reports.retain(|_, report| !report.gone || now < report.reported_at + forget_after);
         }
-        let back = self.members.iter().filter(|(_, m)| m.out_until > 0.0 && m.out_until <= now);
-        touched.extend(back.map(|(name, _)| name.clone()));
-        self.refresh(now, touched)
+        let drain_ended =
+            self.members.iter().filter(|(_, m)| m.drained_until > 0.0 && m.drained_until <= now);
+        affected.extend(drain_ended.map(|(name, _)| name.clone()));
+        self.update_members(now, affected)
     }
 
-    /// Settles these servers anew; true where one of them now stands otherwise.
-    fn refresh(&mut self, now: f64, touched: BTreeSet<String>) -> bool {
-        let in_step = self.in_step();
+    /// Merges the reports on these servers again; true if one of them changed, listed or not.
+    fn update_members(&mut self, now: f64, affected: BTreeSet<String>) -> bool {
+        let any_source_synced = self.any_source_synced();
         let mut changed = false;
-        for name in touched {
-            let words: Vec<(usize, &Said)> = (0..self.sources.len())
-                .filter_map(|source| Some((source, self.sources[source].said.get(&name)?)))
+        for name in affected {
+            let reports: Vec<(usize, &ServerReport)> = (0..self.sources.len())
+                .filter_map(|source| Some((source, self.sources[source].reports.get(&name)?)))
                 .collect();
-            let says: Vec<Says> = words
+            let inputs: Vec<Report> = reports
                 .iter()
-                .map(|(source, said)| Says {
-                    say: match (said.gone, said.server.standing) {
-                        (true, _) => Say::Gone,
-                        (false, Standing::Draining) => Say::Draining,
-                        (false, Standing::Ready) => Say::Ready,
+                .map(|(source, report)| Report {
+                    state: match (report.gone, report.server.standing) {
+                        (true, _) => ReportedState::Gone,
+                        (false, Standing::Draining) => ReportedState::Draining,
+                        (false, Standing::Ready) => ReportedState::Ready,
                     },
-                    started: said.server.started,
-                    at: said.at,
-                    heard: self.sources[*source].heard.unwrap_or(f64::NEG_INFINITY),
-                    old: said.old,
+                    process_started_at: report.server.started_at,
+                    reported_at: report.reported_at,
+                    last_heard_at: self.sources[*source].last_heard_at.unwrap_or(f64::NEG_INFINITY),
+                    from_old_list: report.from_old_list,
                 })
                 .collect();
-            let differ = says.iter().any(|s| s.say != says[0].say || s.started != says[0].started);
-            let offer = settle(&says, in_step);
-            // The newest process is the one that counts; of two words on it, the first source's.
-            let newest = words.iter().rev().max_by(|a, b| a.1.server.started.total_cmp(&b.1.server.started));
-            let server = newest.map(|(_, said)| said.server.clone());
-            if differ {
+            let is_disputed = inputs
+                .iter()
+                .any(|s| s.state != inputs[0].state || s.process_started_at != inputs[0].process_started_at);
+            let availability = merge_reports(&inputs, any_source_synced);
+            // The newest process counts; of two reports on it, the one of the first source.
+            let newest =
+                reports.iter().rev().max_by(|a, b| a.1.server.started_at.total_cmp(&b.1.server.started_at));
+            let server = newest.map(|(_, report)| report.server.clone());
+            if is_disputed {
                 self.disputed.insert(name.clone());
             } else {
                 self.disputed.remove(&name);
             }
-            changed |= self.member(now, name, server, offer);
+            changed |= self.update_member(now, name, server, availability);
         }
         changed
     }
 
-    fn member(&mut self, now: f64, name: String, server: Option<Server>, offer: Option<Offer>) -> bool {
-        let (terms, known) = (self.terms, self.members.get(&name));
+    /// Sets a server's entry in the view, or removes it; true if the entry changed. A new entry that is not listed does not
+    /// count.
+    fn update_member(
+        &mut self,
+        now: f64,
+        name: String,
+        server: Option<Server>,
+        availability: Option<Availability>,
+    ) -> bool {
+        let (config, known) = (self.config, self.members.get(&name));
         let Some(mut server) = server else { return self.members.remove(&name).is_some() };
-        // Another address is another process, whatever it says of its start.
-        if known.is_some_and(|m| m.server.address != server.address && server.started <= m.server.started) {
-            server.started = now;
+        // A new address means a new process: without a later start time, the process counts as started now. At the same
+        // address, the start time never decreases.
+        if known
+            .is_some_and(|m| m.server.address != server.address && server.started_at <= m.server.started_at)
+        {
+            server.started_at = now;
         } else if let Some(m) = known.filter(|m| m.server.address == server.address) {
-            server.started = server.started.max(m.server.started);
+            server.started_at = server.started_at.max(m.server.started_at);
         }
-        let Some(it) = self.members.get_mut(&name) else {
-            let offered = offer.is_some();
-            let it = Member { server, offer, comings: VecDeque::new(), out_until: 0.0 };
-            self.members.insert(name, it);
-            return offered;
+        let Some(member) = self.members.get_mut(&name) else {
+            let is_listed = availability.is_some();
+            let member = Member { server, availability, returned_at: VecDeque::new(), drained_until: 0.0 };
+            self.members.insert(name, member);
+            return is_listed;
         };
-        let back = it.offer.is_none() && offer.is_some();
-        if back {
-            it.comings.retain(|at| *at > now - terms.flap_span);
-            it.comings.push_back(now);
-            if it.comings.len() >= terms.flaps {
-                it.out_until = now + terms.flap_span;
+        let has_returned = member.availability.is_none() && availability.is_some();
+        if has_returned {
+            member.returned_at.retain(|at| *at > now - config.return_window_ms);
+            member.returned_at.push_back(now);
+            if member.returned_at.len() >= config.drain_after_returns {
+                member.drained_until = now + config.return_window_ms;
             }
         }
-        let quiet = it.out_until > 0.0 && it.out_until <= now;
-        if quiet {
-            (it.out_until, it.comings) = (0.0, VecDeque::new());
+        let has_drain_ended = member.drained_until > 0.0 && member.drained_until <= now;
+        if has_drain_ended {
+            (member.drained_until, member.returned_at) = (0.0, VecDeque::new());
         }
-        let changed = quiet || (it.offer, &it.server) != (offer, &server);
-        (it.server, it.offer) = (server, offer);
+        let changed = has_drain_ended || (member.availability, &member.server) != (availability, &server);
+        (member.server, member.availability) = (server, availability);
         changed
     }
 
-    /// The list as it is: servers that may get plays, and those that drain, by name.
-    pub fn list(&self, now: f64) -> Vec<Listed> {
+    /// The merged list by name: servers that may get plays, and those that drain.
+    pub fn list(&self, now: f64) -> Vec<ListedServer> {
         let mut by_address: HashMap<SocketAddr, (f64, &str)> = HashMap::new();
-        let offered = || self.members.iter().filter(|(_, m)| m.offer.is_some());
-        // Two names at one address: the process that started last is the one that is there.
-        for (name, m) in offered() {
-            let at = by_address.entry(m.server.address).or_insert((m.server.started, name));
-            if m.server.started > at.0 {
-                *at = (m.server.started, name);
+        let listed = || self.members.iter().filter(|(_, m)| m.availability.is_some());
+        // Where two names share one address, the process that started last is the one that runs; of equal start times, the
+        // first name is listed.
+        for (name, m) in listed() {
+            let newest = by_address.entry(m.server.address).or_insert((m.server.started_at, name));
+            if m.server.started_at > newest.0 {
+                *newest = (m.server.started_at, name);
             }
         }
-        let there = offered().filter(|(name, m)| by_address[&m.server.address].1 == name.as_str());
-        there
+        let current = listed().filter(|(name, m)| by_address[&m.server.address].1 == name.as_str());
+        current
             .map(|(_, m)| {
-                let out = m.offer == Some(Offer::Draining) || m.out_until > now;
-                let standing = if out { Standing::Draining } else { Standing::Ready };
+                let drains = m.availability == Some(Availability::Draining) || m.drained_until > now;
+                let standing = if drains { Standing::Draining } else { Standing::Ready };
                 let server = Server { standing, ..m.server.clone() };
-                Listed { server, cached: m.offer == Some(Offer::Cached) }
+                ListedServer { server, unconfirmed: m.availability == Some(Availability::Unconfirmed) }
             })
             .collect()
     }
 }
 
 impl Source {
-    /// Takes what is told of servers; of two words on one the process that started later counts.
-    fn put(&mut self, now: f64, servers: Vec<Server>, old: bool) -> BTreeSet<String> {
-        let mut touched = BTreeSet::new();
+    /// Records reports on servers, and returns the names of those that changed. Where an update lists a server twice, the
+    /// process that started later counts.
+    fn record_servers(&mut self, now: f64, servers: Vec<Server>, from_old_list: bool) -> BTreeSet<String> {
+        let mut affected = BTreeSet::new();
         for server in servers {
             let name = server.name.clone();
-            let twice = touched.contains(&name);
-            if twice && self.said.get(&name).is_some_and(|said| said.server.started >= server.started) {
+            let repeated = affected.contains(&name);
+            if repeated
+                && self.reports.get(&name).is_some_and(|report| report.server.started_at >= server.started_at)
+            {
                 continue;
             }
-            let same = self
-                .said
-                .get(&name)
-                .is_some_and(|said| !said.gone && said.server == server && said.old == old);
-            if !same {
-                self.there += usize::from(self.said.get(&name).is_none_or(|said| said.gone));
-                self.said.insert(name.clone(), Said { server, gone: false, old, at: now });
-                touched.insert(name);
+            let unchanged = self.reports.get(&name).is_some_and(|report| {
+                !report.gone && report.server == server && report.from_old_list == from_old_list
+            });
+            if !unchanged {
+                self.listed_count += usize::from(self.reports.get(&name).is_none_or(|report| report.gone));
+                self.reports.insert(
+                    name.clone(),
+                    ServerReport { server, gone: false, from_old_list, reported_at: now },
+                );
+                affected.insert(name);
             }
         }
-        touched
+        affected
     }
 }
--- a/crates/membership/tests/explore.rs
+++ b/crates/membership/tests/explore.rs
@@ -1,21 +1,29 @@
-//! Every order of events of a small registry, up to a depth, against the real view: two sources, compaction, breaks,
-//! repeats and reconnects.
+//! Runs every sequence of events of a small registry, up to a fixed length, against the real view: two sources, compaction,
+//! lost connections, repeated changes and reconnects.
 //!
-//! What must hold in every state that is reached: no server is offered for new plays that the registry has told gone or
-//! draining, by its newest word that arrived; none is lost for good, and the view converges: once the connection is
-//! back and all is delivered, it is what the registry is.
+//! Two invariants are checked in every state. No server is listed for new plays that the newest delivered state of the
+//! registry reports gone or draining, except one that is gone there and still in the file. And the view converges: once
+//! the connection is back and every change is delivered, the view equals the registry together with the file.
 
 use pulleystair_membership::{MembershipConfig, Server, Standing, Update, View};
 use std::collections::{BTreeMap, VecDeque};
 
-const TERMS: MembershipConfig =
-    MembershipConfig { shrink: 0.9, hold: 1000.0, flaps: 1000, flap_span: 5000.0, old: 2000.0, forget: 1e9 };
-/// So many events in a row. Each more takes about eight times as long.
+const CONFIG: MembershipConfig = MembershipConfig {
+    max_shrink_share: 0.9,
+    hold_ms: 1000.0,
+    drain_after_returns: 1000,
+    return_window_ms: 5000.0,
+    max_list_age_ms: 2000.0,
+    forget_gone_after_ms: 1e9,
+};
+/// Number of events in a sequence. Each further event takes about eight times as long.
 const DEPTH: usize = 6;
-/// Registry and file.
+/// Index of the registry among the sources.
 const REGISTRY: usize = 0;
+/// Index of the list file among the sources.
 const FILE: usize = 1;
 
+/// Standing of each server in the registry, by number.
 type State = BTreeMap<usize, Standing>;
 
 fn server(n: usize, standing: Standing) -> Server {
@@ -27,7 +35,7 @@
         cell: n,
         weight: 1.0,
         standing,
-        started: 0.0,
+        started_at: 0.0,
     }
 }
 
@@ -35,17 +43,22 @@
     state.iter().map(|(n, standing)| server(*n, *standing)).collect()
 }
 
+/// A change of the registry, or of what arrives from it or from the file.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Add(usize),
     Drain(usize),
     Remove(usize),
+    /// The next change in flight arrives.
     Deliver,
+    /// The last change that arrived arrives again.
     Repeat,
+    /// The connection to the registry is lost, with all changes in flight.
     Break,
+    /// The registry drops its changes up to the newest revision.
     Compact,
     Reconnect,
-    /// The other source is heard.
+    /// The file is read, unchanged.
     FileHeard,
 }
 
@@ -62,61 +75,66 @@
     Event::FileHeard,
 ];
 
+/// The registry, its connection, and the view that is fed from it.
 #[derive(Clone)]
-struct World {
+struct RegistryModel {
     now: f64,
-    /// The registry at each revision, and the one below which changes are compacted.
+    /// State of the registry at each revision.
     history: Vec<State>,
+    /// Changes below this revision are compacted.
     compacted: usize,
     connected: bool,
-    /// Revisions on their way.
-    under_way: VecDeque<usize>,
-    /// The newest state that has arrived.
+    /// Revisions that were sent and have not arrived.
+    in_flight: VecDeque<usize>,
+    /// Revision of the newest state that has arrived.
     arrived: usize,
     view: View,
 }
 
-impl World {
-    fn new() -> World {
-        // m2 is there always, m1 is in the file too.
+impl RegistryModel {
+    fn new() -> RegistryModel {
+        // m2 is never removed; m1 is in the file too.
         let state: State = [0, 1, 2].map(|n| (n, Standing::Ready)).into();
-        let mut view = View::new(TERMS, 2);
-        view.apply(0.0, REGISTRY, Update::Whole { revision: 0, age: 0.0, servers: servers(&state) });
+        let mut view = View::new(CONFIG, 2);
+        view.apply(0.0, REGISTRY, Update::Full { revision: 0, age_ms: 0.0, servers: servers(&state) });
         let file = vec![server(1, Standing::Ready)];
-        view.apply(0.0, FILE, Update::Whole { revision: 0, age: 0.0, servers: file });
-        World {
+        view.apply(0.0, FILE, Update::Full { revision: 0, age_ms: 0.0, servers: file });
+        RegistryModel {
             now: 0.0,
             history: vec![state],
             compacted: 0,
             connected: true,
-            under_way: VecDeque::new(),
+            in_flight: VecDeque::new(),
             arrived: 0,
             view,
         }
     }
 
-    fn tell(&mut self, news: Update) {
-        self.view.apply(self.now, REGISTRY, news);
+    /// Passes an update of the registry to the view.
+    fn update(&mut self, update: Update) {
+        self.view.apply(self.now, REGISTRY, update);
     }
 
-    fn change(&mut self, revision: usize) -> Update {
+    /// The change that a revision made.
+    fn change_at(&mut self, revision: usize) -> Update {
         let (before, after) = (&self.history[revision - 1], &self.history[revision]);
         let put = after.iter().filter(|(n, s)| before.get(n) != Some(s));
-        let gone = before.keys().filter(|n| !after.contains_key(n));
+        let removed = before.keys().filter(|n| !after.contains_key(n));
         Update::Change {
             revision: revision as u64,
             put: put.map(|(n, s)| server(*n, *s)).collect(),
-            gone: gone.map(|n| format!("m{n}")).collect(),
+            removed: removed.map(|n| format!("m{n}")).collect(),
         }
     }
 
     fn deliver(&mut self, revision: usize) {
-        let news = self.change(revision);
-        self.tell(news);
+        let update = self.change_at(revision);
+        self.update(update);
         self.arrived = self.arrived.max(revision);
     }
 
-    fn set(&mut self, change: impl Fn(&mut State)) -> bool {
+    /// Changes the registry; false if its state stays the same.
+    fn change_registry(&mut self, change: impl Fn(&mut State)) -> bool {
         let mut state = self.history[self.history.len() - 1].clone();
         change(&mut state);
         if state == self.history[self.history.len() - 1] {
@@ -124,25 +142,25 @@
         }
         self.history.push(state);
         if self.connected {
-            self.under_way.push_back(self.history.len() - 1);
+            self.in_flight.push_back(self.history.len() - 1);
         }
         true
     }
 
-    /// Does it; false where there is nothing to do.
-    fn does(&mut self, event: Event) -> bool {
+    /// Applies an event; false if it would change nothing.
+    fn apply(&mut self, event: Event) -> bool {
         self.now += 1.0;
         match event {
-            Event::Add(n) => self.set(|state| {
+            Event::Add(n) => self.change_registry(|state| {
                 state.insert(n, Standing::Ready);
             }),
-            Event::Drain(n) => self.set(|state| {
+            Event::Drain(n) => self.change_registry(|state| {
                 state.entry(n).and_modify(|s| *s = Standing::Draining);
             }),
-            Event::Remove(n) => self.set(|state| {
+            Event::Remove(n) => self.change_registry(|state| {
                 state.remove(&n);
             }),
-            Event::Deliver => match self.under_way.pop_front() {
+            Event::Deliver => match self.in_flight.pop_front() {
                 Some(revision) => {
                     self.deliver(revision);
                     true
@@ -150,13 +168,13 @@
                 None => false,
             },
             Event::Repeat if self.arrived > 0 && self.connected => {
-                let news = self.change(self.arrived);
-                self.tell(news);
+                let update = self.change_at(self.arrived);
+                self.update(update);
                 true
             }
             Event::Break if self.connected => {
-                (self.connected, self.under_way) = (false, VecDeque::new());
-                self.tell(Update::Lost);
+                (self.connected, self.in_flight) = (false, VecDeque::new());
+                self.update(Update::Lost);
                 true
             }
             Event::Compact if self.compacted + 1 < self.history.len() => {
@@ -175,83 +193,86 @@
         }
     }
 
-    /// As a client does: it goes on from what it has where that is not compacted, or reads all.
+    /// Reconnects as a client does: it continues from its revision unless that is compacted, and reads the full list if it is.
     fn reconnect(&mut self) {
         self.connected = true;
         match self.view.revision(REGISTRY) {
             Some(known) if known as usize >= self.compacted => {
-                self.under_way = (known as usize + 1..self.history.len()).collect();
+                self.in_flight = (known as usize + 1..self.history.len()).collect();
             }
             _ => {
                 self.arrived = self.history.len() - 1;
-                let news = Update::Whole {
+                let update = Update::Full {
                     revision: self.arrived as u64,
-                    age: 0.0,
+                    age_ms: 0.0,
                     servers: servers(&self.history[self.arrived]),
                 };
-                self.tell(news);
+                self.update(update);
             }
         }
     }
 
-    fn ready(&self) -> Vec<usize> {
+    /// Numbers of the servers that the view lists as ready.
+    fn ready_servers(&self) -> Vec<usize> {
         let list = self.view.list(self.now).into_iter();
         list.filter(|l| l.server.standing == Standing::Ready).map(|l| l.server.cell).collect()
     }
 
-    fn holds(&self, path: &[Event]) {
-        let told = &self.history[self.arrived];
-        for n in self.ready() {
-            let by_file = n == 1 && told.get(&n).is_none();
+    /// Checks that each server listed as ready is ready in the newest state that arrived, or gone there and in the file.
+    fn assert_invariants(&self, events: &[Event]) {
+        let known = &self.history[self.arrived];
+        for n in self.ready_servers() {
+            let is_in_file = n == 1 && known.get(&n).is_none();
             assert!(
-                told.get(&n) == Some(&Standing::Ready) || by_file,
-                "m{n} is offered, and the registry told {:?}: {path:?}",
-                told.get(&n)
+                known.get(&n) == Some(&Standing::Ready) || is_in_file,
+                "m{n} is listed as ready, but the registry reported {:?}: {events:?}",
+                known.get(&n)
             );
         }
     }
 
-    /// The connection comes back and all is delivered.
-    fn converges(mut self, path: &[Event]) {
+    /// Restores the connection, delivers every change, and checks that the view equals the registry together with the file.
+    fn assert_convergence(mut self, events: &[Event]) {
         if !self.connected {
             self.reconnect();
         }
-        while let Some(revision) = self.under_way.pop_front() {
+        while let Some(revision) = self.in_flight.pop_front() {
             self.deliver(revision);
         }
-        self.now += TERMS.hold + 1.0;
-        self.tell(Update::Alive);
+        self.now += CONFIG.hold_ms + 1.0;
+        self.update(Update::Alive);
         self.view.tick(self.now);
         self.view.apply(self.now + 1.0, FILE, Update::Alive);
-        let list: State =
+        let listed: State =
             self.view.list(self.now + 1.0).iter().map(|l| (l.server.cell, l.server.standing)).collect();
         let mut registry = self.history[self.history.len() - 1].clone();
-        // The file is there and goes on listing this one.
+        // The file still lists m1.
         registry.entry(1).or_insert(Standing::Ready);
-        assert_eq!(list, registry, "{path:?}");
+        assert_eq!(listed, registry, "{events:?}");
     }
 }
 
-fn explore(world: &World, path: &mut Vec<Event>, reached: &mut usize) {
-    *reached += 1;
-    world.holds(path);
-    world.clone().converges(path);
-    if path.len() == DEPTH {
+/// Checks this state, and all that follow from it by one more event, up to [`DEPTH`].
+fn explore(model: &RegistryModel, events: &mut Vec<Event>, visited: &mut usize) {
+    *visited += 1;
+    model.assert_invariants(events);
+    model.clone().assert_convergence(events);
+    if events.len() == DEPTH {
         return;
     }
     for event in EVENTS {
-        let mut next = world.clone();
-        if next.does(event) {
-            path.push(event);
-            explore(&next, path, reached);
-            path.pop();
+        let mut next = model.clone();
+        if next.apply(event) {
+            events.push(event);
+            explore(&next, events, visited);
+            events.pop();
         }
     }
 }
 
 #[test]
-fn every_order_of_events_keeps_what_must_hold() {
-    let mut reached = 0;
-    explore(&World::new(), &mut Vec::new(), &mut reached);
-    assert!(reached > 10_000, "{reached} states");
+fn every_order_of_events_keeps_the_invariants_and_converges() {
+    let mut visited = 0;
+    explore(&RegistryModel::new(), &mut Vec::new(), &mut visited);
+    assert!(visited > 10_000, "{visited} states");
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,66 +1,79 @@
-//! The two published forms of registries, as what to ask and what an answer tells: [`blocking`] queries with an index, and
-//! [`watch`] from a revision. No I/O: a caller sends what it is handed, hands back what came, and passes the
-//! [`Update`](pulleystair_membership::Update) on to the view. What does not read is a [`RegistryError`], and the query goes on from
-//! where it was.
+//! Requests to Consul ([`consul`], blocking queries with an index) and etcd ([`etcd`], watches from a revision), and parsing
+//! of their responses. The module does no I/O: a caller sends the requests, passes the responses in, and applies the
+//! resulting [`Update`](pulleystair_membership::Update) to the membership view. A response that can't be used is a
+//! [`RegistryError`]: a blocking query continues from its last index, a watch starts again with a full read.
 
-pub mod blocking;
-pub mod watch;
+pub mod consul;
+pub mod etcd;
 
 use pulleystair_membership::{Server, Standing};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The largest answer that is read, bytes, and the most servers in one.
-pub const MOST_BYTES: usize = 64 << 20;
-pub const MOST_SERVERS: usize = 100_000;
+/// Size limit of a response, bytes.
+pub const MAX_BYTES: usize = 64 << 20;
+/// Maximum number of servers in a response.
+pub const MAX_SERVERS: usize = 100_000;
 
-/// Why an answer tells nothing.
+/// Why a response is not used.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RegistryError {
-    #[error("answered {0}")]
-    Status(u16),
-    #[error("no {0} header with a number")]
-    Header(&'static str),
-    #[error("{0} bytes; {MOST_BYTES} at most")]
+    #[error("registry answered with status {0}")]
+    UnexpectedStatus(u16),
+    #[error("response has no {0} header with a number")]
+    MissingHeader(&'static str),
+    #[error("response has {0} bytes, more than {MAX_BYTES}")]
     TooLarge(usize),
-    #[error("over {MOST_SERVERS} servers")]
-    TooMany,
-    #[error("not read: {0}")]
-    Json(String),
+    /// A range response of etcd has further pages, or a response of either registry is too long.
+    #[error("response has further pages or lists over {MAX_SERVERS} servers")]
+    IncompleteOrTooManyServers,
+    #[error("response is not valid: {0}")]
+    InvalidJson(String),
+    /// Name or key of the server, and the cause.
     #[error("{0}: {1}")]
-    Server(String, String),
-    #[error("knows no leader")]
+    InvalidServer(String, String),
+    #[error("registry has no leader")]
     NoLeader,
     #[error("watch ended: {0}")]
-    Cancelled(String),
+    WatchCancelled(String),
 }
 
-/// What is told of a server beside its name, address and standing: as metadata of a service, or the value of a key.
+/// What a registry holds of a server beside its name, address and standing: metadata of a service instance, or part of a
+/// key's value.
 #[derive(Clone, Debug, Deserialize)]
-struct Told {
+struct ServerMetadata {
     zone: String,
     kind: String,
     cell: usize,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     weight: f64,
     #[serde(default)]
     started_ms: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-impl Told {
-    fn server(self, name: &str, address: SocketAddr, standing: Standing) -> Result<Server, RegistryError> {
-        let bad = |cause: String| RegistryError::Server(name.chars().take(64).collect(), cause);
+impl ServerMetadata {
+    /// Checks weight and start time, and completes the server.
+    fn into_server(
+        self,
+        name: &str,
+        address: SocketAddr,
+        standing: Standing,
+    ) -> Result<Server, RegistryError> {
+        let invalid = |cause: String| RegistryError::InvalidServer(name.chars().take(64).collect(), cause);
         if !(self.weight.is_finite() && self.weight > 0.0) {
-            return Err(bad(format!("weight is {}", self.weight)));
+            return Err(invalid(format!("weight {} is not a finite number above 0", self.weight)));
         }
         if !(self.started_ms.is_finite() && self.started_ms >= 0.0) {
-            return Err(bad(format!("started_ms is {}", self.started_ms)));
+            return Err(invalid(format!(
+                "started_ms {} is not a finite number of at least 0",
+                self.started_ms
+            )));
         }
-        let Told { zone, kind, cell, weight, started_ms: started } = self;
-        Ok(Server { name: name.into(), address, zone, kind, cell, weight, standing, started })
+        let ServerMetadata { zone, kind, cell, weight, started_ms: started_at } = self;
+        Ok(Server { name: name.into(), address, zone, kind, cell, weight, standing, started_at })
     }
 }
