--- /dev/null
+++ b/crates/edge/tests/fake_peers/dns.rs
@@ -0,0 +1,140 @@
+//! The name service.
+
+use super::*;
+use std::net::{SocketAddr, UdpSocket};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+#[derive(Clone)]
+pub struct ServerRecord {
+    pub id: String,
+    pub addr: SocketAddr,
+    pub cell: usize,
+    pub draining: bool,
+    pub started_at: u64,
+}
+
+#[derive(Clone, Copy, PartialEq)]
+pub enum DnsMode {
+    Normal,
+    Silent,
+    Failing,
+    Truncated,
+    WrongId,
+}
+
+pub struct Zone {
+    pub serial: u32,
+    pub records: Vec<ServerRecord>,
+    pub mode: DnsMode,
+}
+
+pub struct DnsServer {
+    pub addr: SocketAddr,
+    pub zone: Arc<Mutex<Zone>>,
+    pub(super) queries: Arc<AtomicUsize>,
+}
+
+fn encode_name(name: &str) -> Vec<u8> {
+    let mut out = Vec::new();
+    for label in name.split('.') {
+        out.push(label.len() as u8);
+        out.extend(label.bytes());
+    }
+    out.push(0);
+    out
+}
+
+fn encode_record(name: &str, record_type: u16, rdata: &[u8]) -> Vec<u8> {
+    let mut out = encode_name(name);
+    out.extend(record_type.to_be_bytes());
+    out.extend([0, 1, 0, 0, 0, 0]);
+    out.extend((rdata.len() as u16).to_be_bytes());
+    out.extend(rdata);
+    out
+}
+
+fn encode_response(query: &[u8], zone: &Zone) -> Vec<u8> {
+    let (mut srv_records, mut additional) = (Vec::new(), Vec::new());
+    for r in &zone.records {
+        let target = format!("{}.east.hosts", r.id);
+        let mut rdata = u16::from(r.draining).to_be_bytes().to_vec();
+        rdata.extend(40u16.to_be_bytes());
+        rdata.extend(r.addr.port().to_be_bytes());
+        rdata.extend(encode_name(&target));
+        srv_records.extend(encode_record("_app._tcp.cluster.lan", 33, &rdata));
+        let SocketAddr::V4(v4) = r.addr else { panic!("IPv4") };
+        additional.extend(encode_record(&target, 1, &v4.ip().octets()));
+        let mut txt_data = Vec::new();
+        for text in ["kind=std".to_string(), format!("cell={}", r.cell), format!("started={}", r.started_at)]
+        {
+            txt_data.push(text.len() as u8);
+            txt_data.extend(text.bytes());
+        }
+        additional.extend(encode_record(&target, 16, &txt_data));
+    }
+    let mut soa = encode_name("ns.hosts");
+    soa.extend(encode_name("admin.hosts"));
+    soa.extend(zone.serial.to_be_bytes());
+    soa.extend([0; 16]);
+    let count = zone.records.len() as u16;
+    let mut out = query[..2].to_vec();
+    let failing = zone.mode == DnsMode::Failing;
+    out.extend([0x84, if failing { 2 } else { 0 }, 0, 1]);
+    out.extend(count.to_be_bytes());
+    out.extend([0, 1]);
+    out.extend((2 * count).to_be_bytes());
+    out.extend(&query[12..]);
+    out.extend(srv_records);
+    out.extend(encode_record("cluster.lan", 6, &soa));
+    out.extend(additional);
+    match zone.mode {
+        DnsMode::Truncated => out.truncate(out.len() / 2),
+        DnsMode::WrongId => out[0] ^= 0x55,
+        _ => {}
+    }
+    out
+}
+
+impl DnsServer {
+    pub fn start(records: Vec<ServerRecord>) -> DnsServer {
+        let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
+        let addr = socket.local_addr().expect("its address");
+        let zone = Arc::new(Mutex::new(Zone { serial: 1, records, mode: DnsMode::Normal }));
+        let queries = Arc::new(AtomicUsize::new(0));
+        let (served_zone, received) = (zone.clone(), queries.clone());
+        std::thread::spawn(move || {
+            let mut buffer = [0; 512];
+            while let Ok((size, from)) = socket.recv_from(&mut buffer) {
+                {
+                    let zone = served_zone.lock().expect("the zone");
+                    if zone.mode != DnsMode::Silent {
+                        let _ = socket.send_to(&encode_response(&buffer[..size], &zone), from);
+                    }
+                }
+                received.fetch_add(1, Ordering::SeqCst);
+            }
+        });
+        DnsServer { addr, zone, queries }
+    }
+
+    pub fn update_zone(&self, edit: impl FnOnce(&mut Zone)) {
+        edit(&mut self.zone.lock().expect("the zone"));
+    }
+
+    /// How many questions have come, answered or not.
+    pub fn query_count(&self) -> usize {
+        self.queries.load(Ordering::SeqCst)
+    }
+
+    /// Waits until so many more questions were answered, or not, in the present manner.
+    pub fn wait_for_queries(&self, more: usize) {
+        let deadline = self.queries.load(Ordering::SeqCst) + more;
+        let started_at = Instant::now();
+        while self.queries.load(Ordering::SeqCst) < deadline {
+            assert!(started_at.elapsed() < TIMEOUT, "the name service was not queried in time");
+            std::thread::sleep(Duration::from_millis(5));
+        }
+    }
+}
--- a/crates/edge/tests/peers/mod.rs
+++ b/crates/edge/tests/fake_peers/mod.rs
@@ -2,16 +2,16 @@
 //! codec is shared with the node, so that an error can't cancel itself out. They block, with a time after which a test fails.
 #![allow(dead_code, unused_imports)] // Each file of stories uses a part of it.
 
-mod names;
+mod dns;
 mod process;
 mod servers;
 mod viewers;
 
-pub use names::{Manner, Names, Record, Zone};
+pub use dns::{DnsMode, DnsServer, ServerRecord, Zone};
 pub use process::Node;
-pub use servers::{Asked, Host, Wire, answer};
+pub use servers::{MediaServer, Request, ServerConnection, rtsp_response};
 use std::time::Duration;
-pub use viewers::{Told, Viewer, message, set_up};
+pub use viewers::{Message, Viewer, encode_message, set_up_message};
 
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 pub const DESCRIPTION: &str = "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n";
--- a/crates/edge/tests/peers/process.rs
+++ b/crates/edge/tests/fake_peers/process.rs
@@ -10,51 +10,56 @@
 
 pub struct Node {
     pub(super) child: Child,
-    pub at: SocketAddr,
+    pub addr: SocketAddr,
     pub log: Arc<Mutex<String>>,
-    pub(super) lines: mpsc::Receiver<String>,
-    pub(super) folder: tempfile::TempDir,
+    pub(super) log_lines: mpsc::Receiver<String>,
+    pub(super) config_dir: tempfile::TempDir,
 }
 
-fn settings(other: &str) -> String {
-    let class = r#"{"name":"paid","aimUs":2000000,"giveUpUs":3000000,"effect":"read_like","worth":1.0}"#;
-    let free = class.replace("paid", "free");
+fn settings(report_interval_us: &str) -> String {
+    let paid_class = r#"{"name":"paid","aimUs":2000000,"giveUpUs":3000000,"effect":"read_like","worth":1.0}"#;
+    let free_class = paid_class.replace("paid", "free");
     format!(
-        r#"{{"balancers":1,"rank":0,"zone":0,"failureDomains":["east"],"kinds":["std"],"lanes":[{class},{free}],
+        r#"{{"balancers":1,"rank":0,"zone":0,"failureDomains":["east"],"kinds":["std"],"lanes":[{paid_class},{free_class}],
         "ceilings":{{"attemptsCap":4,"dialTimeoutUs":250000,"idleCloseUs":30000000,"maxRetryAfterUs":500000,
         "retryAfter":true,"probes":false,"streamsPerConn":100,"cancel":true}},
         "extra":{{"places":2,"cabinets":1,"ladderKb":[100.0,200.0],"rungWorth":[0.5,1.0],"classFloor":[0,0],
         "classScale":[1.0,1.0],"topByClass":[5,5],"fleetKb":80000.0,"rackLinkKb":80000.0,"linkUnitKb":10000.0,
-        "placesByKind":[1000.0],"seenAfterUs":500000,"reportsEveryUs":{other},"stallCost":7.0,"changeCostsS":0.5}},
+        "placesByKind":[1000.0],"seenAfterUs":500000,"reportsEveryUs":{report_interval_us},"stallCost":7.0,"changeCostsS":0.5}},
         "loadInfo":{{"how":"inline","columns":["utilization","x1"]}},
         "rules":{{"coldUs":0,"coldFrom":0.5,"overloadFactor":2.5,"drainGraceUs":500000}}}}"#
     )
 }
 
 impl Node {
-    pub fn posting(names: SocketAddr, hosts: &[&Host], sockets: usize, tells_us: u64) -> String {
+    pub fn config(
+        resolver: SocketAddr,
+        listed: &[&MediaServer],
+        sockets: usize,
+        report_interval_us: u64,
+    ) -> String {
         let mut servers = String::new();
-        for (i, host) in hosts.iter().enumerate() {
+        for (i, server) in listed.iter().enumerate() {
             let comma = if i > 0 { "," } else { "" };
             let _ = write!(
                 servers,
                 r#"{comma}{{"id":"{}","addr":"{}","zone":"east","kind":"std","cell":{},"state":"in_service","weight":4,"started_ms":0}}"#,
-                host.id, host.at, host.cell
+                server.id, server.addr, server.cell
             );
         }
-        let settings = settings(&tells_us.to_string());
+        let settings = settings(&report_interval_us.to_string());
         format!(
             r#"{{"name":"n1","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
-            "limits":{{"cores":1.0,"memory_mb":64,"sockets":{sockets}}},"resolver":"{names}",
+            "limits":{{"cores":1.0,"memory_mb":64,"sockets":{sockets}}},"resolver":"{resolver}",
             "known":{{"rev":1,"notices":[{{"rev":1,"pool":{{"version":1,"full":true,"servers":[{servers}]}}}}]}},
             "settings":{settings}}}"#
         )
     }
 
-    pub fn start(posting: &str) -> Node {
-        let folder = tempfile::tempdir().expect("a folder");
-        let path = folder.path().join("config.json");
-        std::fs::write(&path, posting).expect("a file");
+    pub fn start(config: &str) -> Node {
+        let config_dir = tempfile::tempdir().expect("a folder");
+        let path = config_dir.path().join("config.json");
+        std::fs::write(&path, config).expect("a file");
         let mut child = Command::new(env!("CARGO_BIN_EXE_pulleystair-edge"))
             .args(["--level", "info,belief=debug", "node"])
             .env("PROXY_CONFIG", &path)
@@ -62,100 +67,100 @@
             .spawn()
             .expect("the program starts");
         let log = Arc::new(Mutex::new(String::new()));
-        let (tx, lines) = mpsc::channel();
-        let (err, kept) = (child.stderr.take().expect("its log"), log.clone());
+        let (tx, log_lines) = mpsc::channel();
+        let (stderr, log_copy) = (child.stderr.take().expect("its log"), log.clone());
         std::thread::spawn(move || {
-            for line in BufReader::new(err).lines().map_while(Result::ok) {
-                kept.lock().expect("the log").push_str(&format!("{line}\n"));
+            for line in BufReader::new(stderr).lines().map_while(Result::ok) {
+                log_copy.lock().expect("the log").push_str(&format!("{line}\n"));
                 let _ = tx.send(line);
             }
         });
-        let mut node = Node { child, at: ([127, 0, 0, 1], 0).into(), log, lines, folder };
-        let line = node.logs("listens");
-        let at = line.split("at=").nth(1).and_then(|rest| rest.split(' ').next()).expect("an address");
-        node.at = at.parse().expect("an address");
+        let mut node = Node { child, addr: ([127, 0, 0, 1], 0).into(), log, log_lines, config_dir };
+        let line = node.wait_for_log("listens");
+        let addr = line.split("at=").nth(1).and_then(|rest| rest.split(' ').next()).expect("an address");
+        node.addr = addr.parse().expect("an address");
         node
     }
 
     /// The next line of the log with this in it.
-    pub fn logs(&self, what: &str) -> String {
-        let until = Instant::now() + PATIENCE;
+    pub fn wait_for_log(&self, text: &str) -> String {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
-            let line = self.lines.recv_timeout(until.saturating_duration_since(Instant::now()));
+            let line = self.log_lines.recv_timeout(deadline.saturating_duration_since(Instant::now()));
             let line =
-                line.unwrap_or_else(|_| panic!("no line {what:?}: {}", self.log.lock().expect("the log")));
-            if line.contains(what) {
+                line.unwrap_or_else(|_| panic!("no line {text:?}: {}", self.log.lock().expect("the log")));
+            if line.contains(text) {
                 return line;
             }
         }
     }
 
-    pub fn viewer(&self) -> Viewer {
-        let stream = TcpStream::connect(self.at).expect("the node accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time");
+    pub fn connect_viewer(&self) -> Viewer {
+        let stream = TcpStream::connect(self.addr).expect("the node accepts");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a time");
         stream.set_nodelay(true).expect("so");
         Viewer { stream }
     }
 
     /// A viewer at another of this machine's addresses.
-    pub fn viewer_at(&self, from: [u8; 4]) -> Viewer {
+    pub fn connect_viewer_from(&self, from: [u8; 4]) -> Viewer {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         socket.bind(&SocketAddr::from((from, 0)).into()).expect("all of 127/8 is this machine");
-        socket.connect(&self.at.into()).expect("the node accepts");
-        socket.set_read_timeout(Some(PATIENCE)).expect("a time");
+        socket.connect(&self.addr.into()).expect("the node accepts");
+        socket.set_read_timeout(Some(TIMEOUT)).expect("a time");
         socket.set_tcp_nodelay(true).expect("so");
         Viewer { stream: socket.into() }
     }
 
-    pub fn signal(&self, name: &str) {
+    pub fn send_signal(&self, name: &str) {
         let status = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
         assert!(status.expect("kill").success());
     }
 
     /// It stands still, and what peers do meanwhile has all come when it goes on.
-    pub fn meanwhile(&self, what: impl FnOnce()) {
-        self.signal("STOP");
-        let since = Instant::now();
-        while !self.stat().starts_with('T') {
-            assert!(since.elapsed() < PATIENCE, "it stands still");
+    pub fn while_paused(&self, action: impl FnOnce()) {
+        self.send_signal("STOP");
+        let started_at = Instant::now();
+        while !self.proc_stat().starts_with('T') {
+            assert!(started_at.elapsed() < TIMEOUT, "it stands still");
             std::thread::sleep(Duration::from_millis(1));
         }
-        what();
-        self.signal("CONT");
+        action();
+        self.send_signal("CONT");
     }
 
     /// It may hold so many descriptors, from now on.
-    pub fn may_hold(&self, descriptors: usize) {
-        let (pid, most) = (self.child.id().to_string(), format!("--nofile={descriptors}:20000"));
-        let status = Command::new("prlimit").args(["--pid", &pid, &most]).status();
+    pub fn set_descriptor_limit(&self, descriptors: usize) {
+        let (pid, limit) = (self.child.id().to_string(), format!("--nofile={descriptors}:20000"));
+        let status = Command::new("prlimit").args(["--pid", &pid, &limit]).status();
         assert!(status.expect("prlimit").success());
     }
 
     /// It gets no further descriptor, from now on.
-    pub fn may_hold_no_more(&self) {
-        let held = |n: &usize| std::fs::read_link(format!("/proc/{}/fd/{n}", self.child.id())).is_ok();
-        self.may_hold((0..).find(|n| !held(n)).expect("a free one"));
+    pub fn block_new_descriptors(&self) {
+        let is_open = |n: &usize| std::fs::read_link(format!("/proc/{}/fd/{n}", self.child.id())).is_ok();
+        self.set_descriptor_limit((0..).find(|n| !is_open(n)).expect("a free one"));
     }
 
     /// How many descriptors it holds.
-    pub fn holds(&self) -> usize {
+    pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
     }
 
     /// What the machine tells of it, from its state on.
-    fn stat(&self) -> String {
+    fn proc_stat(&self) -> String {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("it runs");
         stat.rsplit_once(") ").expect("its name").1.to_string()
     }
 
     /// The processor time that it has used, in ticks.
-    pub fn ticks(&self) -> u64 {
-        self.stat().split_whitespace().skip(11).take(2).map(|t| t.parse::<u64>().expect("ticks")).sum()
+    pub fn cpu_ticks(&self) -> u64 {
+        self.proc_stat().split_whitespace().skip(11).take(2).map(|t| t.parse::<u64>().expect("ticks")).sum()
     }
 
-    pub fn rewrite(&self, posting: &str) {
-        std::fs::write(self.folder.path().join("config.json"), posting).expect("a file");
+    pub fn rewrite_config(&self, config: &str) {
+        std::fs::write(self.config_dir.path().join("config.json"), config).expect("a file");
     }
 
     pub fn memory_kb(&self) -> usize {
@@ -164,13 +169,13 @@
         line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).expect("kB")
     }
 
-    pub fn ended(&mut self) -> ExitStatus {
-        let since = Instant::now();
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let started_at = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("its status") {
                 return status;
             }
-            assert!(since.elapsed() < PATIENCE, "it ends");
+            assert!(started_at.elapsed() < TIMEOUT, "it ends");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
--- /dev/null
+++ b/crates/edge/tests/fake_peers/viewers.rs
@@ -0,0 +1,104 @@
+//! Viewers, and their messages.
+
+use super::*;
+use std::io::{Read, Write};
+use std::net::TcpStream;
+
+pub struct Viewer {
+    pub stream: TcpStream,
+}
+
+#[derive(Debug, PartialEq)]
+pub struct Message {
+    pub kind: u8,
+    pub session: u64,
+    pub parameters: Vec<(u8, Vec<u8>)>,
+}
+
+impl Message {
+    pub fn parameter(&self, code: u8) -> Option<&[u8]> {
+        self.parameters.iter().find(|p| p.0 == code).map(|p| p.1.as_slice())
+    }
+
+    pub fn cause(&self) -> u8 {
+        self.parameter(45).expect("a cause")[0]
+    }
+}
+
+pub fn encode_message(kind: u8, session: u64, parameters: &[(u8, &[u8])]) -> Vec<u8> {
+    let mut body = vec![kind];
+    body.extend(session.to_be_bytes());
+    for (code, value) in parameters {
+        body.push(*code);
+        body.extend((value.len() as u16).to_be_bytes());
+        body.extend(*value);
+    }
+    let mut out = (body.len() as u16).to_be_bytes().to_vec();
+    out.extend(body);
+    out
+}
+
+/// A usual set-up, with these parameters instead of its own; an empty value takes one out.
+pub fn set_up_message(session: u64, replacements: &[(u8, &str)]) -> Vec<u8> {
+    let mut parameters = vec![
+        (3, "paid"),
+        (6, "3000"),
+        (15, "7f3a9c21e0b4d655"),
+        (18, "home:0;copies:2;top:1;viewer:00000000b4d65521"),
+        (48, DESCRIPTION),
+    ];
+    for (code, value) in replacements {
+        parameters.retain(|p| p.0 != *code);
+        if !value.is_empty() {
+            parameters.push((*code, value));
+        }
+    }
+    let encoded: Vec<(u8, &[u8])> = parameters.iter().map(|p| (p.0, p.1.as_bytes())).collect();
+    encode_message(1, session, &encoded)
+}
+
+impl Viewer {
+    pub fn send(&mut self, bytes: &[u8]) {
+        // Whoever is closed on while it still writes learns so when it reads.
+        let _ = self.stream.write_all(bytes);
+    }
+
+    /// The next message; none once the node has closed.
+    pub fn next_message(&mut self) -> Option<Message> {
+        let mut length = [0; 2];
+        match self.stream.read_exact(&mut length) {
+            Ok(()) => {}
+            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => panic!("nothing from the node"),
+            Err(_) => return None,
+        }
+        let mut body = vec![0; u16::from_be_bytes(length) as usize];
+        self.stream.read_exact(&mut body).expect("a whole message");
+        let (mut parameters, mut offset) = (Vec::new(), 9);
+        while offset < body.len() {
+            let length = u16::from_be_bytes([body[offset + 1], body[offset + 2]]) as usize;
+            parameters.push((body[offset], body[offset + 3..offset + 3 + length].to_vec()));
+            offset += 3 + length;
+        }
+        let session = u64::from_be_bytes(body[1..9].try_into().expect("eight bytes"));
+        Some(Message { kind: body[0], session, parameters })
+    }
+
+    /// Whatever it has said is not read any more: its connection is reset.
+    pub fn reset(self) {
+        socket2::SockRef::from(&self.stream)
+            .set_linger(Some(std::time::Duration::ZERO))
+            .expect("to be reset");
+    }
+
+    pub fn expect_message(&mut self, kind: u8, session: u64) -> Message {
+        let message = self.next_message().expect("the node keeps the connection");
+        assert_eq!((message.kind, message.session), (kind, session), "{message:?}");
+        message
+    }
+
+    /// What comes before the answer to a test: nothing else was on its way.
+    pub fn expect_no_message(&mut self) {
+        self.send(&encode_message(52, 77, &[(45, &[0])]));
+        self.expect_message(53, 77);
+    }
+}
--- /dev/null
+++ b/crates/edge/tests/node_bad_peers.rs
@@ -0,0 +1,260 @@
+//! The node between viewers and servers that say what can't be used, too much, or nothing: one story a failure.
+
+mod fake_peers;
+mod node_fixture;
+
+use fake_peers::{
+    DESCRIPTION, DnsServer, MediaServer, Node, ServerConnection, ServerRecord, Viewer, encode_message,
+    rtsp_response, set_up_message,
+};
+use node_fixture::{
+    ANSWER, NodeFixture, RELEASE, SET_UP, TITLE_AT_FIRST, start_fixture, start_with_sockets, wait_for_contact,
+};
+use std::time::{Duration, Instant};
+use test_case::test_case;
+
+// ---- bad viewers ----
+
+fn bad_set_ups(n: u64) -> Vec<u8> {
+    (0..n).flat_map(|i| set_up_message(1000 + i, &[(3, "unheard-of")])).collect()
+}
+
+#[test_case(vec![0, 3, 1, 0, 0]; "a length too short")]
+#[test_case(vec![0xff, 0xff, 1, 0, 0, 0]; "a length beyond what is taken")]
+#[test_case(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n".to_vec(); "another protocol")]
+#[test_case(vec![7; 200_000]; "noise without end")]
+#[test_case(set_up_message(0, &[]); "no id")]
+#[test_case(set_up_message(20, &[(3, "")]); "no class")]
+#[test_case(set_up_message(20, &[(3, "unheard-of")]); "an unknown class")]
+#[test_case(set_up_message(20, &[(15, "")]); "no title")]
+#[test_case(set_up_message(20, &[(6, "")]); "no time limit")]
+#[test_case(set_up_message(20, &[(6, "-5")]); "a negative time limit")]
+#[test_case(set_up_message(20, &[(6, "1e300")]); "a huge time limit")]
+#[test_case(set_up_message(20, &[(6, "soon")]); "a time limit that is no number")]
+#[test_case(set_up_message(20, &[(33, "NaN")]); "a hint that is no number")]
+#[test_case(set_up_message(20, &[(18, "home:99;copies:1;top:1")]); "a cell that is not there")]
+#[test_case(set_up_message(20, &[(18, "home:0;copies:-1;top:1")]); "a negative count")]
+#[test_case(set_up_message(20, &[(18, "home:0;copies:1;top:1e9")]); "a rung that is not there")]
+#[test_case(set_up_message(20, &[(48, "")]); "no description")]
+#[test_case({ let mut m = encode_message(SET_UP, 20, &[(3, b"paid")]); m[13] = 200; m }; "a parameter longer than its message")]
+#[test_case(encode_message(99, 20, &[]); "an unknown type")]
+#[test_case(encode_message(RELEASE, 12345, &[(45, &[16])]); "the end of what nobody knows")]
+#[test_case(set_up_message(20, &[TITLE_AT_FIRST])[..30].to_vec(); "half a set-up")]
+#[test_case(Vec::new(); "silence")]
+#[test_case(bad_set_ups(2_000); "thousands at once")]
+fn a_bad_viewer_gets_an_end_in_time_and_nobody_waits_for_it(bytes: Vec<u8>) {
+    let fixture = start_fixture();
+    let started_at = Instant::now();
+    let mut bad = fixture.node.connect_viewer();
+    bad.send(&bytes);
+    let mut viewer = fixture.node.connect_viewer();
+    drop(fixture.start_session(&mut viewer, 21));
+    if let Some(message) = bad.next_message() {
+        assert_eq!(message.kind, RELEASE, "{message:?}");
+    }
+    assert!(started_at.elapsed() < Duration::from_secs(3));
+}
+
+#[test]
+fn the_id_of_an_open_play_again_changes_nothing_for_that_play() {
+    let fixture = start_fixture();
+    let mut viewer = fixture.node.connect_viewer();
+    viewer.send(&set_up_message(22, &[TITLE_AT_FIRST]));
+    let (mut connection, request) = fixture.next_set_up(0);
+    let mut bad = fixture.node.connect_viewer();
+    bad.send(&set_up_message(22, &[TITLE_AT_FIRST, (48, "another\r\n")]));
+    assert_eq!(bad.next_message(), None, "closed, with no answer of its own");
+    connection.respond(&request, 200, DESCRIPTION);
+    viewer.expect_message(ANSWER, 22);
+    viewer.expect_no_message();
+}
+
+#[test]
+fn a_flood_on_one_connection_is_turned_away_at_once() {
+    let fixture = start_fixture();
+    let mut bad = fixture.node.connect_viewer();
+    for play in 0..100 {
+        bad.send(&set_up_message(3000 + play, &[TITLE_AT_FIRST]));
+    }
+    let message = bad.next_message().expect("an answer before any server has spoken");
+    assert_eq!((message.kind, message.parameter(21)), (RELEASE, Some(b"500".as_slice())));
+}
+
+#[test]
+fn silent_connections_by_hundreds_leave_room_for_a_viewer() {
+    let fixture = start_with_sockets(64);
+    let crowd: Vec<Viewer> = (0..300).map(|_| fixture.node.connect_viewer()).collect();
+    let mut viewer = fixture.node.connect_viewer();
+    drop(fixture.start_session(&mut viewer, 23));
+    drop(crowd);
+}
+
+// ---- bad servers ----
+
+/// As many viewers as there may be, the first of them with a session that stands; none has a set-up open.
+fn fill_with_viewers(fixture: &NodeFixture) -> (Vec<Viewer>, ServerConnection) {
+    let mut viewers: Vec<Viewer> = (0..22).map(|_| fixture.node.connect_viewer()).collect();
+    let mut connection = fixture.start_session(&mut viewers[0], 100);
+    for (i, viewer) in viewers.iter_mut().enumerate().skip(1) {
+        let play = 100 + i as u64;
+        viewer.send(&set_up_message(play, &[TITLE_AT_FIRST]));
+        connection.serve_set_up(viewer, play);
+        connection.end_play(viewer, play);
+    }
+    (viewers, connection)
+}
+
+#[test]
+fn room_for_a_viewer_is_not_made_where_a_session_stands_or_a_set_up_waits_unread() {
+    let fixture = start_with_sockets(64);
+    let (mut viewers, mut connection) = fill_with_viewers(&fixture);
+    let mut newcomer = None;
+    fixture.node.while_paused(|| {
+        newcomer = Some(fixture.node.connect_viewer());
+        viewers[1].send(&set_up_message(200, &[TITLE_AT_FIRST]));
+    });
+    let mut newcomer = newcomer.expect("it has come");
+    connection.serve_set_up(&mut viewers[1], 200);
+    assert_eq!(viewers[2].next_message(), None);
+    newcomer.expect_no_message();
+    connection.end_play(&mut viewers[0], 100);
+}
+
+#[test]
+fn a_viewer_for_whom_there_is_no_room_is_told_so() {
+    let fixture = start_with_sockets(64);
+    let mut viewers: Vec<Viewer> = (0..22).map(|_| fixture.node.connect_viewer()).collect();
+    viewers
+        .iter_mut()
+        .zip(300..)
+        .for_each(|(viewer, play)| viewer.send(&set_up_message(play, &[TITLE_AT_FIRST])));
+    let mut connection = fixture.servers[0].accept();
+    let held: Vec<fake_peers::Request> = (0..22).map(|_| connection.expect_request("SETUP")).collect();
+    let mut newcomer = fixture.node.connect_viewer();
+    newcomer.send(&set_up_message(400, &[TITLE_AT_FIRST]));
+    assert_eq!(newcomer.expect_message(RELEASE, 400).cause(), 42);
+    drop(held);
+}
+
+#[test_case("\u{7}\u{3}noise"; "noise")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"; "another protocol")]
+#[test_case("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 0000000000000018\r\nContent-Length: 3000000000\r\n\r\nv=0"; "three gigabytes")]
+#[test_case("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 0000000000000018\r\nContent-Length: -4\r\n\r\nv=0"; "a length below nothing")]
+#[test_case("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 0000000000000018\r\nContent-Length: 3\r\n\r\nv=0\r\no=1\r\n\r\n"; "a length that does not fit")]
+#[test_case("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 0000000000000018\r\n\r\n"; "no length")]
+#[test_case("RTSP/1.0 200 OK\r\nCSeq: 1\r\nno field at all\r\n\r\n"; "a line that can't be read")]
+fn a_spoilt_answer_costs_the_plays_on_its_connection_and_no_more(bytes: &str) {
+    let fixture = start_fixture();
+    let mut viewer = fixture.node.connect_viewer();
+    viewer.send(&set_up_message(0x18, &[]));
+    let contacted = usize::from(wait_for_contact(&fixture));
+    let (mut connection, _) = fixture.next_set_up(contacted);
+    connection.send(bytes);
+    assert!(
+        connection.next_request().is_none_or(|request| request.method() == "TEARDOWN"),
+        "it is of no further use"
+    );
+    let (mut other, again) = fixture.next_set_up(1 - contacted);
+    other.respond(&again, 200, DESCRIPTION);
+    assert_eq!(viewer.expect_message(ANSWER, 0x18).parameter(48), Some(DESCRIPTION.as_bytes()));
+    viewer.expect_no_message();
+}
+
+#[test]
+fn copies_and_answers_to_nobody_harm_nothing() {
+    let fixture = start_fixture();
+    let mut viewer = fixture.node.connect_viewer();
+    viewer.send(&set_up_message(25, &[TITLE_AT_FIRST]));
+    let (mut connection, request) = fixture.next_set_up(0);
+    connection.send(&rtsp_response(200, "1", 999, "whose\r\n"));
+    connection.respond(&request, 200, DESCRIPTION);
+    connection.respond(&request, 200, DESCRIPTION);
+    assert_eq!(viewer.expect_message(ANSWER, 25).parameter(48), Some(DESCRIPTION.as_bytes()));
+    viewer.expect_no_message();
+    assert_eq!(connection.expect_request("TEARDOWN").session(), 999);
+    connection.end_play(&mut viewer, 25);
+}
+
+// ---- size ----
+
+/// Twelve servers, each of which holds titles of its own, and a node that may have ten lines to them.
+fn start_with_twelve_servers() -> (Vec<MediaServer>, DnsServer, Node) {
+    let servers: Vec<MediaServer> =
+        (0..12).map(|cell| MediaServer::start(&format!("s-{cell:08x}"), cell)).collect();
+    let dns = DnsServer::start(servers.iter().map(MediaServer::dns_record).collect());
+    let config = Node::config(dns.addr, &servers.iter().collect::<Vec<_>>(), 64, 3_000_000);
+    let node = Node::start(&config.replace(r#""places":2"#, r#""places":12"#));
+    (servers, dns, node)
+}
+
+/// Ten lines may lead to servers here; each title is held by one server of twelve.
+#[test]
+fn lines_to_more_servers_than_there_may_be_make_room_for_each_other() {
+    let (servers, _names, node) = start_with_twelve_servers();
+    let mut viewer = node.connect_viewer();
+    let mut connections: Vec<ServerConnection> = Vec::new();
+    for (cell, server) in servers.iter().enumerate() {
+        let play = 500 + cell as u64;
+        viewer.send(&set_up_message(play, &[(18, &format!("home:{cell};copies:1;top:1"))]));
+        let mut connection = server.accept();
+        connection.serve_set_up(&mut viewer, play);
+        // What stands at the first goes on.
+        if cell > 0 {
+            connection.end_play(&mut viewer, play);
+        }
+        connections.push(connection);
+    }
+    // The two that were heard of longest ago, and not the one with a session.
+    assert!(connections[1].next_request().is_none() && connections[2].next_request().is_none());
+    viewer.send(&set_up_message(600, &[TITLE_AT_FIRST]));
+    connections[0].expect_request("SETUP");
+}
+
+/// Ten lines may lead to servers here, and sessions stand at twelve: lines give way in turn, and each server is called again in time
+/// to tell of an end.
+#[test]
+fn more_servers_with_sessions_than_there_may_be_lines_are_called_in_turn() {
+    let (servers, dns, node) = start_with_twelve_servers();
+    let mut viewer = node.connect_viewer();
+    let mut connections: Vec<ServerConnection> = Vec::new();
+    for (cell, server) in servers.iter().enumerate() {
+        if cell == 10 {
+            // Half a second of the node's own time: until then a server may still tell of what was over before.
+            dns.wait_for_queries(5);
+        }
+        let play = 700 + cell as u64;
+        viewer.send(&set_up_message(play, &[(18, &format!("home:{cell};copies:1;top:1"))]));
+        let mut connection = server.accept();
+        connection.serve_set_up(&mut viewer, play);
+        connections.push(connection);
+    }
+    // Those that were heard of longest ago; none of the sessions has ended.
+    assert!(connections[0].next_request().is_none() && connections[1].next_request().is_none());
+    viewer.expect_no_message();
+    for (server, play) in servers[..2].iter().zip(700..) {
+        server.accept().end_play(&mut viewer, play);
+    }
+}
+
+/// As many as a datagram of the name service holds, beside 1,024 nodes and a start list of 1,024.
+#[test]
+fn lists_of_hundreds_and_a_thousand_are_followed_from_end_to_end() {
+    let server = MediaServer::start("s-0000ffff", 0);
+    let numbered = |i: usize| ServerRecord { id: format!("s-{i:08x}"), cell: i % 2, ..server.dns_record() };
+    let records = |n: usize| (0..n).map(numbered).chain([server.dns_record()]).collect::<Vec<ServerRecord>>();
+    let dns = DnsServer::start(records(350));
+    dns.update_zone(|zone| zone.serial = 2);
+    let many: Vec<MediaServer> = (1..1_024)
+        .map(|i| MediaServer::without_listener(&format!("s-{i:08x}"), i % 2, server.addr))
+        .collect();
+    let config = Node::config(dns.addr, &many.iter().chain([&server]).collect::<Vec<_>>(), 256, 3_000_000);
+    let node = Node::start(&config.replace(r#""balancers":1"#, r#""balancers":1024"#));
+    assert!(node.log.lock().expect("the log").contains("servers=1024"));
+    assert!(node.wait_for_log("serial=2").contains("servers=351"));
+    dns.update_zone(|zone| (zone.serial, zone.records) = (3, records(0)));
+    assert!(node.wait_for_log("serial=3").contains("servers=1"));
+    let mut viewer = node.connect_viewer();
+    viewer.send(&set_up_message(601, &[TITLE_AT_FIRST]));
+    let mut connection = server.accept();
+    connection.serve_set_up(&mut viewer, 601);
+}
--- /dev/null
+++ b/crates/edge/tests/node_lifecycle.rs
@@ -0,0 +1,294 @@
+//! The node's list, its signals, what it was before and what it keeps: one story a failure.
+
+mod fake_peers;
+mod node_fixture;
+
+use fake_peers::{
+    DESCRIPTION, DnsMode, DnsServer, MediaServer, Node, ServerRecord, encode_message, set_up_message,
+};
+use node_fixture::{
+    ANSWER, RELEASE, TITLE_AT_FIRST, start_fixture, start_with_replacements, wait_for_contact,
+};
+use std::time::Duration;
+use test_case::test_case;
+
+#[test]
+fn a_new_id_at_an_old_address_is_a_new_server() {
+    let fixture = start_fixture();
+    let mut viewer = fixture.node.connect_viewer();
+    let old = fixture.start_session(&mut viewer, 26);
+    let renamed = ServerRecord { id: "s-0000000c".into(), ..fixture.servers[0].dns_record() };
+    fixture.dns.update_zone(|zone| {
+        (zone.serial, zone.records) = (2, vec![renamed, fixture.servers[1].dns_record()])
+    });
+    fixture.node.wait_for_log("serial=2");
+    viewer.send(&set_up_message(27, &[TITLE_AT_FIRST]));
+    let (mut connection, request) = fixture.next_set_up(0);
+    connection.respond(&request, 200, DESCRIPTION);
+    viewer.expect_message(ANSWER, 27);
+    drop(old);
+}
+
+#[test]
+fn a_draining_server_gets_nothing_new_and_a_missing_one_is_gone() {
+    let fixture = start_fixture();
+    for (serial, gone) in [(2, false), (3, true)] {
+        fixture.dns.update_zone(|zone| {
+            let draining = ServerRecord { draining: true, ..fixture.servers[0].dns_record() };
+            zone.serial = serial;
+            zone.records = if gone { vec![] } else { vec![draining] };
+            zone.records.push(fixture.servers[1].dns_record());
+        });
+        fixture.node.wait_for_log(&format!("serial={serial}"));
+        let mut viewer = fixture.node.connect_viewer();
+        viewer.send(&set_up_message(28 + u64::from(serial), &[TITLE_AT_FIRST]));
+        viewer.expect_message(RELEASE, 28 + u64::from(serial));
+    }
+}
+
+#[test_case(DnsMode::Silent; "lost")]
+#[test_case(DnsMode::Failing; "failing")]
+#[test_case(DnsMode::Truncated; "cut")]
+#[test_case(DnsMode::WrongId; "under another id")]
+fn a_bad_answer_of_the_name_service_changes_nothing_and_is_asked_again(mode: DnsMode) {
+    let fixture = start_fixture();
+    fixture.node.wait_for_log("serial=1");
+    let only = vec![fixture.servers[1].dns_record()];
+    fixture.dns.update_zone(|zone| (zone.serial, zone.records, zone.mode) = (2, only, mode));
+    fixture.dns.wait_for_queries(3);
+    let mut viewer = fixture.node.connect_viewer();
+    let connection = fixture.start_session(&mut viewer, 33);
+    fixture.dns.update_zone(|zone| zone.mode = DnsMode::Normal);
+    fixture.node.wait_for_log("serial=2");
+    // An older list, told after a newer one.
+    let both = fixture.servers.iter().map(MediaServer::dns_record).collect();
+    fixture.dns.update_zone(|zone| (zone.serial, zone.records) = (1, both));
+    fixture.dns.wait_for_queries(3);
+    viewer.send(&set_up_message(34, &[TITLE_AT_FIRST]));
+    viewer.expect_message(RELEASE, 34);
+    drop(connection);
+}
+
+// ---- signals ----
+
+#[test]
+fn sighup_turns_to_another_name_service_and_a_bad_file_changes_nothing() {
+    let fixture = start_fixture();
+    fixture.node.wait_for_log("serial=1");
+    fixture.node.rewrite_config("{\"name\":");
+    fixture.node.send_signal("HUP");
+    fixture.node.wait_for_log("stays in force");
+    let other_dns = DnsServer::start(vec![fixture.servers[1].dns_record()]);
+    other_dns.update_zone(|zone| zone.serial = 2);
+    fixture.node.rewrite_config(&Node::config(other_dns.addr, &[], 256, 3_000_000));
+    fixture.node.send_signal("HUP");
+    fixture.node.wait_for_log("serial=2");
+    let mut viewer = fixture.node.connect_viewer();
+    viewer.send(&set_up_message(35, &[TITLE_AT_FIRST]));
+    viewer.expect_message(RELEASE, 35);
+}
+
+/// A newer file in service tells of starts as the name service does: what it lists as old has not just started, and takes
+/// plays beside each other. Under a server's pace of one a minute the second would wait out its time.
+#[test]
+fn a_newer_known_in_service_makes_no_server_cold() {
+    let cold = [
+        (r#""coldUs":0"#, r#""coldUs":90000000"#),
+        (r#""placesByKind":[1000.0]"#, r#""placesByKind":[2.0]"#),
+    ];
+    let fixture = start_with_replacements(256, &cold);
+    fixture.node.wait_for_log("serial=1");
+    let silent = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let all: Vec<&MediaServer> = fixture.servers.iter().collect();
+    let at = silent.local_addr().expect("its address");
+    let newer = Node::config(at, &all, 256, 3_000_000).replace(r#""known":{"rev":1"#, r#""known":{"rev":2"#);
+    fixture.node.rewrite_config(&newer);
+    fixture.node.send_signal("HUP");
+    fixture.node.wait_for_log("name service changed");
+    let mut viewer = fixture.node.connect_viewer();
+    let mut connection = fixture.start_session(&mut viewer, 71);
+    viewer.send(&set_up_message(72, &[TITLE_AT_FIRST]));
+    assert_eq!(connection.expect_request("SETUP").session(), 72);
+}
+
+/// Each signal started a further round of questions beside those that there were.
+#[test]
+fn sighup_makes_the_list_asked_for_no_oftener() {
+    let fixture = start_fixture();
+    for _ in 0..4 {
+        fixture.node.send_signal("HUP");
+        fixture.node.wait_for_log("name service changed");
+    }
+    let before = fixture.dns.query_count();
+    // One that says nothing is closed after 2.4 s.
+    assert_eq!(fixture.node.connect_viewer().next_message(), None);
+    let queries = fixture.dns.query_count() - before;
+    assert!((1..=24).contains(&queries), "{queries} questions in 2.4 s");
+}
+
+#[test]
+fn sigterm_answers_what_was_taken_and_what_still_comes_and_then_ends_well() {
+    let mut fixture = start_fixture();
+    let mut viewer = fixture.node.connect_viewer();
+    viewer.send(&set_up_message(36, &[TITLE_AT_FIRST]));
+    let (mut connection, request) = fixture.next_set_up(0);
+    fixture.node.send_signal("TERM");
+    fixture.node.wait_for_log("stopping");
+    let mut late = fixture.node.connect_viewer();
+    late.send(&set_up_message(37, &[TITLE_AT_FIRST]));
+    let again = fixture.servers[0].accept().expect_request("SETUP");
+    connection.respond(&request, 200, DESCRIPTION);
+    viewer.expect_message(ANSWER, 36);
+    drop(again);
+    assert_eq!(late.next_message().map(|message| message.session), Some(37));
+    assert!(fixture.node.wait_for_exit().success());
+}
+
+/// The machine accepted it before the door closed, while the node was behind.
+#[test]
+fn what_waits_at_the_door_when_it_closes_is_answered() {
+    let mut fixture = start_fixture();
+    fixture.node.send_signal("TERM");
+    fixture.node.wait_for_log("stopping");
+    let mut late = None;
+    fixture.node.while_paused(|| {
+        let viewer = late.insert(fixture.node.connect_viewer());
+        viewer.send(&set_up_message(38, &[TITLE_AT_FIRST]));
+        std::thread::sleep(Duration::from_millis(1_000));
+    });
+    let mut late = late.expect("it has come");
+    let (mut connection, request) = fixture.next_set_up(0);
+    connection.respond(&request, 200, DESCRIPTION);
+    late.expect_message(ANSWER, 38);
+    assert!(fixture.node.wait_for_exit().success());
+}
+
+/// Its viewer waits for longer than the settings name, and the node may not.
+#[test]
+fn what_is_open_at_the_end_is_answered_before_it() {
+    let mut fixture = start_fixture();
+    let mut viewer = fixture.node.connect_viewer();
+    viewer.send(&set_up_message(39, &[(6, "60000")]));
+    let held = fixture.next_set_up(usize::from(wait_for_contact(&fixture)));
+    fixture.node.send_signal("TERM");
+    let message = viewer.expect_message(RELEASE, 39);
+    assert_eq!(
+        (message.cause(), message.parameter(21)),
+        (34, Some(b"500".as_slice())),
+        "it may be asked for again"
+    );
+    assert!(fixture.node.wait_for_exit().success());
+    drop(held);
+}
+
+#[test_case("{", "config.json"; "no JSON")]
+#[test_case(r#"{"listen":"nowhere"}"#, "listen"; "a wrong address")]
+fn a_bad_posting_ends_the_start_with_place_and_cause(config: &str, place: &str) {
+    refuses_to_start(config, place);
+}
+
+fn refuses_to_start(config: &str, place: &str) {
+    let folder = tempfile::tempdir().expect("a folder");
+    let path = folder.path().join("config.json");
+    std::fs::write(&path, config).expect("a file");
+    let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_pulleystair-edge"));
+    let out = command.arg("node").env("PROXY_CONFIG", &path).output().expect("it runs");
+    let said = String::from_utf8_lossy(&out.stderr).to_string();
+    assert!(out.status.code() == Some(1) && said.contains(place), "{said}");
+}
+
+#[test_case(r#""worth":1.0"#, r#""worth":"dear""#, "settings: lanes[0].worth is \"dear\""; "the wrong type")]
+#[test_case(r#""effect":"read_like""#, r#""effect":"as_you_like""#, "settings: lanes[0].effect is"; "a word that is not known")]
+#[test_case("[100.0,200.0]", "[200.0,100.0]", "settings: extra.ladderKb[1] is 100.0"; "a ladder that falls")]
+#[test_case(r#""coldUs":0"#, r#""coldUs":-1"#, "settings: rules.coldUs is -1"; "out of range")]
+#[test_case(r#""lanes""#, r#""rows""#, "settings: lanes[0].name"; "no class")]
+fn settings_that_cannot_be_meant_end_the_start_with_place_and_cause(was: &str, is: &str, fault: &str) {
+    let config = Node::config(([127, 0, 0, 1], 9).into(), &[], 256, 3_000_000);
+    assert!(config.contains(was));
+    refuses_to_start(&config.replace(was, is), fault);
+}
+
+// ---- adoption, memory, belief ----
+
+#[test]
+fn a_session_that_is_handed_over_is_heard_of_like_any_other() {
+    let fixture = start_fixture();
+    let mut viewer = fixture.node.connect_viewer();
+    let at = (18, "home:0;copies:1;top:1;viewer:00000000b4d65521;at:s-0000000a");
+    viewer.send(&set_up_message(40, &[at, (6, "0")]));
+    let mut connection = fixture.servers[0].accept();
+    viewer.send(&set_up_message(40, &[at, (6, "0")]));
+    viewer.expect_no_message();
+    connection.send_request("ANNOUNCE", 40, "X-Why: r\r\nFigure: 1\r\n");
+    connection.end_play(&mut viewer, 40);
+}
+
+/// Its viewer has no other connection, and in thin traffic none may come for long.
+#[test]
+fn the_connection_that_handed_a_session_over_is_kept_for_its_end() {
+    let fixture = start_fixture();
+    let mut viewer = fixture.node.connect_viewer();
+    viewer.send(&set_up_message(41, &[(18, "home:0;copies:1;top:1;at:s-0000000a"), (6, "0")]));
+    let mut connection = fixture.servers[0].accept();
+    let mut silent = fixture.node.connect_viewer();
+    assert_eq!(silent.next_message(), None);
+    connection.end_play(&mut viewer, 41);
+}
+
+#[test]
+fn many_plays_and_ever_new_servers_leave_memory_as_it_was() {
+    let fixture = start_fixture();
+    let mut viewer = fixture.node.connect_viewer();
+    let mut connection = fixture.start_session(&mut viewer, 50);
+    let mut run_plays = |from: u64, plays: u64| {
+        for play in from..from + plays {
+            let title = format!("{play:016x}");
+            viewer.send(&set_up_message(play, &[TITLE_AT_FIRST, (15, &title)]));
+            connection.serve_set_up(&mut viewer, play);
+            connection.end_play(&mut viewer, play);
+        }
+    };
+    let replace_servers = |from: u32| {
+        for serial in from..from + 10 {
+            let new = |i: u32| ServerRecord {
+                id: format!("s-{:08x}", serial * 1000 + i),
+                ..fixture.servers[1].dns_record()
+            };
+            let mut records: Vec<ServerRecord> = (0..30).map(new).collect();
+            records.push(fixture.servers[0].dns_record());
+            fixture.dns.update_zone(|zone| (zone.serial, zone.records) = (serial, records));
+            fixture.node.wait_for_log(&format!("serial={serial}"));
+        }
+    };
+    run_plays(10_000, 4_000);
+    replace_servers(2);
+    let before = fixture.node.memory_kb();
+    run_plays(20_000, 4_000);
+    replace_servers(12);
+    run_plays(30_000, 4_000);
+    replace_servers(22);
+    let grown = fixture.node.memory_kb().saturating_sub(before);
+    // Clocks of plays that are over are held until they would have rung, for 10 s at most.
+    assert!(grown < 1_024, "{grown} kB more for 8,000 plays and 600 servers that are gone");
+    fixture.node.wait_for_log("servers=31 owed=0");
+}
+
+#[test]
+fn what_the_node_believes_is_what_passed_on_the_sockets() {
+    let fixture = start_fixture();
+    let mut viewer = fixture.node.connect_viewer();
+    let mut connection = fixture.start_session(&mut viewer, 60);
+    for play in 61..66 {
+        viewer.send(&set_up_message(play, &[TITLE_AT_FIRST]));
+        connection.serve_set_up(&mut viewer, play);
+    }
+    viewer.send(&set_up_message(66, &[TITLE_AT_FIRST]));
+    let held = connection.expect_request("SETUP");
+    connection.end_play(&mut viewer, 60);
+    viewer.send(&encode_message(RELEASE, 61, &[(45, &[19])]));
+    connection.expect_request("TEARDOWN");
+    fixture.node.wait_for_log("id=\"s-0000000a\" standing=Ready playing=4 out=1 held=5");
+    connection.respond(&held, 453, "");
+    connection.expect_request("SETUP");
+    fixture.node.wait_for_log("id=\"s-0000000a\" standing=Ready playing=4 out=1 held=5");
+}
