--- a/crates/edge/tests/fake_peers/dns.rs
+++ b/crates/edge/tests/fake_peers/dns.rs
@@ -1,4 +1,4 @@
-//! The name service.
+//! The name service: a DNS server that lists media servers and can be made to fail.
 
 use super::*;
 use std::net::{SocketAddr, UdpSocket};
@@ -6,6 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+/// A media server as the name service lists it. `started_at` is in ms since the epoch.
 #[derive(Clone)]
 pub struct ServerRecord {
     pub id: String,
@@ -15,27 +16,35 @@
     pub started_at: u64,
 }
 
+/// How the name service answers queries.
 #[derive(Clone, Copy, PartialEq)]
 pub enum DnsMode {
     Normal,
+    /// No response is sent.
     Silent,
+    /// The response code is SERVFAIL.
     Failing,
+    /// Half of the response is sent.
     Truncated,
+    /// The response carries another id than the query.
     WrongId,
 }
 
+/// What the name service serves.
 pub struct Zone {
     pub serial: u32,
     pub records: Vec<ServerRecord>,
     pub mode: DnsMode,
 }
 
+/// A name service that runs on a thread of its own.
 pub struct DnsServer {
     pub addr: SocketAddr,
     pub zone: Arc<Mutex<Zone>>,
     pub(super) queries: Arc<AtomicUsize>,
 }
 
+/// Encodes a domain name as DNS labels.
 fn encode_name(name: &str) -> Vec<u8> {
     let mut out = Vec::new();
     for label in name.split('.') {
@@ -46,6 +55,7 @@
     out
 }
 
+/// Encodes a resource record of class IN with TTL 0.
 fn encode_record(name: &str, record_type: u16, rdata: &[u8]) -> Vec<u8> {
     let mut out = encode_name(name);
     out.extend(record_type.to_be_bytes());
@@ -55,6 +65,7 @@
     out
 }
 
+/// Encodes the response to a query: an SRV record per server, the SOA with the serial, and A and TXT records per server.
 fn encode_response(query: &[u8], zone: &Zone) -> Vec<u8> {
     let (mut srv_records, mut additional) = (Vec::new(), Vec::new());
     for r in &zone.records {
@@ -64,7 +75,7 @@
         rdata.extend(r.addr.port().to_be_bytes());
         rdata.extend(encode_name(&target));
         srv_records.extend(encode_record("_app._tcp.cluster.lan", 33, &rdata));
-        let SocketAddr::V4(v4) = r.addr else { panic!("IPv4") };
+        let SocketAddr::V4(v4) = r.addr else { panic!("the address of a record must be IPv4") };
         additional.extend(encode_record(&target, 1, &v4.ip().octets()));
         let mut txt_data = Vec::new();
         for text in ["kind=std".to_string(), format!("cell={}", r.cell), format!("started={}", r.started_at)]
@@ -98,9 +109,10 @@
 }
 
 impl DnsServer {
+    /// Starts a name service that serves these records under serial 1.
     pub fn start(records: Vec<ServerRecord>) -> DnsServer {
-        let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        let addr = socket.local_addr().expect("its address");
+        let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
+        let addr = socket.local_addr().expect("the address of the socket");
         let zone = Arc::new(Mutex::new(Zone { serial: 1, records, mode: DnsMode::Normal }));
         let queries = Arc::new(AtomicUsize::new(0));
         let (served_zone, received) = (zone.clone(), queries.clone());
@@ -108,7 +120,7 @@
             let mut buffer = [0; 512];
             while let Ok((size, from)) = socket.recv_from(&mut buffer) {
                 {
-                    let zone = served_zone.lock().expect("the zone");
+                    let zone = served_zone.lock().expect("the lock of the zone");
                     if zone.mode != DnsMode::Silent {
                         let _ = socket.send_to(&encode_response(&buffer[..size], &zone), from);
                     }
@@ -119,16 +131,17 @@
         DnsServer { addr, zone, queries }
     }
 
+    /// Edits the served zone; later queries are answered from it.
     pub fn update_zone(&self, edit: impl FnOnce(&mut Zone)) {
-        edit(&mut self.zone.lock().expect("the zone"));
+        edit(&mut self.zone.lock().expect("the lock of the zone"));
     }
 
-    /// How many questions have come, answered or not.
+    /// The number of queries received, answered or not.
     pub fn query_count(&self) -> usize {
         self.queries.load(Ordering::SeqCst)
     }
 
-    /// Waits until so many more questions were answered, or not, in the present manner.
+    /// Waits until `more` further queries were handled in the present mode, answered or not.
     pub fn wait_for_queries(&self, more: usize) {
         let deadline = self.queries.load(Ordering::SeqCst) + more;
         let started_at = Instant::now();
--- a/crates/edge/tests/fake_peers/process.rs
+++ b/crates/edge/tests/fake_peers/process.rs
@@ -1,4 +1,4 @@
-//! The node's process, and what it is given at start.
+//! The process of the node under test, and the configuration that it starts with.
 
 use super::*;
 use std::fmt::Write as _;
@@ -8,6 +8,7 @@
 use std::sync::{Arc, Mutex, mpsc};
 use std::time::{Duration, Instant};
 
+/// A running node; it is killed when the value is dropped.
 pub struct Node {
     pub(super) child: Child,
     pub addr: SocketAddr,
@@ -16,6 +17,7 @@
     pub(super) config_dir: tempfile::TempDir,
 }
 
+/// The policy settings of the node as JSON.
 fn settings(report_interval_us: &str) -> String {
     let paid_class = r#"{"name":"paid","aimUs":2000000,"giveUpUs":3000000,"effect":"read_like","worth":1.0}"#;
     let free_class = paid_class.replace("paid", "free");
@@ -32,6 +34,7 @@
 }
 
 impl Node {
+    /// The configuration file of a node: name service, servers listed at start, limit of sockets, interval of load reports.
     pub fn config(
         resolver: SocketAddr,
         listed: &[&MediaServer],
@@ -56,10 +59,11 @@
         )
     }
 
+    /// Starts a node with this configuration and waits until it listens.
     pub fn start(config: &str) -> Node {
-        let config_dir = tempfile::tempdir().expect("a folder");
+        let config_dir = tempfile::tempdir().expect("a temporary folder");
         let path = config_dir.path().join("config.json");
-        std::fs::write(&path, config).expect("a file");
+        std::fs::write(&path, config).expect("writing the configuration file");
         let mut child = Command::new(env!("CARGO_BIN_EXE_pulleystair-edge"))
             .args(["--level", "info,belief=debug", "node"])
             .env("PROXY_CONFIG", &path)
@@ -68,10 +72,10 @@
             .expect("the program starts");
         let log = Arc::new(Mutex::new(String::new()));
         let (tx, log_lines) = mpsc::channel();
-        let (stderr, log_copy) = (child.stderr.take().expect("its log"), log.clone());
+        let (stderr, log_copy) = (child.stderr.take().expect("the standard error of the node"), log.clone());
         std::thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                log_copy.lock().expect("the log").push_str(&format!("{line}\n"));
+                log_copy.lock().expect("the lock of the log").push_str(&format!("{line}\n"));
                 let _ = tx.send(line);
             }
         });
@@ -82,100 +86,108 @@
         node
     }
 
-    /// The next line of the log with this in it.
+    /// Waits for the next line of the log that contains this text.
     pub fn wait_for_log(&self, text: &str) -> String {
         let deadline = Instant::now() + TIMEOUT;
         loop {
             let line = self.log_lines.recv_timeout(deadline.saturating_duration_since(Instant::now()));
-            let line =
-                line.unwrap_or_else(|_| panic!("no line {text:?}: {}", self.log.lock().expect("the log")));
+            let line = line.unwrap_or_else(|_| {
+                panic!("the log has no line with {text:?}: {}", self.log.lock().expect("the lock of the log"))
+            });
             if line.contains(text) {
                 return line;
             }
         }
     }
 
+    /// Connects a viewer to the node.
     pub fn connect_viewer(&self) -> Viewer {
         let stream = TcpStream::connect(self.addr).expect("the node accepts");
-        stream.set_read_timeout(Some(TIMEOUT)).expect("a time");
-        stream.set_nodelay(true).expect("so");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("setting the read timeout");
+        stream.set_nodelay(true).expect("setting TCP_NODELAY");
         Viewer { stream }
     }
 
-    /// A viewer at another of this machine's addresses.
+    /// Connects a viewer from another loopback address.
     pub fn connect_viewer_from(&self, from: [u8; 4]) -> Viewer {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         socket.bind(&SocketAddr::from((from, 0)).into()).expect("all of 127/8 is this machine");
         socket.connect(&self.addr.into()).expect("the node accepts");
-        socket.set_read_timeout(Some(TIMEOUT)).expect("a time");
-        socket.set_tcp_nodelay(true).expect("so");
+        socket.set_read_timeout(Some(TIMEOUT)).expect("setting the read timeout");
+        socket.set_tcp_nodelay(true).expect("setting TCP_NODELAY");
         Viewer { stream: socket.into() }
     }
 
+    /// Sends the process a signal, by name without `SIG`.
     pub fn send_signal(&self, name: &str) {
         let status = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
         assert!(status.expect("kill").success());
     }
 
-    /// It stands still, and what peers do meanwhile has all come when it goes on.
+    /// Runs `action` while the process is stopped by SIGSTOP: all that peers send meanwhile has arrived when the node continues.
     pub fn while_paused(&self, action: impl FnOnce()) {
         self.send_signal("STOP");
         let started_at = Instant::now();
         while !self.proc_stat().starts_with('T') {
-            assert!(started_at.elapsed() < TIMEOUT, "it stands still");
+            assert!(started_at.elapsed() < TIMEOUT, "the node did not stop in time");
             std::thread::sleep(Duration::from_millis(1));
         }
         action();
         self.send_signal("CONT");
     }
 
-    /// It may hold so many descriptors, from now on.
+    /// Sets the soft limit of the node's file descriptors.
     pub fn set_descriptor_limit(&self, descriptors: usize) {
         let (pid, limit) = (self.child.id().to_string(), format!("--nofile={descriptors}:20000"));
         let status = Command::new("prlimit").args(["--pid", &pid, &limit]).status();
         assert!(status.expect("prlimit").success());
     }
 
-    /// It gets no further descriptor, from now on.
+    /// Lowers the limit of file descriptors so that the node can open no further one.
     pub fn block_new_descriptors(&self) {
         let is_open = |n: &usize| std::fs::read_link(format!("/proc/{}/fd/{n}", self.child.id())).is_ok();
-        self.set_descriptor_limit((0..).find(|n| !is_open(n)).expect("a free one"));
+        self.set_descriptor_limit((0..).find(|n| !is_open(n)).expect("a free descriptor number"));
     }
 
-    /// How many descriptors it holds.
+    /// The number of file descriptors that the node has open.
     pub fn descriptor_count(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("the node runs").count()
     }
 
-    /// What the machine tells of it, from its state on.
+    /// The fields of `/proc/PID/stat` from the process state on.
     fn proc_stat(&self) -> String {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("it runs");
-        stat.rsplit_once(") ").expect("its name").1.to_string()
+        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("the node runs");
+        stat.rsplit_once(") ").expect("the process name in parentheses").1.to_string()
     }
 
-    /// The processor time that it has used, in ticks.
+    /// The processor time that the node has used, in clock ticks.
     pub fn cpu_ticks(&self) -> u64 {
         self.proc_stat().split_whitespace().skip(11).take(2).map(|t| t.parse::<u64>().expect("ticks")).sum()
     }
 
+    /// Replaces the node's configuration file; the node reads it on SIGHUP.
     pub fn rewrite_config(&self, config: &str) {
-        std::fs::write(self.config_dir.path().join("config.json"), config).expect("a file");
+        std::fs::write(self.config_dir.path().join("config.json"), config)
+            .expect("writing the configuration file");
     }
 
+    /// The resident memory of the node, kB.
     pub fn memory_kb(&self) -> usize {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
-        let line = status.lines().find(|l| l.starts_with("VmRSS")).expect("its memory");
-        line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).expect("kB")
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("the node runs");
+        let line = status.lines().find(|l| l.starts_with("VmRSS")).expect("the line VmRSS");
+        line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).expect("a number of kB")
     }
 
+    /// Waits until the process has exited.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let started_at = Instant::now();
         loop {
-            if let Some(status) = self.child.try_wait().expect("its status") {
+            if let Some(status) = self.child.try_wait().expect("the exit status") {
                 return status;
             }
-            assert!(started_at.elapsed() < TIMEOUT, "it ends");
+            assert!(started_at.elapsed() < TIMEOUT, "the node did not exit in time");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
--- a/crates/edge/tests/fake_peers/servers.rs
+++ b/crates/edge/tests/fake_peers/servers.rs
@@ -1,4 +1,4 @@
-//! Media servers.
+//! Media servers, which speak RTSP with the node.
 
 use super::*;
 use socket2::{Domain, Socket, Type};
@@ -7,21 +7,25 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
+/// A media server on loopback.
 pub struct MediaServer {
     pub id: String,
     pub(super) listener: Option<TcpListener>,
+    /// A connection of the node that was accepted and not yet taken by [`MediaServer::accept`].
     pub(super) accepted: RefCell<Option<TcpStream>>,
     pub addr: SocketAddr,
     pub cell: usize,
-    /// Connections that backlog its queue.
+    /// Connections that fill the listen queue.
     backlog: Vec<TcpStream>,
 }
 
+/// The server's end of a connection of the node.
 pub struct ServerConnection {
     pub(super) stream: TcpStream,
     pub(super) input: Vec<u8>,
 }
 
+/// An RTSP request of the node.
 #[derive(Debug)]
 pub struct Request {
     pub start_line: String,
@@ -34,20 +38,23 @@
         self.start_line.split(' ').next().expect("a method")
     }
 
+    /// The value of a header field.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|f| f.0 == name).map(|f| f.1.as_str())
     }
 
+    /// The id in the header field `Session`.
     pub fn session(&self) -> u64 {
-        u64::from_str_radix(self.header("Session").expect("a session"), 16).expect("hex")
+        u64::from_str_radix(self.header("Session").expect("a field Session"), 16).expect("hex")
     }
 }
 
 impl MediaServer {
+    /// Starts a server that listens.
     pub fn start(id: &str, cell: usize) -> MediaServer {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        listener.set_nonblocking(true).expect("so");
-        let addr = listener.local_addr().expect("its address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        listener.set_nonblocking(true).expect("making the socket non-blocking");
+        let addr = listener.local_addr().expect("the address of the listener");
         MediaServer {
             id: id.into(),
             listener: Some(listener),
@@ -58,7 +65,7 @@
         }
     }
 
-    /// One that is listed and takes no connections.
+    /// A server that is listed and doesn't listen.
     pub fn without_listener(id: &str, cell: usize, addr: SocketAddr) -> MediaServer {
         MediaServer {
             id: id.into(),
@@ -70,34 +77,35 @@
         }
     }
 
+    /// The record with which the name service lists the server.
     pub fn dns_record(&self) -> ServerRecord {
         ServerRecord { id: self.id.clone(), addr: self.addr, cell: self.cell, draining: false, started_at: 0 }
     }
 
-    /// The next connection of the node.
+    /// Waits for the next connection of the node and takes it.
     pub fn accept(&self) -> ServerConnection {
         self.wait_for_connection();
-        let stream = self.accepted.borrow_mut().take().expect("it has called");
-        stream.set_nonblocking(false).expect("so");
-        stream.set_nodelay(true).expect("so");
-        stream.set_read_timeout(Some(TIMEOUT)).expect("a time");
+        let stream = self.accepted.borrow_mut().take().expect("the node has connected");
+        stream.set_nonblocking(false).expect("making the socket blocking");
+        stream.set_nodelay(true).expect("setting TCP_NODELAY");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("setting the read timeout");
         ServerConnection { stream, input: Vec::new() }
     }
 
-    /// One whose machine answers no call until [`Host::comes_up`]: its queue is full, so that a connection comes up late.
+    /// Starts a server whose listen queue is full: connections complete only after [`MediaServer::drain_backlog`].
     pub fn start_with_full_backlog(id: &str, cell: usize) -> MediaServer {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-        socket.listen(0).expect("so");
+        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
+        socket.listen(0).expect("listening");
         let listener = TcpListener::from(socket);
-        let addr = listener.local_addr().expect("its address");
-        // The one that fits, and others until one has to wait.
+        let addr = listener.local_addr().expect("the address of the listener");
+        // Connects until a connection has to wait.
         let mut backlog = Vec::new();
         let connect_timeout = Duration::from_millis(100);
         while let Ok(stream) = TcpStream::connect_timeout(&addr, connect_timeout) {
             backlog.push(stream);
         }
-        listener.set_nonblocking(true).expect("so");
+        listener.set_nonblocking(true).expect("making the socket non-blocking");
         MediaServer {
             id: id.into(),
             listener: Some(listener),
@@ -108,26 +116,26 @@
         }
     }
 
-    /// From now on calls are answered.
+    /// Empties the listen queue, so that new connections complete from now on.
     pub fn drain_backlog(&mut self) {
-        let listener = self.listener.as_ref().expect("it listens");
+        let listener = self.listener.as_ref().expect("the server listens");
         self.backlog.drain(..).for_each(|stream| {
-            let (accepted, peer_addr) = listener.accept().expect("it waits in the queue");
+            let (accepted, peer_addr) = listener.accept().expect("the connection is in the listen queue");
             assert_eq!(Some(peer_addr), stream.local_addr().ok());
             drop(accepted);
         });
     }
 
-    /// Waits until the node has called, and its connection is up.
+    /// Waits until a connection of the node is established.
     pub fn wait_for_connection(&self) {
         let started_at = Instant::now();
         while !self.has_connection() {
-            assert!(started_at.elapsed() < TIMEOUT, "{}: the node calls", self.id);
+            assert!(started_at.elapsed() < TIMEOUT, "{}: the node did not connect in time", self.id);
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 
-    /// Whether the node has called; its connection is kept for [`Host::accept`].
+    /// Whether the node has connected; the connection is kept for [`MediaServer::accept`].
     pub fn has_connection(&self) -> bool {
         let mut accepted = self.accepted.borrow_mut();
         if accepted.is_none() {
@@ -143,7 +151,7 @@
 }
 
 impl ServerConnection {
-    /// The next request; none once the node has closed.
+    /// The next request; `None` once the node has closed the connection.
     pub fn next_request(&mut self) -> Option<Request> {
         loop {
             if let Some(end) = self.input.windows(4).position(|w| w == b"\r\n\r\n") {
@@ -168,54 +176,59 @@
                 Ok(0) => return None,
                 Ok(n) => self.input.extend(&buffer[..n]),
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return None,
-                Err(e) => panic!("nothing from the node: {e}"),
+                Err(e) => panic!("reading from the node failed: {e}"),
             }
         }
     }
 
-    /// The next request, which is this one.
+    /// Reads the next request and asserts its method.
     pub fn expect_request(&mut self, method: &str) -> Request {
         let request = self.next_request().expect("the node keeps the connection");
         assert_eq!(request.method(), method, "{request:?}");
         request
     }
 
+    /// Sends the node these bytes.
     pub fn send(&mut self, bytes: &str) {
         self.stream.write_all(bytes.as_bytes()).expect("the node reads");
     }
 
+    /// Sends the response to a request.
     pub fn respond(&mut self, request: &Request, status: u16, body: &str) {
         let cseq = request.header("CSeq").expect("a number");
         self.send(&rtsp_response(status, cseq, request.session(), body));
     }
 
+    /// Sends the node a request about a session.
     pub fn send_request(&mut self, method: &str, session: u64, headers: &str) {
         self.send(&format!(
             "{method} rtsp://media/x RTSP/1.0\r\nCSeq: 9\r\nSession: {session:016x}\r\n{headers}Content-Length: 0\r\n\r\n"
         ));
     }
 
-    /// The set-up that comes next is served, and its viewer hears so.
+    /// Expects a set-up, answers it with 200 and asserts that its viewer receives the answer.
     pub fn serve_set_up(&mut self, viewer: &mut Viewer, session: u64) {
         let request = self.expect_request("SETUP");
         self.respond(&request, 200, DESCRIPTION);
         viewer.expect_message(9, session);
     }
 
-    /// A play that stands comes to its end, and its viewer hears so.
+    /// Ends an established session and asserts that its viewer receives the release.
     pub fn end_play(&mut self, viewer: &mut Viewer, session: u64) {
         self.send_request("TEARDOWN", session, "Reason: cause=16\r\n");
         assert_eq!(viewer.expect_message(12, session).cause(), 16);
     }
 
-    /// Closed as a server closes what is idle.
+    /// Closes the connection in order, as a server closes an idle one.
     pub fn close(self) {}
 
+    /// Resets the connection.
     pub fn reset(self) {
-        socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).expect("to be reset");
+        socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).expect("setting SO_LINGER");
     }
 }
 
+/// An RTSP response as text.
 pub fn rtsp_response(status: u16, cseq: &str, session: u64, body: &str) -> String {
     let length = body.len();
     format!(
--- a/crates/edge/tests/fake_peers/viewers.rs
+++ b/crates/edge/tests/fake_peers/viewers.rs
@@ -1,13 +1,15 @@
-//! Viewers, and their messages.
+//! Viewers, and the binary messages that they exchange with the node.
 
 use super::*;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
+/// A viewer's connection to the node.
 pub struct Viewer {
     pub stream: TcpStream,
 }
 
+/// A message that the node sent.
 #[derive(Debug, PartialEq)]
 pub struct Message {
     pub kind: u8,
@@ -16,15 +18,18 @@
 }
 
 impl Message {
+    /// The value of the first parameter with this code.
     pub fn parameter(&self, code: u8) -> Option<&[u8]> {
         self.parameters.iter().find(|p| p.0 == code).map(|p| p.1.as_slice())
     }
 
+    /// The cause of a release.
     pub fn cause(&self) -> u8 {
         self.parameter(45).expect("a cause")[0]
     }
 }
 
+/// Encodes a message with its length in front.
 pub fn encode_message(kind: u8, session: u64, parameters: &[(u8, &[u8])]) -> Vec<u8> {
     let mut body = vec![kind];
     body.extend(session.to_be_bytes());
@@ -38,7 +43,7 @@
     out
 }
 
-/// A usual set-up, with these parameters instead of its own; an empty value takes one out.
+/// Encodes a valid set-up in which these parameters replace the usual ones; an empty value removes the parameter.
 pub fn set_up_message(session: u64, replacements: &[(u8, &str)]) -> Vec<u8> {
     let mut parameters = vec![
         (3, "paid"),
@@ -58,17 +63,18 @@
 }
 
 impl Viewer {
+    /// Sends the node these bytes.
     pub fn send(&mut self, bytes: &[u8]) {
-        // Whoever is closed on while it still writes learns so when it reads.
+        // If the node closes the connection during the write, the next read shows that.
         let _ = self.stream.write_all(bytes);
     }
 
-    /// The next message; none once the node has closed.
+    /// The next message; `None` once the node has closed the connection.
     pub fn next_message(&mut self) -> Option<Message> {
         let mut length = [0; 2];
         match self.stream.read_exact(&mut length) {
             Ok(()) => {}
-            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => panic!("nothing from the node"),
+            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => panic!("the node sent nothing in time"),
             Err(_) => return None,
         }
         let mut body = vec![0; u16::from_be_bytes(length) as usize];
@@ -83,20 +89,21 @@
         Some(Message { kind: body[0], session, parameters })
     }
 
-    /// Whatever it has said is not read any more: its connection is reset.
+    /// Resets the connection, so that the node can't read what was sent on it before.
     pub fn reset(self) {
         socket2::SockRef::from(&self.stream)
             .set_linger(Some(std::time::Duration::ZERO))
-            .expect("to be reset");
+            .expect("setting SO_LINGER");
     }
 
+    /// Reads the next message and asserts its kind and session.
     pub fn expect_message(&mut self, kind: u8, session: u64) -> Message {
         let message = self.next_message().expect("the node keeps the connection");
         assert_eq!((message.kind, message.session), (kind, session), "{message:?}");
         message
     }
 
-    /// What comes before the answer to a test: nothing else was on its way.
+    /// Asserts that nothing else was on its way: the next message is the reply to a health check.
     pub fn expect_no_message(&mut self) {
         self.send(&encode_message(52, 77, &[(45, &[0])]));
         self.expect_message(53, 77);
--- a/crates/edge/tests/node.rs
+++ b/crates/edge/tests/node.rs
@@ -1,5 +1,5 @@
-//! The front on the platform's protocol, as a process, between scripted peers: one story a failure. What is held is what the
-//! peers saw on their sockets.
+//! The front on the platform's protocol, run as a process between scripted peers. Each test covers one kind of failure and checks
+//! what the peers see on their sockets.
 
 mod fake_peers;
 mod node_fixture;
@@ -12,7 +12,7 @@
 use test_case::test_case;
 
 #[test]
-fn a_play_from_set_up_to_release() {
+fn set_up_answer_and_release_are_relayed() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(0x9b1f_03aa_5c7e_2d41, &[TITLE_AT_FIRST, (33, "8200.0")]));
@@ -21,29 +21,29 @@
     assert_eq!(request.start_line, "SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0");
     assert_eq!((request.header("CSeq"), request.header("Session")), (Some("1"), Some("9b1f03aa5c7e2d41")));
     assert_eq!((request.header("X-Call-Class"), request.header("Rate-Step")), (Some("paid"), Some("1")));
-    let waits: u32 = request.header("X-Ring-Limit").expect("a wait").parse().expect("ms");
+    let waits: u32 = request.header("X-Ring-Limit").expect("a time limit").parse().expect("a number of ms");
     assert!(waits > 0 && waits <= 3000);
     assert_eq!(request.body, DESCRIPTION);
-    // Progress means nothing; the description is the server's own, whatever it is.
+    // Progress is ignored; the description of the answer is relayed unchanged.
     connection.respond(&request, 180, "");
     connection.respond(&request, 200, "another one\r\n");
     let message = viewer.expect_message(ANSWER, request.session());
     assert_eq!(message.parameters, [(48, b"another one\r\n".to_vec())]);
     connection.send_request("ANNOUNCE", request.session(), "X-Why: l\r\nFigure: 0.2\r\n");
     connection.end_play(&mut viewer, request.session());
-    // It is sent again on the next connection: a session that is unknown by now is passed over.
+    // The server repeats the teardown on the next connection; for a session already unknown it is ignored.
     connection.send_request("TEARDOWN", request.session(), "Reason: cause=16\r\n");
     viewer.expect_no_message();
 }
 
 #[test]
-fn a_release_takes_whichever_connection_is_left_or_comes() {
+fn release_is_sent_on_another_connection_when_the_viewers_is_closed() {
     let fixture = start_fixture();
     let mut first = fixture.node.connect_viewer();
     let mut connection = fixture.start_session(&mut first, 1);
     drop(first);
     connection.send_request("TEARDOWN", 1, "Reason: cause=41\r\n");
-    // Nobody is there; whoever asks next is told.
+    // No viewer is connected; the next one that sends a request receives the release.
     let mut second = fixture.node.connect_viewer();
     second.send(&set_up_message(2, &[TITLE_AT_FIRST]));
     assert_eq!(second.expect_message(RELEASE, 1).cause(), 41);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_set_up_that_is_given_up_is_withdrawn_and_its_late_answer_ended() {
+fn released_set_up_is_withdrawn_and_its_late_answer_torn_down() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(5, &[TITLE_AT_FIRST]));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_allocation_that_timed_out_is_given_up_and_its_late_answer_not_passed_on() {
+fn timed_out_allocation_is_withdrawn_and_its_late_answer_dropped() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(6, &[]));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_viewer_ends_what_stands_on_any_connection() {
+fn viewer_may_release_a_session_on_any_connection() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     let mut connection = fixture.start_session(&mut viewer, 7);
@@ -99,9 +99,9 @@
     viewer.expect_no_message();
 }
 
-/// It is the only connection that is left, and may be for long.
+/// It may be the only connection left for a long time.
 #[test]
-fn a_connection_that_ended_one_session_hears_of_the_end_of_another() {
+fn connection_that_released_a_session_receives_the_end_of_another() {
     let fixture = start_fixture();
     let mut first = fixture.node.connect_viewer();
     let mut connection = fixture.start_session(&mut first, 14);
@@ -115,10 +115,10 @@
 }
 
 #[test_case(453; "full")]
-#[test_case(500; "an error")]
-#[test_case(454; "moot")]
-#[test_case(504; "reset")]
-fn a_play_that_one_holder_turns_away_is_asked_of_the_other(status: u16) {
+#[test_case(500; "server error")]
+#[test_case(454; "not set up")]
+#[test_case(504; "broken off")]
+fn refused_set_up_is_retried_at_the_other_holder(status: u16) {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(8, &[]));
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn what_is_given_up_on_is_answered_at_once_with_a_time_to_come_back() {
+fn failed_play_is_answered_at_once_with_retry_after() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     let started_at = Instant::now();
@@ -144,18 +144,22 @@
     connection.respond(&request, 453, "");
     let message = viewer.expect_message(RELEASE, 9);
     assert_eq!((message.cause(), message.parameter(21)), (34, Some(b"500".as_slice())));
-    assert!(started_at.elapsed() < Duration::from_millis(2_900), "not held back to its time limit");
+    assert!(
+        started_at.elapsed() < Duration::from_millis(2_900),
+        "the answer was delayed until the time limit of the viewer"
+    );
 }
 
-/// The next turn at the only holder, which has just started, is a minute away; its viewer would wait for two.
+/// The only holder has just started and accepts its next play in a minute; the viewer waits for up to two.
 #[test]
-fn a_play_that_waits_for_a_cold_server_hears_when_that_goes() {
+fn play_waiting_for_a_cold_server_is_declined_when_it_drains() {
     let cold = [
         (r#""coldUs":0"#, r#""coldUs":90000000"#),
         (r#""placesByKind":[1000.0]"#, r#""placesByKind":[2.0]"#),
     ];
     let fixture = start_with_replacements(256, &cold);
-    let started = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock");
+    let started =
+        std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a time after the epoch");
     let cold = ServerRecord { started_at: started.as_millis() as u64, ..fixture.servers[0].dns_record() };
     fixture.dns.update_zone(|zone| (zone.serial, zone.records) = (2, vec![cold.clone()]));
     fixture.node.wait_for_log("serial=2");
@@ -172,7 +176,7 @@
 }
 
 #[test]
-fn a_holder_that_refuses_connections_costs_a_play_nothing_but_the_way() {
+fn plays_fail_over_from_a_holder_that_refuses_connections() {
     let mut fixture = start_fixture();
     fixture.servers[0].stop_listening();
     let mut viewer = fixture.node.connect_viewer();
@@ -185,7 +189,7 @@
 }
 
 #[test]
-fn a_connection_reset_under_a_set_up_costs_it_an_allocation() {
+fn set_up_is_retried_at_the_other_holder_after_a_connection_reset() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(15, &[]));
@@ -198,7 +202,7 @@
 }
 
 #[test]
-fn a_reset_of_its_connection_ends_no_session_whose_server_is_still_there() {
+fn connection_reset_ends_sessions_only_if_the_server_is_unreachable() {
     let mut fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     let connection = fixture.start_session(&mut viewer, 16);
@@ -207,7 +211,7 @@
     viewer.expect_no_message();
     next.send_request("TEARDOWN", 16, "Reason: cause=16\r\n");
     assert_eq!(viewer.expect_message(RELEASE, 16).cause(), 16);
-    // One that is not there any more has cut all that stood.
+    // A server that is no longer there has ended all its sessions.
     next.reset();
     let connection = fixture.start_session(&mut viewer, 17);
     fixture.servers[0].stop_listening();
@@ -216,7 +220,7 @@
 }
 
 #[test]
-fn a_server_that_is_silent_and_takes_no_connection_has_lost_its_sessions() {
+fn sessions_end_when_their_server_is_silent_and_refuses_connections() {
     let mut fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     let connection = fixture.start_session(&mut viewer, 18);
@@ -225,9 +229,9 @@
     drop(connection);
 }
 
-/// Its notes are due ten times a second; it has eight seconds until viewers must hear of an end.
+/// The server sends notes ten times a second. It may be silent for eight seconds before viewers must be notified of an end.
 #[test]
-fn a_server_that_was_cut_off_for_some_seconds_keeps_its_sessions() {
+fn sessions_survive_a_server_unreachable_for_some_seconds() {
     let mut fixture = start_fixture();
     let all: Vec<&MediaServer> = fixture.servers.iter().collect();
     fixture.node = Node::start(&Node::config(fixture.dns.addr, &all, 256, 100_000));
@@ -235,7 +239,7 @@
     let mut connection = fixture.start_session(&mut viewer, 19);
     fixture.servers[0].stop_listening();
     for _ in 0..2 {
-        // One that says nothing is closed after 2.4 s.
+        // The node closes a connection on which nothing was sent after 2.4 s.
         assert_eq!(fixture.node.connect_viewer().next_message(), None);
     }
     connection.end_play(&mut viewer, 19);
--- a/crates/edge/tests/node_bad_peers.rs
+++ b/crates/edge/tests/node_bad_peers.rs
@@ -1,4 +1,4 @@
-//! The node between viewers and servers that say what can't be used, too much, or nothing: one story a failure.
+//! The node between viewers and servers that send invalid input, too much input or none. Each test covers one kind of failure.
 
 mod fake_peers;
 mod node_fixture;
@@ -15,14 +15,15 @@
 
 // ---- bad viewers ----
 
+/// Set-ups of an unknown class, with ids from 1000.
 fn bad_set_ups(n: u64) -> Vec<u8> {
     (0..n).flat_map(|i| set_up_message(1000 + i, &[(3, "unheard-of")])).collect()
 }
 
 #[test_case(vec![0, 3, 1, 0, 0]; "a length too short")]
-#[test_case(vec![0xff, 0xff, 1, 0, 0, 0]; "a length beyond what is taken")]
+#[test_case(vec![0xff, 0xff, 1, 0, 0, 0]; "a length above the limit")]
 #[test_case(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n".to_vec(); "another protocol")]
-#[test_case(vec![7; 200_000]; "noise without end")]
+#[test_case(vec![7; 200_000]; "long noise")]
 #[test_case(set_up_message(0, &[]); "no id")]
 #[test_case(set_up_message(20, &[(3, "")]); "no class")]
 #[test_case(set_up_message(20, &[(3, "unheard-of")]); "an unknown class")]
@@ -32,17 +33,17 @@
 #[test_case(set_up_message(20, &[(6, "1e300")]); "a huge time limit")]
 #[test_case(set_up_message(20, &[(6, "soon")]); "a time limit that is no number")]
 #[test_case(set_up_message(20, &[(33, "NaN")]); "a hint that is no number")]
-#[test_case(set_up_message(20, &[(18, "home:99;copies:1;top:1")]); "a cell that is not there")]
+#[test_case(set_up_message(20, &[(18, "home:99;copies:1;top:1")]); "an unknown cell")]
 #[test_case(set_up_message(20, &[(18, "home:0;copies:-1;top:1")]); "a negative count")]
-#[test_case(set_up_message(20, &[(18, "home:0;copies:1;top:1e9")]); "a rung that is not there")]
+#[test_case(set_up_message(20, &[(18, "home:0;copies:1;top:1e9")]); "an unknown rung")]
 #[test_case(set_up_message(20, &[(48, "")]); "no description")]
 #[test_case({ let mut m = encode_message(SET_UP, 20, &[(3, b"paid")]); m[13] = 200; m }; "a parameter longer than its message")]
 #[test_case(encode_message(99, 20, &[]); "an unknown type")]
-#[test_case(encode_message(RELEASE, 12345, &[(45, &[16])]); "the end of what nobody knows")]
+#[test_case(encode_message(RELEASE, 12345, &[(45, &[16])]); "the release of an unknown session")]
 #[test_case(set_up_message(20, &[TITLE_AT_FIRST])[..30].to_vec(); "half a set-up")]
 #[test_case(Vec::new(); "silence")]
 #[test_case(bad_set_ups(2_000); "thousands at once")]
-fn a_bad_viewer_gets_an_end_in_time_and_nobody_waits_for_it(bytes: Vec<u8>) {
+fn invalid_viewer_input_is_ended_in_time_and_delays_no_other_viewer(bytes: Vec<u8>) {
     let fixture = start_fixture();
     let started_at = Instant::now();
     let mut bad = fixture.node.connect_viewer();
@@ -56,32 +57,32 @@
 }
 
 #[test]
-fn the_id_of_an_open_play_again_changes_nothing_for_that_play() {
+fn duplicate_play_id_does_not_affect_the_open_play() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(22, &[TITLE_AT_FIRST]));
     let (mut connection, request) = fixture.next_set_up(0);
     let mut bad = fixture.node.connect_viewer();
     bad.send(&set_up_message(22, &[TITLE_AT_FIRST, (48, "another\r\n")]));
-    assert_eq!(bad.next_message(), None, "closed, with no answer of its own");
+    assert_eq!(bad.next_message(), None, "the connection is closed without an answer");
     connection.respond(&request, 200, DESCRIPTION);
     viewer.expect_message(ANSWER, 22);
     viewer.expect_no_message();
 }
 
 #[test]
-fn a_flood_on_one_connection_is_turned_away_at_once() {
+fn flood_of_set_ups_on_one_connection_is_declined_at_once() {
     let fixture = start_fixture();
     let mut bad = fixture.node.connect_viewer();
     for play in 0..100 {
         bad.send(&set_up_message(3000 + play, &[TITLE_AT_FIRST]));
     }
-    let message = bad.next_message().expect("an answer before any server has spoken");
+    let message = bad.next_message().expect("an answer before any server has responded");
     assert_eq!((message.kind, message.parameter(21)), (RELEASE, Some(b"500".as_slice())));
 }
 
 #[test]
-fn silent_connections_by_hundreds_leave_room_for_a_viewer() {
+fn hundreds_of_idle_connections_do_not_block_a_viewer() {
     let fixture = start_with_sockets(64);
     let crowd: Vec<Viewer> = (0..300).map(|_| fixture.node.connect_viewer()).collect();
     let mut viewer = fixture.node.connect_viewer();
@@ -91,7 +92,7 @@
 
 // ---- bad servers ----
 
-/// As many viewers as there may be, the first of them with a session that stands; none has a set-up open.
+/// Connects as many viewers as the node accepts. The first has an established session; none has an open set-up.
 fn fill_with_viewers(fixture: &NodeFixture) -> (Vec<Viewer>, ServerConnection) {
     let mut viewers: Vec<Viewer> = (0..22).map(|_| fixture.node.connect_viewer()).collect();
     let mut connection = fixture.start_session(&mut viewers[0], 100);
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn room_for_a_viewer_is_not_made_where_a_session_stands_or_a_set_up_waits_unread() {
+fn eviction_spares_connections_with_a_session_or_an_unread_set_up() {
     let fixture = start_with_sockets(64);
     let (mut viewers, mut connection) = fill_with_viewers(&fixture);
     let mut newcomer = None;
@@ -113,7 +114,7 @@
         newcomer = Some(fixture.node.connect_viewer());
         viewers[1].send(&set_up_message(200, &[TITLE_AT_FIRST]));
     });
-    let mut newcomer = newcomer.expect("it has come");
+    let mut newcomer = newcomer.expect("the newcomer has connected");
     connection.serve_set_up(&mut viewers[1], 200);
     assert_eq!(viewers[2].next_message(), None);
     newcomer.expect_no_message();
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn a_viewer_for_whom_there_is_no_room_is_told_so() {
+fn viewer_beyond_the_connection_limit_is_declined() {
     let fixture = start_with_sockets(64);
     let mut viewers: Vec<Viewer> = (0..22).map(|_| fixture.node.connect_viewer()).collect();
     viewers
@@ -139,11 +140,11 @@
 #[test_case("\u{7}\u{3}noise"; "noise")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"; "another protocol")]
 #[test_case("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 0000000000000018\r\nContent-Length: 3000000000\r\n\r\nv=0"; "three gigabytes")]
-#[test_case("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 0000000000000018\r\nContent-Length: -4\r\n\r\nv=0"; "a length below nothing")]
+#[test_case("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 0000000000000018\r\nContent-Length: -4\r\n\r\nv=0"; "a negative length")]
 #[test_case("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 0000000000000018\r\nContent-Length: 3\r\n\r\nv=0\r\no=1\r\n\r\n"; "a length that does not fit")]
 #[test_case("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 0000000000000018\r\n\r\n"; "no length")]
-#[test_case("RTSP/1.0 200 OK\r\nCSeq: 1\r\nno field at all\r\n\r\n"; "a line that can't be read")]
-fn a_spoilt_answer_costs_the_plays_on_its_connection_and_no_more(bytes: &str) {
+#[test_case("RTSP/1.0 200 OK\r\nCSeq: 1\r\nno field at all\r\n\r\n"; "a malformed header field")]
+fn invalid_answer_fails_only_the_plays_on_its_connection(bytes: &str) {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(0x18, &[]));
@@ -152,7 +153,7 @@
     connection.send(bytes);
     assert!(
         connection.next_request().is_none_or(|request| request.method() == "TEARDOWN"),
-        "it is of no further use"
+        "the connection is used no further"
     );
     let (mut other, again) = fixture.next_set_up(1 - contacted);
     other.respond(&again, 200, DESCRIPTION);
@@ -161,7 +162,7 @@
 }
 
 #[test]
-fn copies_and_answers_to_nobody_harm_nothing() {
+fn duplicate_and_unmatched_answers_are_harmless() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(25, &[TITLE_AT_FIRST]));
@@ -177,7 +178,7 @@
 
 // ---- size ----
 
-/// Twelve servers, each of which holds titles of its own, and a node that may have ten lines to them.
+/// Starts twelve servers, each of which holds titles of its own, and a node that may have ten connections to servers.
 fn start_with_twelve_servers() -> (Vec<MediaServer>, DnsServer, Node) {
     let servers: Vec<MediaServer> =
         (0..12).map(|cell| MediaServer::start(&format!("s-{cell:08x}"), cell)).collect();
@@ -187,9 +188,9 @@
     (servers, dns, node)
 }
 
-/// Ten lines may lead to servers here; each title is held by one server of twelve.
+/// Ten connections to servers are allowed here; each title is held by one of twelve servers.
 #[test]
-fn lines_to_more_servers_than_there_may_be_make_room_for_each_other() {
+fn server_connections_unused_for_longest_are_evicted_at_the_limit() {
     let (servers, _names, node) = start_with_twelve_servers();
     let mut viewer = node.connect_viewer();
     let mut connections: Vec<ServerConnection> = Vec::new();
@@ -198,28 +199,28 @@
         viewer.send(&set_up_message(play, &[(18, &format!("home:{cell};copies:1;top:1"))]));
         let mut connection = server.accept();
         connection.serve_set_up(&mut viewer, play);
-        // What stands at the first goes on.
+        // The session at the first server goes on.
         if cell > 0 {
             connection.end_play(&mut viewer, play);
         }
         connections.push(connection);
     }
-    // The two that were heard of longest ago, and not the one with a session.
+    // The two that were silent for longest are closed, and not the one with a session.
     assert!(connections[1].next_request().is_none() && connections[2].next_request().is_none());
     viewer.send(&set_up_message(600, &[TITLE_AT_FIRST]));
     connections[0].expect_request("SETUP");
 }
 
-/// Ten lines may lead to servers here, and sessions stand at twelve: lines give way in turn, and each server is called again in time
-/// to tell of an end.
+/// Ten connections to servers are allowed here, and twelve servers have sessions. Connections are closed in turn, and each server is
+/// reconnected in time to report the end of its session.
 #[test]
-fn more_servers_with_sessions_than_there_may_be_lines_are_called_in_turn() {
+fn servers_with_sessions_beyond_the_connection_limit_are_reconnected_in_turn() {
     let (servers, dns, node) = start_with_twelve_servers();
     let mut viewer = node.connect_viewer();
     let mut connections: Vec<ServerConnection> = Vec::new();
     for (cell, server) in servers.iter().enumerate() {
         if cell == 10 {
-            // Half a second of the node's own time: until then a server may still tell of what was over before.
+            // Half a second of the node's time: until then a server may still report ends of earlier sessions.
             dns.wait_for_queries(5);
         }
         let play = 700 + cell as u64;
@@ -228,7 +229,7 @@
         connection.serve_set_up(&mut viewer, play);
         connections.push(connection);
     }
-    // Those that were heard of longest ago; none of the sessions has ended.
+    // The two that were silent for longest are closed; none of the sessions has ended.
     assert!(connections[0].next_request().is_none() && connections[1].next_request().is_none());
     viewer.expect_no_message();
     for (server, play) in servers[..2].iter().zip(700..) {
@@ -236,9 +237,9 @@
     }
 }
 
-/// As many as a datagram of the name service holds, beside 1,024 nodes and a start list of 1,024.
+/// The largest list that fits a datagram of the name service, with 1,024 nodes and 1,024 servers listed at start.
 #[test]
-fn lists_of_hundreds_and_a_thousand_are_followed_from_end_to_end() {
+fn server_lists_of_up_to_1024_entries_are_applied() {
     let server = MediaServer::start("s-0000ffff", 0);
     let numbered = |i: usize| ServerRecord { id: format!("s-{i:08x}"), cell: i % 2, ..server.dns_record() };
     let records = |n: usize| (0..n).map(numbered).chain([server.dns_record()]).collect::<Vec<ServerRecord>>();
--- a/crates/edge/tests/node_fixture/mod.rs
+++ b/crates/edge/tests/node_fixture/mod.rs
@@ -1,25 +1,27 @@
-//! A node between scripted peers: two holders of every title, and a name service.
-#![allow(dead_code)] // Each file of stories uses a part of it.
+//! A node between scripted peers: two holders of every title and a name service.
+#![allow(dead_code)] // Each test target uses only some of the functions.
 
 use crate::fake_peers::{self, DnsServer, MediaServer, Node, ServerConnection, Viewer, set_up_message};
 use std::time::{Duration, Instant};
 
+/// Kinds of viewers' messages.
 pub const SET_UP: u8 = 1;
 pub const ANSWER: u8 = 9;
 pub const RELEASE: u8 = 12;
 
-/// A node with two holders of every title.
+/// A running node, its name service and its media servers.
 pub struct NodeFixture {
     pub node: Node,
     pub dns: DnsServer,
     pub servers: Vec<MediaServer>,
 }
 
+/// Starts a node with this limit of sockets.
 pub fn start_with_sockets(sockets: usize) -> NodeFixture {
     start_with_replacements(sockets, &[])
 }
 
-/// A stage whose node is told otherwise in places of its settings.
+/// Starts a node whose configuration has these pairs of (old text, new text) replaced.
 pub fn start_with_replacements(sockets: usize, replacements: &[(&str, &str)]) -> NodeFixture {
     start_with_servers(
         vec![MediaServer::start("s-0000000a", 0), MediaServer::start("s-0000000b", 1)],
@@ -28,7 +30,7 @@
     )
 }
 
-/// The same between these hosts.
+/// Starts a node between these media servers; see [`start_with_replacements`].
 pub fn start_with_servers(
     servers: Vec<MediaServer>,
     sockets: usize,
@@ -45,11 +47,12 @@
     NodeFixture { node, dns, servers }
 }
 
+/// Starts a node with 256 sockets and the usual settings.
 pub fn start_fixture() -> NodeFixture {
     start_with_sockets(256)
 }
 
-/// A stage whose first host's connections come up only when it is told to.
+/// Starts a node whose connections to the first server complete only after [`MediaServer::drain_backlog`].
 pub fn start_with_full_backlog(replacements: &[(&str, &str)]) -> NodeFixture {
     start_with_servers(
         vec![MediaServer::start_with_full_backlog("s-0000000a", 0), MediaServer::start("s-0000000b", 1)],
@@ -58,11 +61,11 @@
     )
 }
 
-/// Title at the first host only.
+/// Set-up parameter: only the first server holds the title.
 pub const TITLE_AT_FIRST: (u8, &str) = (18, "home:0;copies:1;top:1;viewer:00000000b4d65521");
 
 impl NodeFixture {
-    /// A play that stands at the first host.
+    /// Sets a session up at the first server.
     pub fn start_session(&self, viewer: &mut Viewer, session: u64) -> ServerConnection {
         viewer.send(&set_up_message(session, &[TITLE_AT_FIRST]));
         let mut connection = self.servers[0].accept();
@@ -70,14 +73,14 @@
         connection
     }
 
-    /// What this viewer has said was read, and the turn in which it was has ended: of two further questions for the list, the later
-    /// is asked in a later one.
+    /// Waits until the node has read all that this viewer sent, and the turn of the event loop in which it did has ended: of
+    /// two further DNS queries, the second is sent in a later turn.
     pub fn wait_until_read(&self, viewer: &mut Viewer) {
         viewer.expect_no_message();
         self.dns.wait_for_queries(2);
     }
 
-    /// The next set-up of a play, at whichever host it comes.
+    /// Accepts the next connection at this server and expects a set-up on it.
     pub fn next_set_up(&self, server: usize) -> (ServerConnection, fake_peers::Request) {
         let mut connection = self.servers[server].accept();
         let request = connection.expect_request("SETUP");
@@ -85,7 +88,7 @@
     }
 }
 
-/// Which host the node has called.
+/// Waits until the node has connected to a server; returns whether that is the second one.
 pub fn wait_for_contact(fixture: &NodeFixture) -> bool {
     let started_at = Instant::now();
     loop {
@@ -94,7 +97,7 @@
                 return server == 1;
             }
         }
-        assert!(started_at.elapsed() < fake_peers::TIMEOUT, "a host is called");
+        assert!(started_at.elapsed() < fake_peers::TIMEOUT, "the node connected to no server in time");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
--- a/crates/edge/tests/node_lifecycle.rs
+++ b/crates/edge/tests/node_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The node's list, its signals, what it was before and what it keeps: one story a failure.
+//! The node's server list, signals, start, handed-over sessions and memory. Each test covers one kind of failure.
 
 mod fake_peers;
 mod node_fixture;
@@ -13,7 +13,7 @@
 use test_case::test_case;
 
 #[test]
-fn a_new_id_at_an_old_address_is_a_new_server() {
+fn new_id_at_a_known_address_is_a_new_server() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     let old = fixture.start_session(&mut viewer, 26);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_draining_server_gets_nothing_new_and_a_missing_one_is_gone() {
+fn draining_and_delisted_servers_get_no_new_plays() {
     let fixture = start_fixture();
     for (serial, gone) in [(2, false), (3, true)] {
         fixture.dns.update_zone(|zone| {
@@ -46,11 +46,11 @@
     }
 }
 
-#[test_case(DnsMode::Silent; "lost")]
-#[test_case(DnsMode::Failing; "failing")]
-#[test_case(DnsMode::Truncated; "cut")]
-#[test_case(DnsMode::WrongId; "under another id")]
-fn a_bad_answer_of_the_name_service_changes_nothing_and_is_asked_again(mode: DnsMode) {
+#[test_case(DnsMode::Silent; "no response")]
+#[test_case(DnsMode::Failing; "failure code")]
+#[test_case(DnsMode::Truncated; "truncated")]
+#[test_case(DnsMode::WrongId; "wrong id")]
+fn invalid_dns_response_changes_nothing_and_is_retried(mode: DnsMode) {
     let fixture = start_fixture();
     fixture.node.wait_for_log("serial=1");
     let only = vec![fixture.servers[1].dns_record()];
@@ -60,7 +60,7 @@
     let connection = fixture.start_session(&mut viewer, 33);
     fixture.dns.update_zone(|zone| zone.mode = DnsMode::Normal);
     fixture.node.wait_for_log("serial=2");
-    // An older list, told after a newer one.
+    // An older list that arrives after a newer one.
     let both = fixture.servers.iter().map(MediaServer::dns_record).collect();
     fixture.dns.update_zone(|zone| (zone.serial, zone.records) = (1, both));
     fixture.dns.wait_for_queries(3);
@@ -72,7 +72,7 @@
 // ---- signals ----
 
 #[test]
-fn sighup_turns_to_another_name_service_and_a_bad_file_changes_nothing() {
+fn sighup_switches_the_name_service_and_ignores_an_invalid_file() {
     let fixture = start_fixture();
     fixture.node.wait_for_log("serial=1");
     fixture.node.rewrite_config("{\"name\":");
@@ -88,10 +88,10 @@
     viewer.expect_message(RELEASE, 35);
 }
 
-/// A newer file in service tells of starts as the name service does: what it lists as old has not just started, and takes
-/// plays beside each other. Under a server's pace of one a minute the second would wait out its time.
+/// Start times in a newer file count as those of the name service do: a server that it lists as old is not cold and accepts plays
+/// in parallel. At a cold server's pace of one play a minute, the second play would time out.
 #[test]
-fn a_newer_known_in_service_makes_no_server_cold() {
+fn reloading_a_newer_known_list_makes_no_server_cold() {
     let cold = [
         (r#""coldUs":0"#, r#""coldUs":90000000"#),
         (r#""placesByKind":[1000.0]"#, r#""placesByKind":[2.0]"#),
@@ -111,23 +111,23 @@
     assert_eq!(connection.expect_request("SETUP").session(), 72);
 }
 
-/// Each signal started a further round of questions beside those that there were.
+/// Guards against a fault in which each signal started a further series of queries beside the existing ones.
 #[test]
-fn sighup_makes_the_list_asked_for_no_oftener() {
+fn sighup_does_not_increase_the_dns_query_rate() {
     let fixture = start_fixture();
     for _ in 0..4 {
         fixture.node.send_signal("HUP");
         fixture.node.wait_for_log("name service changed");
     }
     let before = fixture.dns.query_count();
-    // One that says nothing is closed after 2.4 s.
+    // The node closes a connection on which nothing was sent after 2.4 s.
     assert_eq!(fixture.node.connect_viewer().next_message(), None);
     let queries = fixture.dns.query_count() - before;
     assert!((1..=24).contains(&queries), "{queries} questions in 2.4 s");
 }
 
 #[test]
-fn sigterm_answers_what_was_taken_and_what_still_comes_and_then_ends_well() {
+fn sigterm_answers_open_and_late_set_ups_before_a_successful_exit() {
     let mut fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(36, &[TITLE_AT_FIRST]));
@@ -144,9 +144,9 @@
     assert!(fixture.node.wait_for_exit().success());
 }
 
-/// The machine accepted it before the door closed, while the node was behind.
+/// The kernel accepted the connection before the listener closed, while the node was stopped.
 #[test]
-fn what_waits_at_the_door_when_it_closes_is_answered() {
+fn connection_in_the_backlog_at_shutdown_is_answered() {
     let mut fixture = start_fixture();
     fixture.node.send_signal("TERM");
     fixture.node.wait_for_log("stopping");
@@ -156,16 +156,16 @@
         viewer.send(&set_up_message(38, &[TITLE_AT_FIRST]));
         std::thread::sleep(Duration::from_millis(1_000));
     });
-    let mut late = late.expect("it has come");
+    let mut late = late.expect("the viewer has connected");
     let (mut connection, request) = fixture.next_set_up(0);
     connection.respond(&request, 200, DESCRIPTION);
     late.expect_message(ANSWER, 38);
     assert!(fixture.node.wait_for_exit().success());
 }
 
-/// Its viewer waits for longer than the settings name, and the node may not.
+/// Its viewer waits for longer than the settings allow the node to.
 #[test]
-fn what_is_open_at_the_end_is_answered_before_it() {
+fn open_play_is_declined_before_exit() {
     let mut fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(39, &[(6, "60000")]));
@@ -175,43 +175,44 @@
     assert_eq!(
         (message.cause(), message.parameter(21)),
         (34, Some(b"500".as_slice())),
-        "it may be asked for again"
+        "the viewer may retry"
     );
     assert!(fixture.node.wait_for_exit().success());
     drop(held);
 }
 
-#[test_case("{", "config.json"; "no JSON")]
+#[test_case("{", "config.json"; "invalid JSON")]
 #[test_case(r#"{"listen":"nowhere"}"#, "listen"; "a wrong address")]
-fn a_bad_posting_ends_the_start_with_place_and_cause(config: &str, place: &str) {
-    refuses_to_start(config, place);
+fn invalid_config_fails_the_start_with_place_and_cause(config: &str, place: &str) {
+    assert_start_fails(config, place);
 }
 
-fn refuses_to_start(config: &str, place: &str) {
+/// Asserts that a node with this configuration exits with status 1 and names `place` on standard error.
+fn assert_start_fails(config: &str, place: &str) {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("config.json");
     std::fs::write(&path, config).expect("a file");
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_pulleystair-edge"));
-    let out = command.arg("node").env("PROXY_CONFIG", &path).output().expect("it runs");
-    let said = String::from_utf8_lossy(&out.stderr).to_string();
-    assert!(out.status.code() == Some(1) && said.contains(place), "{said}");
+    let out = command.arg("node").env("PROXY_CONFIG", &path).output().expect("the program runs");
+    let stderr = String::from_utf8_lossy(&out.stderr).to_string();
+    assert!(out.status.code() == Some(1) && stderr.contains(place), "{stderr}");
 }
 
 #[test_case(r#""worth":1.0"#, r#""worth":"dear""#, "settings: lanes[0].worth is \"dear\""; "the wrong type")]
-#[test_case(r#""effect":"read_like""#, r#""effect":"as_you_like""#, "settings: lanes[0].effect is"; "a word that is not known")]
-#[test_case("[100.0,200.0]", "[200.0,100.0]", "settings: extra.ladderKb[1] is 100.0"; "a ladder that falls")]
+#[test_case(r#""effect":"read_like""#, r#""effect":"as_you_like""#, "settings: lanes[0].effect is"; "an unknown name")]
+#[test_case("[100.0,200.0]", "[200.0,100.0]", "settings: extra.ladderKb[1] is 100.0"; "a descending ladder")]
 #[test_case(r#""coldUs":0"#, r#""coldUs":-1"#, "settings: rules.coldUs is -1"; "out of range")]
-#[test_case(r#""lanes""#, r#""rows""#, "settings: lanes[0].name"; "no class")]
-fn settings_that_cannot_be_meant_end_the_start_with_place_and_cause(was: &str, is: &str, fault: &str) {
+#[test_case(r#""lanes""#, r#""rows""#, "settings: lanes[0].name"; "no class name")]
+fn invalid_settings_fail_the_start_with_place_and_cause(was: &str, is: &str, fault: &str) {
     let config = Node::config(([127, 0, 0, 1], 9).into(), &[], 256, 3_000_000);
     assert!(config.contains(was));
-    refuses_to_start(&config.replace(was, is), fault);
+    assert_start_fails(&config.replace(was, is), fault);
 }
 
-// ---- adoption, memory, belief ----
+// ---- handed-over sessions, memory, logged counts ----
 
 #[test]
-fn a_session_that_is_handed_over_is_heard_of_like_any_other() {
+fn handed_over_session_receives_its_end() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     let at = (18, "home:0;copies:1;top:1;viewer:00000000b4d65521;at:s-0000000a");
@@ -223,9 +224,9 @@
     connection.end_play(&mut viewer, 40);
 }
 
-/// Its viewer has no other connection, and in thin traffic none may come for long.
+/// Its viewer has no other connection, and with little traffic it may not open one for a long time.
 #[test]
-fn the_connection_that_handed_a_session_over_is_kept_for_its_end() {
+fn connection_that_handed_over_a_session_is_not_closed_as_idle() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(41, &[(18, "home:0;copies:1;top:1;at:s-0000000a"), (6, "0")]));
@@ -236,7 +237,7 @@
 }
 
 #[test]
-fn many_plays_and_ever_new_servers_leave_memory_as_it_was() {
+fn memory_does_not_grow_with_past_plays_and_servers() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     let mut connection = fixture.start_session(&mut viewer, 50);
@@ -268,13 +269,13 @@
     run_plays(30_000, 4_000);
     replace_servers(22);
     let grown = fixture.node.memory_kb().saturating_sub(before);
-    // Clocks of plays that are over are held until they would have rung, for 10 s at most.
+    // Timers of finished plays are kept until their due time, for 10 s at most.
     assert!(grown < 1_024, "{grown} kB more for 8,000 plays and 600 servers that are gone");
     fixture.node.wait_for_log("servers=31 owed=0");
 }
 
 #[test]
-fn what_the_node_believes_is_what_passed_on_the_sockets() {
+fn logged_play_counts_match_the_traffic() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     let mut connection = fixture.start_session(&mut viewer, 60);
--- a/crates/edge/tests/node_races.rs
+++ b/crates/edge/tests/node_races.rs
@@ -1,5 +1,5 @@
-//! Two events at a node in the same instant, one of them a viewer's or a server's: the crossing is forced, by a node that stands still
-//! while both come, or by a connection that comes up when it is told to. `docs/notes/crossings.md` has a row for each.
+//! Races at the node between two events, one of them a viewer's or a server's. Each is forced: the node is stopped while both events
+//! arrive, or a connection completes when the test lets it. `docs/notes/crossings.md` has a row for each race.
 
 mod fake_peers;
 mod node_fixture;
@@ -13,21 +13,23 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// How a viewer goes.
+/// How a viewer leaves.
 #[derive(Clone, Copy)]
 enum Departure {
     Close,
     Reset,
     HalfClose,
+    /// Sends a release and keeps the connection.
     Release,
 }
 
+/// Lets the viewer leave; returns it where its connection stays open.
 fn depart(mut viewer: Viewer, play: u64, departure: Departure) -> Option<Viewer> {
     match departure {
         Departure::Close => drop(viewer),
         Departure::Reset => viewer.reset(),
         Departure::HalfClose => {
-            viewer.stream.shutdown(Shutdown::Write).expect("so");
+            viewer.stream.shutdown(Shutdown::Write).expect("closing the write side");
             return Some(viewer);
         }
         Departure::Release => {
@@ -38,12 +40,12 @@
     None
 }
 
-/// The next set-up that the first host is asked for is this one.
+/// Asserts that the next set-up at the first server is this one.
 fn assert_next_set_up(fixture: &NodeFixture, play: u64) {
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(play, &[TITLE_AT_FIRST]));
     let (mut connection, request) = fixture.next_set_up(0);
-    assert_eq!(request.session(), play, "nobody waits for an earlier one");
+    assert_eq!(request.session(), play, "an earlier set-up was sent");
     connection.respond(&request, 200, DESCRIPTION);
     viewer.expect_message(ANSWER, play);
 }
@@ -51,8 +53,8 @@
 #[test_case(Departure::Close; "closes")]
 #[test_case(Departure::Reset; "resets")]
 #[test_case(Departure::HalfClose; "closes one side")]
-#[test_case(Departure::Release; "gives up")]
-fn a_viewer_that_goes_as_its_set_up_is_read_has_none_made(departure: Departure) {
+#[test_case(Departure::Release; "releases")]
+fn no_set_up_is_sent_if_the_viewer_leaves_as_it_is_read(departure: Departure) {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.expect_no_message();
@@ -65,15 +67,15 @@
     drop(kept);
 }
 
-/// The time of its first attempt and its viewer's end come while the node stands still; so does the server's refusal.
-#[test_case(Departure::Close, false; "closes as its time rings")]
-#[test_case(Departure::Release, false; "gives up as its time rings")]
+/// While the node is stopped, the first attempt times out or is refused by its server, and the viewer leaves.
+#[test_case(Departure::Close, false; "closes as its timer fires")]
+#[test_case(Departure::Release, false; "releases as its timer fires")]
 #[test_case(Departure::Close, true; "closes as it is refused")]
-#[test_case(Departure::Release, true; "gives up as it is refused")]
-fn a_viewer_that_goes_has_no_further_attempt_made(departure: Departure, refused: bool) {
+#[test_case(Departure::Release, true; "releases as it is refused")]
+fn no_further_attempt_is_made_if_the_viewer_leaves(departure: Departure, refused: bool) {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
-    // A connection that has been up for long: no clock of its own has it read.
+    // The connection has been established for long, so that no timer of its own makes the node read it.
     let mut connection = fixture.start_session(&mut viewer, 100);
     fixture.wait_until_read(&mut viewer);
     viewer.send(&set_up_message(103, &[TITLE_AT_FIRST]));
@@ -83,7 +85,7 @@
         if refused {
             connection.respond(&request, 453, "");
         } else {
-            // A third of the first-frame target, and more.
+            // More than a third of the first-frame target.
             std::thread::sleep(Duration::from_millis(1_000));
         }
         kept = depart(viewer, 103, departure);
@@ -97,9 +99,9 @@
     drop(kept);
 }
 
-/// Its time had rung before its server's answer was read.
+/// The timer of the attempt was due before the node read the server's answer.
 #[test]
-fn an_answer_that_has_come_counts_before_the_time_that_rings() {
+fn received_answer_takes_precedence_over_an_expired_timer() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     let mut connection = fixture.start_session(&mut viewer, 100);
@@ -114,10 +116,10 @@
     connection.end_play(&mut viewer, 105);
 }
 
-/// The answer comes first, and the node reads it first; its viewer was gone by then.
+/// The answer arrives first and the node reads it first; the viewer has already left.
 #[test_case(Departure::Close; "closes")]
-#[test_case(Departure::Release; "gives up")]
-fn an_answer_for_a_viewer_that_has_gone_leaves_nothing_standing(departure: Departure) {
+#[test_case(Departure::Release; "releases")]
+fn answer_for_a_viewer_that_has_left_is_torn_down(departure: Departure) {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(106, &[TITLE_AT_FIRST]));
@@ -133,17 +135,18 @@
     }
 }
 
-/// The node waits for connections for 10 s, and for answers for 30 s.
+/// Replacements: the node waits 10 s for connections and 30 s for answers.
 const LONG_TIMEOUTS: [(&str, &str); 2] = [
     (r#""dialTimeoutUs":250000"#, r#""dialTimeoutUs":10000000"#),
     (r#""aimUs":2000000"#, r#""aimUs":90000000"#),
 ];
+/// Set-up parameter: the viewer waits for up to 120 s.
 const LONG_TIME_LIMIT: (u8, &str) = (6, "120000");
 
-/// Its connection is still being made; what waits there would reach the server when nobody asks for it any more.
+/// The connection is still being established. The queued set-up would reach the server after its viewer has left.
 #[test_case(Departure::Close; "closes")]
-#[test_case(Departure::Release; "gives up")]
-fn a_set_up_that_waits_for_its_connection_is_taken_back_with_its_viewer(departure: Departure) {
+#[test_case(Departure::Release; "releases")]
+fn queued_set_up_is_cancelled_when_its_viewer_leaves(departure: Departure) {
     let mut fixture = start_with_full_backlog(&LONG_TIMEOUTS);
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(107, &[TITLE_AT_FIRST, LONG_TIME_LIMIT]));
@@ -154,12 +157,12 @@
     next.send(&set_up_message(108, &[TITLE_AT_FIRST, LONG_TIME_LIMIT]));
     fixture.wait_until_read(&mut next);
     fixture.servers[0].drain_backlog();
-    assert_eq!(fixture.next_set_up(0).1.session(), 108, "it is the first on the first connection");
+    assert_eq!(fixture.next_set_up(0).1.session(), 108, "the cancelled set-up was sent");
     drop(kept);
 }
 
 #[test]
-fn a_set_up_that_waits_for_its_connection_is_taken_back_when_its_server_drains() {
+fn queued_set_up_is_cancelled_when_its_server_drains() {
     let mut fixture = start_with_full_backlog(&LONG_TIMEOUTS);
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(109, &[TITLE_AT_FIRST, LONG_TIME_LIMIT]));
@@ -171,10 +174,10 @@
     fixture.servers[0].drain_backlog();
     let mut connection = fixture.servers[0].accept();
     fixture.node.send_signal("TERM");
-    assert!(connection.next_request().is_none(), "nothing was sent on it");
+    assert!(connection.next_request().is_none(), "a set-up was sent on the connection");
 }
 
-/// A set-up waits on a connection that is still being made, and this comes in the instant in which that comes up, after it.
+/// While the node is stopped, lets the connection on which a set-up is queued complete and then runs `then`.
 fn while_paused_as_connection_completes(fixture: &mut NodeFixture, then: impl FnOnce()) {
     let (node, server) = (&fixture.node, &mut fixture.servers[0]);
     node.while_paused(|| {
@@ -187,8 +190,8 @@
 #[test_case(Departure::Close; "closes")]
 #[test_case(Departure::Reset; "resets")]
 #[test_case(Departure::HalfClose; "closes one side")]
-#[test_case(Departure::Release; "gives up")]
-fn a_viewer_that_goes_as_the_connection_of_its_set_up_comes_up_has_nothing_sent(departure: Departure) {
+#[test_case(Departure::Release; "releases")]
+fn no_set_up_is_sent_if_the_viewer_leaves_as_the_connection_completes(departure: Departure) {
     let mut fixture = start_with_full_backlog(&LONG_TIMEOUTS);
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(118, &[TITLE_AT_FIRST, LONG_TIME_LIMIT]));
@@ -197,45 +200,46 @@
     while_paused_as_connection_completes(&mut fixture, || kept = depart(viewer, 118, departure));
     let mut next = fixture.node.connect_viewer();
     next.send(&set_up_message(119, &[TITLE_AT_FIRST, LONG_TIME_LIMIT]));
-    assert_eq!(fixture.next_set_up(0).1.session(), 119, "it is the first on that connection");
+    assert_eq!(fixture.next_set_up(0).1.session(), 119, "the cancelled set-up was sent");
     drop(kept);
 }
 
-/// The time of a paid set-up is over by the time at which its connection is up. Nothing of it has left: it goes on elsewhere, which
-/// what may have run does not.
+/// The time of a non-idempotent set-up has passed when its connection completes. As nothing was sent, it may be tried again; a set-up
+/// that may have run may not.
 #[test]
-fn a_set_up_whose_time_is_over_as_its_connection_comes_up_is_not_sent() {
-    let paid = (r#""effect":"read_like""#, r#""effect":"non_idempotent""#);
-    let brief = (r#""aimUs":2000000"#, r#""aimUs":6000000"#);
-    let mut fixture = start_with_full_backlog(&[LONG_TIMEOUTS[0], brief, paid]);
+fn expired_set_up_is_not_sent_as_the_connection_completes() {
+    let non_idempotent = (r#""effect":"read_like""#, r#""effect":"non_idempotent""#);
+    let short_target = (r#""aimUs":2000000"#, r#""aimUs":6000000"#);
+    let mut fixture = start_with_full_backlog(&[LONG_TIMEOUTS[0], short_target, non_idempotent]);
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(117, &[TITLE_AT_FIRST, LONG_TIME_LIMIT]));
     fixture.wait_until_read(&mut viewer);
-    // That of one attempt is 2 s; the node's own has passed by far when it goes on.
+    // One attempt may take 2 s; that has passed by far when the node continues.
     while_paused_as_connection_completes(&mut fixture, || std::thread::sleep(Duration::from_millis(2_500)));
     fixture.servers[0].accept().serve_set_up(&mut viewer, 117);
 }
 
-/// A connection that is not up when the time of a set-up on it rings may never be: the next attempt goes on another.
+/// A connection that is not established when a set-up on it times out may never be; the next attempt uses another.
 #[test]
-fn a_further_attempt_does_not_wait_for_the_connection_that_was_too_late() {
+fn further_attempt_uses_a_new_connection() {
     let mut fixture =
         start_with_full_backlog(&[LONG_TIMEOUTS[0], (r#""aimUs":2000000"#, r#""aimUs":600000"#)]);
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(117, &[TITLE_AT_FIRST, LONG_TIME_LIMIT]));
-    // 0.6 s of the node's own time and more: that of one attempt is 0.2 s.
+    // At least 0.6 s of the node's time; one attempt may take 0.2 s.
     fixture.dns.wait_for_queries(5);
     fixture.servers[0].drain_backlog();
     let (_first, _second) = (fixture.servers[0].accept(), fixture.servers[0].accept());
 }
 
-/// Two paid set-ups wait on one connection; the first is taken back. The second goes out whole, and has left when the connection is
-/// reset: it may have run, and is not made again.
+/// Two non-idempotent set-ups are queued on one connection and the first is cancelled. The second is sent whole; when the connection
+/// is then reset, it may have run and is not tried again.
 #[test]
-fn what_waits_beside_a_set_up_that_is_taken_back_goes_out_whole() {
+fn cancelling_a_queued_set_up_leaves_the_next_one_complete() {
     let one_connection = (r#""sockets":256"#, r#""sockets":44"#);
-    let paid = (r#""effect":"read_like""#, r#""effect":"non_idempotent""#);
-    let mut fixture = start_with_full_backlog(&[LONG_TIMEOUTS[0], LONG_TIMEOUTS[1], one_connection, paid]);
+    let non_idempotent = (r#""effect":"read_like""#, r#""effect":"non_idempotent""#);
+    let mut fixture =
+        start_with_full_backlog(&[LONG_TIMEOUTS[0], LONG_TIMEOUTS[1], one_connection, non_idempotent]);
     let (mut first, mut second) = (fixture.node.connect_viewer(), fixture.node.connect_viewer());
     for (viewer, play) in [(&mut first, 110), (&mut second, 111)] {
         viewer.send(&set_up_message(play, &[TITLE_AT_FIRST, LONG_TIME_LIMIT]));
@@ -250,10 +254,10 @@
     assert_eq!(second.expect_message(RELEASE, 111).cause(), 41);
 }
 
-/// The first answer comes on the line on which it was given up, while the same id is out at the same server on another: an end
-/// told for the one would be taken for the other's.
+/// The first answer arrives on the connection of the withdrawn attempt, while the same id is being set up at the same server on another
+/// connection. A teardown for the first would be taken for the second.
 #[test]
-fn a_late_answer_under_an_id_that_is_out_there_again_is_passed_over() {
+fn late_answer_is_ignored_while_its_id_is_being_set_up_again() {
     let mut fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(112, &[TITLE_AT_FIRST]));
@@ -268,12 +272,12 @@
     connection.end_play(&mut viewer, 112);
     fixture.node.send_signal("TERM");
     assert!(fixture.node.wait_for_exit().success());
-    assert!(old.next_request().is_none(), "no end was told on the line of the attempt given up");
+    assert!(old.next_request().is_none(), "a teardown was sent on the connection of the withdrawn attempt");
 }
 
-/// It was idle; its server closes it in the instant in which a set-up comes. A paid one that went out on it would have failed.
+/// The server closes an idle connection just as a set-up arrives. A non-idempotent set-up sent on it would fail.
 #[test]
-fn a_set_up_is_not_written_on_a_connection_that_its_server_has_closed() {
+fn set_up_is_not_sent_on_a_connection_closed_by_the_server() {
     let fixture =
         start_with_replacements(256, &[(r#""effect":"read_like""#, r#""effect":"non_idempotent""#)]);
     let mut viewer = fixture.node.connect_viewer();
@@ -286,9 +290,9 @@
     fixture.servers[0].accept().serve_set_up(&mut viewer, 114);
 }
 
-/// Its server closes connections that are idle for 2 s; one that is nearly that may be closed as the set-up is on its way.
+/// The server closes connections after 2 s of idleness; one close to that may be closed while a set-up is on its way.
 #[test]
-fn a_connection_that_is_about_to_be_closed_as_idle_gets_no_set_up() {
+fn set_up_is_not_sent_on_a_connection_close_to_its_idle_limit() {
     let fixture = start_with_replacements(
         256,
         &[LONG_TIMEOUTS[1], (r#""idleCloseUs":30000000"#, r#""idleCloseUs":2000000"#)],
--- a/crates/edge/tests/node_races_sessions.rs
+++ b/crates/edge/tests/node_races_sessions.rs
@@ -1,5 +1,5 @@
-//! Sessions that stand at a node, where the word of their end crosses another event: their hand-over, or the close of the connection on
-//! which it is told. `docs/notes/crossings.md` has a row for each.
+//! Races of the end of an established session with its hand-over, or with the close of the connection on which the viewer is notified.
+//! `docs/notes/crossings.md` has a row for each race.
 
 mod fake_peers;
 mod node_fixture;
@@ -11,11 +11,12 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
+/// Set-up parameter: the session is handed over and is at the first server.
 const HANDED_OVER_AT_FIRST: (u8, &str) = (18, "home:0;copies:1;top:1;at:s-0000000a");
 
-/// The server tells of ends on the first connection that it sees, of which the hand-over is still to come.
+/// On its first connection the server reports the end of a session whose hand-over has not arrived yet.
 #[test]
-fn a_session_that_is_handed_over_after_its_servers_release_is_over() {
+fn session_handed_over_after_its_servers_teardown_is_released() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(120, &[HANDED_OVER_AT_FIRST, (6, "0")]));
@@ -24,16 +25,16 @@
     connection.end_play(&mut viewer, 120);
     viewer.send(&set_up_message(121, &[HANDED_OVER_AT_FIRST, (6, "0")]));
     assert_eq!(viewer.expect_message(RELEASE, 121).cause(), 41);
-    // What is handed over once more after its end was told stays over.
+    // A hand-over that is repeated after the end notice doesn't revive the session.
     viewer.send(&set_up_message(121, &[HANDED_OVER_AT_FIRST, (6, "0")]));
     viewer.send(&set_up_message(120, &[HANDED_OVER_AT_FIRST, (6, "0")]));
     viewer.expect_no_message();
     fixture.node.wait_for_log("sessions=0");
 }
 
-/// The end is told on the connection that is being read, and more waits there than is read at a time.
+/// The end notice is sent on the connection that is being read, which holds more input than is read at a time.
 #[test]
-fn what_waits_on_a_connection_as_an_end_is_told_on_it_is_not_lost() {
+fn unread_input_survives_an_end_notice_on_the_same_connection() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(125, &[HANDED_OVER_AT_FIRST, (6, "0")]));
@@ -42,7 +43,7 @@
     connection.end_play(&mut viewer, 125);
     fixture.node.while_paused(|| {
         let mut bytes = set_up_message(126, &[HANDED_OVER_AT_FIRST, (6, "0")]);
-        // Progress, which means nothing, and then a test.
+        // Progress messages, which are ignored, and then a health check.
         (0..6_000).for_each(|_| bytes.extend(encode_message(6, 126, &[])));
         bytes.extend(encode_message(52, 127, &[(45, &[0])]));
         viewer.send(&bytes);
@@ -51,9 +52,9 @@
     viewer.expect_message(53, 127);
 }
 
-/// Its viewer ends it on one connection while another hands it over.
+/// The viewer releases the session on one connection before another hands it over.
 #[test]
-fn a_session_that_is_handed_over_after_its_viewers_release_is_ended_at_its_server() {
+fn session_handed_over_after_its_viewers_release_is_torn_down() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&encode_message(RELEASE, 122, &[(45, &[19])]));
@@ -64,24 +65,24 @@
     assert_eq!((cut.session(), cut.header("Reason")), (122, Some("cause=19")));
 }
 
-/// Handed over and ended in one go, while no connection to its server comes up in time.
+/// The session is handed over and released at once, while no connection to its server completes in time.
 #[test]
-fn an_end_that_its_connection_could_not_carry_is_told_on_the_next() {
+fn teardown_is_retried_on_the_next_connection() {
     let mut fixture = start_with_full_backlog(&[]);
     let mut viewer = fixture.node.connect_viewer();
     let mut both = set_up_message(123, &[HANDED_OVER_AT_FIRST, (6, "0")]);
     both.extend(encode_message(RELEASE, 123, &[(45, &[19])]));
     viewer.send(&both);
-    // The time to make the first connection has passed by then.
+    // The first attempt to connect has timed out by then.
     fixture.dns.wait_for_queries(5);
     fixture.servers[0].drain_backlog();
-    let cut = fixture.servers[0].accept().next_request().expect("an end");
+    let cut = fixture.servers[0].accept().next_request().expect("a teardown");
     assert_eq!((cut.method(), cut.session(), cut.header("Reason")), ("TEARDOWN", 123, Some("cause=19")));
 }
 
-/// The list of the start lacks its server, and the name service is silent: it may be on the list that comes.
+/// The list at start lacks the session's server and the name service is silent: a later list may hold it.
 #[test]
-fn a_session_at_a_server_that_no_list_has_told_of_yet_is_not_over() {
+fn session_at_a_server_not_yet_listed_is_kept() {
     let servers = [MediaServer::start("s-0000000a", 0), MediaServer::start("s-0000000b", 1)];
     let dns = DnsServer::start(servers.iter().map(MediaServer::dns_record).collect());
     dns.update_zone(|zone| (zone.serial, zone.mode) = (2, fake_peers::DnsMode::Silent));
@@ -89,15 +90,15 @@
     let mut viewer = node.connect_viewer();
     viewer.send(&set_up_message(124, &[HANDED_OVER_AT_FIRST, (6, "0")]));
     viewer.expect_no_message();
-    // Two looks at the servers and more.
+    // More than two ticks of the server check.
     dns.wait_for_queries(8);
     dns.update_zone(|zone| zone.mode = fake_peers::DnsMode::Normal);
     servers[0].accept().end_play(&mut viewer, 124);
 }
 
-// ---- the word of an end, and the close of the connection that it is told on ----
+// ---- the end notice and the close of its connection ----
 
-/// A viewer with a session that stands, another of the same address that has asked for something, and the session's connection.
+/// A viewer with an established session, another viewer of the same address that has sent a request, and the session's connection.
 fn two_viewers(fixture: &NodeFixture, session: u64) -> (Viewer, Viewer, ServerConnection) {
     let (mut first, mut other) = (fixture.node.connect_viewer(), fixture.node.connect_viewer());
     let mut connection = fixture.start_session(&mut first, session);
@@ -106,23 +107,24 @@
     (first, other, connection)
 }
 
-/// The end has come to its viewer's machine, and nobody reads it there any more.
+/// The notice has reached the viewer's machine, and the viewer closes without reading it.
 #[test]
-fn an_end_that_its_viewer_has_not_read_as_it_closed_is_told_on_another_connection() {
+fn unread_end_notice_is_resent_on_another_connection() {
     let fixture = start_fixture();
     let (first, mut other, mut connection) = two_viewers(&fixture, 130);
     connection.send_request("TEARDOWN", 130, "Reason: cause=41\r\n");
-    first.stream.peek(&mut [0]).expect("the end comes");
-    // Half a second of the node's own time: what was written then crosses nothing.
+    first.stream.peek(&mut [0]).expect("the end notice arrives");
+    // Half a second of the node's time, after which the notice no longer races with the close.
     fixture.dns.wait_for_queries(3);
     drop(first);
     assert_eq!(other.expect_message(RELEASE, 130).cause(), 41);
     other.expect_no_message();
 }
 
-/// Of several that are there, one of its own address, though another has come later: a connection that was broken off has none any more.
+/// The notice goes to a connection from the address of the closed one, although another viewer has connected later. The address is no
+/// longer available from a connection that was reset.
 #[test]
-fn an_end_that_was_not_read_is_told_where_its_viewer_is() {
+fn unread_end_notice_prefers_a_connection_from_the_same_address() {
     let fixture = start_fixture();
     let here = [127, 0, 0, 2];
     let (mut first, mut own, mut another) = (
@@ -136,20 +138,20 @@
         connection.serve_set_up(viewer, play);
     }
     connection.send_request("TEARDOWN", 160, "Reason: cause=41\r\n");
-    first.stream.peek(&mut [0]).expect("the end comes");
+    first.stream.peek(&mut [0]).expect("the end notice arrives");
     drop(first);
     assert_eq!(own.expect_message(RELEASE, 160).cause(), 41);
     another.expect_no_message();
 }
 
-/// Nobody is there to be told: whoever asks for something next is.
+/// No viewer is connected; the next one that sends a request receives the notice.
 #[test]
-fn an_end_that_its_viewer_has_not_read_is_told_to_whoever_comes() {
+fn unread_end_notice_is_kept_for_the_next_viewer() {
     let fixture = start_fixture();
     let mut first = fixture.node.connect_viewer();
     let mut connection = fixture.start_session(&mut first, 132);
     connection.send_request("TEARDOWN", 132, "Reason: cause=41\r\n");
-    first.stream.peek(&mut [0]).expect("the end comes");
+    first.stream.peek(&mut [0]).expect("the end notice arrives");
     fixture.dns.wait_for_queries(3);
     drop(first);
     let mut next = fixture.node.connect_viewer();
@@ -158,13 +160,13 @@
     connection.serve_set_up(&mut next, 133);
 }
 
-/// It reads nothing at all, and is closed for that with the end among what it has not read.
+/// The viewer reads nothing and is closed for that, with the notice among its unread data.
 #[test]
-fn an_end_told_to_a_viewer_that_reads_nothing_is_told_on_another_connection() {
+fn end_notice_to_a_viewer_that_reads_nothing_is_resent() {
     let fixture = start_fixture();
     let (mut first, mut other, mut connection) = two_viewers(&fixture, 134);
     connection.send_request("TEARDOWN", 134, "Reason: cause=41\r\n");
-    first.stream.peek(&mut [0]).expect("the end comes");
+    first.stream.peek(&mut [0]).expect("the end notice arrives");
     fixture.dns.wait_for_queries(3);
     let tests = encode_message(52, 136, &[(45, &[0])]).repeat(1_000);
     while first.stream.write_all(&tests).is_ok() {}
@@ -172,10 +174,10 @@
     drop(first);
 }
 
-/// The end and the close come in the same instant, whichever the node looks at first.
+/// The end and the close arrive together, in either order.
 #[test_case(true; "the end first")]
 #[test_case(false; "the close first")]
-fn an_end_in_the_instant_in_which_its_viewer_closes_is_told_on_another_connection(end_first: bool) {
+fn end_notice_simultaneous_with_the_viewers_close_is_resent(end_first: bool) {
     let fixture = start_fixture();
     let (first, mut other, mut connection) = two_viewers(&fixture, 137);
     let mut first = Some(first);
@@ -188,27 +190,27 @@
     other.expect_no_message();
 }
 
-/// It closes its side before it has read the end, which comes to nobody then: the close may be seen first, and that it was not read
-/// only later. Which of them is, is the machine's, so that it is done some times.
+/// The viewer closes its side before it has read the notice, which is then lost. The node may see the close first and only later that
+/// the notice was not read. The order depends on the kernel, so that the case is repeated.
 #[test]
-fn an_end_that_crosses_its_viewers_close_is_told_on_another_connection() {
+fn end_notice_crossing_a_half_close_is_resent() {
     let fixture = start_fixture();
     let (mut first, mut other, mut connection) = two_viewers(&fixture, 149);
     for play in 139..149 {
         first.send(&set_up_message(play, &[TITLE_AT_FIRST]));
         connection.serve_set_up(&mut first, play);
         connection.send_request("TEARDOWN", play, "Reason: cause=41\r\n");
-        first.stream.peek(&mut [0]).expect("the end comes");
-        first.stream.shutdown(Shutdown::Write).expect("so");
+        first.stream.peek(&mut [0]).expect("the end notice arrives");
+        first.stream.shutdown(Shutdown::Write).expect("closing the write side");
         first = fixture.node.connect_viewer();
         assert_eq!(other.expect_message(RELEASE, play).cause(), 41);
     }
     other.expect_no_message();
 }
 
-/// An end that was read before its viewer closed is told nobody else.
+/// A notice that was read before its viewer closed is not sent to another viewer.
 #[test]
-fn an_end_that_was_read_is_told_once() {
+fn end_notice_that_was_read_is_sent_once() {
     let fixture = start_fixture();
     let (mut first, mut other, mut connection) = two_viewers(&fixture, 151);
     connection.end_play(&mut first, 151);
@@ -216,7 +218,7 @@
     drop(first);
     let started_at = Instant::now();
     while fixture.node.descriptor_count() >= held {
-        assert!(started_at.elapsed() < fake_peers::TIMEOUT, "its connection is closed");
+        assert!(started_at.elapsed() < fake_peers::TIMEOUT, "the node did not close the connection in time");
         std::thread::sleep(Duration::from_millis(5));
     }
     other.expect_no_message();
--- a/crates/edge/tests/node_races_shutdown.rs
+++ b/crates/edge/tests/node_races_shutdown.rs
@@ -1,5 +1,5 @@
-//! A node's end, its file read anew and its descriptors, each crossed with what else comes in the same instant.
-//! `docs/notes/crossings.md` has a row for each.
+//! Races of the node's shutdown, of the reload of its configuration and of a lack of file descriptors with other events.
+//! `docs/notes/crossings.md` has a row for each race.
 
 mod fake_peers;
 mod node_fixture;
@@ -10,11 +10,11 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// It was told once, and what it had taken by then is owed its answer all the same.
-#[test_case("TERM"; "the same again")]
-#[test_case("INT"; "another")]
-#[test_case("HUP"; "the file anew")]
-fn a_further_signal_while_it_stops_loses_nothing(signal: &str) {
+/// A node that is stopping still answers the plays that it had accepted, whatever signals follow.
+#[test_case("TERM"; "terminate again")]
+#[test_case("INT"; "interrupt")]
+#[test_case("HUP"; "reload")]
+fn signal_during_shutdown_loses_no_answer(signal: &str) {
     let mut fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(201, &[TITLE_AT_FIRST]));
@@ -28,10 +28,10 @@
     assert!(fixture.node.wait_for_exit().success());
 }
 
-/// Its bytes come in the same instant as the signal, on a connection that was open and on one that was not yet accepted.
+/// The set-up arrives together with the signal, on an open connection or on one not yet accepted.
 #[test_case(true; "on an open connection")]
-#[test_case(false; "on a new one")]
-fn a_set_up_that_comes_with_the_signal_is_answered(open: bool) {
+#[test_case(false; "on a new connection")]
+fn set_up_arriving_with_sigterm_is_answered(open: bool) {
     let mut fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     if open {
@@ -45,9 +45,9 @@
     assert!(fixture.node.wait_for_exit().success());
 }
 
-/// The door is closed while half a set-up has come; the other half follows.
+/// The listener is closed when half of a set-up has arrived; the other half follows.
 #[test]
-fn half_a_set_up_across_the_doors_closing_is_answered() {
+fn set_up_split_across_the_listener_close_is_answered() {
     let mut fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.expect_no_message();
@@ -63,12 +63,15 @@
     assert!(fixture.node.wait_for_exit().success());
 }
 
-/// Its viewer ends a session as the node stops, and the connection to its server is still being made.
+/// The viewer releases its session as the node stops, while the connection to the server is still being established.
 #[test]
-fn an_end_on_its_way_to_a_server_keeps_a_node_that_stops() {
-    let patient = (r#""dialTimeoutUs":250000"#, r#""dialTimeoutUs":10000000"#);
-    let mut fixture =
-        start_with_servers(vec![MediaServer::start_with_full_backlog("s-0000000a", 0)], 256, &[patient]);
+fn shutdown_waits_for_a_pending_teardown() {
+    let long_dial_timeout = (r#""dialTimeoutUs":250000"#, r#""dialTimeoutUs":10000000"#);
+    let mut fixture = start_with_servers(
+        vec![MediaServer::start_with_full_backlog("s-0000000a", 0)],
+        256,
+        &[long_dial_timeout],
+    );
     let mut viewer = fixture.node.connect_viewer();
     let mut both = set_up_message(204, &[(18, "home:0;copies:1;top:1;at:s-0000000a"), (6, "0")]);
     both.extend(encode_message(node_fixture::RELEASE, 204, &[(45, &[19])]));
@@ -83,12 +86,12 @@
     assert!(fixture.node.wait_for_exit().success());
 }
 
-// ---- the file anew ----
+// ---- reload of the configuration ----
 
-/// All descriptors are taken when the signal comes, and there is no second signal.
-#[test_case(false; "by what it needs")]
-#[test_case(true; "by idle viewers")]
-fn a_file_that_cannot_be_read_for_want_of_a_descriptor_is_read_soon(idle: bool) {
+/// All descriptors are in use when the signal arrives, and no second signal follows.
+#[test_case(false; "used by the node")]
+#[test_case(true; "used by idle viewers")]
+fn config_reload_is_retried_when_out_of_descriptors(idle: bool) {
     let fixture = start_fixture();
     fixture.node.wait_for_log("serial=1");
     let crowd: Vec<fake_peers::Viewer> = (0..if idle { 8 } else { 0 })
@@ -111,10 +114,10 @@
     drop(crowd);
 }
 
-/// Another node's, or another customer's: its name service is not this node's.
+/// The file of another node or customer names a name service that is not this node's.
 #[test_case(r#""name":"n1""#, r#""name":"n2""#; "another name")]
 #[test_case(r#""listen":"127.0.0.1:0""#, r#""listen":"127.0.0.1:9""#; "another address")]
-fn the_file_of_another_node_changes_nothing(was: &str, is: &str) {
+fn reload_ignores_the_config_of_another_node(was: &str, is: &str) {
     let fixture = start_fixture();
     fixture.node.wait_for_log("serial=1");
     let other_dns = DnsServer::start(vec![]);
@@ -127,15 +130,15 @@
 }
 
 #[test]
-fn other_settings_in_a_new_file_wait_for_a_restart_and_its_name_service_is_asked() {
+fn reload_applies_the_name_service_but_not_changed_settings() {
     let fixture = start_fixture();
     fixture.node.wait_for_log("serial=1");
     let other_dns = DnsServer::start(vec![fixture.servers[0].dns_record()]);
     other_dns.update_zone(|zone| zone.serial = 2);
     let all: Vec<&MediaServer> = fixture.servers.iter().collect();
-    let other =
+    let changed =
         Node::config(other_dns.addr, &all, 256, 3_000_000).replace(r#""name":"paid""#, r#""name":"dear""#);
-    fixture.node.rewrite_config(&other);
+    fixture.node.rewrite_config(&changed);
     fixture.node.send_signal("HUP");
     fixture.node.wait_for_log("settings: they have changed");
     fixture.node.wait_for_log("serial=2");
@@ -145,15 +148,15 @@
     assert_eq!(viewer.expect_message(node_fixture::RELEASE, 206).cause(), 100);
 }
 
-/// A zone that the settings do not name is not the first that they name.
+/// Guards against a fault in which a zone missing from the settings was taken for the first one that they name.
 #[test]
-fn a_zone_that_the_settings_do_not_name_is_nobodys_home() {
+fn server_in_an_unknown_zone_counts_as_remote() {
     let servers = [MediaServer::start("s-0000000a", 0), MediaServer::start("s-0000000b", 1)];
     let dns = DnsServer::start(vec![]);
     dns.update_zone(|zone| zone.mode = DnsMode::Silent);
     let config = Node::config(dns.addr, &[&servers[0], &servers[1]], 256, 3_000_000);
-    let strange = config.replacen(r#""zone":"east""#, r#""zone":"west""#, 1);
-    let priced = strange.replace(r#""rules":{"#, r#""costs":{"crossZone":0.1},"rules":{"#);
+    let unknown_zone = config.replacen(r#""zone":"east""#, r#""zone":"west""#, 1);
+    let priced = unknown_zone.replace(r#""rules":{"#, r#""costs":{"crossZone":0.1},"rules":{"#);
     assert!(priced.contains("west") && priced.contains("crossZone"));
     let node = Node::start(&priced);
     let mut viewer = node.connect_viewer();
@@ -167,9 +170,9 @@
 
 // ---- descriptors ----
 
-/// Nobody can give way: all have a set-up open. The door is left alone for a moment at a time, and not asked without end.
+/// No connection can be evicted, as all have an open set-up. The listener pauses between tries instead of spinning.
 #[test]
-fn a_door_without_a_descriptor_rests_and_is_opened_again() {
+fn listener_pauses_when_out_of_descriptors_and_resumes() {
     let fixture = start_with_replacements(256, &[(r#""aimUs":2000000"#, r#""aimUs":90000000"#)]);
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(220, &[TITLE_AT_FIRST, (6, "60000")]));
@@ -187,9 +190,9 @@
     viewer.expect_message(ANSWER, 220);
 }
 
-/// The door's time is up while whoever waits there finds no descriptor; the machine has accepted it, and so it is answered.
+/// The listener's time ends while a connection in its backlog lacks a descriptor. The kernel has accepted it, so it is answered.
 #[test]
-fn the_door_closes_only_once_nobody_waits_there() {
+fn listener_closes_only_after_its_backlog_is_accepted() {
     let mut fixture = start_with_replacements(256, &[(r#""aimUs":2000000"#, r#""aimUs":90000000"#)]);
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(223, &[TITLE_AT_FIRST]));
@@ -199,7 +202,7 @@
     newcomer.send(&set_up_message(224, &[TITLE_AT_FIRST]));
     fixture.node.send_signal("TERM");
     fixture.node.wait_for_log("stopping");
-    // 1.2 s of the node's own time and more.
+    // At least 1.2 s of the node's time.
     fixture.dns.wait_for_queries(8);
     fixture.node.set_descriptor_limit(256);
     fixture.servers[0].accept().serve_set_up(&mut newcomer, 224);
@@ -208,9 +211,9 @@
     assert!(fixture.node.wait_for_exit().success());
 }
 
-/// Idle connections fill the descriptors while the name service is silent; sessions go on, and a newcomer gets its answer.
+/// Idle connections use up the descriptors while the name service is silent. Sessions go on, and a newcomer gets its answer.
 #[test]
-fn idle_viewers_while_the_list_is_silent_hold_nobody_up() {
+fn idle_viewers_block_nobody_while_the_name_service_is_silent() {
     let fixture = start_with_replacements(64, &[]);
     fixture.dns.update_zone(|zone| zone.mode = DnsMode::Silent);
     let mut first = fixture.node.connect_viewer();
--- a/crates/edge/tests/node_slow_peers.rs
+++ b/crates/edge/tests/node_slow_peers.rs
@@ -1,5 +1,5 @@
-//! Peers that are slow or rude at a node, and what goes on beside them; a node that comes back while what it was lingers.
-//! `docs/notes/crossings.md` has a row for each.
+//! Slow or misbehaving peers of a node and their effect on other plays; restarts of a node while its old connections linger.
+//! `docs/notes/crossings.md` has a row for each case.
 
 mod fake_peers;
 mod node_fixture;
@@ -9,12 +9,14 @@
 use std::net::Shutdown;
 use test_case::test_case;
 
-/// Title at the second host only.
+/// Set-up parameter: only the second server holds the title.
 const TITLE_AT_SECOND: (u8, &str) = (18, "home:1;copies:1;top:1;viewer:00000000b4d65521");
-const PAID: (&str, &str) = (r#""effect":"read_like""#, r#""effect":"non_idempotent""#);
-const LONG_TIMEOUTS: (&str, &str) = (r#""aimUs":2000000"#, r#""aimUs":90000000"#);
+/// Replacement: set-ups are non-idempotent.
+const NON_IDEMPOTENT: (&str, &str) = (r#""effect":"read_like""#, r#""effect":"non_idempotent""#);
+/// Replacement: the first-frame target is 90 s.
+const LONG_TARGET: (&str, &str) = (r#""aimUs":2000000"#, r#""aimUs":90000000"#);
 
-/// So many sessions are set up at the second host and come to their end.
+/// Sets up `count` sessions at the second server; all but the first are ended as well.
 fn run_sessions_at_second(fixture: &NodeFixture, from: u64, count: u64) {
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(from, &[TITLE_AT_SECOND]));
@@ -27,10 +29,10 @@
     }
 }
 
-/// Between any two bytes of its answer others are served, and then so is its own.
+/// Other plays are served between any two bytes of the answer, and the slow one at the end.
 #[test]
-fn a_server_that_speaks_a_byte_at_a_time_holds_up_nobody() {
-    let fixture = start_with_replacements(256, &[LONG_TIMEOUTS]);
+fn server_answering_byte_by_byte_delays_no_other_play() {
+    let fixture = start_with_replacements(256, &[LONG_TARGET]);
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(301, &[TITLE_AT_FIRST, (6, "60000")]));
     let (mut connection, request) = fixture.next_set_up(0);
@@ -47,12 +49,12 @@
     assert_eq!(viewer.expect_message(ANSWER, 301).parameter(48), Some(DESCRIPTION.as_bytes()));
 }
 
-/// Between any two bytes of its set-up others are served, and then so is its own.
+/// Other viewers are served between any two bytes of the set-up, and the slow one at the end.
 #[test]
-fn a_viewer_that_speaks_a_byte_at_a_time_holds_up_nobody() {
+fn viewer_sending_byte_by_byte_delays_no_other_viewer() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
-    // It has proven to be one: only what has brought nothing is closed for being slow.
+    // It has an established session: only connections that never sent a message are closed for being slow.
     let mut connection = fixture.start_session(&mut viewer, 302);
     let mut other = fixture.node.connect_viewer();
     let bytes = set_up_message(303, &[TITLE_AT_FIRST]);
@@ -67,51 +69,51 @@
     connection.serve_set_up(&mut viewer, 303);
 }
 
-/// How much of an answer comes before the connection ends.
+/// The connection ends after this many bytes of the answer.
 #[test_case(20, false; "in its head, closed")]
 #[test_case(20, true; "in its head, reset")]
 #[test_case(100, false; "in its body, closed")]
 #[test_case(100, true; "in its body, reset")]
-fn an_answer_that_breaks_off_has_not_come(bytes: usize, reset: bool) {
+fn truncated_answer_is_retried(bytes: usize, reset: bool) {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(304, &[TITLE_AT_FIRST]));
     let (mut connection, request) = fixture.next_set_up(0);
-    let whole = rtsp_response(200, "1", request.session(), DESCRIPTION);
-    let head = whole.find("\r\n\r\n").expect("a head") + 4;
-    assert!(bytes < whole.len() && (bytes < head) == (bytes == 20));
-    connection.send(&whole[..bytes]);
+    let response = rtsp_response(200, "1", request.session(), DESCRIPTION);
+    let head = response.find("\r\n\r\n").expect("a head") + 4;
+    assert!(bytes < response.len() && (bytes < head) == (bytes == 20));
+    connection.send(&response[..bytes]);
     if reset {
         connection.reset();
     } else {
         connection.close();
     }
-    // It may be made again, and is.
+    // The set-up is idempotent and is tried again.
     fixture.servers[0].accept().serve_set_up(&mut viewer, 304);
     run_sessions_at_second(&fixture, 600, 3);
 }
 
-/// A paid one has run, and is not made again.
+/// A non-idempotent set-up may have run and is not tried again.
 #[test]
-fn a_paid_answer_that_breaks_off_is_answered_as_failed() {
-    let fixture = start_with_replacements(256, &[PAID]);
+fn truncated_answer_to_a_non_idempotent_set_up_fails_the_play() {
+    let fixture = start_with_replacements(256, &[NON_IDEMPOTENT]);
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(305, &[TITLE_AT_FIRST]));
     let (mut connection, request) = fixture.next_set_up(0);
-    let whole = rtsp_response(200, "1", request.session(), DESCRIPTION);
-    connection.send(&whole[..whole.len() - 3]);
+    let response = rtsp_response(200, "1", request.session(), DESCRIPTION);
+    connection.send(&response[..response.len() - 3]);
     connection.close();
     assert_eq!(viewer.expect_message(RELEASE, 305).cause(), 41);
     viewer.expect_no_message();
     assert!(
         !fixture.servers[0].has_connection() && !fixture.servers[1].has_connection(),
-        "nothing was sent again"
+        "the set-up was sent again"
     );
 }
 
-/// The whole answer comes with the connection's end, in one go: it counts, and the session stands.
+/// The whole answer arrives together with the close of the connection: it counts, and the session is established.
 #[test]
-fn an_answer_whose_connection_ends_after_the_body_counts() {
+fn answer_followed_by_connection_close_is_accepted() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(306, &[TITLE_AT_FIRST]));
@@ -121,13 +123,13 @@
         connection.close();
     });
     viewer.expect_message(ANSWER, 306);
-    // The server is called, as it may have something to say, and what stood still stands.
+    // The node reconnects to the server, as that may report an end; the session goes on.
     fixture.servers[0].accept().end_play(&mut viewer, 306);
 }
 
-// ---- a node that comes back ----
+// ---- restarts ----
 
-/// A node at the address of the one before, while the name service is silent.
+/// Starts a node at the address of the previous one, while the name service is silent.
 fn restart_node(fixture: &NodeFixture) -> Node {
     fixture.dns.update_zone(|zone| zone.mode = DnsMode::Silent);
     let servers: Vec<_> = fixture.servers.iter().collect();
@@ -136,11 +138,11 @@
     Node::start(&config.replace(r#""listen":"127.0.0.1:0""#, &listen))
 }
 
-/// Connections of the one before linger at its viewers; the next listens there at once, passes its test and takes over, with the
-/// name service silent all the while.
-#[test_case("TERM"; "told to stop")]
+/// Connections to the previous node linger at its viewers. The next node listens at once, passes the health check and takes over,
+/// with the name service silent throughout.
+#[test_case("TERM"; "terminated")]
 #[test_case("KILL"; "killed")]
-fn a_node_comes_back_at_its_address_while_connections_to_it_linger(signal: &str) {
+fn node_restarts_at_its_address_while_old_connections_linger(signal: &str) {
     let mut fixture = start_fixture();
     let mut lingers = fixture.node.connect_viewer();
     let connection = fixture.start_session(&mut lingers, 310);
@@ -151,17 +153,17 @@
     let mut viewer = node.connect_viewer();
     viewer.expect_no_message();
     viewer.send(&set_up_message(310, &[(18, "home:0;copies:1;top:1;at:s-0000000a"), (6, "0")]));
-    let mut anew = fixture.servers[0].accept();
-    anew.end_play(&mut viewer, 310);
+    let mut new_connection = fixture.servers[0].accept();
+    new_connection.end_play(&mut viewer, 310);
     viewer.send(&set_up_message(311, &[TITLE_AT_FIRST]));
-    anew.serve_set_up(&mut viewer, 311);
+    new_connection.serve_set_up(&mut viewer, 311);
     assert_eq!(lingers.next_message(), None);
     drop((connection, idle));
 }
 
-/// Half of a set-up had come on a connection to the one before; the other half comes to nobody, and a new connection is a new one.
+/// Half of a set-up was sent to the previous node. The other half reaches no node, and a new connection starts from scratch.
 #[test]
-fn half_a_set_up_to_the_node_before_is_nothing_to_the_next() {
+fn partial_set_up_is_not_carried_over_a_restart() {
     let mut fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.expect_no_message();
