--- a/crates/fuzz-checks/tests/codecs.rs
+++ b/crates/fuzz-checks/tests/codecs.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use std::path::Path;
 
-fn kept(name: &str) -> Vec<Vec<u8>> {
+fn corpus_entries(name: &str) -> Vec<Vec<u8>> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../fuzz/corpus").join(name);
     let mut files: Vec<_> =
         std::fs::read_dir(folder).expect("the corpus").map(|f| f.expect("an entry").path()).collect();
@@ -12,8 +12,8 @@
 }
 
 /// A few kept messages in a row, with bytes of them changed.
-fn spoilt(name: &str) -> impl Strategy<Value = Vec<u8>> + use<> {
-    let messages = prop::collection::vec(prop::sample::select(kept(name)), 1..4);
+fn altered_messages(name: &str) -> impl Strategy<Value = Vec<u8>> + use<> {
+    let messages = prop::collection::vec(prop::sample::select(corpus_entries(name)), 1..4);
     let changes = prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..4);
     (messages, changes).prop_map(|(messages, changes)| {
         let mut bytes = messages.concat();
@@ -29,7 +29,7 @@
 
 proptest! {
     #[test]
-    fn drawn_bytes(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn random_bytes_pass_all_codec_checks(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         pulleystair_fuzz_checks::signal(&bytes);
         pulleystair_fuzz_checks::rtsp(&bytes);
         pulleystair_fuzz_checks::names(&bytes);
@@ -37,22 +37,22 @@
     }
 
     #[test]
-    fn spoilt_datagrams_between_fronts(bytes in spoilt("row")) {
+    fn altered_gossip_datagrams_pass_the_checks(bytes in altered_messages("row")) {
         pulleystair_fuzz_checks::row(&bytes);
     }
 
     #[test]
-    fn spoilt_viewers_messages(bytes in spoilt("signal")) {
+    fn altered_viewer_messages_pass_the_checks(bytes in altered_messages("signal")) {
         pulleystair_fuzz_checks::signal(&bytes);
     }
 
     #[test]
-    fn spoilt_media_servers_messages(bytes in spoilt("rtsp")) {
+    fn altered_rtsp_messages_pass_the_checks(bytes in altered_messages("rtsp")) {
         pulleystair_fuzz_checks::rtsp(&bytes);
     }
 
     #[test]
-    fn spoilt_answers_of_the_name_service(bytes in spoilt("names")) {
+    fn altered_dns_responses_pass_the_checks(bytes in altered_messages("names")) {
         pulleystair_fuzz_checks::names(&bytes);
     }
 }
--- a/crates/fuzz-checks/tests/corpora.rs
+++ b/crates/fuzz-checks/tests/corpora.rs
@@ -11,11 +11,11 @@
 #[test_case("rtsp", pulleystair_fuzz_checks::rtsp; "media servers' messages")]
 #[test_case("names", pulleystair_fuzz_checks::names; "the name service's answers")]
 #[test_case("row", pulleystair_fuzz_checks::row; "datagrams between fronts")]
-fn nothing_kept_in_a_corpus_breaks_anything(name: &str, holds: fn(&[u8])) {
+fn corpus_entries_pass_the_checks(name: &str, check: fn(&[u8])) {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../fuzz/corpus").join(name);
     let mut count = 0;
     for file in std::fs::read_dir(&folder).expect("the corpus is there") {
-        holds(&std::fs::read(file.expect("an entry").path()).expect("an entry reads"));
+        check(&std::fs::read(file.expect("an entry").path()).expect("an entry reads"));
         count += 1;
     }
     assert!(count >= 10, "{count} entries");
--- a/crates/message-mutation/src/delivery.rs
+++ b/crates/message-mutation/src/delivery.rs
@@ -1,9 +1,9 @@
 //! Messages as they come in, changed where they are to be, read by the real codecs and told to the desk; and what the
 //! desk has done.
 
-use crate::inbox::{self, SetUp};
+use crate::messages::{self, SetUp};
 use crate::{Kind, Mutation, fields};
-use pulleystair::{Listing, LoadMetric, Outcome as End, Standing};
+use pulleystair::{Listing, LoadMetric, Outcome, Standing};
 use pulleystair_dispatcher::{Dispatcher, PlayRequest};
 use pulleystair_edge::http;
 use pulleystair_fleet_member::{Candidate, ListedServer, stable_id};
@@ -13,272 +13,344 @@
 use pulleystair_rule_checker::Observed;
 use pulleystair_shared_state::Server;
 
-use crate::front::{Deed, Deeds, Session, name};
-use crate::world::{BY_HTTP, COLD, Event, FRONTS, LIMIT, Mail, RECORDED, SERVERS, STREAMS, World};
+use crate::front::{Action, ActionQueue, Session, front_name};
+use crate::world::{
+    COLD_MS, Delivery, Event, FRONTS, HTTP_FRONT, RECORDING_END_MS, SERVERS, STREAMS_PER_SERVER,
+    TIME_LIMIT_MS, World,
+};
 
 impl World {
     // ---- messages ----
 
-    pub(crate) fn post(&mut self, wait: f64, mail: Mail) {
-        self.at(wait, Event::Mail(mail));
+    pub(crate) fn schedule_delivery(&mut self, delay: f64, delivery: Delivery) {
+        self.schedule(delay, Event::Deliver(delivery));
     }
 
     /// A message of the run has come: the one that is to be changed is, all others are taken as they are.
-    pub(crate) fn mail(&mut self, mail: Mail) {
-        if self.now > RECORDED {
-            return self.take(mail);
+    pub(crate) fn deliver_mutated(&mut self, delivery: Delivery) {
+        if self.now > RECORDING_END_MS {
+            return self.deliver(delivery);
         }
-        let number = self.out.messages.len();
-        self.out.messages.push((mail.kind, mail.bytes.clone()));
-        let before = self.before.insert(mail.kind, mail.bytes.clone());
-        let how = self.change.filter(|c| c.at == number).map(|c| c.mutation);
-        let size = mail.bytes.len();
-        match how {
+        let index = self.result.messages.len();
+        self.result.messages.push((delivery.kind, delivery.bytes.clone()));
+        let previous = self.previous.insert(delivery.kind, delivery.bytes.clone());
+        let mutation = self.mutated.filter(|c| c.index == index).map(|c| c.mutation);
+        let size = delivery.bytes.len();
+        match mutation {
             Some(Mutation::Dropped) => {}
-            Some(Mutation::Doubled) => {
-                self.take(mail.clone());
-                self.take(mail);
+            Some(Mutation::Duplicated) => {
+                self.deliver(delivery.clone());
+                self.deliver(delivery);
             }
-            Some(Mutation::Late(ms)) => self.at(f64::from(ms), Event::Again(mail)),
-            Some(Mutation::Swapped) => self.overtaken = Some(mail),
-            Some(Mutation::Cut(eighths)) => {
-                self.take(Mail { bytes: mail.bytes[..size * eighths / 8].to_vec(), ..mail })
+            Some(Mutation::Delayed(ms)) => self.schedule(f64::from(ms), Event::DeliverUnchanged(delivery)),
+            Some(Mutation::Reordered) => self.held_back = Some(delivery),
+            Some(Mutation::Truncated(eighths)) => {
+                self.deliver(Delivery { bytes: delivery.bytes[..size * eighths / 8].to_vec(), ..delivery })
             }
-            Some(Mutation::Bit(part)) => {
-                let mut bytes = mail.bytes;
+            Some(Mutation::BitFlipped(part)) => {
+                let mut bytes = delivery.bytes;
                 bytes[size * part / 64] ^= 1 << (part % 8);
-                self.take(Mail { bytes, ..mail });
+                self.deliver(Delivery { bytes, ..delivery });
             }
-            Some(Mutation::Field(field, to)) => {
+            Some(Mutation::FieldSet(field, value)) => {
                 let fleet =
-                    mail.bytes.get(1..5).and_then(|b| b.try_into().ok()).map_or(0, u32::from_be_bytes);
-                if let Some(bytes) = fields::set(mail.kind, &mail.bytes, field, to, before.as_deref(), fleet)
+                    delivery.bytes.get(1..5).and_then(|b| b.try_into().ok()).map_or(0, u32::from_be_bytes);
+                if let Some(bytes) =
+                    fields::set(delivery.kind, &delivery.bytes, field, value, previous.as_deref(), fleet)
                 {
-                    self.take(Mail { bytes, ..mail });
+                    self.deliver(Delivery { bytes, ..delivery });
                 }
             }
             None => {
-                let to = mail.to;
-                self.take(mail);
-                if let Some(late) = self.overtaken.take_if(|late| late.to == to) {
-                    self.take(late);
+                let to = delivery.to;
+                self.deliver(delivery);
+                if let Some(held) = self.held_back.take_if(|held| held.to == to) {
+                    self.deliver(held);
                 }
             }
         }
     }
 
-    pub(crate) fn take(&mut self, mail: Mail) {
-        match mail.kind {
-            Kind::Signal => self.set_up(mail.to, &mail.bytes),
-            Kind::Names => self.names(mail.to, &mail.bytes),
-            Kind::Row => {
+    pub(crate) fn deliver(&mut self, delivery: Delivery) {
+        match delivery.kind {
+            Kind::Viewer => self.receive_set_up(delivery.to, &delivery.bytes),
+            Kind::Dns => self.receive_dns_response(delivery.to, &delivery.bytes),
+            Kind::Gossip => {
                 let now = self.now;
-                let out = self.fronts[mail.to].fellow.receive(now, &mail.bytes);
-                self.datagrams(mail.to, out);
+                let datagrams = self.fronts[delivery.to].member.receive(now, &delivery.bytes);
+                self.send_datagrams(delivery.to, datagrams);
             }
-            Kind::Rtsp => self.wire(&mail),
-            Kind::Http => self.answered_by_http(&mail),
+            Kind::Rtsp => self.receive_rtsp(&delivery),
+            Kind::Http => self.receive_http(&delivery),
         }
     }
 
-    pub(crate) fn datagrams(&mut self, from: usize, out: Vec<pulleystair_fleet_member::Datagram>) {
-        for it in out {
-            let to = (0..FRONTS).find(|f| origin_of(&name(*f)) as Origin == it.to);
+    pub(crate) fn send_datagrams(&mut self, from: usize, datagrams: Vec<pulleystair_fleet_member::Datagram>) {
+        for datagram in datagrams {
+            let to = (0..FRONTS).find(|front_id| origin_of(&front_name(*front_id)) as Origin == datagram.to);
             let Some(to) = to else { continue };
-            let wait = 1.0 + 4.0 * self.draw();
-            self.post(wait, Mail { to, kind: Kind::Row, bytes: it.bytes, from, line: 0, of: (0, 0) });
+            let delay = 1.0 + 4.0 * self.random();
+            self.schedule_delivery(
+                delay,
+                Delivery {
+                    to,
+                    kind: Kind::Gossip,
+                    bytes: datagram.bytes,
+                    from,
+                    connection: 0,
+                    allocation: (0, 0),
+                },
+            );
         }
     }
 
-    pub(crate) fn set_up(&mut self, f: usize, bytes: &[u8]) {
+    pub(crate) fn receive_set_up(&mut self, front_id: usize, bytes: &[u8]) {
         // What can't be used is refused, and no play; an id that is known is that play's.
-        let Some(it) = inbox::read_set_up(bytes) else { return };
-        if self.fronts[f].sessions.contains_key(&it.play) {
+        let Some(set_up) = messages::parse_set_up(bytes) else { return };
+        if self.fronts[front_id].sessions.contains_key(&set_up.play) {
             return;
         }
-        self.requests += 1;
-        let (request, now) = (self.requests, self.now);
-        let SetUp { play, product, title, limit, first_cell, holders, top } = it;
-        let session = format!("{f}-{play:x}");
-        self.saw(Observed::Asked { request, session, front: f, product, title: title.clone(), top });
-        let wish = PlayRequest {
+        self.request_count += 1;
+        let (request, now) = (self.request_count, self.now);
+        let SetUp { play, product, title, time_limit, first_cell, holders, max_rung } = set_up;
+        let session = format!("{front_id}-{play:x}");
+        self.record(Observed::Asked {
+            request,
+            session,
+            front: front_id,
+            product,
+            title: title.clone(),
+            top: max_rung,
+        });
+        let play_request = PlayRequest {
             product,
             title: stable_id(&title),
             first_cell,
             holders,
-            max_rung: top,
+            max_rung,
             arrived_at: now,
-            deadline: now + limit.min(LIMIT),
+            deadline: now + time_limit.min(TIME_LIMIT_MS),
         };
-        let it = Session { request, product, title, n: 0, at: None, sent: 0.0, answered: false };
-        self.fronts[f].sessions.insert(play, it);
-        self.call(f, |desk, now, hands| desk.add_play(now, play, &wish, hands));
+        let new_session = Session {
+            request,
+            product,
+            title,
+            allocation_number: 0,
+            allocated_to: None,
+            sent_at: 0.0,
+            answered: false,
+        };
+        self.fronts[front_id].sessions.insert(play, new_session);
+        self.call_dispatcher(front_id, |dispatcher, now, actions| {
+            dispatcher.add_play(now, play, &play_request, actions)
+        });
     }
 
-    pub(crate) fn names(&mut self, f: usize, bytes: &[u8]) {
-        let Some((id, serial, lines)) = inbox::read_names(bytes) else { return };
-        let front = &mut self.fronts[f];
-        if !front.asked.contains(&id) || !pulleystair_dns_discovery::is_newer(front.rev, serial) {
+    pub(crate) fn receive_dns_response(&mut self, front_id: usize, bytes: &[u8]) {
+        let Some((id, serial, entries)) = messages::parse_dns_response(bytes) else { return };
+        let front = &mut self.fronts[front_id];
+        if !front.dns_query_ids.contains(&id)
+            || !pulleystair_dns_discovery::is_newer(front.list_serial, serial)
+        {
             return;
         }
-        front.rev = Some(serial);
-        let listed = |(server, line): &(u32, Listing)| ListedServer {
+        front.list_serial = Some(serial);
+        let listed = |(server, entry): &(u32, Listing)| ListedServer {
             server: Server {
                 id: stable_id(&format!("m{server}")),
-                zone: line.zone,
-                cell: line.cell,
-                link: line.weight,
+                zone: entry.zone,
+                cell: entry.cell,
+                link: entry.weight,
             },
-            born: line.started_at as u64,
-            cold_until: line.started_at + COLD,
+            born: entry.started_at as u64,
+            cold_until: entry.started_at + COLD_MS,
         };
-        let ready = lines.iter().filter(|l| l.1.standing == Standing::Ready);
-        let servers: Vec<ListedServer> = ready.map(listed).collect();
-        let all = servers.iter().map(|s| s.server.id).collect();
-        front.fellow.update_list(&servers, vec![all]);
-        self.call(f, |desk, now, _| desk.update_list(now, true, false, &lines));
+        let ready = entries.iter().filter(|l| l.1.standing == Standing::Ready);
+        let ready_servers: Vec<ListedServer> = ready.map(listed).collect();
+        let all = ready_servers.iter().map(|s| s.server.id).collect();
+        front.member.update_list(&ready_servers, vec![all]);
+        self.call_dispatcher(front_id, |dispatcher, now, _| {
+            dispatcher.update_list(now, true, false, &entries)
+        });
     }
 
     /// What a server says on its connection. What can't be read costs the set-ups that are open on it.
-    pub(crate) fn wire(&mut self, mail: &Mail) {
-        let (f, server, now) = (mail.to, mail.from, self.now);
-        if self.fronts[f].lines[server] != mail.line {
+    pub(crate) fn receive_rtsp(&mut self, delivery: &Delivery) {
+        let (front_id, server, now) = (delivery.to, delivery.from, self.now);
+        if self.fronts[front_id].connections[server] != delivery.connection {
             return;
         }
-        let Ok(Some((message, _))) = rtsp::Message::parse(&mail.bytes) else {
-            self.fronts[f].lines[server] += 1;
-            let open = |(play, s): (&u64, &Session)| (s.at == Some((server, false))).then_some(*play);
-            let open: Vec<u64> = self.fronts[f].sessions.iter().filter_map(open).collect();
-            return open.into_iter().for_each(|play| self.over(f, play, End::Broken, &[]));
+        let Ok(Some((message, _))) = rtsp::Message::parse(&delivery.bytes) else {
+            self.fronts[front_id].connections[server] += 1;
+            let open =
+                |(play, s): (&u64, &Session)| (s.allocated_to == Some((server, false))).then_some(*play);
+            let open: Vec<u64> = self.fronts[front_id].sessions.iter().filter_map(open).collect();
+            return open
+                .into_iter()
+                .for_each(|play| self.end_allocation(front_id, play, Outcome::Broken, &[]));
         };
         let play = message.session;
-        let at = self.fronts[f].sessions.get(&play).and_then(|s| s.at).filter(|at| at.0 == server);
-        let load = inbox::report(&message);
-        match (&message.start, at) {
-            (rtsp::Start::Answer(200), Some((_, false))) => self.stands(f, play, &load),
+        let allocated_to = self.fronts[front_id]
+            .sessions
+            .get(&play)
+            .and_then(|s| s.allocated_to)
+            .filter(|at| at.0 == server);
+        let load = messages::load_metrics(&message);
+        match (&message.start, allocated_to) {
+            (rtsp::Start::Answer(200), Some((_, false))) => self.on_set_up(front_id, play, &load),
             (rtsp::Start::Answer(status), Some((_, false))) if *status >= 300 => {
-                self.turned_away(f, play, *status, &load)
+                self.on_refused(front_id, play, *status, &load)
             }
             (rtsp::Start::Request(method), Some((_, true))) if method == "TEARDOWN" => {
-                self.over(f, play, End::Finished, &[]);
+                self.end_allocation(front_id, play, Outcome::Finished, &[]);
             }
             (rtsp::Start::Request(method), Some((_, true))) if method == "ANNOUNCE" => {
-                if let Some(figure) = message.number("Figure").filter(|_| message.field("X-Why") == Some("l"))
+                if let Some(metric) = message.number("Figure").filter(|_| message.field("X-Why") == Some("l"))
                 {
-                    let figure = LoadMetric::Link(figure);
-                    self.call(f, |desk, _, hands| desk.on_play_note(now, play, server as u32, figure, hands));
+                    let metric = LoadMetric::Link(metric);
+                    self.call_dispatcher(front_id, |dispatcher, _, actions| {
+                        dispatcher.on_play_note(now, play, server as u32, metric, actions)
+                    });
                 }
             }
             _ => {}
         }
     }
 
-    pub(crate) fn answered_by_http(&mut self, mail: &Mail) {
-        let (f, (play, n)) = (mail.to, mail.of);
-        let out =
-            self.fronts[f].sessions.get(&play).is_some_and(|s| s.n == n && s.at == Some((mail.from, false)));
-        if !out {
+    pub(crate) fn receive_http(&mut self, delivery: &Delivery) {
+        let (front_id, (play, allocation_number)) = (delivery.to, delivery.allocation);
+        let is_pending = self.fronts[front_id].sessions.get(&play).is_some_and(|s| {
+            s.allocation_number == allocation_number && s.allocated_to == Some((delivery.from, false))
+        });
+        if !is_pending {
             return;
         }
-        match http::parse_response(&mail.bytes) {
-            Ok(Some((answer, _))) if answer.status == 200 => self.stands(f, play, &[]),
-            Ok(Some((answer, _))) => self.turned_away(f, play, answer.status, &[]),
+        match http::parse_response(&delivery.bytes) {
+            Ok(Some((response, _))) if response.status == 200 => self.on_set_up(front_id, play, &[]),
+            Ok(Some((response, _))) => self.on_refused(front_id, play, response.status, &[]),
             // The connection is its own: what does not come whole has broken off.
-            _ => self.over(f, play, End::Broken, &[]),
+            _ => self.end_allocation(front_id, play, Outcome::Broken, &[]),
         }
     }
 
-    pub(crate) fn stands(&mut self, f: usize, play: u64, load: &[LoadMetric]) {
-        let Some(it) = self.fronts[f].sessions.get_mut(&play) else { return };
-        let Some((server, _)) = it.at else { return };
-        it.at = Some((server, true));
-        let allocation = format!("{f}-{play:x}-{}", it.n);
-        self.met(f, play, server, End::Playing);
-        self.saw(Observed::Done { allocation, ran: true, status: 200 });
-        self.answer(f, play, 200);
+    pub(crate) fn on_set_up(&mut self, front_id: usize, play: u64, load: &[LoadMetric]) {
+        let Some(session) = self.fronts[front_id].sessions.get_mut(&play) else { return };
+        let Some((server, _)) = session.allocated_to else { return };
+        session.allocated_to = Some((server, true));
+        let allocation = format!("{front_id}-{play:x}-{}", session.allocation_number);
+        self.report_result(front_id, play, server, Outcome::Playing);
+        self.record(Observed::Done { allocation, ran: true, status: 200 });
+        self.record_answer(front_id, play, 200);
         let load = load.to_vec();
-        self.call(f, |desk, now, hands| {
-            desk.on_playing(now, play, hands);
-            desk.on_load_report(now, server as u32, &load, hands);
+        self.call_dispatcher(front_id, |dispatcher, now, actions| {
+            dispatcher.on_playing(now, play, actions);
+            dispatcher.on_load_report(now, server as u32, &load, actions);
         });
     }
 
-    pub(crate) fn turned_away(&mut self, f: usize, play: u64, status: u16, load: &[LoadMetric]) {
-        let Some(it) = self.fronts[f].sessions.get(&play) else { return };
+    pub(crate) fn on_refused(&mut self, front_id: usize, play: u64, status: u16, load: &[LoadMetric]) {
+        let Some(session) = self.fronts[front_id].sessions.get(&play) else { return };
         let full = status == 453 || status == 429;
-        let allocation = format!("{f}-{play:x}-{}", it.n);
-        self.saw(Observed::Done { allocation, ran: !full, status: if full { 429 } else { 502 } });
-        self.over(f, play, if full { End::Full } else { End::Error }, load);
+        let allocation = format!("{front_id}-{play:x}-{}", session.allocation_number);
+        self.record(Observed::Done { allocation, ran: !full, status: if full { 429 } else { 502 } });
+        self.end_allocation(front_id, play, if full { Outcome::Full } else { Outcome::Error }, load);
     }
 
     /// An allocation is out no more, or a play has ended.
-    pub(crate) fn over(&mut self, f: usize, play: u64, outcome: End, load: &[LoadMetric]) {
-        let Some(it) = self.fronts[f].sessions.get_mut(&play) else { return };
-        let Some((server, playing)) = it.at.take() else { return };
-        let allocation = format!("{f}-{play:x}-{}", it.n);
+    pub(crate) fn end_allocation(
+        &mut self,
+        front_id: usize,
+        play: u64,
+        outcome: Outcome,
+        load: &[LoadMetric],
+    ) {
+        let Some(session) = self.fronts[front_id].sessions.get_mut(&play) else { return };
+        let Some((server, playing)) = session.allocated_to.take() else { return };
+        let allocation = format!("{front_id}-{play:x}-{}", session.allocation_number);
         if !playing {
-            self.met(f, play, server, outcome);
+            self.report_result(front_id, play, server, outcome);
         }
-        self.saw(Observed::Closed { allocation });
+        self.record(Observed::Closed { allocation });
         let load = load.to_vec();
-        self.call(f, |desk, now, hands| {
-            desk.on_allocation_ended(now, play, server as u32, outcome, playing, &load, hands)
+        self.call_dispatcher(front_id, |dispatcher, now, actions| {
+            dispatcher.on_allocation_ended(now, play, server as u32, outcome, playing, &load, actions)
         });
     }
 
-    pub(crate) fn met(&mut self, f: usize, play: u64, server: usize, outcome: End) {
+    pub(crate) fn report_result(&mut self, front_id: usize, play: u64, server: usize, outcome: Outcome) {
         let now = self.now;
-        let Some(it) = self.fronts[f].sessions.get(&play) else { return };
-        let (n, waited) = (it.n, now - it.sent);
+        let Some(session) = self.fronts[front_id].sessions.get(&play) else { return };
+        let (allocation_number, waited) = (session.allocation_number, now - session.sent_at);
         let id = stable_id(&format!("m{server}"));
-        self.fronts[f].fellow.on_allocation_result(now, now, id, (play, n), outcome, waited);
+        self.fronts[front_id].member.on_allocation_result(
+            now,
+            now,
+            id,
+            (play, allocation_number),
+            outcome,
+            waited,
+        );
     }
 
-    pub(crate) fn answer(&mut self, f: usize, play: u64, status: u16) {
-        let Some(it) = self.fronts[f].sessions.get_mut(&play) else { return };
-        assert!(!std::mem::replace(&mut it.answered, true), "answered twice");
-        let request = it.request;
-        self.saw(Observed::Answered { request, status });
+    pub(crate) fn record_answer(&mut self, front_id: usize, play: u64, status: u16) {
+        let Some(session) = self.fronts[front_id].sessions.get_mut(&play) else { return };
+        assert!(!std::mem::replace(&mut session.answered, true), "answered twice");
+        let request = session.request;
+        self.record(Observed::Answered { request, status });
     }
 
     // ---- what the desk has done ----
 
-    pub(crate) fn call(&mut self, f: usize, call: impl FnOnce(&mut Dispatcher, f64, &mut Deeds)) {
-        let mut deeds = Deeds::default();
-        call(&mut self.fronts[f].desk, self.now, &mut deeds);
-        self.fronts[f].desk.end_turn(self.now, &mut deeds);
-        while let Some(deed) = deeds.0.pop_front() {
-            match deed {
-                Deed::Chose(odds) => self.fronts[f].drawn = odds,
-                Deed::Send(play, server, rung, time_out) => {
-                    self.send(f, play, server as usize, rung, time_out)
+    pub(crate) fn call_dispatcher(
+        &mut self,
+        front_id: usize,
+        call: impl FnOnce(&mut Dispatcher, f64, &mut ActionQueue),
+    ) {
+        let mut actions = ActionQueue::default();
+        call(&mut self.fronts[front_id].dispatcher, self.now, &mut actions);
+        self.fronts[front_id].dispatcher.end_turn(self.now, &mut actions);
+        while let Some(action) = actions.0.pop_front() {
+            match action {
+                Action::RecordCandidates(candidates) => self.fronts[front_id].candidates = candidates,
+                Action::Send(play, server, rung, time_out) => {
+                    self.send_set_up(front_id, play, server as usize, rung, time_out)
                 }
-                Deed::Withdraw(play) => self.over(f, play, End::Withdrawn, &[]),
-                Deed::Step(play, rung) => {
-                    if let Some(it) = self.fronts[f].sessions.get(&play).filter(|it| it.at.is_some()) {
-                        let allocation = format!("{f}-{play:x}-{}", it.n);
-                        self.saw(Observed::Rung { allocation, rung });
+                Action::Withdraw(play) => self.end_allocation(front_id, play, Outcome::Withdrawn, &[]),
+                Action::SetRung(play, rung) => {
+                    if let Some(session) =
+                        self.fronts[front_id].sessions.get(&play).filter(|s| s.allocated_to.is_some())
+                    {
+                        let allocation = format!("{front_id}-{play:x}-{}", session.allocation_number);
+                        self.record(Observed::Rung { allocation, rung });
                     }
                 }
-                Deed::Answer(play, status) => self.answer(f, play, status),
-                Deed::Wake(mark, wait) => self.at(wait, Event::Wake(f, mark)),
-                Deed::Probe(server) => {
+                Action::Answer(play, status) => self.record_answer(front_id, play, status),
+                Action::SetTimer(timer, delay) => self.schedule(delay, Event::Timer(front_id, timer)),
+                Action::Probe(server) => {
                     let now = self.now;
-                    self.fronts[f].fellow.on_probed(now, stable_id(&format!("m{server}")));
+                    self.fronts[front_id].member.on_probed(now, stable_id(&format!("m{server}")));
                 }
             }
         }
     }
 
-    pub(crate) fn send(&mut self, f: usize, play: u64, server: usize, rung: usize, time_out: f64) {
+    pub(crate) fn send_set_up(
+        &mut self,
+        front_id: usize,
+        play: u64,
+        server: usize,
+        rung: usize,
+        time_out: f64,
+    ) {
         let now = self.now;
-        let dice = self.draw();
-        let front = &mut self.fronts[f];
-        let Some(it) = front.sessions.get_mut(&play) else { return };
-        assert!(it.at.is_none(), "one at a time");
-        it.n += 1;
-        (it.at, it.sent) = (Some((server, false)), now);
-        let (n, product, title) = (it.n, it.product, it.title.clone());
+        let draw = self.random();
+        let front = &mut self.fronts[front_id];
+        let Some(session) = front.sessions.get_mut(&play) else { return };
+        assert!(session.allocated_to.is_none(), "one at a time");
+        session.allocation_number += 1;
+        (session.allocated_to, session.sent_at) = (Some((server, false)), now);
+        let (allocation_number, product, title) =
+            (session.allocation_number, session.product, session.title.clone());
         let candidate = |(s, chance, room): &(u32, f64, f64)| Candidate {
             server: stable_id(&format!("m{s}")),
             born: 0,
@@ -286,42 +358,69 @@
             chance: *chance,
             room: *room,
         };
-        let chosen = front.drawn.iter().position(|d| d.0 as usize == server);
-        let candidates = front.drawn.iter().map(candidate).collect();
-        front.fellow.on_sent(now, stable_id(&format!("m{server}")), n > 1);
+        let chosen = front.candidates.iter().position(|d| d.0 as usize == server);
+        let candidates = front.candidates.iter().map(candidate).collect();
+        front.member.on_sent(now, stable_id(&format!("m{server}")), allocation_number > 1);
         if let Some(chosen) = chosen {
-            front.fellow.outcomes.record_choice(play, n, product as u16, 1, chosen, candidates);
+            front.member.outcomes.record_choice(
+                play,
+                allocation_number,
+                product as u16,
+                1,
+                chosen,
+                candidates,
+            );
         }
-        self.out.sent += 1;
-        self.at(time_out, Event::TimeOut(f, play, n));
-        if server >= SERVERS || !self.hosts[server].up {
-            return self.at(1.0, Event::Unreachable(f, play, n));
+        self.result.allocations_sent += 1;
+        self.schedule(time_out, Event::AllocationTimeOut(front_id, play, allocation_number));
+        if server >= SERVERS || !self.servers[server].up {
+            return self.schedule(1.0, Event::Unreachable(front_id, play, allocation_number));
         }
-        let (allocation, session) = (format!("{f}-{play:x}-{n}"), format!("{f}-{play:x}"));
-        self.saw(Observed::SetUp { server, allocation, session, product, title, rung });
-        if self.hosts[server].silent {
+        let (allocation, session) =
+            (format!("{front_id}-{play:x}-{allocation_number}"), format!("{front_id}-{play:x}"));
+        self.record(Observed::SetUp { server, allocation, session, product, title, rung });
+        if self.servers[server].silent {
             return;
         }
-        let there = self.fronts.iter().flat_map(|f| f.sessions.values());
-        let there = there.filter(|s| s.at.is_some_and(|at| at.0 == server)).count() as f64;
-        let (wait, status) = match dice {
-            _ if there > STREAMS => (2.0, 453),
-            _ if dice < 0.08 => (3.0, 500),
-            _ => (15.0 + 60.0 * dice, 200),
+        let sessions_at_server = self.fronts.iter().flat_map(|f| f.sessions.values());
+        let sessions_at_server =
+            sessions_at_server.filter(|s| s.allocated_to.is_some_and(|at| at.0 == server)).count() as f64;
+        let (delay, status) = match draw {
+            _ if sessions_at_server > STREAMS_PER_SERVER => (2.0, 453),
+            _ if draw < 0.08 => (3.0, 500),
+            _ => (15.0 + 60.0 * draw, 200),
         };
-        let mail = if f == BY_HTTP {
+        let delivery = if front_id == HTTP_FRONT {
             let status = if status == 453 { 429 } else { status };
             let head = if status == 200 { "Transfer-Encoding: chunked" } else { "Content-Length: 0" };
             let bytes = format!("HTTP/1.1 {status} Told\r\n{head}\r\n\r\n").into_bytes();
-            Mail { to: f, kind: Kind::Http, bytes, from: server, line: 0, of: (play, n) }
+            Delivery {
+                to: front_id,
+                kind: Kind::Http,
+                bytes,
+                from: server,
+                connection: 0,
+                allocation: (play, allocation_number),
+            }
         } else {
-            let bytes = inbox::answer(status, play, there / STREAMS);
-            let line = self.fronts[f].lines[server];
-            Mail { to: f, kind: Kind::Rtsp, bytes, from: server, line, of: (play, n) }
+            let bytes =
+                messages::encode_set_up_response(status, play, sessions_at_server / STREAMS_PER_SERVER);
+            let connection = self.fronts[front_id].connections[server];
+            Delivery {
+                to: front_id,
+                kind: Kind::Rtsp,
+                bytes,
+                from: server,
+                connection,
+                allocation: (play, allocation_number),
+            }
         };
-        self.post(wait, mail);
+        self.schedule_delivery(delay, delivery);
         if status == 200 {
-            self.at(wait + 200.0 + 500.0 * dice, Event::Ends(f, server, play, n));
+            self.schedule(
+                delay + 200.0 + 500.0 * draw,
+                Event::SessionEnd(front_id, server, play, allocation_number),
+            );
         }
     }
 }
--- a/crates/message-mutation/src/lib.rs
+++ b/crates/message-mutation/src/lib.rs
@@ -5,73 +5,73 @@
 //! message is changed, and how; [`fields`] how a field of each kind of message is set. What must hold after it is judged by
 //! [`world::RunResult`].
 
+mod delivery;
 pub mod fields;
 mod front;
-pub mod inbox;
-mod post;
+pub mod messages;
 pub mod world;
 
 /// What kind of message comes in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     /// A viewer's binary message.
-    Signal,
+    Viewer,
     /// A media server's RTSP message, or the head of its HTTP answer.
     Rtsp,
     Http,
     /// The list.
-    Names,
+    Dns,
     /// A datagram of another front.
-    Row,
+    Gossip,
 }
 
 /// What a field is set to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FieldValue {
-    Least,
-    Greatest,
+    Min,
+    Max,
     /// What it is in the message of this kind before.
-    Neighbours,
+    Previous,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
     Dropped,
-    Doubled,
+    Duplicated,
     /// By so many ms.
-    Late(u32),
+    Delayed(u32),
     /// Comes after the next to the same front.
-    Swapped,
+    Reordered,
     /// At so many eighths of its length.
-    Cut(usize),
+    Truncated(usize),
     /// One bit, at so many 1/64 of its length.
-    Bit(usize),
-    Field(usize, FieldValue),
+    BitFlipped(usize),
+    FieldSet(usize, FieldValue),
 }
 
 /// The message by its number in the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MutatedMessage {
-    pub at: usize,
+    pub index: usize,
     pub mutation: Mutation,
 }
 
 /// All changes of a message.
-pub fn changes(at: usize, kind: Kind, bytes: &[u8]) -> Vec<MutatedMessage> {
-    let mut out = vec![
+pub fn mutations_of(index: usize, kind: Kind, bytes: &[u8]) -> Vec<MutatedMessage> {
+    let mut mutations = vec![
         Mutation::Dropped,
-        Mutation::Doubled,
-        Mutation::Late(40),
-        Mutation::Late(700),
-        Mutation::Swapped,
+        Mutation::Duplicated,
+        Mutation::Delayed(40),
+        Mutation::Delayed(700),
+        Mutation::Reordered,
     ];
-    out.extend([1, 4, 7].map(Mutation::Cut));
-    out.extend([0, 9, 23, 41, 63].map(Mutation::Bit));
+    mutations.extend([1, 4, 7].map(Mutation::Truncated));
+    mutations.extend([0, 9, 23, 41, 63].map(Mutation::BitFlipped));
     for field in 0..fields::count(kind, bytes) {
-        out.extend(
-            [FieldValue::Least, FieldValue::Greatest, FieldValue::Neighbours]
-                .map(|to| Mutation::Field(field, to)),
+        mutations.extend(
+            [FieldValue::Min, FieldValue::Max, FieldValue::Previous]
+                .map(|value| Mutation::FieldSet(field, value)),
         );
     }
-    out.into_iter().map(|how| MutatedMessage { at, mutation: how }).collect()
+    mutations.into_iter().map(|mutation| MutatedMessage { index, mutation }).collect()
 }
--- a/crates/message-mutation/src/world.rs
+++ b/crates/message-mutation/src/world.rs
@@ -1,58 +1,58 @@
 //! Three fronts, four servers in two zones, viewers and a name service in simulated time, from one seed. Servers crash and
 //! come back cold, drain, fall silent; fronts share what they know. What players and servers see is a history.
 
-use crate::inbox::{self, SetUp};
+use crate::messages::{self, SetUp};
 use crate::{Kind, MutatedMessage};
 use oorandom::Rand64;
-use pulleystair::{Listing, Outcome as End, ServerHint, Standing};
+use pulleystair::{Listing, Outcome, ServerHint, Standing};
 use pulleystair_fleet_member::{policy_hint, stable_id};
 use pulleystair_rule_checker::rules::check;
 use pulleystair_rule_checker::{Observation, Observed};
 use pulleystair_shared_state::budgets::PARTS_PER_FRONT;
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::front::{Front, Session, front, terms};
+use crate::front::{Front, Session, new_front, rule_params};
 
 pub const FRONTS: usize = 3;
 pub const SERVERS: usize = 4;
 /// The front that speaks HTTP to servers; the others speak RTSP.
-pub(crate) const BY_HTTP: usize = 2;
-pub(crate) const STREAMS: f64 = 40.0;
-pub(crate) const LIMIT: f64 = 1_500.0;
+pub(crate) const HTTP_FRONT: usize = 2;
+pub(crate) const STREAMS_PER_SERVER: f64 = 40.0;
+pub(crate) const TIME_LIMIT_MS: f64 = 1_500.0;
 /// Plays come until then, and the rest of the run heals.
-const BUSY: f64 = 2_000.0;
+const ARRIVALS_END_MS: f64 = 2_000.0;
 /// Messages until then are the run's; what comes later heals.
-pub(crate) const RECORDED: f64 = 2_300.0;
-const END: f64 = 4_600.0;
-pub(crate) const COLD: f64 = 2_000.0;
+pub(crate) const RECORDING_END_MS: f64 = 2_300.0;
+const RUN_END_MS: f64 = 4_600.0;
+pub(crate) const COLD_MS: f64 = 2_000.0;
 
 pub(crate) enum Event {
-    Comes(usize),
-    Mail(Mail),
+    PlayArrives(usize),
+    Deliver(Delivery),
     /// One that was late, doubled or overtaken: it is not looked at again.
-    Again(Mail),
-    Wake(usize, u32),
-    TimeOut(usize, u64, u32),
-    Fellow(usize),
-    Asks(usize),
-    Ends(usize, usize, u64, u32),
+    DeliverUnchanged(Delivery),
+    Timer(usize, u32),
+    AllocationTimeOut(usize, u64, u32),
+    MemberTick(usize),
+    DnsQuery(usize),
+    SessionEnd(usize, usize, u64, u32),
     Unreachable(usize, u64, u32),
-    Trouble(usize),
+    Fault(usize),
 }
 
 /// A message to a front: from which server or front, and of a server's, on which connection and to which allocation.
 #[derive(Clone)]
-pub(crate) struct Mail {
+pub(crate) struct Delivery {
     pub(crate) to: usize,
     pub(crate) kind: Kind,
     pub(crate) bytes: Vec<u8>,
     pub(crate) from: usize,
-    pub(crate) line: u64,
-    pub(crate) of: (u64, u32),
+    pub(crate) connection: u64,
+    pub(crate) allocation: (u64, u32),
 }
 
 #[derive(Clone, Copy)]
-pub(crate) struct Host {
+pub(crate) struct ServerState {
     pub(crate) up: bool,
     pub(crate) silent: bool,
 }
@@ -64,40 +64,40 @@
     pub breaches: Vec<(u8, String)>,
     pub requests: usize,
     /// The most that all fronts together ever held of a server's pace, and what they may.
-    pub held: u32,
+    pub max_parts_held: u32,
     pub total_parts: u32,
-    pub lent: bool,
+    pub has_lent: bool,
     /// At the end, by each front: the verdict's status, fronts that it calls other than in step, zones and servers doubted.
-    pub status: Vec<u8>,
+    pub drift_status: Vec<u8>,
     pub doubted: Vec<usize>,
     /// Whether each goes by the latest list.
-    pub listed: Vec<bool>,
-    pub lost: Vec<bool>,
+    pub has_latest_list: Vec<bool>,
+    pub has_lost_zone: Vec<bool>,
     /// Allocations of which each front's estimates speak, and those that there were.
-    pub answers: Vec<u32>,
-    pub sent: u32,
+    pub estimated_plays: Vec<u32>,
+    pub allocations_sent: u32,
 }
 
 pub struct World {
     pub(crate) now: f64,
-    pub(crate) rnd: Rand64,
+    pub(crate) rng: Rand64,
     pub(crate) queue: BTreeMap<(u64, u64), Event>,
-    pub(crate) next: u64,
+    pub(crate) sequence: u64,
     pub(crate) fronts: Vec<Front>,
-    pub(crate) hosts: [Host; SERVERS],
+    pub(crate) servers: [ServerState; SERVERS],
     pub(crate) list: Vec<Listing>,
     pub(crate) serial: u32,
-    pub(crate) seen: Vec<Observation>,
-    pub(crate) requests: u64,
-    pub(crate) change: Option<MutatedMessage>,
+    pub(crate) observations: Vec<Observation>,
+    pub(crate) request_count: u64,
+    pub(crate) mutated: Option<MutatedMessage>,
     /// The last message of each kind, and one that waits to be overtaken.
-    pub(crate) before: BTreeMap<Kind, Vec<u8>>,
-    pub(crate) overtaken: Option<Mail>,
-    pub(crate) out: RunResult,
+    pub(crate) previous: BTreeMap<Kind, Vec<u8>>,
+    pub(crate) held_back: Option<Delivery>,
+    pub(crate) result: RunResult,
 }
 
 impl World {
-    pub fn new(seed: u64, change: Option<MutatedMessage>) -> World {
+    pub fn new(seed: u64, mutated: Option<MutatedMessage>) -> World {
         let listing = |s: usize| Listing {
             server: s,
             zone: s % 2,
@@ -108,196 +108,236 @@
         };
         let mut world = World {
             now: 0.0,
-            rnd: Rand64::new(seed.into()),
+            rng: Rand64::new(seed.into()),
             queue: BTreeMap::new(),
-            next: 0,
-            fronts: (0..FRONTS).map(|f| front(f, seed)).collect(),
-            hosts: [Host { up: true, silent: false }; SERVERS],
+            sequence: 0,
+            fronts: (0..FRONTS).map(|front_id| new_front(front_id, seed)).collect(),
+            servers: [ServerState { up: true, silent: false }; SERVERS],
             list: (0..SERVERS).map(listing).collect(),
             serial: 1,
-            seen: Vec::new(),
-            requests: 0,
-            change,
-            before: BTreeMap::new(),
-            overtaken: None,
-            out: RunResult { total_parts: FRONTS as u32 * PARTS_PER_FRONT, ..RunResult::default() },
+            observations: Vec::new(),
+            request_count: 0,
+            mutated,
+            previous: BTreeMap::new(),
+            held_back: None,
+            result: RunResult { total_parts: FRONTS as u32 * PARTS_PER_FRONT, ..RunResult::default() },
         };
-        for f in 0..FRONTS {
-            world.saw(Observed::Front { front: f, up: true });
-            world.at(0.0, Event::Asks(f));
-            world.at(1.0, Event::Fellow(f));
-            world.at(20.0, Event::Comes(f));
+        for front_id in 0..FRONTS {
+            world.record(Observed::Front { front: front_id, up: true });
+            world.schedule(0.0, Event::DnsQuery(front_id));
+            world.schedule(1.0, Event::MemberTick(front_id));
+            world.schedule(20.0, Event::PlayArrives(front_id));
         }
-        (0..6).for_each(|i| world.at([500.0, 700.0, 900.0, 1_300.0, 1_500.0, 1_900.0][i], Event::Trouble(i)));
+        (0..6).for_each(|step| {
+            world.schedule([500.0, 700.0, 900.0, 1_300.0, 1_500.0, 1_900.0][step], Event::Fault(step))
+        });
         world
     }
 
-    pub(crate) fn saw(&mut self, what: Observed) {
-        self.seen.push(Observation { at: self.now, what });
+    pub(crate) fn record(&mut self, what: Observed) {
+        self.observations.push(Observation { at: self.now, what });
     }
 
-    pub(crate) fn at(&mut self, wait: f64, event: Event) {
-        self.next += 1;
-        self.queue.insert((((self.now + wait) * 1_000.0).ceil() as u64, self.next), event);
+    pub(crate) fn schedule(&mut self, delay: f64, event: Event) {
+        self.sequence += 1;
+        self.queue.insert((((self.now + delay) * 1_000.0).ceil() as u64, self.sequence), event);
     }
 
-    pub(crate) fn draw(&mut self) -> f64 {
-        self.rnd.rand_float()
+    pub(crate) fn random(&mut self) -> f64 {
+        self.rng.rand_float()
     }
 
     pub fn run(mut self) -> RunResult {
         while let Some(((at, _), event)) = self.queue.pop_first() {
             self.now = at as f64 / 1_000.0;
-            if self.now > END {
+            if self.now > RUN_END_MS {
                 break;
             }
-            self.event(event);
+            self.handle_event(event);
             let parts = |s: usize| -> u32 {
                 let id = stable_id(&format!("m{s}"));
-                self.fronts.iter().map(|f| f.fellow.budget_parts(self.now, id)).sum()
+                self.fronts.iter().map(|f| f.member.budget_parts(self.now, id)).sum()
             };
-            let held = (0..SERVERS).map(parts).max().unwrap_or(0);
-            self.out.held = self.out.held.max(held);
-            self.out.lent |= self.fronts[0].fellow.budget_parts(self.now, stable_id("m0")) > PARTS_PER_FRONT;
+            let parts_held = (0..SERVERS).map(parts).max().unwrap_or(0);
+            self.result.max_parts_held = self.result.max_parts_held.max(parts_held);
+            self.result.has_lent |=
+                self.fronts[0].member.budget_parts(self.now, stable_id("m0")) > PARTS_PER_FRONT;
         }
-        self.now = END;
-        for f in 0..FRONTS {
-            let front = &mut self.fronts[f];
-            let fleet = front.fellow.drift(END, END).expect("a version is approved");
-            self.out.status.push(fleet.status());
-            self.out.listed.push(front.rev == Some(self.serial));
-            self.out.doubted.push(front.fellow.health().doubted.len());
-            self.out.lost.push(front.fellow.health().lost.is_some());
-            self.out.answers.push(front.fellow.whatif(END, |_| true).plays);
+        self.now = RUN_END_MS;
+        for front_id in 0..FRONTS {
+            let front = &mut self.fronts[front_id];
+            let fleet = front.member.drift(RUN_END_MS, RUN_END_MS).expect("a version is approved");
+            self.result.drift_status.push(fleet.status());
+            self.result.has_latest_list.push(front.list_serial == Some(self.serial));
+            self.result.doubted.push(front.member.health().doubted.len());
+            self.result.has_lost_zone.push(front.member.health().lost.is_some());
+            self.result.estimated_plays.push(front.member.whatif(RUN_END_MS, |_| true).plays);
         }
-        let (breaches, covered) = check(&self.seen, &terms());
-        self.out.breaches = breaches.into_iter().map(|b| (b.rule, format!("{b:?}"))).collect();
-        self.out.requests = covered.requests;
-        self.out
+        let (breaches, coverage) = check(&self.observations, &rule_params());
+        self.result.breaches = breaches.into_iter().map(|b| (b.rule, format!("{b:?}"))).collect();
+        self.result.requests = coverage.requests;
+        self.result
     }
 
     // ---- what happens ----
 
-    fn event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Mail(mail) => self.mail(mail),
-            Event::Again(mail) => self.take(mail),
-            Event::Wake(f, mark) => self.call(f, |desk, now, hands| desk.on_timer(now, mark, hands)),
-            Event::Comes(f) => self.comes(f),
-            Event::TimeOut(f, play, n) => {
-                let out = |s: &Session| s.n == n && matches!(s.at, Some((_, false)));
-                if self.fronts[f].sessions.get(&play).is_some_and(out) {
-                    self.over(f, play, End::TimedOut, &[]);
+            Event::Deliver(delivery) => self.deliver_mutated(delivery),
+            Event::DeliverUnchanged(delivery) => self.deliver(delivery),
+            Event::Timer(front_id, timer) => self.call_dispatcher(front_id, |dispatcher, now, actions| {
+                dispatcher.on_timer(now, timer, actions)
+            }),
+            Event::PlayArrives(front_id) => self.play_arrives(front_id),
+            Event::AllocationTimeOut(front_id, play, allocation_number) => {
+                let is_pending = |s: &Session| {
+                    s.allocation_number == allocation_number && matches!(s.allocated_to, Some((_, false)))
+                };
+                if self.fronts[front_id].sessions.get(&play).is_some_and(is_pending) {
+                    self.end_allocation(front_id, play, Outcome::TimedOut, &[]);
                 }
             }
-            Event::Unreachable(f, play, n) => {
-                if self.fronts[f].sessions.get(&play).is_some_and(|s| s.n == n && s.at.is_some()) {
-                    self.over(f, play, End::Unreachable, &[]);
+            Event::Unreachable(front_id, play, allocation_number) => {
+                if self.fronts[front_id]
+                    .sessions
+                    .get(&play)
+                    .is_some_and(|s| s.allocation_number == allocation_number && s.allocated_to.is_some())
+                {
+                    self.end_allocation(front_id, play, Outcome::Unreachable, &[]);
                 }
             }
-            Event::Fellow(f) => self.look(f),
-            Event::Asks(f) => {
-                self.at(150.0, Event::Asks(f));
-                let id = self.rnd.rand_range(0..1 << 16) as u16;
-                let asked = &mut self.fronts[f].asked;
-                asked.push_back(id);
-                if asked.len() > 8 {
-                    asked.pop_front();
+            Event::MemberTick(front_id) => self.tick_member(front_id),
+            Event::DnsQuery(front_id) => {
+                self.schedule(150.0, Event::DnsQuery(front_id));
+                let id = self.rng.rand_range(0..1 << 16) as u16;
+                let query_ids = &mut self.fronts[front_id].dns_query_ids;
+                query_ids.push_back(id);
+                if query_ids.len() > 8 {
+                    query_ids.pop_front();
                 }
-                let bytes = inbox::names(id, self.serial, &self.list);
-                self.post(2.0, Mail { to: f, kind: Kind::Names, bytes, from: 0, line: 0, of: (0, 0) });
+                let bytes = messages::encode_dns_response(id, self.serial, &self.list);
+                self.schedule_delivery(
+                    2.0,
+                    Delivery {
+                        to: front_id,
+                        kind: Kind::Dns,
+                        bytes,
+                        from: 0,
+                        connection: 0,
+                        allocation: (0, 0),
+                    },
+                );
             }
-            Event::Ends(f, server, play, n) => {
-                let stood = |s: &Session| s.n == n && s.at == Some((server, true));
-                if !self.fronts[f].sessions.get(&play).is_some_and(stood) {
+            Event::SessionEnd(front_id, server, play, allocation_number) => {
+                let is_playing = |s: &Session| {
+                    s.allocation_number == allocation_number && s.allocated_to == Some((server, true))
+                };
+                if !self.fronts[front_id].sessions.get(&play).is_some_and(is_playing) {
                     return;
                 }
-                if f == BY_HTTP {
-                    return self.over(f, play, End::Finished, &[]);
+                if front_id == HTTP_FRONT {
+                    return self.end_allocation(front_id, play, Outcome::Finished, &[]);
                 }
-                let line = self.fronts[f].lines[server];
-                let mail = |bytes| Mail { to: f, kind: Kind::Rtsp, bytes, from: server, line, of: (play, n) };
-                self.post(0.5, mail(inbox::note(play, 0.4)));
-                self.post(1.0, mail(inbox::ending(play)));
+                let connection = self.fronts[front_id].connections[server];
+                let delivery = |bytes| Delivery {
+                    to: front_id,
+                    kind: Kind::Rtsp,
+                    bytes,
+                    from: server,
+                    connection,
+                    allocation: (play, allocation_number),
+                };
+                self.schedule_delivery(0.5, delivery(messages::encode_note(play, 0.4)));
+                self.schedule_delivery(1.0, delivery(messages::encode_teardown(play)));
             }
-            Event::Trouble(i) => self.trouble(i),
+            Event::Fault(step) => self.inject_fault(step),
         }
     }
 
-    fn comes(&mut self, f: usize) {
+    fn play_arrives(&mut self, front_id: usize) {
         // A crowd at the first front, while the first server is cold.
-        let crowd = f == 0 && (900.0..1_300.0).contains(&self.now);
+        let crowd = front_id == 0 && (900.0..1_300.0).contains(&self.now);
         let mean = if crowd { 18.0 } else { 70.0 };
-        let gap = -mean * (1.0 - self.draw()).ln();
-        if self.now + gap < BUSY {
-            self.at(gap, Event::Comes(f));
+        let gap = -mean * (1.0 - self.random()).ln();
+        if self.now + gap < ARRIVALS_END_MS {
+            self.schedule(gap, Event::PlayArrives(front_id));
         }
-        let (product, cell) = ((self.draw() * 3.0) as usize, (self.draw() * SERVERS as f64) as usize);
+        let (product, cell) = ((self.random() * 3.0) as usize, (self.random() * SERVERS as f64) as usize);
         let (cell, holders) = if crowd { (0, 1) } else { (cell, 3) };
-        let play = (f as u64 + 1) << 32 | (self.next & 0xffff_ffff);
-        let it = SetUp {
+        let play = (front_id as u64 + 1) << 32 | (self.sequence & 0xffff_ffff);
+        let set_up = SetUp {
             play,
             product,
             title: format!("t{cell}"),
-            limit: LIMIT,
+            time_limit: TIME_LIMIT_MS,
             first_cell: cell,
             holders,
-            top: 1,
+            max_rung: 1,
         };
-        self.post(
+        self.schedule_delivery(
             1.0,
-            Mail { to: f, kind: Kind::Signal, bytes: inbox::set_up(&it), from: 0, line: 0, of: (0, 0) },
+            Delivery {
+                to: front_id,
+                kind: Kind::Viewer,
+                bytes: messages::encode_set_up(&set_up),
+                from: 0,
+                connection: 0,
+                allocation: (0, 0),
+            },
         );
     }
 
-    fn look(&mut self, f: usize) {
+    fn tick_member(&mut self, front_id: usize) {
         let now = self.now;
-        let front = &mut self.fronts[f];
+        let front = &mut self.fronts[front_id];
         let id = |s: &u32| stable_id(&format!("m{s}"));
-        front.fellow.on_waiting(now, front.desk.awaited_servers().iter().map(id));
-        let counts = front.desk.play_counts();
-        front.fellow.set_play_counts(counts.iter().map(|((s, p), c)| ((id(s), *p as u16), *c)).collect());
-        let (given, out) = front.fellow.tick(now, now);
-        let due = front.fellow.next_deadline();
+        front.member.on_waiting(now, front.dispatcher.awaited_servers().iter().map(id));
+        let counts = front.dispatcher.play_counts();
+        front.member.set_play_counts(counts.iter().map(|((s, p), c)| ((id(s), *p as u16), *c)).collect());
+        let (hints, datagrams) = front.member.tick(now, now);
+        let deadline = front.member.next_deadline();
         let numbers: BTreeMap<u64, u32> = (0..SERVERS as u32).map(|s| (id(&s), s)).collect();
-        let given: Vec<(u32, ServerHint)> =
-            given.iter().filter_map(|it| Some((*numbers.get(&it.server)?, policy_hint(it)))).collect();
-        self.call(f, |desk, now, _| desk.apply_hints(now, &given));
-        self.datagrams(f, out);
-        self.at((due - now).max(0.001), Event::Fellow(f));
+        let hints: Vec<(u32, ServerHint)> =
+            hints.iter().filter_map(|hint| Some((*numbers.get(&hint.server)?, policy_hint(hint)))).collect();
+        self.call_dispatcher(front_id, |dispatcher, now, _| dispatcher.apply_hints(now, &hints));
+        self.send_datagrams(front_id, datagrams);
+        self.schedule((deadline - now).max(0.001), Event::MemberTick(front_id));
     }
 
-    fn listed(&mut self, server: usize, standing: Standing) {
+    fn set_standing(&mut self, server: usize, standing: Standing) {
         self.serial += 1;
         self.list[server].standing = standing;
-        self.saw(Observed::Listed { server, ready: standing == Standing::Ready });
+        self.record(Observed::Listed { server, ready: standing == Standing::Ready });
     }
 
-    fn trouble(&mut self, i: usize) {
-        match i {
+    fn inject_fault(&mut self, step: usize) {
+        match step {
             // The first server dies and comes back cold; the second drains; the third falls silent for a while.
             0 => {
-                self.hosts[0].up = false;
-                self.saw(Observed::Stopped { server: 0 });
-                for f in 0..FRONTS {
-                    let here =
-                        |(play, s): (&u64, &Session)| s.at.is_some_and(|at| at.0 == 0).then_some(*play);
-                    let lost: BTreeSet<u64> = self.fronts[f].sessions.iter().filter_map(here).collect();
-                    self.fronts[f].lines[0] += 1;
-                    lost.into_iter().for_each(|play| self.over(f, play, End::Broken, &[]));
+                self.servers[0].up = false;
+                self.record(Observed::Stopped { server: 0 });
+                for front_id in 0..FRONTS {
+                    let at_server = |(play, s): (&u64, &Session)| {
+                        s.allocated_to.is_some_and(|at| at.0 == 0).then_some(*play)
+                    };
+                    let lost: BTreeSet<u64> =
+                        self.fronts[front_id].sessions.iter().filter_map(at_server).collect();
+                    self.fronts[front_id].connections[0] += 1;
+                    lost.into_iter()
+                        .for_each(|play| self.end_allocation(front_id, play, Outcome::Broken, &[]));
                 }
-                self.listed(0, Standing::Gone);
+                self.set_standing(0, Standing::Gone);
             }
             1 => {
-                self.hosts[0].up = true;
-                self.saw(Observed::Started { server: 0, cold: true });
+                self.servers[0].up = true;
+                self.record(Observed::Started { server: 0, cold: true });
                 self.list[0].started_at = self.now;
-                self.listed(0, Standing::Ready);
+                self.set_standing(0, Standing::Ready);
             }
-            2 => self.listed(1, Standing::Draining),
-            3 => self.hosts[2].silent = true,
-            4 => self.listed(1, Standing::Ready),
-            _ => self.hosts[2].silent = false,
+            2 => self.set_standing(1, Standing::Draining),
+            3 => self.servers[2].silent = true,
+            4 => self.set_standing(1, Standing::Ready),
+            _ => self.servers[2].silent = false,
         }
     }
 }
