--- a/crates/fuzz-checks/src/lib.rs
+++ b/crates/fuzz-checks/src/lib.rs
@@ -1,5 +1,5 @@
-//! What must hold of whatever comes in from outside. Each function takes bytes and panics if something does not
-//! hold; the fuzz targets in `fuzz/` call them with what they make up, the tests with the corpora kept there.
+//! Properties that parsers must keep for any input from outside. Each function takes bytes and panics if a property fails. The fuzz
+//! targets in `fuzz/` call the functions with generated input, the tests with the corpora stored there.
 
 use jsonwebtoken::{Algorithm, EncodingKey, Header, encode};
 use pulleystair_dash::address::{self, Route};
@@ -11,11 +11,15 @@
 use pulleystair_rtsp as rtsp;
 use pulleystair_viewer_protocol as protocol;
 
-/// An MPD that reads is written so that it reads as the same, and its segments can be asked for.
+/// Checks an MPD: if it parses, writing and parsing it again gives the same manifest, and its segment numbers are within bounds.
 pub fn mpd(bytes: &[u8]) {
     let Ok(text) = std::str::from_utf8(bytes) else { return };
     let Ok(manifest) = mpd::parse(text) else { return };
-    assert_eq!(mpd::parse(&manifest.write()), Ok(manifest.clone()), "it reads as it was written");
+    assert_eq!(
+        mpd::parse(&manifest.write()),
+        Ok(manifest.clone()),
+        "a written manifest parses as the same one"
+    );
     let segments = manifest.segments();
     assert!(segments.is_none_or(|n| n > 0 && n <= mpd::MAX_SEGMENTS));
     for now in [0, 1, 1_764_600_716_250, u64::MAX] {
@@ -31,11 +35,12 @@
 
 const KEY_ID: &str = "fuzzed";
 
+/// The key ring with which the tokens below are signed.
 fn test_key_ring() -> KeyRing {
-    KeyRing::new(&[(KEY_ID.into(), vec![7; 32])]).expect("a long key is a ring")
+    KeyRing::new(&[(KEY_ID.into(), vec![7; 32])]).expect("a key of 32 bytes is valid")
 }
 
-/// A token that we did not sign opens nothing and is told why; claims that we signed are read or refused.
+/// Checks a token: one that was not signed with our key is rejected with a status; claims signed with it are accepted or rejected.
 pub fn token(bytes: &[u8]) {
     let ring = test_key_ring();
     let text = String::from_utf8_lossy(bytes);
@@ -47,20 +52,20 @@
         assert!([401, 403, 410].contains(&error.status()));
         assert!(text.len() <= MAX_BYTES || error == TokenError::TooLong);
     }
-    // Nobody but us has the key: what reads at all must be of our making, to the letter.
+    // Only we have the key: a token that verifies must be byte for byte one that we sign.
     if let Ok(session_token) = ring.verify_session_signature(&text, now) {
         assert!(
             text.split('.').count() == 3
                 && ring.verify_session_signature(&ring.sign(&session_token), now) == Ok(session_token)
         );
     }
-    // The same bytes as claims under a good signature, and under the wrong algorithm.
+    // The same bytes as claims with a valid signature, and signed with the wrong algorithm.
     let Ok(claims) = serde_json::from_slice::<serde_json::Value>(bytes) else { return };
     for algorithm in [Algorithm::HS256, Algorithm::HS512] {
         let header = Header { kid: Some(KEY_ID.into()), ..Header::new(algorithm) };
         let Ok(signed) = encode(&header, &claims, &EncodingKey::from_secret(&[7; 32])) else { continue };
         let entry = ring.verify_entry(&signed, now, "guide", "forms");
-        assert!(algorithm == Algorithm::HS256 || entry.is_err(), "only one algorithm is taken");
+        assert!(algorithm == Algorithm::HS256 || entry.is_err(), "only HS256 is accepted");
         if let Ok(entry) = entry {
             assert!(entry.exp > now && !entry.jti.is_empty() && entry.jti.len() <= 64);
             assert_eq!((entry.product.as_str(), entry.title.as_str()), ("guide", "forms"));
@@ -68,7 +73,8 @@
     }
 }
 
-/// A request's head is read the same wherever it is cut, and so is what its target and its range say.
+/// Checks a viewer's request: its head parses the same with and without the bytes that follow, and its target and range are valid.
+/// The bytes are checked as a media server's response as well.
 pub fn request(bytes: &[u8]) {
     const MAX_HEAD_BYTES: usize = 2048;
     let whole = http::parse_request(bytes, MAX_HEAD_BYTES);
@@ -77,11 +83,11 @@
         assert_eq!(
             http::parse_request(&bytes[..*used], MAX_HEAD_BYTES),
             whole,
-            "what follows changes nothing"
+            "the bytes after the head change nothing"
         );
         assert!(
             !matches!(http::parse_request(&bytes[..used - 1], MAX_HEAD_BYTES), Ok(Some(_))),
-            "it ends where it ends"
+            "the head parses without its last byte"
         );
         check_target(&request.target);
     }
@@ -94,6 +100,7 @@
     check_response(bytes);
 }
 
+/// Checks that the parts of a request's target are valid.
 fn check_target(text: &str) {
     match address::parse(text) {
         Some(Route::Manifest { product, title, .. }) => {
@@ -106,9 +113,9 @@
     }
 }
 
-/// A media server's answer is read within bounds, and chunks come out the same wherever they are cut.
+/// Checks a media server's response: its head is within the limit, and a chunked body decodes the same wherever the input is split.
 fn check_response(bytes: &[u8]) {
-    let Ok(Some((answer, used))) = http::parse_response(bytes) else { return };
+    let Ok(Some((response, used))) = http::parse_response(bytes) else { return };
     assert!(used <= bytes.len().min(http::ANSWER_HEAD));
     if !matches!(response.body, Body::Chunked(_)) {
         return;
@@ -132,7 +139,7 @@
     }
 }
 
-/// A load report holds finite figures or is refused.
+/// Checks a load report: it is rejected, or all its metrics are finite.
 pub fn orca(bytes: &[u8]) {
     let Ok(text) = std::str::from_utf8(bytes) else { return };
     if let Ok(report) = pulleystair_orca::parse(text) {
@@ -141,7 +148,7 @@
     }
 }
 
-/// What a reader of messages makes of bytes that come in parts of this size: the messages, and whether it went wrong.
+/// Feeds bytes to a message parser in chunks of this size; returns the messages and the error, if any.
 fn parse_in_chunks<M>(
     bytes: &[u8],
     chunk_size: usize,
@@ -154,7 +161,10 @@
             match parse(&input) {
                 Ok(None) => break,
                 Ok(Some((message, used))) => {
-                    assert!(used > 0 && used <= input.len(), "it takes what is there");
+                    assert!(
+                        used > 0 && used <= input.len(),
+                        "a message uses at least one byte and no more than the input"
+                    );
                     input.drain(..used);
                     messages.push(message);
                 }
@@ -165,8 +175,8 @@
     (messages, None)
 }
 
-/// The same messages come of the same bytes, however they are cut. Whether what is left went wrong may be known earlier in
-/// larger parts, but never goes unnoticed in them.
+/// Checks that the same bytes give the same messages, and an error or none, whatever the chunk size. Larger chunks may show the error
+/// earlier.
 fn check_chunked_parsing<M: PartialEq + std::fmt::Debug>(
     bytes: &[u8],
     parse: impl Fn(&[u8]) -> Result<Option<(M, usize)>, String>,
@@ -183,7 +193,7 @@
     }
 }
 
-/// Viewers' messages, what a message reads as when it is written again, and its parameters within its bounds.
+/// Checks viewers' messages: they don't depend on the chunk size, and a message with valid parameters encodes to the same bytes.
 pub fn signal(bytes: &[u8]) {
     check_chunked_parsing(bytes, |input| {
         let parsed = protocol::Message::parse(input).map_err(|e| e.to_string())?;
@@ -191,7 +201,11 @@
             let parameters: Vec<_> = message.parameters().map_while(Result::ok).collect();
             if message.parameters().all(|p| p.is_ok()) {
                 let encoded = protocol::encode(message.kind, message.session, &parameters);
-                assert_eq!(encoded.as_deref(), Some(&input[..used]), "it is written as it was read");
+                assert_eq!(
+                    encoded.as_deref(),
+                    Some(&input[..used]),
+                    "a parsed message encodes to the same bytes"
+                );
             }
             let parameters: Vec<_> =
                 parameters.into_iter().map(|(code, value)| (code, value.to_vec())).collect();
@@ -200,7 +214,7 @@
     });
 }
 
-/// Media servers' messages.
+/// Checks media servers' RTSP messages: they don't depend on the chunk size, and sizes and load metrics are within bounds.
 pub fn rtsp(bytes: &[u8]) {
     check_chunked_parsing(bytes, |input| {
         let parsed = rtsp::Message::parse(input).map_err(|e| e.to_string())?;
@@ -212,7 +226,7 @@
     });
 }
 
-/// Answers of the name service: read or refused, and never a list that is not whole.
+/// Checks a response of the name service: it is rejected, or every entry of its list is complete.
 pub fn names(bytes: &[u8]) {
     let Ok((_, list)) = dns::parse_response(bytes) else { return };
     for entry in list {
@@ -220,8 +234,8 @@
     }
 }
 
-/// A datagram between fronts that reads is written as it was; whatever comes, a front answers within its bounds, and says
-/// of nobody that it was heard.
+/// Checks a gossip datagram: if it decodes, encoding and decoding it again gives the same message. Whatever arrives, a front answers
+/// within its limits and takes no other front for heard.
 pub fn row(bytes: &[u8]) {
     let fleet = bytes.get(1..5).and_then(|b| b.try_into().ok()).map_or(0, u32::from_be_bytes);
     if let Ok(message) = gossip::message::Message::decode(bytes, fleet) {
@@ -237,9 +251,12 @@
         doubted_after: 1_000.0,
         unheard_after: 2_000.0,
     };
-    let mut front = gossip::Gossip::new(config, 0.0, 1_000, 7).expect("three names");
+    let mut front = gossip::Gossip::new(config, 0.0, 1_000, 7).expect("the configuration is valid");
     front.put(1, vec![7; 500]);
     let answers = front.receive(1.0, bytes);
     assert!(answers.len() <= 4 && answers.iter().all(|a| a.bytes.len() <= gossip::message::MAX_BYTES));
-    assert!(front.fronts(1.0).all(|f| f.origin == front.own() || f.age.is_infinite()), "nothing was asked");
+    assert!(
+        front.fronts(1.0).all(|f| f.origin == front.own() || f.age.is_infinite()),
+        "another front counts as heard, although nothing was requested"
+    );
 }
--- a/crates/fuzz-checks/tests/codecs.rs
+++ b/crates/fuzz-checks/tests/codecs.rs
@@ -1,17 +1,20 @@
-//! The platform's three codecs and the exchange, on bytes that are drawn and on good messages that are spoilt in places.
+//! Checks the platform's three codecs and the gossip codec on random bytes and on valid messages with some bytes altered.
 
 use proptest::prelude::*;
 use std::path::Path;
 
+/// The entries of a fuzz corpus, by file name.
 fn corpus_entries(name: &str) -> Vec<Vec<u8>> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../fuzz/corpus").join(name);
-    let mut files: Vec<_> =
-        std::fs::read_dir(folder).expect("the corpus").map(|f| f.expect("an entry").path()).collect();
+    let mut files: Vec<_> = std::fs::read_dir(folder)
+        .expect("the folder of the corpus")
+        .map(|f| f.expect("an entry").path())
+        .collect();
     files.sort();
-    files.iter().map(|file| std::fs::read(file).expect("an entry reads")).collect()
+    files.iter().map(|file| std::fs::read(file).expect("reading an entry")).collect()
 }
 
-/// A few kept messages in a row, with bytes of them changed.
+/// One to three entries of a corpus in a row, with up to three bytes altered.
 fn altered_messages(name: &str) -> impl Strategy<Value = Vec<u8>> + use<> {
     let messages = prop::collection::vec(prop::sample::select(corpus_entries(name)), 1..4);
     let changes = prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..4);
--- a/crates/fuzz-checks/tests/corpora.rs
+++ b/crates/fuzz-checks/tests/corpora.rs
@@ -1,4 +1,4 @@
-//! The corpora of the fuzz targets, each entry once.
+//! Runs the checks of the fuzz targets on each entry of their corpora.
 
 use std::path::Path;
 use test_case::test_case;
@@ -14,8 +14,8 @@
 fn corpus_entries_pass_the_checks(name: &str, check: fn(&[u8])) {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../fuzz/corpus").join(name);
     let mut count = 0;
-    for file in std::fs::read_dir(&folder).expect("the corpus is there") {
-        check(&std::fs::read(file.expect("an entry").path()).expect("an entry reads"));
+    for file in std::fs::read_dir(&folder).expect("the folder of the corpus") {
+        check(&std::fs::read(file.expect("an entry").path()).expect("reading an entry"));
         count += 1;
     }
     assert!(count >= 10, "{count} entries");
--- a/crates/message-mutation/src/delivery.rs
+++ b/crates/message-mutation/src/delivery.rs
@@ -1,5 +1,5 @@
-//! Messages as they come in, changed where they are to be, read by the real codecs and told to the desk; and what the
-//! desk has done.
+//! Delivers messages to the fronts, mutating the one that is to be: they are parsed by the real codecs and passed to the dispatcher,
+//! whose actions are then carried out.
 
 use crate::messages::{self, SetUp};
 use crate::{Kind, Mutation, fields};
@@ -22,11 +22,12 @@
 impl World {
     // ---- messages ----
 
+    /// Schedules a message that may be mutated on arrival.
     pub(crate) fn schedule_delivery(&mut self, delay: f64, delivery: Delivery) {
         self.schedule(delay, Event::Deliver(delivery));
     }
 
-    /// A message of the run has come: the one that is to be changed is, all others are taken as they are.
+    /// Records an arriving message and delivers it: mutated if it is the one to be mutated, otherwise as it is.
     pub(crate) fn deliver_mutated(&mut self, delivery: Delivery) {
         if self.now > RECORDING_END_MS {
             return self.deliver(delivery);
@@ -71,6 +72,7 @@
         }
     }
 
+    /// Passes a message to the front that it is for.
     pub(crate) fn deliver(&mut self, delivery: Delivery) {
         match delivery.kind {
             Kind::Viewer => self.receive_set_up(delivery.to, &delivery.bytes),
@@ -85,6 +87,7 @@
         }
     }
 
+    /// Sends gossip datagrams of a front to the others.
     pub(crate) fn send_datagrams(&mut self, from: usize, datagrams: Vec<pulleystair_fleet_member::Datagram>) {
         for datagram in datagrams {
             let to = (0..FRONTS).find(|front_id| origin_of(&front_name(*front_id)) as Origin == datagram.to);
@@ -104,8 +107,9 @@
         }
     }
 
+    /// Handles a viewer's set-up.
     pub(crate) fn receive_set_up(&mut self, front_id: usize, bytes: &[u8]) {
-        // What can't be used is refused, and no play; an id that is known is that play's.
+        // An invalid set-up is refused and makes no play; a known id belongs to the play that has it.
         let Some(set_up) = messages::parse_set_up(bytes) else { return };
         if self.fronts[front_id].sessions.contains_key(&set_up.play) {
             return;
@@ -146,6 +150,7 @@
         });
     }
 
+    /// Handles a response of the name service: applies a newer list.
     pub(crate) fn receive_dns_response(&mut self, front_id: usize, bytes: &[u8]) {
         let Some((id, serial, entries)) = messages::parse_dns_response(bytes) else { return };
         let front = &mut self.fronts[front_id];
@@ -174,7 +179,7 @@
         });
     }
 
-    /// What a server says on its connection. What can't be read costs the set-ups that are open on it.
+    /// Handles an RTSP message of a server. One that can't be parsed breaks the connection and ends the open set-ups on it.
     pub(crate) fn receive_rtsp(&mut self, delivery: &Delivery) {
         let (front_id, server, now) = (delivery.to, delivery.from, self.now);
         if self.fronts[front_id].connections[server] != delivery.connection {
@@ -217,6 +222,7 @@
         }
     }
 
+    /// Handles an HTTP response of a server.
     pub(crate) fn receive_http(&mut self, delivery: &Delivery) {
         let (front_id, (play, allocation_number)) = (delivery.to, delivery.allocation);
         let is_pending = self.fronts[front_id].sessions.get(&play).is_some_and(|s| {
@@ -228,11 +234,12 @@
         match http::parse_response(&delivery.bytes) {
             Ok(Some((response, _))) if response.status == 200 => self.on_set_up(front_id, play, &[]),
             Ok(Some((response, _))) => self.on_refused(front_id, play, response.status, &[]),
-            // The connection is its own: what does not come whole has broken off.
+            // The allocation has a connection of its own, so that a partial response means that it broke off.
             _ => self.end_allocation(front_id, play, Outcome::Broken, &[]),
         }
     }
 
+    /// A server has set a play up.
     pub(crate) fn on_set_up(&mut self, front_id: usize, play: u64, load: &[LoadMetric]) {
         let Some(session) = self.fronts[front_id].sessions.get_mut(&play) else { return };
         let Some((server, _)) = session.allocated_to else { return };
@@ -248,6 +255,7 @@
         });
     }
 
+    /// A server has refused a play; the statuses 453 and 429 mean that it is full.
     pub(crate) fn on_refused(&mut self, front_id: usize, play: u64, status: u16, load: &[LoadMetric]) {
         let Some(session) = self.fronts[front_id].sessions.get(&play) else { return };
         let full = status == 453 || status == 429;
@@ -256,7 +264,7 @@
         self.end_allocation(front_id, play, if full { Outcome::Full } else { Outcome::Error }, load);
     }
 
-    /// An allocation is out no more, or a play has ended.
+    /// Ends an open allocation or an established play.
     pub(crate) fn end_allocation(
         &mut self,
         front_id: usize,
@@ -277,6 +285,7 @@
         });
     }
 
+    /// Reports the result of an allocation to the fleet member.
     pub(crate) fn report_result(&mut self, front_id: usize, play: u64, server: usize, outcome: Outcome) {
         let now = self.now;
         let Some(session) = self.fronts[front_id].sessions.get(&play) else { return };
@@ -292,15 +301,17 @@
         );
     }
 
+    /// Records the final answer to the viewer; there must be only one.
     pub(crate) fn record_answer(&mut self, front_id: usize, play: u64, status: u16) {
         let Some(session) = self.fronts[front_id].sessions.get_mut(&play) else { return };
-        assert!(!std::mem::replace(&mut session.answered, true), "answered twice");
+        assert!(!std::mem::replace(&mut session.answered, true), "a play was answered twice");
         let request = session.request;
         self.record(Observed::Answered { request, status });
     }
 
-    // ---- what the desk has done ----
+    // ---- actions of the dispatcher ----
 
+    /// Calls the dispatcher, ends its turn and carries out the actions that it requested.
     pub(crate) fn call_dispatcher(
         &mut self,
         front_id: usize,
@@ -334,6 +345,7 @@
         }
     }
 
+    /// Sends a set-up to a server and schedules the server's response.
     pub(crate) fn send_set_up(
         &mut self,
         front_id: usize,
@@ -346,7 +358,7 @@
         let draw = self.random();
         let front = &mut self.fronts[front_id];
         let Some(session) = front.sessions.get_mut(&play) else { return };
-        assert!(session.allocated_to.is_none(), "one at a time");
+        assert!(session.allocated_to.is_none(), "a play has one allocation at a time");
         session.allocation_number += 1;
         (session.allocated_to, session.sent_at) = (Some((server, false)), now);
         let (allocation_number, product, title) =
--- a/crates/message-mutation/src/fields.rs
+++ b/crates/message-mutation/src/fields.rs
@@ -1,5 +1,5 @@
-//! The fields of each kind of message, and how one is set to another value; all else of the message stays sound, its
-//! checksum too.
+//! The fields of each kind of message, and how one is set to another value. The rest of the message stays valid, including its
+//! checksum.
 
 use crate::{FieldValue, Kind};
 use pulleystair_gossip::message::Message as GossipMessage;
@@ -8,13 +8,15 @@
 use simple_dns::rdata::RData;
 use std::ops::Range;
 
+/// The value of a text field set to [`FieldValue::Max`]; no integer type of the codecs can hold it.
 const MAX_NUMBER: &str = "99999999999999999999";
-/// Fields of a datagram between fronts: of the message, of what it tells first, and of its first change.
+/// Number of fields of a gossip datagram: of the message, of its first known row version and of its first change.
 const GOSSIP_FIELDS: usize = 15;
-/// Serial, id, and priority, weight and port of the first server.
+/// Number of fields of a DNS response: serial, id, and priority, weight and port of the first server.
 const DNS_FIELDS: usize = 5;
 
-/// Where the values of a text message's fields are, by name; the status or method is the first.
+/// The names of a text message's fields and the ranges of their values. The first, with an empty name, is the second word of the
+/// start line: the status of a response, the target of a request.
 fn text_values(bytes: &[u8]) -> Vec<(String, Range<usize>)> {
     let mut out = Vec::new();
     let mut at = 0;
@@ -37,9 +39,10 @@
     out
 }
 
+/// The number of fields of a message that can be set.
 pub fn count(kind: Kind, bytes: &[u8]) -> usize {
     match kind {
-        // Its session, length and type, then its parameters.
+        // Session, length and kind, then the parameters.
         Kind::Viewer => match Message::parse(bytes) {
             Ok(Some((message, _))) => 3 + message.parameters().count(),
             _ => 0,
@@ -50,7 +53,7 @@
     }
 }
 
-/// The message with this field set; none where the field is not there.
+/// Returns the message with this field set, or `None` where the message lacks the field.
 pub fn set(
     kind: Kind,
     bytes: &[u8],
@@ -67,6 +70,7 @@
     }
 }
 
+/// Chooses among the least, the greatest and the previous value.
 fn choose_value<T>(value: FieldValue, min: T, max: T, previous: Option<T>) -> Option<T> {
     match value {
         FieldValue::Min => Some(min),
--- a/crates/message-mutation/src/front.rs
+++ b/crates/message-mutation/src/front.rs
@@ -1,4 +1,4 @@
-//! One front of the small world: what it is told, what it holds, and what its desk wants done.
+//! One simulated front: its settings, its state and the actions that its dispatcher requests.
 
 use pulleystair::{Settings, Value};
 use pulleystair_dispatcher::{Actions, Dispatcher};
@@ -11,16 +11,19 @@
 
 use crate::world::{COLD_MS, FRONTS, SERVERS, STREAMS_PER_SERVER, TIME_LIMIT_MS};
 
+/// An action that the dispatcher requested, with the arguments of the method of [`Actions`].
 pub(crate) enum Action {
     RecordCandidates(Vec<(u32, f64, f64)>),
     Send(u64, u32, usize, f64),
     Withdraw(u64),
     SetRung(u64, usize),
+    /// The final status for a declined or failed play.
     Answer(u64, u16),
     SetTimer(u32, f64),
     Probe(u32),
 }
 
+/// Collects the dispatcher's actions in order.
 #[derive(Default)]
 pub(crate) struct ActionQueue(pub(crate) VecDeque<Action>);
 
@@ -52,31 +55,40 @@
     fn watch_list(&mut self) {}
 }
 
+/// A play at a front.
 pub(crate) struct Session {
     pub(crate) request: u64,
     pub(crate) product: usize,
     pub(crate) title: String,
+    /// The number of allocations so far, which is the number of the latest one.
     pub(crate) allocation_number: u32,
+    /// The server of the open allocation, and whether the play is established there.
     pub(crate) allocated_to: Option<(usize, bool)>,
     pub(crate) sent_at: f64,
     pub(crate) answered: bool,
 }
 
+/// A front: the real dispatcher and fleet member, and the state of their host.
 pub(crate) struct Front {
     pub(crate) dispatcher: Dispatcher,
     pub(crate) member: FleetMember,
     pub(crate) sessions: BTreeMap<u64, Session>,
+    /// The serial of the server list in use.
     pub(crate) list_serial: Option<u32>,
+    /// The ids of the latest DNS queries; a response must carry one of them.
     pub(crate) dns_query_ids: VecDeque<u16>,
-    /// Its connection to each server: a new one after it was broken.
+    /// The number of the present connection to each server; it grows when a connection breaks.
     pub(crate) connections: [u64; SERVERS],
+    /// The candidates of the latest choice: server, chance, room.
     pub(crate) candidates: Vec<(u32, f64, f64)>,
 }
 
+/// The name of a front in the fleet.
 pub(crate) fn front_name(front_id: usize) -> String {
     format!("f{front_id}")
 }
 
+/// The policy settings of the front with this rank.
 pub(crate) fn policy_settings(rank: usize) -> Settings {
     let number_values = [
         ("balancers", FRONTS as f64),
@@ -115,6 +127,7 @@
     policy_settings
 }
 
+/// The parameters of the six rules; they match [`policy_settings`].
 pub(crate) fn rule_params() -> RuleParams {
     let product = |effect, floor| Product { limit: TIME_LIMIT_MS, effect, floor, top: 1, seats: 0 };
     RuleParams {
@@ -132,14 +145,15 @@
         zones: (0..SERVERS).map(|s| s % 2).collect(),
         cells: (0..SERVERS).collect(),
         budget: Some(Budget { span: 5_000.0, share: 0.1, free: 3.0 }),
-        // An answer of the name service may be lost: it is asked for every 150 ms.
+        // A response of the name service may be lost; the fronts query it every 150 ms.
         list_delay: 400.0,
         slack: 1.0,
     }
 }
 
+/// Creates a front with an approved version and its gossip configuration.
 pub(crate) fn new_front(rank: usize, seed: u64) -> Front {
-    let gossip = GossipConfig {
+    let gossip_config = GossipConfig {
         fleet: "mutated".into(),
         name: front_name(rank),
         peers: (0..FRONTS).filter(|f| *f != rank).map(front_name).collect(),
@@ -150,7 +164,7 @@
         unheard_after: 1_600.0,
     };
     let config = FleetConfig {
-        gossip,
+        gossip: gossip_config,
         zone: rank % 2,
         zones: vec!["z0".into(), "z1".into()],
         lease_ms: 600.0,
@@ -172,15 +186,16 @@
         at_ms: 0.0,
     };
     let mut chain = VersionChain::default();
-    chain.append(version).expect("it is the first");
-    let mut member = FleetMember::new(config, 0.0, 1_000, seed + rank as u64).expect("it fits");
-    member.set_approved(chain).expect("it is the first");
+    chain.append(version).expect("the first version of a chain is valid");
+    let mut member =
+        FleetMember::new(config, 0.0, 1_000, seed + rank as u64).expect("the configuration is valid");
+    member.set_approved(chain).expect("the member had no chain before");
     member.set_active(sections);
     Front {
         dispatcher: Dispatcher::new(policy_settings(rank), seed * 10 + rank as u64),
         member,
         sessions: BTreeMap::new(),
-        // Its file of the start, as a node has it.
+        // The list in the configuration file, as a node has it at start.
         list_serial: Some(0),
         dns_query_ids: VecDeque::new(),
         connections: [0; SERVERS],
--- a/crates/message-mutation/src/lib.rs
+++ b/crates/message-mutation/src/lib.rs
@@ -1,9 +1,9 @@
-//! A recorded run of a small fleet, replayed against the real code with exactly one message changed.
+//! Replays a recorded run of a small fleet against the real code with exactly one message mutated.
 //!
-//! [`world`] plays three fronts, each the real desk, decisions, fellow and codecs, four servers, their viewers and the name
-//! service in simulated time from one seed: everything that comes in to a front comes as bytes. [`MutatedMessage`] says which
-//! message is changed, and how; [`fields`] how a field of each kind of message is set. What must hold after it is judged by
-//! [`world::RunResult`].
+//! [`world`] simulates three fronts, each with the real dispatcher, policy, fleet member and codecs, and four servers, their viewers
+//! and the name service, in simulated time from one seed. All input of a front arrives as bytes. [`MutatedMessage`] names the
+//! mutated message and its mutation, [`fields`] sets a field of each kind of message, and [`world::RunResult`] holds what the
+//! tests check after the run. Times are in ms.
 
 mod delivery;
 pub mod fields;
@@ -11,52 +11,55 @@
 pub mod messages;
 pub mod world;
 
-/// What kind of message comes in.
+/// The kind of a message that a front receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     /// A viewer's binary message.
     Viewer,
-    /// A media server's RTSP message, or the head of its HTTP answer.
+    /// A media server's RTSP message.
     Rtsp,
+    /// The head of a media server's HTTP response.
     Http,
-    /// The list.
+    /// A response of the name service with the server list.
     Dns,
-    /// A datagram of another front.
+    /// A gossip datagram of another front.
     Gossip,
 }
 
-/// What a field is set to.
+/// The value that a field is set to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FieldValue {
     Min,
     Max,
-    /// What it is in the message of this kind before.
+    /// The value in the previous message of this kind.
     Previous,
 }
 
+/// How a message is changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
     Dropped,
     Duplicated,
-    /// By so many ms.
+    /// Delivered this many ms late.
     Delayed(u32),
-    /// Comes after the next to the same front.
+    /// Delivered after the next message to the same front.
     Reordered,
-    /// At so many eighths of its length.
+    /// Cut to this many eighths of its length.
     Truncated(usize),
-    /// One bit, at so many 1/64 of its length.
+    /// One bit is flipped, at this many 64ths of its length.
     BitFlipped(usize),
+    /// The field with this index is set to a value; see [`fields`].
     FieldSet(usize, FieldValue),
 }
 
-/// The message by its number in the run.
+/// A message, by its index in the run, and its mutation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MutatedMessage {
     pub index: usize,
     pub mutation: Mutation,
 }
 
-/// All changes of a message.
+/// All mutations of a message.
 pub fn mutations_of(index: usize, kind: Kind, bytes: &[u8]) -> Vec<MutatedMessage> {
     let mut mutations = vec![
         Mutation::Dropped,
@@ -73,5 +76,5 @@
                 .map(|value| Mutation::FieldSet(field, value)),
         );
     }
-    mutations.into_iter().map(|mutation| MutatedMessage { index, mutation }).collect()
+    mutations.into_iter().map(|m| MutatedMessage { index, mutation: m }).collect()
 }
--- a/crates/message-mutation/src/messages.rs
+++ b/crates/message-mutation/src/messages.rs
@@ -1,4 +1,4 @@
-//! What a front of this small world reads from bytes, by the real codecs; and the messages that are written to it.
+//! Encodes the messages that the simulated fronts receive, and parses them with the real codecs.
 
 use pulleystair::{Listing, LoadMetric, Standing};
 use pulleystair_rtsp as rtsp;
@@ -6,11 +6,12 @@
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
 use simple_dns::{CLASS, Name, Packet, PacketFlag, ResourceRecord};
 
+/// The class names of the products, by index.
 pub const CLASSES: [&str; 3] = ["free", "paid", "keyed"];
-/// The longest time that a viewer may say that it waits, ms.
+/// The longest time limit that a viewer may set, ms.
 const MAX_TIME_LIMIT_MS: f64 = 600_000.0;
 
-/// A viewer's set-up.
+/// The contents of a viewer's set-up.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SetUp {
     pub play: u64,
@@ -22,6 +23,7 @@
     pub max_rung: usize,
 }
 
+/// Encodes a viewer's set-up.
 pub fn encode_set_up(set_up: &SetUp) -> Vec<u8> {
     let extras = format!("home:{};copies:{};top:{}", set_up.first_cell, set_up.holders, set_up.max_rung);
     let time_limit = format!("{}", set_up.time_limit);
@@ -34,7 +36,7 @@
     encode(kind::SET_UP, set_up.play, &parameters).unwrap_or_default()
 }
 
-/// A set-up that can be used.
+/// Parses a set-up; `None` where it is invalid.
 pub fn parse_set_up(bytes: &[u8]) -> Option<SetUp> {
     let (message, _) = Message::parse(bytes).ok()??;
     if message.kind != kind::SET_UP || message.parameters().any(|p| p.is_err()) {
@@ -62,7 +64,7 @@
     })
 }
 
-/// The four servers as the name service tells them.
+/// Encodes the response of the name service that lists these servers, without those that are gone.
 pub fn encode_dns_response(id: u16, serial: u32, list: &[Listing]) -> Vec<u8> {
     let mut packet = Packet::new_reply(id);
     packet.set_flags(PacketFlag::RESPONSE);
@@ -99,10 +101,10 @@
     packet.build_bytes_vec().unwrap_or_default()
 }
 
-/// Servers by number, as the list has them.
+/// Listed servers by number.
 pub type ServerList = Vec<(u32, Listing)>;
 
-/// An answer of the name service: its id, its serial, the servers by number.
+/// Parses a response of the name service into its id, its serial and the listed servers.
 pub fn parse_dns_response(bytes: &[u8]) -> Option<(u16, u32, ServerList)> {
     let (serial, list) = pulleystair_dns_discovery::parse_response(bytes).ok()?;
     let listed = |entry: &pulleystair_dns_discovery::ServerEntry| {
@@ -123,7 +125,7 @@
     Some((pulleystair_dns_discovery::response_id(bytes)?, serial, list.iter().filter_map(listed).collect()))
 }
 
-/// A media server's answer to a set-up, or the end of a session that stood.
+/// Encodes a media server's response to a set-up, with a load report. `link_load` is the share of the link in use.
 pub fn encode_set_up_response(status: u16, play: u64, link_load: f64) -> Vec<u8> {
     let load_report = format!("x0:{link_load:.3};x1:{:.0}", link_load * 40.0);
     format!(
@@ -132,14 +134,17 @@
     .into_bytes()
 }
 
+/// Encodes a media server's notice that a session has ended.
 pub fn encode_teardown(play: u64) -> Vec<u8> {
     rtsp::request("TEARDOWN", "s", 2, play, &[("Reason", "cause=16")], b"")
 }
 
+/// Encodes a media server's note on a running play: the load of its link.
 pub fn encode_note(play: u64, metric: f64) -> Vec<u8> {
     rtsp::request("ANNOUNCE", "s", 4, play, &[("X-Why", "l"), ("Figure", &format!("{metric:.3}"))], b"")
 }
 
+/// The load metrics of a message's load report.
 pub fn load_metrics(message: &rtsp::Message) -> Vec<LoadMetric> {
     let metric = |(name, x): (&str, f64)| match name {
         "x0" => Some(LoadMetric::Link(x)),
--- a/crates/message-mutation/src/world.rs
+++ b/crates/message-mutation/src/world.rs
@@ -1,5 +1,5 @@
-//! Three fronts, four servers in two zones, viewers and a name service in simulated time, from one seed. Servers crash and
-//! come back cold, drain, fall silent; fronts share what they know. What players and servers see is a history.
+//! Simulates three fronts, four servers in two zones, viewers and a name service, from one seed. Servers crash and come back cold,
+//! drain or fall silent; fronts exchange gossip. What players and servers see is recorded as observations. Times are in ms.
 
 use crate::messages::{self, SetUp};
 use crate::{Kind, MutatedMessage};
@@ -13,23 +13,26 @@
 
 use crate::front::{Front, Session, new_front, rule_params};
 
+/// The number of fronts.
 pub const FRONTS: usize = 3;
+/// The number of media servers.
 pub const SERVERS: usize = 4;
-/// The front that speaks HTTP to servers; the others speak RTSP.
+/// Index of the front that speaks HTTP with servers; the others speak RTSP.
 pub(crate) const HTTP_FRONT: usize = 2;
 pub(crate) const STREAMS_PER_SERVER: f64 = 40.0;
 pub(crate) const TIME_LIMIT_MS: f64 = 1_500.0;
-/// Plays come until then, and the rest of the run heals.
+/// Plays arrive until then; in the rest of the run the fronts recover.
 const ARRIVALS_END_MS: f64 = 2_000.0;
-/// Messages until then are the run's; what comes later heals.
+/// Messages until then are recorded and may be mutated; later ones let the fronts recover.
 pub(crate) const RECORDING_END_MS: f64 = 2_300.0;
 const RUN_END_MS: f64 = 4_600.0;
 pub(crate) const COLD_MS: f64 = 2_000.0;
 
+/// A scheduled event. Fields are, where they apply, front, server, play and number of the allocation.
 pub(crate) enum Event {
     PlayArrives(usize),
     Deliver(Delivery),
-    /// One that was late, doubled or overtaken: it is not looked at again.
+    /// A message that was delayed: it is not mutated again.
     DeliverUnchanged(Delivery),
     Timer(usize, u32),
     AllocationTimeOut(usize, u64, u32),
@@ -40,7 +43,8 @@
     Fault(usize),
 }
 
-/// A message to a front: from which server or front, and of a server's, on which connection and to which allocation.
+/// A message to a front: `from` is the server or front that sent it; `connection` and `allocation` (play, number) are those of a
+/// server's message.
 #[derive(Clone)]
 pub(crate) struct Delivery {
     pub(crate) to: usize,
@@ -51,36 +55,47 @@
     pub(crate) allocation: (u64, u32),
 }
 
+/// The state of a media server.
 #[derive(Clone, Copy)]
 pub(crate) struct ServerState {
     pub(crate) up: bool,
     pub(crate) silent: bool,
 }
 
-/// What the run came to.
+/// The outcome of a run.
 #[derive(Debug, Default)]
 pub struct RunResult {
+    /// The messages as they were before any mutation.
     pub messages: Vec<(Kind, Vec<u8>)>,
+    /// Rules broken, and how.
     pub breaches: Vec<(u8, String)>,
+    /// Requests that the rules were checked on.
     pub requests: usize,
-    /// The most that all fronts together ever held of a server's pace, and what they may.
+    /// The most parts of a server's budget that all fronts together ever held.
     pub max_parts_held: u32,
+    /// The parts that a server's budget has.
     pub total_parts: u32,
+    /// Whether the first front ever held more parts than its own.
     pub has_lent: bool,
-    /// At the end, by each front: the verdict's status, fronts that it calls other than in step, zones and servers doubted.
+    /// The status of the drift verdict at the end, by front.
     pub drift_status: Vec<u8>,
+    /// The number of servers doubted at the end, by front.
     pub doubted: Vec<usize>,
-    /// Whether each goes by the latest list.
+    /// Whether the latest list is in use at the end, by front.
     pub has_latest_list: Vec<bool>,
+    /// Whether a zone is taken for lost at the end, by front.
     pub has_lost_zone: Vec<bool>,
-    /// Allocations of which each front's estimates speak, and those that there were.
+    /// The number of plays in the what-if estimates at the end, by front.
     pub estimated_plays: Vec<u32>,
+    /// The number of allocations sent by all fronts.
     pub allocations_sent: u32,
 }
 
+/// The state of a run.
 pub struct World {
     pub(crate) now: f64,
     pub(crate) rng: Rand64,
+    /// Events by due time in µs and sequence number.
     pub(crate) queue: BTreeMap<(u64, u64), Event>,
     pub(crate) sequence: u64,
     pub(crate) fronts: Vec<Front>,
@@ -90,13 +105,15 @@
     pub(crate) observations: Vec<Observation>,
     pub(crate) request_count: u64,
     pub(crate) mutated: Option<MutatedMessage>,
-    /// The last message of each kind, and one that waits to be overtaken.
+    /// The last message of each kind.
     pub(crate) previous: BTreeMap<Kind, Vec<u8>>,
+    /// The reordered message, until the next one to the same front.
     pub(crate) held_back: Option<Delivery>,
     pub(crate) result: RunResult,
 }
 
 impl World {
+    /// Prepares a run; with no mutated message it is the recorded run itself.
     pub fn new(seed: u64, mutated: Option<MutatedMessage>) -> World {
         let listing = |s: usize| Listing {
             server: s,
@@ -134,19 +151,23 @@
         world
     }
 
+    /// Records an observation at the present time.
     pub(crate) fn record(&mut self, what: Observed) {
         self.observations.push(Observation { at: self.now, what });
     }
 
+    /// Schedules an event after `delay` ms.
     pub(crate) fn schedule(&mut self, delay: f64, event: Event) {
         self.sequence += 1;
         self.queue.insert((((self.now + delay) * 1_000.0).ceil() as u64, self.sequence), event);
     }
 
+    /// Draws a random number from [0, 1).
     pub(crate) fn random(&mut self) -> f64 {
         self.rng.rand_float()
     }
 
+    /// Runs to the end and checks the rules.
     pub fn run(mut self) -> RunResult {
         while let Some(((at, _), event)) = self.queue.pop_first() {
             self.now = at as f64 / 1_000.0;
@@ -179,7 +200,7 @@
         self.result
     }
 
-    // ---- what happens ----
+    // ---- events ----
 
     fn handle_event(&mut self, event: Event) {
         match event {
@@ -254,8 +275,9 @@
         }
     }
 
+    /// A viewer sends a set-up, and the next arrival at this front is scheduled.
     fn play_arrives(&mut self, front_id: usize) {
-        // A crowd at the first front, while the first server is cold.
+        // A crowd arrives at the first front while the first server is cold.
         let crowd = front_id == 0 && (900.0..1_300.0).contains(&self.now);
         let mean = if crowd { 18.0 } else { 70.0 };
         let gap = -mean * (1.0 - self.random()).ln();
@@ -287,6 +309,7 @@
         );
     }
 
+    /// Runs a front's fleet member: play counts and waiting plays go in, hints and datagrams come out.
     fn tick_member(&mut self, front_id: usize) {
         let now = self.now;
         let front = &mut self.fronts[front_id];
@@ -304,15 +327,17 @@
         self.schedule((deadline - now).max(0.001), Event::MemberTick(front_id));
     }
 
+    /// Changes the standing of a server in the list under a new serial.
     fn set_standing(&mut self, server: usize, standing: Standing) {
         self.serial += 1;
         self.list[server].standing = standing;
         self.record(Observed::Listed { server, ready: standing == Standing::Ready });
     }
 
+    /// Injects the fault of this step.
     fn inject_fault(&mut self, step: usize) {
         match step {
-            // The first server dies and comes back cold; the second drains; the third falls silent for a while.
+            // The first server crashes and comes back cold; the second drains; the third is silent for a while.
             0 => {
                 self.servers[0].up = false;
                 self.record(Observed::Stopped { server: 0 });
--- a/crates/message-mutation/tests/single_mutations.rs
+++ b/crates/message-mutation/tests/single_mutations.rs
@@ -1,5 +1,5 @@
-//! Every message of a recorded run times every change of it: after each, nobody panics, the six rules hold, no budget is
-//! more than the whole, and what was told wrongly is over by the end.
+//! Applies every mutation to every message of a recorded run, one per replay. After each, no front has panicked, the six rules hold, no
+//! budget is exceeded, and by the end all fronts have recovered from the wrong information.
 
 use pulleystair_message_mutation::world::{FRONTS, RunResult, World};
 use pulleystair_message_mutation::{Kind, MutatedMessage, Mutation, mutations_of};
@@ -9,28 +9,31 @@
 
 const SEED: u64 = 1;
 
-/// What is wrong after a change; nothing, if all is well.
+/// What is wrong with the result of a run; empty if nothing is.
 fn violations(mutated: &MutatedMessage, kind: Kind, result: &RunResult) -> Vec<String> {
     let mut found = Vec::new();
-    // A list that says otherwise is what a front is told, and what it goes by until the next; a lost or late one is not.
+    // A front acts on an altered list until the next one, so that rules 3 and 4 may break; a lost or late list is no excuse.
     let is_list_altered =
         kind == Kind::Dns && matches!(mutated.mutation, Mutation::FieldSet(..) | Mutation::BitFlipped(_));
     let rules = result.breaches.iter().filter(|(rule, _)| !(is_list_altered && matches!(rule, 3 | 4)));
     found.extend(rules.map(|(rule, what)| format!("rule {rule}: {what}")));
     if result.max_parts_held > result.total_parts {
-        found.push(format!("{} held of {}", result.max_parts_held, result.total_parts));
+        found.push(format!("{} budget parts held of {}", result.max_parts_held, result.total_parts));
     }
     if result.drift_status != [0; FRONTS] {
-        found.push(format!("verdicts {:?}", result.drift_status));
+        found.push(format!("drift status {:?}", result.drift_status));
     }
     if result.has_latest_list != [true; FRONTS] {
-        found.push(format!("the latest list: {:?}", result.has_latest_list));
+        found.push(format!("has the latest list: {:?}", result.has_latest_list));
     }
     if result.has_lost_zone.contains(&true) || result.doubted.iter().any(|n| *n > 1) {
-        found.push(format!("doubted {:?} lost {:?}", result.doubted, result.has_lost_zone));
+        found.push(format!("doubted {:?}, lost zone {:?}", result.doubted, result.has_lost_zone));
     }
     if result.estimated_plays.iter().any(|n| *n > result.allocations_sent) {
-        found.push(format!("{:?} plays said of {}", result.estimated_plays, result.allocations_sent));
+        found.push(format!(
+            "{:?} plays estimated of {} allocations",
+            result.estimated_plays, result.allocations_sent
+        ));
     }
     found
 }
