--- a/crates/edge/tests/node.rs
+++ b/crates/edge/tests/node.rs
@@ -39,20 +39,20 @@
 #[test]
 fn release_is_sent_on_another_connection_when_the_viewers_is_closed() {
     let fixture = start_fixture();
-    let mut first = fixture.node.connect_viewer();
-    let mut connection = fixture.start_session(&mut first, 1);
-    drop(first);
+    let mut first_viewer = fixture.node.connect_viewer();
+    let mut connection = fixture.start_session(&mut first_viewer, 1);
+    drop(first_viewer);
     connection.send_request("TEARDOWN", 1, "Reason: cause=41\r\n");
     // No viewer is connected; the next one that sends a request receives the release.
-    let mut second = fixture.node.connect_viewer();
-    second.send(&set_up_message(2, &[TITLE_AT_FIRST]));
-    assert_eq!(second.expect_message(RELEASE, 1).cause(), 41);
-    connection.serve_set_up(&mut second, 2);
-    let mut third = fixture.node.connect_viewer();
-    third.send(&set_up_message(3, &[TITLE_AT_FIRST]));
-    connection.serve_set_up(&mut third, 3);
-    drop(third);
-    connection.end_play(&mut second, 3);
+    let mut second_viewer = fixture.node.connect_viewer();
+    second_viewer.send(&set_up_message(2, &[TITLE_AT_FIRST]));
+    assert_eq!(second_viewer.expect_message(RELEASE, 1).cause(), 41);
+    connection.serve_set_up(&mut second_viewer, 2);
+    let mut third_viewer = fixture.node.connect_viewer();
+    third_viewer.send(&set_up_message(3, &[TITLE_AT_FIRST]));
+    connection.serve_set_up(&mut third_viewer, 3);
+    drop(third_viewer);
+    connection.end_play(&mut second_viewer, 3);
 }
 
 #[test]
@@ -62,11 +62,14 @@
     viewer.send(&set_up_message(5, &[TITLE_AT_FIRST]));
     let (mut connection, request) = fixture.next_set_up(0);
     viewer.send(&encode_message(RELEASE, 5, &[(45, &[16])]));
-    let gone = connection.expect_request("TEARDOWN");
-    assert_eq!((gone.session(), gone.header("CSeq"), gone.header("Reason")), (5, Some("2"), None));
+    let withdrawal = connection.expect_request("TEARDOWN");
+    assert_eq!(
+        (withdrawal.session(), withdrawal.header("CSeq"), withdrawal.header("Reason")),
+        (5, Some("2"), None)
+    );
     connection.respond(&request, 200, DESCRIPTION);
-    let ended = connection.expect_request("TEARDOWN");
-    assert!(ended.session() == 5 && ended.header("Reason").is_some(), "{ended:?}");
+    let teardown = connection.expect_request("TEARDOWN");
+    assert!(teardown.session() == 5 && teardown.header("Reason").is_some(), "{teardown:?}");
     viewer.expect_no_message();
 }
 
@@ -76,13 +79,13 @@
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(6, &[]));
     let contacted = usize::from(wait_for_contact(&fixture));
-    let (mut slow, request) = fixture.next_set_up(contacted);
-    assert_eq!(slow.expect_request("TEARDOWN").session(), 6);
-    let (mut good, again) = fixture.next_set_up(1 - contacted);
-    slow.respond(&request, 200, "late\r\n");
-    let ended = slow.expect_request("TEARDOWN");
-    assert!(ended.header("Reason").is_some());
-    good.respond(&again, 200, DESCRIPTION);
+    let (mut slow_connection, request) = fixture.next_set_up(contacted);
+    assert_eq!(slow_connection.expect_request("TEARDOWN").session(), 6);
+    let (mut good_connection, retried) = fixture.next_set_up(1 - contacted);
+    slow_connection.respond(&request, 200, "late\r\n");
+    let teardown = slow_connection.expect_request("TEARDOWN");
+    assert!(teardown.header("Reason").is_some());
+    good_connection.respond(&retried, 200, DESCRIPTION);
     assert_eq!(viewer.expect_message(ANSWER, 6).parameter(48), Some(DESCRIPTION.as_bytes()));
     viewer.expect_no_message();
 }
@@ -93,8 +96,8 @@
     let mut viewer = fixture.node.connect_viewer();
     let mut connection = fixture.start_session(&mut viewer, 7);
     fixture.node.connect_viewer().send(&encode_message(RELEASE, 7, &[(45, &[19])]));
-    let cut = connection.expect_request("TEARDOWN");
-    assert_eq!((cut.session(), cut.header("Reason")), (7, Some("cause=19")));
+    let teardown = connection.expect_request("TEARDOWN");
+    assert_eq!((teardown.session(), teardown.header("Reason")), (7, Some("cause=19")));
     connection.send_request("TEARDOWN", 7, "Reason: cause=31\r\n");
     viewer.expect_no_message();
 }
@@ -103,15 +106,15 @@
 #[test]
 fn connection_that_released_a_session_receives_the_end_of_another() {
     let fixture = start_fixture();
-    let mut first = fixture.node.connect_viewer();
-    let mut connection = fixture.start_session(&mut first, 14);
-    first.send(&set_up_message(15, &[TITLE_AT_FIRST]));
-    connection.serve_set_up(&mut first, 15);
-    let mut other = fixture.node.connect_viewer();
-    other.send(&encode_message(RELEASE, 14, &[(45, &[31])]));
+    let mut first_viewer = fixture.node.connect_viewer();
+    let mut connection = fixture.start_session(&mut first_viewer, 14);
+    first_viewer.send(&set_up_message(15, &[TITLE_AT_FIRST]));
+    connection.serve_set_up(&mut first_viewer, 15);
+    let mut other_viewer = fixture.node.connect_viewer();
+    other_viewer.send(&encode_message(RELEASE, 14, &[(45, &[31])]));
     connection.expect_request("TEARDOWN");
-    drop(first);
-    connection.end_play(&mut other, 15);
+    drop(first_viewer);
+    connection.end_play(&mut other_viewer, 15);
 }
 
 #[test_case(453; "full")]
@@ -123,10 +126,10 @@
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(8, &[]));
     let contacted = usize::from(wait_for_contact(&fixture));
-    let (mut first, request) = fixture.next_set_up(contacted);
-    first.respond(&request, status, "");
-    let (mut second, again) = fixture.next_set_up(1 - contacted);
-    second.respond(&again, 200, DESCRIPTION);
+    let (mut first_connection, request) = fixture.next_set_up(contacted);
+    first_connection.respond(&request, status, "");
+    let (mut second_connection, retried) = fixture.next_set_up(1 - contacted);
+    second_connection.respond(&retried, 200, DESCRIPTION);
     viewer.expect_message(ANSWER, 8);
 }
 
@@ -196,8 +199,8 @@
     let contacted = usize::from(wait_for_contact(&fixture));
     let (connection, _) = fixture.next_set_up(contacted);
     connection.reset();
-    let (mut other, again) = fixture.next_set_up(1 - contacted);
-    other.respond(&again, 200, DESCRIPTION);
+    let (mut other_connection, retried) = fixture.next_set_up(1 - contacted);
+    other_connection.respond(&retried, 200, DESCRIPTION);
     viewer.expect_message(ANSWER, 15);
 }
 
@@ -207,12 +210,12 @@
     let mut viewer = fixture.node.connect_viewer();
     let connection = fixture.start_session(&mut viewer, 16);
     connection.reset();
-    let mut next = fixture.servers[0].accept();
+    let mut next_connection = fixture.servers[0].accept();
     viewer.expect_no_message();
-    next.send_request("TEARDOWN", 16, "Reason: cause=16\r\n");
+    next_connection.send_request("TEARDOWN", 16, "Reason: cause=16\r\n");
     assert_eq!(viewer.expect_message(RELEASE, 16).cause(), 16);
     // A server that is no longer there has ended all its sessions.
-    next.reset();
+    next_connection.reset();
     let connection = fixture.start_session(&mut viewer, 17);
     fixture.servers[0].stop_listening();
     connection.reset();
--- a/crates/edge/tests/node_bad_peers.rs
+++ b/crates/edge/tests/node_bad_peers.rs
@@ -46,11 +46,11 @@
 fn invalid_viewer_input_is_ended_in_time_and_delays_no_other_viewer(bytes: Vec<u8>) {
     let fixture = start_fixture();
     let started_at = Instant::now();
-    let mut bad = fixture.node.connect_viewer();
-    bad.send(&bytes);
+    let mut bad_viewer = fixture.node.connect_viewer();
+    bad_viewer.send(&bytes);
     let mut viewer = fixture.node.connect_viewer();
     drop(fixture.start_session(&mut viewer, 21));
-    if let Some(message) = bad.next_message() {
+    if let Some(message) = bad_viewer.next_message() {
         assert_eq!(message.kind, RELEASE, "{message:?}");
     }
     assert!(started_at.elapsed() < Duration::from_secs(3));
@@ -62,9 +62,9 @@
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(22, &[TITLE_AT_FIRST]));
     let (mut connection, request) = fixture.next_set_up(0);
-    let mut bad = fixture.node.connect_viewer();
-    bad.send(&set_up_message(22, &[TITLE_AT_FIRST, (48, "another\r\n")]));
-    assert_eq!(bad.next_message(), None, "the connection is closed without an answer");
+    let mut bad_viewer = fixture.node.connect_viewer();
+    bad_viewer.send(&set_up_message(22, &[TITLE_AT_FIRST, (48, "another\r\n")]));
+    assert_eq!(bad_viewer.next_message(), None, "the connection is closed without an answer");
     connection.respond(&request, 200, DESCRIPTION);
     viewer.expect_message(ANSWER, 22);
     viewer.expect_no_message();
@@ -73,21 +73,21 @@
 #[test]
 fn flood_of_set_ups_on_one_connection_is_declined_at_once() {
     let fixture = start_fixture();
-    let mut bad = fixture.node.connect_viewer();
+    let mut bad_viewer = fixture.node.connect_viewer();
     for play in 0..100 {
-        bad.send(&set_up_message(3000 + play, &[TITLE_AT_FIRST]));
+        bad_viewer.send(&set_up_message(3000 + play, &[TITLE_AT_FIRST]));
     }
-    let message = bad.next_message().expect("an answer before any server has responded");
+    let message = bad_viewer.next_message().expect("an answer before any server has responded");
     assert_eq!((message.kind, message.parameter(21)), (RELEASE, Some(b"500".as_slice())));
 }
 
 #[test]
 fn hundreds_of_idle_connections_do_not_block_a_viewer() {
     let fixture = start_with_sockets(64);
-    let crowd: Vec<Viewer> = (0..300).map(|_| fixture.node.connect_viewer()).collect();
+    let idle_viewers: Vec<Viewer> = (0..300).map(|_| fixture.node.connect_viewer()).collect();
     let mut viewer = fixture.node.connect_viewer();
     drop(fixture.start_session(&mut viewer, 23));
-    drop(crowd);
+    drop(idle_viewers);
 }
 
 // ---- bad servers ----
@@ -130,11 +130,12 @@
         .zip(300..)
         .for_each(|(viewer, play)| viewer.send(&set_up_message(play, &[TITLE_AT_FIRST])));
     let mut connection = fixture.servers[0].accept();
-    let held: Vec<fake_peers::Request> = (0..22).map(|_| connection.expect_request("SETUP")).collect();
+    let pending_requests: Vec<fake_peers::Request> =
+        (0..22).map(|_| connection.expect_request("SETUP")).collect();
     let mut newcomer = fixture.node.connect_viewer();
     newcomer.send(&set_up_message(400, &[TITLE_AT_FIRST]));
     assert_eq!(newcomer.expect_message(RELEASE, 400).cause(), 42);
-    drop(held);
+    drop(pending_requests);
 }
 
 #[test_case("\u{7}\u{3}noise"; "noise")]
@@ -155,8 +156,8 @@
         connection.next_request().is_none_or(|request| request.method() == "TEARDOWN"),
         "the connection is used no further"
     );
-    let (mut other, again) = fixture.next_set_up(1 - contacted);
-    other.respond(&again, 200, DESCRIPTION);
+    let (mut other_connection, retried) = fixture.next_set_up(1 - contacted);
+    other_connection.respond(&retried, 200, DESCRIPTION);
     assert_eq!(viewer.expect_message(ANSWER, 0x18).parameter(48), Some(DESCRIPTION.as_bytes()));
     viewer.expect_no_message();
 }
@@ -191,7 +192,7 @@
 /// Ten connections to servers are allowed here; each title is held by one of twelve servers.
 #[test]
 fn server_connections_unused_for_longest_are_evicted_at_the_limit() {
-    let (servers, _names, node) = start_with_twelve_servers();
+    let (servers, _dns, node) = start_with_twelve_servers();
     let mut viewer = node.connect_viewer();
     let mut connections: Vec<ServerConnection> = Vec::new();
     for (cell, server) in servers.iter().enumerate() {
--- a/crates/edge/tests/node_lifecycle.rs
+++ b/crates/edge/tests/node_lifecycle.rs
@@ -16,7 +16,7 @@
 fn new_id_at_a_known_address_is_a_new_server() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
-    let old = fixture.start_session(&mut viewer, 26);
+    let old_connection = fixture.start_session(&mut viewer, 26);
     let renamed = ServerRecord { id: "s-0000000c".into(), ..fixture.servers[0].dns_record() };
     fixture.dns.update_zone(|zone| {
         (zone.serial, zone.records) = (2, vec![renamed, fixture.servers[1].dns_record()])
@@ -26,7 +26,7 @@
     let (mut connection, request) = fixture.next_set_up(0);
     connection.respond(&request, 200, DESCRIPTION);
     viewer.expect_message(ANSWER, 27);
-    drop(old);
+    drop(old_connection);
 }
 
 #[test]
@@ -53,16 +53,16 @@
 fn invalid_dns_response_changes_nothing_and_is_retried(mode: DnsMode) {
     let fixture = start_fixture();
     fixture.node.wait_for_log("serial=1");
-    let only = vec![fixture.servers[1].dns_record()];
-    fixture.dns.update_zone(|zone| (zone.serial, zone.records, zone.mode) = (2, only, mode));
+    let one_record = vec![fixture.servers[1].dns_record()];
+    fixture.dns.update_zone(|zone| (zone.serial, zone.records, zone.mode) = (2, one_record, mode));
     fixture.dns.wait_for_queries(3);
     let mut viewer = fixture.node.connect_viewer();
     let connection = fixture.start_session(&mut viewer, 33);
     fixture.dns.update_zone(|zone| zone.mode = DnsMode::Normal);
     fixture.node.wait_for_log("serial=2");
     // An older list that arrives after a newer one.
-    let both = fixture.servers.iter().map(MediaServer::dns_record).collect();
-    fixture.dns.update_zone(|zone| (zone.serial, zone.records) = (1, both));
+    let full_list = fixture.servers.iter().map(MediaServer::dns_record).collect();
+    fixture.dns.update_zone(|zone| (zone.serial, zone.records) = (1, full_list));
     fixture.dns.wait_for_queries(3);
     viewer.send(&set_up_message(34, &[TITLE_AT_FIRST]));
     viewer.expect_message(RELEASE, 34);
@@ -78,9 +78,9 @@
     fixture.node.rewrite_config("{\"name\":");
     fixture.node.send_signal("HUP");
     fixture.node.wait_for_log("stays in force");
-    let other_dns = DnsServer::start(vec![fixture.servers[1].dns_record()]);
-    other_dns.update_zone(|zone| zone.serial = 2);
-    fixture.node.rewrite_config(&Node::config(other_dns.addr, &[], 256, 3_000_000));
+    let new_dns = DnsServer::start(vec![fixture.servers[1].dns_record()]);
+    new_dns.update_zone(|zone| zone.serial = 2);
+    fixture.node.rewrite_config(&Node::config(new_dns.addr, &[], 256, 3_000_000));
     fixture.node.send_signal("HUP");
     fixture.node.wait_for_log("serial=2");
     let mut viewer = fixture.node.connect_viewer();
@@ -100,8 +100,9 @@
     fixture.node.wait_for_log("serial=1");
     let silent = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
     let all: Vec<&MediaServer> = fixture.servers.iter().collect();
-    let at = silent.local_addr().expect("its address");
-    let newer = Node::config(at, &all, 256, 3_000_000).replace(r#""known":{"rev":1"#, r#""known":{"rev":2"#);
+    let resolver_addr = silent.local_addr().expect("its address");
+    let newer = Node::config(resolver_addr, &all, 256, 3_000_000)
+        .replace(r#""known":{"rev":1"#, r#""known":{"rev":2"#);
     fixture.node.rewrite_config(&newer);
     fixture.node.send_signal("HUP");
     fixture.node.wait_for_log("name service changed");
@@ -134,13 +135,13 @@
     let (mut connection, request) = fixture.next_set_up(0);
     fixture.node.send_signal("TERM");
     fixture.node.wait_for_log("stopping");
-    let mut late = fixture.node.connect_viewer();
-    late.send(&set_up_message(37, &[TITLE_AT_FIRST]));
-    let again = fixture.servers[0].accept().expect_request("SETUP");
+    let mut late_viewer = fixture.node.connect_viewer();
+    late_viewer.send(&set_up_message(37, &[TITLE_AT_FIRST]));
+    let late_set_up = fixture.servers[0].accept().expect_request("SETUP");
     connection.respond(&request, 200, DESCRIPTION);
     viewer.expect_message(ANSWER, 36);
-    drop(again);
-    assert_eq!(late.next_message().map(|message| message.session), Some(37));
+    drop(late_set_up);
+    assert_eq!(late_viewer.next_message().map(|message| message.session), Some(37));
     assert!(fixture.node.wait_for_exit().success());
 }
 
@@ -150,16 +151,16 @@
     let mut fixture = start_fixture();
     fixture.node.send_signal("TERM");
     fixture.node.wait_for_log("stopping");
-    let mut late = None;
+    let mut late_viewer = None;
     fixture.node.while_paused(|| {
-        let viewer = late.insert(fixture.node.connect_viewer());
+        let viewer = late_viewer.insert(fixture.node.connect_viewer());
         viewer.send(&set_up_message(38, &[TITLE_AT_FIRST]));
         std::thread::sleep(Duration::from_millis(1_000));
     });
-    let mut late = late.expect("the viewer has connected");
+    let mut late_viewer = late_viewer.expect("the viewer has connected");
     let (mut connection, request) = fixture.next_set_up(0);
     connection.respond(&request, 200, DESCRIPTION);
-    late.expect_message(ANSWER, 38);
+    late_viewer.expect_message(ANSWER, 38);
     assert!(fixture.node.wait_for_exit().success());
 }
 
@@ -169,7 +170,7 @@
     let mut fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(39, &[(6, "60000")]));
-    let held = fixture.next_set_up(usize::from(wait_for_contact(&fixture)));
+    let pending_set_up = fixture.next_set_up(usize::from(wait_for_contact(&fixture)));
     fixture.node.send_signal("TERM");
     let message = viewer.expect_message(RELEASE, 39);
     assert_eq!(
@@ -178,7 +179,7 @@
         "the viewer may retry"
     );
     assert!(fixture.node.wait_for_exit().success());
-    drop(held);
+    drop(pending_set_up);
 }
 
 #[test_case("{", "config.json"; "invalid JSON")]
@@ -215,10 +216,10 @@
 fn handed_over_session_receives_its_end() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
-    let at = (18, "home:0;copies:1;top:1;viewer:00000000b4d65521;at:s-0000000a");
-    viewer.send(&set_up_message(40, &[at, (6, "0")]));
+    let handed_over = (18, "home:0;copies:1;top:1;viewer:00000000b4d65521;at:s-0000000a");
+    viewer.send(&set_up_message(40, &[handed_over, (6, "0")]));
     let mut connection = fixture.servers[0].accept();
-    viewer.send(&set_up_message(40, &[at, (6, "0")]));
+    viewer.send(&set_up_message(40, &[handed_over, (6, "0")]));
     viewer.expect_no_message();
     connection.send_request("ANNOUNCE", 40, "X-Why: r\r\nFigure: 1\r\n");
     connection.end_play(&mut viewer, 40);
@@ -284,12 +285,12 @@
         connection.serve_set_up(&mut viewer, play);
     }
     viewer.send(&set_up_message(66, &[TITLE_AT_FIRST]));
-    let held = connection.expect_request("SETUP");
+    let pending_set_up = connection.expect_request("SETUP");
     connection.end_play(&mut viewer, 60);
     viewer.send(&encode_message(RELEASE, 61, &[(45, &[19])]));
     connection.expect_request("TEARDOWN");
     fixture.node.wait_for_log("id=\"s-0000000a\" standing=Ready playing=4 out=1 held=5");
-    connection.respond(&held, 453, "");
+    connection.respond(&pending_set_up, 453, "");
     connection.expect_request("SETUP");
     fixture.node.wait_for_log("id=\"s-0000000a\" standing=Ready playing=4 out=1 held=5");
 }
--- a/crates/edge/tests/node_races.rs
+++ b/crates/edge/tests/node_races.rs
@@ -54,17 +54,17 @@
 #[test_case(Departure::Reset; "resets")]
 #[test_case(Departure::HalfClose; "closes one side")]
 #[test_case(Departure::Release; "releases")]
-fn no_set_up_is_sent_if_the_viewer_leaves_as_it_is_read(departure: Departure) {
+fn viewer_leaving_as_its_set_up_is_read_has_none_sent(departure: Departure) {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.expect_no_message();
-    let mut kept = None;
+    let mut open_viewer = None;
     fixture.node.while_paused(|| {
         viewer.send(&set_up_message(101, &[TITLE_AT_FIRST]));
-        kept = depart(viewer, 101, departure);
+        open_viewer = depart(viewer, 101, departure);
     });
     assert_next_set_up(&fixture, 102);
-    drop(kept);
+    drop(open_viewer);
 }
 
 /// While the node is stopped, the first attempt times out or is refused by its server, and the viewer leaves.
@@ -72,7 +72,7 @@
 #[test_case(Departure::Release, false; "releases as its timer fires")]
 #[test_case(Departure::Close, true; "closes as it is refused")]
 #[test_case(Departure::Release, true; "releases as it is refused")]
-fn no_further_attempt_is_made_if_the_viewer_leaves(departure: Departure, refused: bool) {
+fn viewer_leaving_has_no_further_attempt_made(departure: Departure, refused: bool) {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     // The connection has been established for long, so that no timer of its own makes the node read it.
@@ -80,7 +80,7 @@
     fixture.wait_until_read(&mut viewer);
     viewer.send(&set_up_message(103, &[TITLE_AT_FIRST]));
     let request = connection.expect_request("SETUP");
-    let mut kept = None;
+    let mut open_viewer = None;
     fixture.node.while_paused(|| {
         if refused {
             connection.respond(&request, 453, "");
@@ -88,20 +88,20 @@
             // More than a third of the first-frame target.
             std::thread::sleep(Duration::from_millis(1_000));
         }
-        kept = depart(viewer, 103, departure);
+        open_viewer = depart(viewer, 103, departure);
     });
-    let mut next = fixture.node.connect_viewer();
-    next.send(&set_up_message(104, &[TITLE_AT_FIRST]));
+    let mut next_viewer = fixture.node.connect_viewer();
+    next_viewer.send(&set_up_message(104, &[TITLE_AT_FIRST]));
     if !refused {
         connection.expect_request("TEARDOWN");
     }
     assert_eq!(connection.expect_request("SETUP").session(), 104);
-    drop(kept);
+    drop(open_viewer);
 }
 
 /// The timer of the attempt was due before the node read the server's answer.
 #[test]
-fn received_answer_takes_precedence_over_an_expired_timer() {
+fn waiting_answer_takes_precedence_over_an_expired_timer() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     let mut connection = fixture.start_session(&mut viewer, 100);
@@ -119,18 +119,18 @@
 /// The answer arrives first and the node reads it first; the viewer has already left.
 #[test_case(Departure::Close; "closes")]
 #[test_case(Departure::Release; "releases")]
-fn answer_for_a_viewer_that_has_left_is_torn_down(departure: Departure) {
+fn viewer_that_has_left_has_its_answer_torn_down(departure: Departure) {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(106, &[TITLE_AT_FIRST]));
     let (mut connection, request) = fixture.next_set_up(0);
-    let mut kept = None;
+    let mut open_viewer = None;
     fixture.node.while_paused(|| {
         connection.respond(&request, 200, DESCRIPTION);
-        kept = depart(viewer, 106, departure);
+        open_viewer = depart(viewer, 106, departure);
     });
     assert_eq!(connection.expect_request("TEARDOWN").session(), 106);
-    if let Some(mut viewer) = kept {
+    if let Some(mut viewer) = open_viewer {
         viewer.expect_no_message();
     }
 }
@@ -146,23 +146,23 @@
 /// The connection is still being established. The queued set-up would reach the server after its viewer has left.
 #[test_case(Departure::Close; "closes")]
 #[test_case(Departure::Release; "releases")]
-fn queued_set_up_is_cancelled_when_its_viewer_leaves(departure: Departure) {
+fn set_up_queued_for_a_connection_is_cancelled_when_its_viewer_leaves(departure: Departure) {
     let mut fixture = start_with_full_backlog(&LONG_TIMEOUTS);
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(107, &[TITLE_AT_FIRST, LONG_TIME_LIMIT]));
     fixture.wait_until_read(&mut viewer);
-    let kept = depart(viewer, 107, departure);
-    let mut next = fixture.node.connect_viewer();
-    fixture.wait_until_read(&mut next);
-    next.send(&set_up_message(108, &[TITLE_AT_FIRST, LONG_TIME_LIMIT]));
-    fixture.wait_until_read(&mut next);
+    let open_viewer = depart(viewer, 107, departure);
+    let mut next_viewer = fixture.node.connect_viewer();
+    fixture.wait_until_read(&mut next_viewer);
+    next_viewer.send(&set_up_message(108, &[TITLE_AT_FIRST, LONG_TIME_LIMIT]));
+    fixture.wait_until_read(&mut next_viewer);
     fixture.servers[0].drain_backlog();
     assert_eq!(fixture.next_set_up(0).1.session(), 108, "the cancelled set-up was sent");
-    drop(kept);
+    drop(open_viewer);
 }
 
 #[test]
-fn queued_set_up_is_cancelled_when_its_server_drains() {
+fn set_up_queued_for_a_connection_is_cancelled_when_its_server_drains() {
     let mut fixture = start_with_full_backlog(&LONG_TIMEOUTS);
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(109, &[TITLE_AT_FIRST, LONG_TIME_LIMIT]));
@@ -191,23 +191,23 @@
 #[test_case(Departure::Reset; "resets")]
 #[test_case(Departure::HalfClose; "closes one side")]
 #[test_case(Departure::Release; "releases")]
-fn no_set_up_is_sent_if_the_viewer_leaves_as_the_connection_completes(departure: Departure) {
+fn viewer_leaving_as_the_connection_completes_has_no_set_up_sent(departure: Departure) {
     let mut fixture = start_with_full_backlog(&LONG_TIMEOUTS);
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(118, &[TITLE_AT_FIRST, LONG_TIME_LIMIT]));
     fixture.wait_until_read(&mut viewer);
-    let mut kept = None;
-    while_paused_as_connection_completes(&mut fixture, || kept = depart(viewer, 118, departure));
-    let mut next = fixture.node.connect_viewer();
-    next.send(&set_up_message(119, &[TITLE_AT_FIRST, LONG_TIME_LIMIT]));
+    let mut open_viewer = None;
+    while_paused_as_connection_completes(&mut fixture, || open_viewer = depart(viewer, 118, departure));
+    let mut next_viewer = fixture.node.connect_viewer();
+    next_viewer.send(&set_up_message(119, &[TITLE_AT_FIRST, LONG_TIME_LIMIT]));
     assert_eq!(fixture.next_set_up(0).1.session(), 119, "the cancelled set-up was sent");
-    drop(kept);
+    drop(open_viewer);
 }
 
 /// The time of a non-idempotent set-up has passed when its connection completes. As nothing was sent, it may be tried again; a set-up
 /// that may have run may not.
 #[test]
-fn expired_set_up_is_not_sent_as_the_connection_completes() {
+fn set_up_that_expired_is_not_sent_as_its_connection_completes() {
     let non_idempotent = (r#""effect":"read_like""#, r#""effect":"non_idempotent""#);
     let short_target = (r#""aimUs":2000000"#, r#""aimUs":6000000"#);
     let mut fixture = start_with_full_backlog(&[LONG_TIMEOUTS[0], short_target, non_idempotent]);
@@ -235,7 +235,7 @@
 /// Two non-idempotent set-ups are queued on one connection and the first is cancelled. The second is sent whole; when the connection
 /// is then reset, it may have run and is not tried again.
 #[test]
-fn cancelling_a_queued_set_up_leaves_the_next_one_complete() {
+fn whole_set_up_is_sent_after_the_one_queued_before_it_is_cancelled() {
     let one_connection = (r#""sockets":256"#, r#""sockets":44"#);
     let non_idempotent = (r#""effect":"read_like""#, r#""effect":"non_idempotent""#);
     let mut fixture =
@@ -261,18 +261,21 @@
     let mut fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(112, &[TITLE_AT_FIRST]));
-    let (mut old, request) = fixture.next_set_up(0);
-    assert_eq!(old.expect_request("TEARDOWN").header("Reason"), None);
-    let (mut connection, again) = fixture.next_set_up(0);
-    assert_eq!(again.session(), 112);
-    old.respond(&request, 200, "late\r\n");
+    let (mut old_connection, request) = fixture.next_set_up(0);
+    assert_eq!(old_connection.expect_request("TEARDOWN").header("Reason"), None);
+    let (mut connection, retried) = fixture.next_set_up(0);
+    assert_eq!(retried.session(), 112);
+    old_connection.respond(&request, 200, "late\r\n");
     viewer.expect_no_message();
-    connection.respond(&again, 200, DESCRIPTION);
+    connection.respond(&retried, 200, DESCRIPTION);
     assert_eq!(viewer.expect_message(ANSWER, 112).parameter(48), Some(DESCRIPTION.as_bytes()));
     connection.end_play(&mut viewer, 112);
     fixture.node.send_signal("TERM");
     assert!(fixture.node.wait_for_exit().success());
-    assert!(old.next_request().is_none(), "a teardown was sent on the connection of the withdrawn attempt");
+    assert!(
+        old_connection.next_request().is_none(),
+        "a teardown was sent on the connection of the withdrawn attempt"
+    );
 }
 
 /// The server closes an idle connection just as a set-up arrives. A non-idempotent set-up sent on it would fail.
@@ -292,7 +295,7 @@
 
 /// The server closes connections after 2 s of idleness; one close to that may be closed while a set-up is on its way.
 #[test]
-fn set_up_is_not_sent_on_a_connection_close_to_its_idle_limit() {
+fn connection_close_to_its_idle_limit_gets_no_set_up() {
     let fixture = start_with_replacements(
         256,
         &[LONG_TIMEOUTS[1], (r#""idleCloseUs":30000000"#, r#""idleCloseUs":2000000"#)],
--- a/crates/edge/tests/node_races_sessions.rs
+++ b/crates/edge/tests/node_races_sessions.rs
@@ -59,10 +59,10 @@
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&encode_message(RELEASE, 122, &[(45, &[19])]));
     viewer.expect_no_message();
-    let mut other = fixture.node.connect_viewer();
-    other.send(&set_up_message(122, &[HANDED_OVER_AT_FIRST, (6, "0")]));
-    let cut = fixture.servers[0].accept().expect_request("TEARDOWN");
-    assert_eq!((cut.session(), cut.header("Reason")), (122, Some("cause=19")));
+    let mut other_viewer = fixture.node.connect_viewer();
+    other_viewer.send(&set_up_message(122, &[HANDED_OVER_AT_FIRST, (6, "0")]));
+    let teardown = fixture.servers[0].accept().expect_request("TEARDOWN");
+    assert_eq!((teardown.session(), teardown.header("Reason")), (122, Some("cause=19")));
 }
 
 /// The session is handed over and released at once, while no connection to its server completes in time.
@@ -70,14 +70,17 @@
 fn teardown_is_retried_on_the_next_connection() {
     let mut fixture = start_with_full_backlog(&[]);
     let mut viewer = fixture.node.connect_viewer();
-    let mut both = set_up_message(123, &[HANDED_OVER_AT_FIRST, (6, "0")]);
-    both.extend(encode_message(RELEASE, 123, &[(45, &[19])]));
-    viewer.send(&both);
+    let mut hand_over_and_release = set_up_message(123, &[HANDED_OVER_AT_FIRST, (6, "0")]);
+    hand_over_and_release.extend(encode_message(RELEASE, 123, &[(45, &[19])]));
+    viewer.send(&hand_over_and_release);
     // The first attempt to connect has timed out by then.
     fixture.dns.wait_for_queries(5);
     fixture.servers[0].drain_backlog();
-    let cut = fixture.servers[0].accept().next_request().expect("a teardown");
-    assert_eq!((cut.method(), cut.session(), cut.header("Reason")), ("TEARDOWN", 123, Some("cause=19")));
+    let teardown = fixture.servers[0].accept().next_request().expect("a teardown");
+    assert_eq!(
+        (teardown.method(), teardown.session(), teardown.header("Reason")),
+        ("TEARDOWN", 123, Some("cause=19"))
+    );
 }
 
 /// The list at start lacks the session's server and the name service is silent: a later list may hold it.
@@ -100,25 +103,25 @@
 
 /// A viewer with an established session, another viewer of the same address that has sent a request, and the session's connection.
 fn two_viewers(fixture: &NodeFixture, session: u64) -> (Viewer, Viewer, ServerConnection) {
-    let (mut first, mut other) = (fixture.node.connect_viewer(), fixture.node.connect_viewer());
-    let mut connection = fixture.start_session(&mut first, session);
-    other.send(&set_up_message(session + 1, &[TITLE_AT_FIRST]));
-    connection.serve_set_up(&mut other, session + 1);
-    (first, other, connection)
+    let (mut first_viewer, mut other_viewer) = (fixture.node.connect_viewer(), fixture.node.connect_viewer());
+    let mut connection = fixture.start_session(&mut first_viewer, session);
+    other_viewer.send(&set_up_message(session + 1, &[TITLE_AT_FIRST]));
+    connection.serve_set_up(&mut other_viewer, session + 1);
+    (first_viewer, other_viewer, connection)
 }
 
 /// The notice has reached the viewer's machine, and the viewer closes without reading it.
 #[test]
 fn unread_end_notice_is_resent_on_another_connection() {
     let fixture = start_fixture();
-    let (first, mut other, mut connection) = two_viewers(&fixture, 130);
+    let (first_viewer, mut other_viewer, mut connection) = two_viewers(&fixture, 130);
     connection.send_request("TEARDOWN", 130, "Reason: cause=41\r\n");
-    first.stream.peek(&mut [0]).expect("the end notice arrives");
+    first_viewer.stream.peek(&mut [0]).expect("the end notice arrives");
     // Half a second of the node's time, after which the notice no longer races with the close.
     fixture.dns.wait_for_queries(3);
-    drop(first);
-    assert_eq!(other.expect_message(RELEASE, 130).cause(), 41);
-    other.expect_no_message();
+    drop(first_viewer);
+    assert_eq!(other_viewer.expect_message(RELEASE, 130).cause(), 41);
+    other_viewer.expect_no_message();
 }
 
 /// The notice goes to a connection from the address of the closed one, although another viewer has connected later. The address is no
@@ -126,52 +129,52 @@
 #[test]
 fn unread_end_notice_prefers_a_connection_from_the_same_address() {
     let fixture = start_fixture();
-    let here = [127, 0, 0, 2];
-    let (mut first, mut own, mut another) = (
-        fixture.node.connect_viewer_from(here),
-        fixture.node.connect_viewer_from(here),
+    let address = [127, 0, 0, 2];
+    let (mut first_viewer, mut same_address_viewer, mut other_address_viewer) = (
+        fixture.node.connect_viewer_from(address),
+        fixture.node.connect_viewer_from(address),
         fixture.node.connect_viewer(),
     );
-    let mut connection = fixture.start_session(&mut first, 160);
-    for (viewer, play) in [(&mut own, 161), (&mut another, 162)] {
+    let mut connection = fixture.start_session(&mut first_viewer, 160);
+    for (viewer, play) in [(&mut same_address_viewer, 161), (&mut other_address_viewer, 162)] {
         viewer.send(&set_up_message(play, &[TITLE_AT_FIRST]));
         connection.serve_set_up(viewer, play);
     }
     connection.send_request("TEARDOWN", 160, "Reason: cause=41\r\n");
-    first.stream.peek(&mut [0]).expect("the end notice arrives");
-    drop(first);
-    assert_eq!(own.expect_message(RELEASE, 160).cause(), 41);
-    another.expect_no_message();
+    first_viewer.stream.peek(&mut [0]).expect("the end notice arrives");
+    drop(first_viewer);
+    assert_eq!(same_address_viewer.expect_message(RELEASE, 160).cause(), 41);
+    other_address_viewer.expect_no_message();
 }
 
 /// No viewer is connected; the next one that sends a request receives the notice.
 #[test]
 fn unread_end_notice_is_kept_for_the_next_viewer() {
     let fixture = start_fixture();
-    let mut first = fixture.node.connect_viewer();
-    let mut connection = fixture.start_session(&mut first, 132);
+    let mut first_viewer = fixture.node.connect_viewer();
+    let mut connection = fixture.start_session(&mut first_viewer, 132);
     connection.send_request("TEARDOWN", 132, "Reason: cause=41\r\n");
-    first.stream.peek(&mut [0]).expect("the end notice arrives");
+    first_viewer.stream.peek(&mut [0]).expect("the end notice arrives");
     fixture.dns.wait_for_queries(3);
-    drop(first);
-    let mut next = fixture.node.connect_viewer();
-    next.send(&set_up_message(133, &[TITLE_AT_FIRST]));
-    assert_eq!(next.expect_message(RELEASE, 132).cause(), 41);
-    connection.serve_set_up(&mut next, 133);
+    drop(first_viewer);
+    let mut next_viewer = fixture.node.connect_viewer();
+    next_viewer.send(&set_up_message(133, &[TITLE_AT_FIRST]));
+    assert_eq!(next_viewer.expect_message(RELEASE, 132).cause(), 41);
+    connection.serve_set_up(&mut next_viewer, 133);
 }
 
 /// The viewer reads nothing and is closed for that, with the notice among its unread data.
 #[test]
 fn end_notice_to_a_viewer_that_reads_nothing_is_resent() {
     let fixture = start_fixture();
-    let (mut first, mut other, mut connection) = two_viewers(&fixture, 134);
+    let (mut first_viewer, mut other_viewer, mut connection) = two_viewers(&fixture, 134);
     connection.send_request("TEARDOWN", 134, "Reason: cause=41\r\n");
-    first.stream.peek(&mut [0]).expect("the end notice arrives");
+    first_viewer.stream.peek(&mut [0]).expect("the end notice arrives");
     fixture.dns.wait_for_queries(3);
     let tests = encode_message(52, 136, &[(45, &[0])]).repeat(1_000);
-    while first.stream.write_all(&tests).is_ok() {}
-    assert_eq!(other.expect_message(RELEASE, 134).cause(), 41);
-    drop(first);
+    while first_viewer.stream.write_all(&tests).is_ok() {}
+    assert_eq!(other_viewer.expect_message(RELEASE, 134).cause(), 41);
+    drop(first_viewer);
 }
 
 /// The end and the close arrive together, in either order.
@@ -179,15 +182,15 @@
 #[test_case(false; "the close first")]
 fn end_notice_simultaneous_with_the_viewers_close_is_resent(end_first: bool) {
     let fixture = start_fixture();
-    let (first, mut other, mut connection) = two_viewers(&fixture, 137);
-    let mut first = Some(first);
+    let (first_viewer, mut other_viewer, mut connection) = two_viewers(&fixture, 137);
+    let mut first_viewer = Some(first_viewer);
     fixture.node.while_paused(|| {
-        first.take_if(|_| !end_first);
+        first_viewer.take_if(|_| !end_first);
         connection.send_request("TEARDOWN", 137, "Reason: cause=41\r\n");
-        first.take();
+        first_viewer.take();
     });
-    assert_eq!(other.expect_message(RELEASE, 137).cause(), 41);
-    other.expect_no_message();
+    assert_eq!(other_viewer.expect_message(RELEASE, 137).cause(), 41);
+    other_viewer.expect_no_message();
 }
 
 /// The viewer closes its side before it has read the notice, which is then lost. The node may see the close first and only later that
@@ -195,31 +198,31 @@
 #[test]
 fn end_notice_crossing_a_half_close_is_resent() {
     let fixture = start_fixture();
-    let (mut first, mut other, mut connection) = two_viewers(&fixture, 149);
+    let (mut first_viewer, mut other_viewer, mut connection) = two_viewers(&fixture, 149);
     for play in 139..149 {
-        first.send(&set_up_message(play, &[TITLE_AT_FIRST]));
-        connection.serve_set_up(&mut first, play);
+        first_viewer.send(&set_up_message(play, &[TITLE_AT_FIRST]));
+        connection.serve_set_up(&mut first_viewer, play);
         connection.send_request("TEARDOWN", play, "Reason: cause=41\r\n");
-        first.stream.peek(&mut [0]).expect("the end notice arrives");
-        first.stream.shutdown(Shutdown::Write).expect("closing the write side");
-        first = fixture.node.connect_viewer();
-        assert_eq!(other.expect_message(RELEASE, play).cause(), 41);
+        first_viewer.stream.peek(&mut [0]).expect("the end notice arrives");
+        first_viewer.stream.shutdown(Shutdown::Write).expect("closing the write side");
+        first_viewer = fixture.node.connect_viewer();
+        assert_eq!(other_viewer.expect_message(RELEASE, play).cause(), 41);
     }
-    other.expect_no_message();
+    other_viewer.expect_no_message();
 }
 
 /// A notice that was read before its viewer closed is not sent to another viewer.
 #[test]
 fn end_notice_that_was_read_is_sent_once() {
     let fixture = start_fixture();
-    let (mut first, mut other, mut connection) = two_viewers(&fixture, 151);
-    connection.end_play(&mut first, 151);
-    let held = fixture.node.descriptor_count();
-    drop(first);
+    let (mut first_viewer, mut other_viewer, mut connection) = two_viewers(&fixture, 151);
+    connection.end_play(&mut first_viewer, 151);
+    let descriptors = fixture.node.descriptor_count();
+    drop(first_viewer);
     let started_at = Instant::now();
-    while fixture.node.descriptor_count() >= held {
+    while fixture.node.descriptor_count() >= descriptors {
         assert!(started_at.elapsed() < fake_peers::TIMEOUT, "the node did not close the connection in time");
         std::thread::sleep(Duration::from_millis(5));
     }
-    other.expect_no_message();
+    other_viewer.expect_no_message();
 }
--- a/crates/edge/tests/node_races_shutdown.rs
+++ b/crates/edge/tests/node_races_shutdown.rs
@@ -73,9 +73,10 @@
         &[long_dial_timeout],
     );
     let mut viewer = fixture.node.connect_viewer();
-    let mut both = set_up_message(204, &[(18, "home:0;copies:1;top:1;at:s-0000000a"), (6, "0")]);
-    both.extend(encode_message(node_fixture::RELEASE, 204, &[(45, &[19])]));
-    viewer.send(&both);
+    let mut hand_over_and_release =
+        set_up_message(204, &[(18, "home:0;copies:1;top:1;at:s-0000000a"), (6, "0")]);
+    hand_over_and_release.extend(encode_message(node_fixture::RELEASE, 204, &[(45, &[19])]));
+    viewer.send(&hand_over_and_release);
     viewer.expect_no_message();
     fixture.node.send_signal("TERM");
     while TcpStream::connect(fixture.node.addr).is_ok() {
@@ -94,16 +95,16 @@
 fn config_reload_is_retried_when_out_of_descriptors(idle: bool) {
     let fixture = start_fixture();
     fixture.node.wait_for_log("serial=1");
-    let crowd: Vec<fake_peers::Viewer> = (0..if idle { 8 } else { 0 })
+    let idle_viewers: Vec<fake_peers::Viewer> = (0..if idle { 8 } else { 0 })
         .map(|_| {
             let mut viewer = fixture.node.connect_viewer();
             viewer.expect_no_message();
             viewer
         })
         .collect();
-    let other_dns = DnsServer::start(vec![fixture.servers[1].dns_record()]);
-    other_dns.update_zone(|zone| zone.serial = 2);
-    fixture.node.rewrite_config(&Node::config(other_dns.addr, &[], 256, 3_000_000));
+    let new_dns = DnsServer::start(vec![fixture.servers[1].dns_record()]);
+    new_dns.update_zone(|zone| zone.serial = 2);
+    fixture.node.rewrite_config(&Node::config(new_dns.addr, &[], 256, 3_000_000));
     fixture.node.block_new_descriptors();
     fixture.node.send_signal("HUP");
     if !idle {
@@ -111,7 +112,7 @@
         fixture.node.set_descriptor_limit(256);
     }
     fixture.node.wait_for_log("serial=2");
-    drop(crowd);
+    drop(idle_viewers);
 }
 
 /// The file of another node or customer names a name service that is not this node's.
@@ -120,9 +121,9 @@
 fn reload_ignores_the_config_of_another_node(was: &str, is: &str) {
     let fixture = start_fixture();
     fixture.node.wait_for_log("serial=1");
-    let other_dns = DnsServer::start(vec![]);
-    other_dns.update_zone(|zone| zone.serial = 9);
-    fixture.node.rewrite_config(&Node::config(other_dns.addr, &[], 256, 3_000_000).replace(was, is));
+    let new_dns = DnsServer::start(vec![]);
+    new_dns.update_zone(|zone| zone.serial = 9);
+    fixture.node.rewrite_config(&Node::config(new_dns.addr, &[], 256, 3_000_000).replace(was, is));
     fixture.node.send_signal("HUP");
     assert!(fixture.node.wait_for_log("stays in force").contains("name, listen"));
     fixture.dns.update_zone(|zone| zone.serial = 2);
@@ -133,11 +134,11 @@
 fn reload_applies_the_name_service_but_not_changed_settings() {
     let fixture = start_fixture();
     fixture.node.wait_for_log("serial=1");
-    let other_dns = DnsServer::start(vec![fixture.servers[0].dns_record()]);
-    other_dns.update_zone(|zone| zone.serial = 2);
+    let new_dns = DnsServer::start(vec![fixture.servers[0].dns_record()]);
+    new_dns.update_zone(|zone| zone.serial = 2);
     let all: Vec<&MediaServer> = fixture.servers.iter().collect();
     let changed =
-        Node::config(other_dns.addr, &all, 256, 3_000_000).replace(r#""name":"paid""#, r#""name":"dear""#);
+        Node::config(new_dns.addr, &all, 256, 3_000_000).replace(r#""name":"paid""#, r#""name":"dear""#);
     fixture.node.rewrite_config(&changed);
     fixture.node.send_signal("HUP");
     fixture.node.wait_for_log("settings: they have changed");
@@ -216,16 +217,16 @@
 fn idle_viewers_block_nobody_while_the_name_service_is_silent() {
     let fixture = start_with_replacements(64, &[]);
     fixture.dns.update_zone(|zone| zone.mode = DnsMode::Silent);
-    let mut first = fixture.node.connect_viewer();
-    let mut connection = fixture.start_session(&mut first, 221);
+    let mut first_viewer = fixture.node.connect_viewer();
+    let mut connection = fixture.start_session(&mut first_viewer, 221);
     for round in 0..4 {
-        let crowd: Vec<fake_peers::Viewer> = (0..100).map(|_| fixture.node.connect_viewer()).collect();
+        let idle_viewers: Vec<fake_peers::Viewer> = (0..100).map(|_| fixture.node.connect_viewer()).collect();
         let mut newcomer = fixture.node.connect_viewer();
         newcomer.send(&set_up_message(222 + round, &[TITLE_AT_FIRST]));
         connection.serve_set_up(&mut newcomer, 222 + round);
         connection.end_play(&mut newcomer, 222 + round);
         assert!(fixture.node.descriptor_count() <= 64);
-        drop(crowd);
+        drop(idle_viewers);
     }
-    connection.end_play(&mut first, 221);
+    connection.end_play(&mut first_viewer, 221);
 }
--- a/crates/edge/tests/node_slow_peers.rs
+++ b/crates/edge/tests/node_slow_peers.rs
@@ -36,15 +36,15 @@
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(301, &[TITLE_AT_FIRST, (6, "60000")]));
     let (mut connection, request) = fixture.next_set_up(0);
-    let mut other = fixture.node.connect_viewer();
-    other.send(&set_up_message(400, &[TITLE_AT_SECOND]));
-    let mut beside = fixture.servers[1].accept();
-    beside.serve_set_up(&mut other, 400);
+    let mut other_viewer = fixture.node.connect_viewer();
+    other_viewer.send(&set_up_message(400, &[TITLE_AT_SECOND]));
+    let mut other_connection = fixture.servers[1].accept();
+    other_connection.serve_set_up(&mut other_viewer, 400);
     for (byte, play) in rtsp_response(200, "1", request.session(), DESCRIPTION).chars().zip(401..) {
         connection.send(&byte.to_string());
-        other.send(&set_up_message(play, &[TITLE_AT_SECOND]));
-        beside.serve_set_up(&mut other, play);
-        beside.end_play(&mut other, play);
+        other_viewer.send(&set_up_message(play, &[TITLE_AT_SECOND]));
+        other_connection.serve_set_up(&mut other_viewer, play);
+        other_connection.end_play(&mut other_viewer, play);
     }
     assert_eq!(viewer.expect_message(ANSWER, 301).parameter(48), Some(DESCRIPTION.as_bytes()));
 }
@@ -56,14 +56,14 @@
     let mut viewer = fixture.node.connect_viewer();
     // It has an established session: only connections that never sent a message are closed for being slow.
     let mut connection = fixture.start_session(&mut viewer, 302);
-    let mut other = fixture.node.connect_viewer();
+    let mut other_viewer = fixture.node.connect_viewer();
     let bytes = set_up_message(303, &[TITLE_AT_FIRST]);
     let (last, first) = bytes.split_last().expect("bytes");
     for (byte, play) in first.iter().zip(500..) {
         viewer.send(&[*byte]);
-        other.send(&set_up_message(play, &[TITLE_AT_FIRST]));
-        connection.serve_set_up(&mut other, play);
-        connection.end_play(&mut other, play);
+        other_viewer.send(&set_up_message(play, &[TITLE_AT_FIRST]));
+        connection.serve_set_up(&mut other_viewer, play);
+        connection.end_play(&mut other_viewer, play);
     }
     viewer.send(&[*last]);
     connection.serve_set_up(&mut viewer, 303);
@@ -144,8 +144,8 @@
 #[test_case("KILL"; "killed")]
 fn node_restarts_at_its_address_while_old_connections_linger(signal: &str) {
     let mut fixture = start_fixture();
-    let mut lingers = fixture.node.connect_viewer();
-    let connection = fixture.start_session(&mut lingers, 310);
+    let mut old_viewer = fixture.node.connect_viewer();
+    let connection = fixture.start_session(&mut old_viewer, 310);
     let idle: Vec<_> = (0..20).map(|_| fixture.node.connect_viewer()).collect();
     fixture.node.send_signal(signal);
     assert_eq!(fixture.node.wait_for_exit().success(), signal == "TERM");
@@ -157,7 +157,7 @@
     new_connection.end_play(&mut viewer, 310);
     viewer.send(&set_up_message(311, &[TITLE_AT_FIRST]));
     new_connection.serve_set_up(&mut viewer, 311);
-    assert_eq!(lingers.next_message(), None);
+    assert_eq!(old_viewer.next_message(), None);
     drop((connection, idle));
 }
 
@@ -175,8 +175,8 @@
     viewer.send(&bytes[30..]);
     let _ = viewer.stream.shutdown(Shutdown::Write);
     assert_eq!(viewer.next_message(), None);
-    let mut again = node.connect_viewer();
-    again.send(&encode_message(RELEASE, 312, &[(45, &[16])]));
-    again.send(&set_up_message(313, &[TITLE_AT_FIRST]));
-    fixture.servers[0].accept().serve_set_up(&mut again, 313);
+    let mut new_viewer = node.connect_viewer();
+    new_viewer.send(&encode_message(RELEASE, 312, &[(45, &[16])]));
+    new_viewer.send(&set_up_message(313, &[TITLE_AT_FIRST]));
+    fixture.servers[0].accept().serve_set_up(&mut new_viewer, 313);
 }
--- a/crates/message-mutation/src/delivery.rs
+++ b/crates/message-mutation/src/delivery.rs
@@ -385,13 +385,13 @@
         }
         self.result.allocations_sent += 1;
         self.schedule(time_out, Event::AllocationTimeOut(front_id, play, allocation_number));
-        if server >= SERVERS || !self.servers[server].up {
+        if server >= SERVERS || !self.servers[server].is_up {
             return self.schedule(1.0, Event::Unreachable(front_id, play, allocation_number));
         }
         let (allocation, session) =
             (format!("{front_id}-{play:x}-{allocation_number}"), format!("{front_id}-{play:x}"));
         self.record(Observed::SetUp { server, allocation, session, product, title, rung });
-        if self.servers[server].silent {
+        if self.servers[server].is_silent {
             return;
         }
         let sessions_at_server = self.fronts.iter().flat_map(|f| f.sessions.values());
--- a/crates/message-mutation/src/world.rs
+++ b/crates/message-mutation/src/world.rs
@@ -1,5 +1,5 @@
 //! Simulates three fronts, four servers in two zones, viewers and a name service, from one seed. Servers crash and come back cold,
-//! drain or fall silent; fronts exchange gossip. What players and servers see is recorded as observations. Times are in ms.
+//! drain or fall silent; fronts exchange gossip. What viewers and servers see is recorded as observations. Times are in ms.
 
 use crate::messages::{self, SetUp};
 use crate::{Kind, MutatedMessage};
@@ -19,13 +19,17 @@
 pub const SERVERS: usize = 4;
 /// Index of the front that speaks HTTP with servers; the others speak RTSP.
 pub(crate) const HTTP_FRONT: usize = 2;
+/// The streams that a server has room for.
 pub(crate) const STREAMS_PER_SERVER: f64 = 40.0;
+/// The time limit that viewers set.
 pub(crate) const TIME_LIMIT_MS: f64 = 1_500.0;
-/// Plays arrive until then; in the rest of the run the fronts recover.
+/// Viewers send set-ups until then; in the rest of the run the fronts recover.
 const ARRIVALS_END_MS: f64 = 2_000.0;
 /// Messages until then are recorded and may be mutated; later ones let the fronts recover.
 pub(crate) const RECORDING_END_MS: f64 = 2_300.0;
+/// End of the run.
 const RUN_END_MS: f64 = 4_600.0;
+/// How long a server is cold after its start.
 pub(crate) const COLD_MS: f64 = 2_000.0;
 
 /// A scheduled event. Fields are, where they apply, front, server, play and number of the allocation.
@@ -58,8 +62,8 @@
 /// The state of a media server.
 #[derive(Clone, Copy)]
 pub(crate) struct ServerState {
-    pub(crate) up: bool,
-    pub(crate) silent: bool,
+    pub(crate) is_up: bool,
+    pub(crate) is_silent: bool,
 }
 
 /// The outcome of a run.
@@ -75,8 +79,8 @@
     pub max_parts_held: u32,
     /// The parts that a server's budget has.
     pub total_parts: u32,
-    /// Whether the first front ever held more parts than its own.
-    pub has_lent: bool,
+    /// Whether the first front ever held more parts than its own, which it must have borrowed.
+    pub has_borrowed: bool,
     /// The status of the drift verdict at the end, by front.
     pub drift_status: Vec<u8>,
     /// The number of servers doubted at the end, by front.
@@ -129,7 +133,7 @@
             queue: BTreeMap::new(),
             sequence: 0,
             fronts: (0..FRONTS).map(|front_id| new_front(front_id, seed)).collect(),
-            servers: [ServerState { up: true, silent: false }; SERVERS],
+            servers: [ServerState { is_up: true, is_silent: false }; SERVERS],
             list: (0..SERVERS).map(listing).collect(),
             serial: 1,
             observations: Vec::new(),
@@ -181,7 +185,7 @@
             };
             let parts_held = (0..SERVERS).map(parts).max().unwrap_or(0);
             self.result.max_parts_held = self.result.max_parts_held.max(parts_held);
-            self.result.has_lent |=
+            self.result.has_borrowed |=
                 self.fronts[0].member.budget_parts(self.now, stable_id("m0")) > PARTS_PER_FRONT;
         }
         self.now = RUN_END_MS;
@@ -339,7 +343,7 @@
         match step {
             // The first server crashes and comes back cold; the second drains; the third is silent for a while.
             0 => {
-                self.servers[0].up = false;
+                self.servers[0].is_up = false;
                 self.record(Observed::Stopped { server: 0 });
                 for front_id in 0..FRONTS {
                     let at_server = |(play, s): (&u64, &Session)| {
@@ -354,15 +358,15 @@
                 self.set_standing(0, Standing::Gone);
             }
             1 => {
-                self.servers[0].up = true;
+                self.servers[0].is_up = true;
                 self.record(Observed::Started { server: 0, cold: true });
                 self.list[0].started_at = self.now;
                 self.set_standing(0, Standing::Ready);
             }
             2 => self.set_standing(1, Standing::Draining),
-            3 => self.servers[2].silent = true,
+            3 => self.servers[2].is_silent = true,
             4 => self.set_standing(1, Standing::Ready),
-            _ => self.servers[2].silent = false,
+            _ => self.servers[2].is_silent = false,
         }
     }
 }
--- a/crates/message-mutation/tests/single_mutations.rs
+++ b/crates/message-mutation/tests/single_mutations.rs
@@ -46,7 +46,7 @@
         Vec::<String>::new()
     );
     assert!(
-        base.requests > 80 && base.has_lent && base.estimated_plays.iter().all(|n| *n > 60),
+        base.requests > 80 && base.has_borrowed && base.estimated_plays.iter().all(|n| *n > 60),
         "{} {:?}",
         base.requests,
         base.estimated_plays
