--- a/crates/edge/tests/node_fixture/mod.rs
+++ b/crates/edge/tests/node_fixture/mod.rs
@@ -4,7 +4,7 @@
 use crate::fake_peers::{self, DnsServer, MediaServer, Node, ServerConnection, Viewer, set_up_message};
 use std::time::{Duration, Instant};
 
-/// Kinds of viewers' messages.
+/// Message kinds of the viewers' protocol: set-up, answer to it, end of a play.
 pub const SET_UP: u8 = 1;
 pub const ANSWER: u8 = 9;
 pub const RELEASE: u8 = 12;
@@ -39,9 +39,9 @@
     let dns = DnsServer::start(servers.iter().map(MediaServer::dns_record).collect());
     let all: Vec<&MediaServer> = servers.iter().collect();
     let mut config = Node::config(dns.addr, &all, sockets, 3_000_000);
-    for (was, is) in replacements {
-        assert!(config.contains(was), "{was}");
-        config = config.replace(was, is);
+    for (old_text, new_text) in replacements {
+        assert!(config.contains(old_text), "{old_text}");
+        config = config.replace(old_text, new_text);
     }
     let node = Node::start(&config);
     NodeFixture { node, dns, servers }
--- a/crates/edge/tests/node_lifecycle.rs
+++ b/crates/edge/tests/node_lifecycle.rs
@@ -204,10 +204,10 @@
 #[test_case("[100.0,200.0]", "[200.0,100.0]", "settings: extra.ladderKb[1] is 100.0"; "a descending ladder")]
 #[test_case(r#""coldUs":0"#, r#""coldUs":-1"#, "settings: rules.coldUs is -1"; "out of range")]
 #[test_case(r#""lanes""#, r#""rows""#, "settings: lanes[0].name"; "no class name")]
-fn invalid_settings_fail_the_start_with_place_and_cause(was: &str, is: &str, fault: &str) {
+fn invalid_settings_fail_the_start_with_place_and_cause(old_text: &str, new_text: &str, expected: &str) {
     let config = Node::config(([127, 0, 0, 1], 9).into(), &[], 256, 3_000_000);
-    assert!(config.contains(was));
-    assert_start_fails(&config.replace(was, is), fault);
+    assert!(config.contains(old_text));
+    assert_start_fails(&config.replace(old_text, new_text), expected);
 }
 
 // ---- handed-over sessions, memory, logged counts ----
--- a/crates/edge/tests/node_races_shutdown.rs
+++ b/crates/edge/tests/node_races_shutdown.rs
@@ -118,12 +118,12 @@
 /// The file of another node or customer names a name service that is not this node's.
 #[test_case(r#""name":"n1""#, r#""name":"n2""#; "another name")]
 #[test_case(r#""listen":"127.0.0.1:0""#, r#""listen":"127.0.0.1:9""#; "another address")]
-fn reload_ignores_the_config_of_another_node(was: &str, is: &str) {
+fn reload_ignores_the_config_of_another_node(old_text: &str, new_text: &str) {
     let fixture = start_fixture();
     fixture.node.wait_for_log("serial=1");
     let new_dns = DnsServer::start(vec![]);
     new_dns.update_zone(|zone| zone.serial = 9);
-    fixture.node.rewrite_config(&Node::config(new_dns.addr, &[], 256, 3_000_000).replace(was, is));
+    fixture.node.rewrite_config(&Node::config(new_dns.addr, &[], 256, 3_000_000).replace(old_text, new_text));
     fixture.node.send_signal("HUP");
     assert!(fixture.node.wait_for_log("stays in force").contains("name, listen"));
     fixture.dns.update_zone(|zone| zone.serial = 2);
