--- a/crates/admission/src/concurrency.rs
+++ b/crates/admission/src/concurrency.rs
@@ -88,7 +88,7 @@
 
     /// Records that the front spent `duration_ms` on one decision (one call of the placement logic), which is not the
     /// set-up delay of a play.
-    pub fn on_decided(&mut self, duration_ms: f64) {
+    pub fn record_decision_time(&mut self, duration_ms: f64) {
         if duration_ms.is_finite() && duration_ms >= 0.0 {
             self.decision_ms += DECISION_SMOOTHING * (duration_ms - self.decision_ms);
         }
@@ -105,7 +105,7 @@
 
     /// Records a set-up that failed because the servers are overloaded: a full server refused it, or it timed out. It
     /// counts like a long delay of unknown length. `in_progress` includes this set-up.
-    pub fn on_lost(&mut self, in_progress: usize) {
+    pub fn on_overload_failure(&mut self, in_progress: usize) {
         self.failed_count += 1;
         self.record_outcome(in_progress);
     }
@@ -187,7 +187,7 @@
     #[test]
     fn failures_lower_the_limit_within_its_bounds() {
         let mut limit = ConcurrencyLimit::new(CONFIG);
-        (0..2000).for_each(|_| limit.on_lost(limit.clone().current()));
+        (0..2000).for_each(|_| limit.on_overload_failure(limit.clone().current()));
         // The room for a small queue lets a few plays through, by which the fleet's recovery is noticed.
         assert!((4..=10).contains(&limit.current()), "{}", limit.current());
         run(&mut limit, 100_000, 100_000, 50_000);
@@ -209,11 +209,11 @@
     fn time_per_decision_bounds_the_limit() {
         let mut limit = ConcurrencyLimit::new(LimitConfig { max_limit: 1e6, ..CONFIG });
         run(&mut limit, 1_000_000, 1_000_000, 100_000);
-        (0..1000).for_each(|_| limit.on_decided(0.1));
+        (0..1000).for_each(|_| limit.record_decision_time(0.1));
         assert!((1900..=2100).contains(&limit.current()), "{}", limit.current());
-        (0..1000).for_each(|_| limit.on_decided(5.0));
+        (0..1000).for_each(|_| limit.record_decision_time(5.0));
         assert!((39..=41).contains(&limit.current()), "{}", limit.current());
-        (0..1000).for_each(|_| limit.on_decided(5000.0));
+        (0..1000).for_each(|_| limit.record_decision_time(5000.0));
         assert_eq!(limit.current(), 1, "one set-up at a time is allowed, whatever the lower bound");
     }
 
--- a/crates/admission/src/read_retries.rs
+++ b/crates/admission/src/read_retries.rs
@@ -22,7 +22,7 @@
     Status(u16),
     /// The body ended before its stated length.
     Truncated,
-    /// More than the stated length arrived, or the length differs from that of the first response.
+    /// More than the stated length arrived, or the length, the range or the ETag does not fit the first response.
     Length,
     /// Nothing arrived for too long.
     Stalled,
--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! A connection with TLS counts as connected only once the handshake is done, so no byte of a request has
 //! been sent to a server whose handshake failed. Bytes that wait inside the TLS session count as unsent for
-//! [`Connection::pending`], and as sent for [`Connection::bytes_sent`].
+//! [`Connection::unsent_bytes`], and as sent for [`Connection::bytes_sent`].
 
 pub mod timers;
 
@@ -57,7 +57,7 @@
     pub deadline: f64,
     /// Whether nothing more can be read: the peer has closed its side, the connection is broken, or the owner
     /// has given it up.
-    pub closed: bool,
+    pub has_ended: bool,
     is_broken: bool,
     is_write_shut_down: bool,
     is_connected: bool,
@@ -69,7 +69,7 @@
     pub fn read(&mut self, max_bytes: usize) -> bool {
         let before = self.input.len();
         let mut chunk = [0; READ_CHUNK_BYTES];
-        while !self.closed && self.input.len() < max_bytes {
+        while !self.has_ended && self.input.len() < max_bytes {
             let wanted = (max_bytes - self.input.len()).min(READ_CHUNK_BYTES);
             let read = match self.tls.as_mut() {
                 Some(tls) => {
@@ -85,11 +85,11 @@
                 None => (&*self.stream).read(&mut chunk[..wanted]),
             };
             match read {
-                Ok(0) => self.closed = true,
+                Ok(0) => self.has_ended = true,
                 Ok(n) => self.input.extend_from_slice(&chunk[..n]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => (self.closed, self.is_broken) = (true, true),
+                Err(_) => (self.has_ended, self.is_broken) = (true, true),
             }
         }
         self.input.len() > before
@@ -112,7 +112,7 @@
     }
 
     /// Queues bytes. They are sent by [`Connection::flush`].
-    pub fn write(&mut self, bytes: &[u8]) {
+    pub fn queue(&mut self, bytes: &[u8]) {
         self.bytes_queued += bytes.len() as u64;
         self.output.extend_from_slice(bytes);
     }
@@ -120,7 +120,7 @@
     /// Removes `length` queued bytes that start at `offset`. Returns false and changes nothing if any of them
     /// may have been sent, or was never queued. The bytes queued after them move forward by `length`, so the
     /// caller has to adjust the offsets that it keeps.
-    pub fn cancel_write(&mut self, offset: u64, length: usize) -> bool {
+    pub fn cancel_queued(&mut self, offset: u64, length: usize) -> bool {
         if offset < self.bytes_sent || offset + length as u64 > self.bytes_queued {
             return false;
         }
@@ -140,7 +140,7 @@
 
     /// How many bytes were queued and not sent. All output that waits inside the TLS session counts as one
     /// byte.
-    pub fn pending(&self) -> usize {
+    pub fn unsent_bytes(&self) -> usize {
         let has_tls_output = self.tls.as_ref().is_some_and(|tls| tls.wants_write());
         self.output.len() - self.output_sent + usize::from(has_tls_output)
     }
@@ -148,7 +148,7 @@
     /// Sends as many of the queued bytes as the socket takes. Returns true if the socket took anything.
     pub fn flush(&mut self) -> bool {
         let mut has_written = false;
-        while self.pending() > 0 {
+        while self.unsent_bytes() > 0 {
             let unsent = &self.output[self.output_sent..];
             let written = match self.tls.as_mut() {
                 Some(tls) if tls.wants_write() => tls.write_tls(&mut &*self.stream).map(|n| (n, 0)),
@@ -171,7 +171,7 @@
                     break;
                 }
                 Err(_) => {
-                    (self.closed, self.is_broken) = (true, true);
+                    (self.has_ended, self.is_broken) = (true, true);
                     break;
                 }
             }
@@ -209,7 +209,7 @@
 
     /// Whether the connection was established, including its TLS handshake. Returns `None` while this is in
     /// progress.
-    pub fn connected(&mut self) -> Option<bool> {
+    pub fn poll_established(&mut self) -> Option<bool> {
         if !self.is_connected {
             match self.stream.take_error() {
                 Ok(None) => self.is_connected = self.stream.peer_addr().is_ok(),
@@ -221,7 +221,7 @@
             self.read(READ_CHUNK_BYTES);
             self.flush();
             if self.is_handshaking() {
-                return self.closed.then_some(false);
+                return self.has_ended.then_some(false);
             }
         }
         self.is_connected.then_some(true)
@@ -339,7 +339,7 @@
             bytes_queued: 0,
             bytes_sent: 0,
             deadline: f64::INFINITY,
-            closed: false,
+            has_ended: false,
             is_broken: false,
             is_write_shut_down: false,
             is_connected: false,
@@ -356,10 +356,10 @@
     }
 
     /// Whether any connection whose role satisfies `has_role` still has unsent bytes.
-    pub fn any_pending(&self, has_role: impl Fn(&R) -> bool) -> bool {
+    pub fn any_unsent_bytes(&self, has_role: impl Fn(&R) -> bool) -> bool {
         self.connections
             .iter()
-            .any(|(_, (_, connection))| has_role(&connection.role) && connection.pending() > 0)
+            .any(|(_, (_, connection))| has_role(&connection.role) && connection.unsent_bytes() > 0)
     }
 
     /// The ids of all open connections.
--- a/crates/connections/tests/reached.rs
+++ b/crates/connections/tests/reached.rs
@@ -23,7 +23,7 @@
         TcpStream::connect(listener.local_addr().expect("the listener's address")).expect("a connection");
     let id = connections.open(stream, None, ()).expect("a connection is opened");
     let connection = connections.get_mut(id).expect("the connection is open");
-    connection.write(b"POST");
+    connection.queue(b"POST");
     assert!(connection.flush());
     let (mut server, _) = listener.accept().expect("the server accepts");
     server.read_exact(&mut [0; 4]).expect("the server reads the request");
@@ -34,5 +34,5 @@
     while connection.peer_ip().is_some() {
         std::thread::yield_now();
     }
-    assert_eq!(connection.connected(), Some(true));
+    assert_eq!(connection.poll_established(), Some(true));
 }
--- a/crates/dash/src/address.rs
+++ b/crates/dash/src/address.rs
@@ -30,7 +30,7 @@
     /// A segment of a session; `pass` is the session token.
     Segment { pass: &'a str, rung: usize, which: SegmentId },
     /// The current manifest of a running play.
-    Again { pass: &'a str },
+    Refresh { pass: &'a str },
     /// The time.
     Time,
     /// The session itself, which a `DELETE` ends.
@@ -75,7 +75,7 @@
             let entry = query.split('&').find_map(|pair| pair.strip_prefix("token="));
             Route::Manifest { product, title, entry }
         }
-        ("s", pass, "manifest.mpd", None) if !pass.is_empty() => Route::Again { pass },
+        ("s", pass, "manifest.mpd", None) if !pass.is_empty() => Route::Refresh { pass },
         ("s", pass, "", None) if !pass.is_empty() => Route::Session { pass },
         ("s", pass, rung, Some(file)) if !pass.is_empty() => {
             let which = match file.strip_suffix(".m4s").map(|name| (name, name.split_once("-t"))) {
--- a/crates/dash/src/mpd.rs
+++ b/crates/dash/src/mpd.rs
@@ -6,7 +6,7 @@
 //! SegmentTimeline (5.3.9.4, 5.3.9.6). Other elements are ignored. Unsupported elements that would change where segments
 //! are (a SegmentList, a BaseURL at a lower level, an open-ended timeline) are errors that name their place.
 //!
-//! Segments are numbered from 1 through all Periods, as on the media servers; [`Presentation::at_time`] finds the
+//! Segments are numbered from 1 through all Periods, as on the media servers; [`Presentation::segment_number_at`] finds the
 //! number of a segment that is addressed by its time.
 
 use crate::address::{INITIALISATION_TEMPLATE, MEDIA_BY_TIME_TEMPLATE, MEDIA_TEMPLATE, TIME_PATH};
@@ -136,7 +136,7 @@
     }
 
     /// Duration of the longest segment, ms, rounded down.
-    pub fn longest_segment(&self) -> u64 {
+    pub fn max_segment_ms(&self) -> u64 {
         let longest = self.periods.iter().map(|p| match &p.segments {
             Segments::FixedDuration { segment_ms } => *segment_ms,
             Segments::Timeline { timescale, entries, .. } => {
@@ -148,13 +148,13 @@
 
     /// Number of segments in all Periods; none if a Period with segments of fixed duration has no known end, as in a live
     /// title.
-    pub fn segments(&self) -> Option<u64> {
+    pub fn segment_count(&self) -> Option<u64> {
         self.periods_with_durations().map(|(period, duration_ms)| period.segments.count(duration_ms)).sum()
     }
 
     /// The number of the segment that begins at `time`, in units of the Period's timescale, in the Period whose first
     /// segment has the number `first`.
-    pub fn at_time(&self, first: u64, time: u64) -> Option<u64> {
+    pub fn segment_number_at(&self, first: u64, time: u64) -> Option<u64> {
         let mut count_before = 0;
         for (period, duration_ms) in self.periods_with_durations() {
             if count_before + 1 == first {
@@ -178,13 +178,13 @@
     /// first Period has segments of fixed duration, these are the segments that are complete and still kept, with that
     /// duration for all Periods; the last complete segment stays available. For any other title they are all segments.
     /// None if there is none yet, or if the number of all segments is needed and not known.
-    pub fn available(&self, now: u64) -> Option<(u64, u64)> {
-        let Some(live) = &self.live else { return Some((1, self.segments()?)) };
+    pub fn available_segments(&self, now: u64) -> Option<(u64, u64)> {
+        let Some(live) = &self.live else { return Some((1, self.segment_count()?)) };
         let Segments::FixedDuration { segment_ms } = self.periods.first()?.segments else {
-            return Some((1, self.segments()?));
+            return Some((1, self.segment_count()?));
         };
         let last = now.checked_sub(live.from_ms)? / segment_ms.max(1);
-        let last = self.segments().map_or(last, |all| all.min(last));
+        let last = self.segment_count().map_or(last, |all| all.min(last));
         // A segment expires when the time-shift window after its end has passed.
         let expired_count = |window: u64| now.saturating_sub(live.from_ms + window) / segment_ms.max(1);
         let first = live.window_ms.map_or(1, |window| expired_count(window) + 1);
@@ -207,13 +207,13 @@
         set("profiles", "urn:mpeg:dash:profile:isoff-live:2011");
         set("type", if self.live.is_some() { "dynamic" } else { "static" });
         if let Some(live) = &self.live {
-            set("availabilityStartTime", &date(live.from_ms));
-            set("publishTime", &date(live.published_ms));
+            set("availabilityStartTime", &format_date(live.from_ms));
+            set("publishTime", &format_date(live.published_ms));
             live.update_ms.into_iter().for_each(|ms| set("minimumUpdatePeriod", &format_duration(ms)));
             live.window_ms.into_iter().for_each(|ms| set("timeShiftBufferDepth", &format_duration(ms)));
         }
         self.duration_ms.into_iter().for_each(|ms| set("mediaPresentationDuration", &format_duration(ms)));
-        set("minBufferTime", &format_duration(self.longest_segment()));
+        set("minBufferTime", &format_duration(self.max_segment_ms()));
         out.write_event(Event::Start(mpd))?;
         if let Some(location) = &self.location {
             out.create_element("Location").write_text_content(BytesText::new(location))?;
@@ -311,7 +311,7 @@
 }
 
 /// A date and time in UTC (XML Schema part 2, 3.2.7), from ms since 1970.
-pub fn date(ms: u64) -> String {
+pub fn format_date(ms: u64) -> String {
     let (days, rest) = ((ms / 86_400_000) as i64, ms % 86_400_000);
     let mut year = 1970 + days / 365;
     while days_to_march(year) > days {
@@ -688,7 +688,7 @@
     if mpd.duration_ms.is_some_and(|ms| ms > MAX_DURATION_MS) {
         return error(format!("longer than {MAX_DURATION_MS} ms"));
     }
-    if mpd.segments().is_some_and(|n| n > MAX_SEGMENTS) {
+    if mpd.segment_count().is_some_and(|n| n > MAX_SEGMENTS) {
         return error(format!("over {MAX_SEGMENTS} segments"));
     }
     Ok(mpd)
--- a/crates/dash/src/token.rs
+++ b/crates/dash/src/token.rs
@@ -143,7 +143,7 @@
     }
 
     /// Checks whether [`KeyRing::replace`] would accept these keys at `now`, s since 1970.
-    pub fn may_replace(&self, keys: &[(String, Vec<u8>)], now: u64) -> Result<(), KeyError> {
+    pub fn check_replace(&self, keys: &[(String, Vec<u8>)], now: u64) -> Result<(), KeyError> {
         let new_ring = KeyRing::new(keys)?;
         let mut known_keys = self.live.iter().chain(self.retired.iter().map(|(k, _)| k));
         if let Some(key) = known_keys
@@ -161,7 +161,7 @@
     /// Replaces the live keys at `now`, s since 1970. Keys that are no longer listed verify for another `overlap_s`; a
     /// retired key that is listed again becomes live. On an error, nothing changes.
     pub fn replace(&mut self, keys: &[(String, Vec<u8>)], now: u64, overlap_s: u64) -> Result<(), KeyError> {
-        self.may_replace(keys, now)?;
+        self.check_replace(keys, now)?;
         let new_ring = KeyRing::new(keys)?;
         let is_kept = |key: &Key| new_ring.live.iter().any(|n| n.kid == key.kid);
         self.retired.retain(|(k, until)| *until > now && !is_kept(k));
--- a/crates/dash/tests/mpd.rs
+++ b/crates/dash/tests/mpd.rs
@@ -1,7 +1,7 @@
 //! Manifests are written, parsed back, and parsed by an independent parser (dash-mpd). Errors name the place in the MPD.
 
 use proptest::prelude::*;
-use pulleystair_dash::mpd::{Live, Period, Presentation, Segments, TimelineEntry, date, parse};
+use pulleystair_dash::mpd::{Live, Period, Presentation, Segments, TimelineEntry, format_date, parse};
 use test_case::test_case;
 
 fn plain(duration_ms: u64, segment_ms: u64) -> Presentation {
@@ -16,7 +16,7 @@
 #[test_case(10, 2000, 1; "one short segment")]
 fn an_independent_parser_reads_a_written_manifest(duration_ms: u64, segment_ms: u64, segments: u64) {
     let presentation = plain(duration_ms, segment_ms);
-    assert_eq!(presentation.segments(), Some(segments));
+    assert_eq!(presentation.segment_count(), Some(segments));
     let mpd = dash_mpd::parse(&presentation.write()).expect("the independent parser accepts it");
     assert_eq!(mpd.mpdtype.as_deref(), Some("static"));
     assert_eq!(mpd.id.as_deref(), Some("forms & fees <1>"));
@@ -54,13 +54,13 @@
     assert_eq!(mpd.timeShiftBufferDepth.unwrap().as_millis(), 30_000);
     assert_eq!(mpd.availabilityStartTime.unwrap().timestamp_millis(), 1_764_600_716_250);
     assert_eq!(mpd.locations[0].url, "/s/a.b.c/manifest.mpd");
-    assert_eq!((mpd.mediaPresentationDuration, presentation.segments()), (None, None));
+    assert_eq!((mpd.mediaPresentationDuration, presentation.segment_count()), (None, None));
 }
 
 #[test]
 fn segments_of_a_live_title_become_available_and_expire() {
     let presentation = live(10_000, Some(60_000));
-    let available_at = |ms: u64| presentation.available(1_764_600_716_250 + ms);
+    let available_at = |ms: u64| presentation.available_segments(1_764_600_716_250 + ms);
     assert_eq!(available_at(0), None);
     assert_eq!(available_at(1_999), None, "the first segment is not complete");
     assert_eq!(available_at(2_000), Some((1, 1)));
@@ -68,7 +68,7 @@
     assert_eq!(available_at(12_000), Some((2, 6)), "the first segment has left the time-shift window");
     assert_eq!(available_at(60_000), Some((26, 30)));
     assert_eq!(available_at(600_000), Some((30, 30)), "the title has ended");
-    assert_eq!(presentation.available(5), None, "long before the start");
+    assert_eq!(presentation.available_segments(5), None, "long before the start");
 }
 
 /// Two Periods; the segments of the first are addressed by time, those of the second by number.
@@ -99,11 +99,18 @@
         (2, 12_000, Some(60_500))
     );
     assert_eq!(presentation.periods[1].segments, Segments::FixedDuration { segment_ms: 4000 });
-    assert_eq!(presentation.segments(), Some(5 + 13));
-    assert_eq!(presentation.longest_segment(), 4000);
-    assert_eq!([900, 180_900, 540_900, 720_900].map(|t| presentation.at_time(1, t)), [1, 2, 4, 5].map(Some));
-    assert_eq!([0, 901, 360_000, 1_080_900].map(|t| presentation.at_time(1, t)), [None; 4]);
-    assert_eq!(presentation.at_time(6, 900), None, "segments of the second Period are addressed by number");
+    assert_eq!(presentation.segment_count(), Some(5 + 13));
+    assert_eq!(presentation.max_segment_ms(), 4000);
+    assert_eq!(
+        [900, 180_900, 540_900, 720_900].map(|t| presentation.segment_number_at(1, t)),
+        [1, 2, 4, 5].map(Some)
+    );
+    assert_eq!([0, 901, 360_000, 1_080_900].map(|t| presentation.segment_number_at(1, t)), [None; 4]);
+    assert_eq!(
+        presentation.segment_number_at(6, 900),
+        None,
+        "segments of the second Period are addressed by number"
+    );
     // The MPD that is written for players numbers segments through all Periods, and parses to the same presentation.
     let reparsed = parse(&presentation.write()).unwrap();
     assert_eq!(reparsed, presentation);
@@ -164,7 +171,7 @@
 #[test_case(4_107_542_399_000, "2100-02-28T23:59:59.000Z"; "a century without a leap day")]
 #[test_case(1_764_600_716_250, "2025-12-01T14:51:56.250Z"; "a day in december")]
 fn dates_match_the_calendar(ms: u64, text: &str) {
-    assert_eq!(date(ms), text);
+    assert_eq!(format_date(ms), text);
 }
 
 fn presentation() -> impl Strategy<Value = Presentation> {
@@ -235,16 +242,16 @@
                 let times = entries.iter().flat_map(|e| (0..=e.repeat).map(|r| e.start + r * e.duration));
                 let times: Vec<u64> = times.collect();
                 for (n, time) in times.iter().enumerate() {
-                    prop_assert_eq!(presentation.at_time(first, *time), Some(first + n as u64));
+                    prop_assert_eq!(presentation.segment_number_at(first, *time), Some(first + n as u64));
                     if !times.contains(&(time + 1)) {
-                        prop_assert_eq!(presentation.at_time(first, time + 1), None);
+                        prop_assert_eq!(presentation.segment_number_at(first, time + 1), None);
                     }
                 }
             }
             let mut shortened = presentation.clone();
             shortened.periods.truncate(i + 1);
             shortened.duration_ms = presentation.periods.get(i + 1).map(|next| next.start_ms).or(presentation.duration_ms);
-            match shortened.segments() {
+            match shortened.segment_count() {
                 Some(all) => first = all + 1,
                 None => break,
             }
--- a/crates/dash/tests/targets_and_tokens.rs
+++ b/crates/dash/tests/targets_and_tokens.rs
@@ -20,7 +20,7 @@
     assert_eq!(address::parse("/s/p/"), Some(Route::Session { pass: "p" }));
     let which = SegmentId::Time { first: 18, time: 90_000 };
     assert_eq!(address::parse("/s/p/1/18-t90000.m4s"), Some(Route::Segment { pass: "p", rung: 1, which }));
-    assert_eq!(address::parse(&address::refresh_path("p")), Some(Route::Again { pass: "p" }));
+    assert_eq!(address::parse(&address::refresh_path("p")), Some(Route::Refresh { pass: "p" }));
     assert_eq!(address::parse("/v1/time"), Some(Route::Time));
 }
 
--- a/crates/dispatcher/src/actions.rs
+++ b/crates/dispatcher/src/actions.rs
@@ -38,7 +38,7 @@
     /// First of the cells whose servers hold the title.
     pub first_cell: usize,
     /// Number of consecutive cells, from `first_cell` on, whose servers hold the title.
-    pub holders: usize,
+    pub holder_cells: usize,
     /// Highest rung that the viewer can use.
     pub max_rung: usize,
     /// When the viewer sent the request, which may be before the dispatcher took it.
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -225,8 +225,8 @@
         }
     }
 
-    /// The viewer has left, or the play's end was reported from elsewhere.
-    pub fn on_viewer_left(&mut self, play_id: u64, actions: &mut impl Actions) {
+    /// Ends a play, because its viewer has left or its end was reported from elsewhere.
+    pub fn close_play(&mut self, play_id: u64, actions: &mut impl Actions) {
         if let Some(&play_index) = self.by_id.get(&play_id) {
             self.policy.finish_play(&mut self.plays, play_index);
             if self.plays[play_index].server.is_some() {
@@ -238,7 +238,7 @@
 
     /// Called when the host shuts down: sets the deadline of all plays that do not run yet to now. Set-ups in flight are
     /// withdrawn, and waiting plays get their final answer.
-    pub fn expire_pending(&mut self, now: f64, actions: &mut impl Actions) {
+    pub fn expire_unanswered(&mut self, now: f64, actions: &mut impl Actions) {
         let mut unanswered: Vec<usize> =
             self.by_id.values().copied().filter(|play_index| !self.plays[*play_index].playing).collect();
         unanswered.sort_unstable();
@@ -329,9 +329,7 @@
 
     /// Stores a new play and returns its index.
     fn insert_play(&mut self, play_id: u64, request: &PlayRequest) -> usize {
-        let PlayRequest {
-            product, first_cell, holders: holder_cells, max_rung, arrived_at, deadline, ..
-        } = *request;
+        let PlayRequest { product, first_cell, holder_cells, max_rung, arrived_at, deadline, .. } = *request;
         let title = self.titles.add_play(request.title);
         let play = Play {
             product,
--- a/crates/dispatcher/tests/cold_fleet.rs
+++ b/crates/dispatcher/tests/cold_fleet.rs
@@ -232,7 +232,7 @@
             product: 0,
             title,
             first_cell,
-            holders: self.fleet.holders,
+            holder_cells: self.fleet.holders,
             max_rung: 2,
             arrived_at,
             deadline,
--- a/crates/dispatcher/tests/simulated.rs
+++ b/crates/dispatcher/tests/simulated.rs
@@ -322,7 +322,7 @@
                     product,
                     title: product as u64,
                     first_cell: product,
-                    holders: 4,
+                    holder_cells: 4,
                     max_rung: 2,
                     arrived_at: self.now,
                     deadline: self.now + TIME_LIMIT_MS,
@@ -339,7 +339,7 @@
                 if self.plays[front].get(&play_id).is_some_and(|play| !play.answered) {
                     self.plays[front].get_mut(&play_id).expect("the play is open").answered = true;
                     self.record(Observed::Left { request: play_id });
-                    self.call(front, |dispatcher, _, actions| dispatcher.on_viewer_left(play_id, actions));
+                    self.call(front, |dispatcher, _, actions| dispatcher.close_play(play_id, actions));
                 }
             }
             Event::TimerFires(front, timer) => {
--- a/crates/dispatcher/tests/waiting_plays.rs
+++ b/crates/dispatcher/tests/waiting_plays.rs
@@ -68,7 +68,7 @@
             product: 0,
             title: id,
             first_cell: 0,
-            holders: 1,
+            holder_cells: 1,
             max_rung: 0,
             arrived_at: now,
             deadline,
@@ -143,12 +143,12 @@
 #[test]
 fn a_stopping_host_answers_waiting_plays_and_withdraws_set_ups() {
     let mut host = host_with_waiting_play();
-    host.dispatcher.expire_pending(host.now, &mut host.actions);
+    host.dispatcher.expire_unanswered(host.now, &mut host.actions);
     assert_eq!(host.end_turn(), [Action::Decline(2, 500.0)], "the running play continues");
     let mut host = TestHost::with_settings(test_settings());
     host.add_play(1);
     host.end_turn();
-    host.dispatcher.expire_pending(host.now, &mut host.actions);
+    host.dispatcher.expire_unanswered(host.now, &mut host.actions);
     assert_eq!(host.end_turn(), [Action::Withdraw(1)]);
     host.dispatcher.on_allocation_ended(
         host.now,
--- a/crates/dns-discovery/src/lib.rs
+++ b/crates/dns-discovery/src/lib.rs
@@ -34,14 +34,15 @@
     pub weight: f64,
     /// When the server started, Unix ms, if it started late; otherwise 0. A later time than that of the
     /// previous list means a restart.
-    pub started: f64,
+    pub started_at: f64,
 }
 
 /// The events known when a node starts, in order.
 #[derive(Debug, Deserialize)]
 pub struct InitialEvents {
     /// The revision of the list after these events.
-    pub rev: u32,
+    #[serde(rename = "rev")]
+    pub revision: u32,
     /// The events, oldest first.
     pub notices: Vec<ListEvent>,
 }
@@ -50,7 +51,8 @@
 #[derive(Debug, Deserialize)]
 pub struct ListEvent {
     /// The event's number, which is the revision of the list after it.
-    pub rev: u32,
+    #[serde(rename = "rev")]
+    pub revision: u32,
     pool: Pool,
 }
 
@@ -105,7 +107,7 @@
                 ServerState::Terminated => Standing::Gone,
             },
             weight: record.weight,
-            started: record.started_ms,
+            started_at: record.started_ms,
         };
         (self.pool.full, self.pool.servers.iter().map(entry).collect())
     }
@@ -221,7 +223,7 @@
             cell: attribute("cell")?.parse().map_err(|_| incomplete())?,
             standing: if srv.priority == DRAINING_PRIORITY { Standing::Draining } else { Standing::Ready },
             weight: f64::from(srv.weight) / WEIGHT_SCALE,
-            started: if started_ms.is_finite() { started_ms } else { 0.0 },
+            started_at: if started_ms.is_finite() { started_ms } else { 0.0 },
         });
     }
     Ok((serial, list))
--- a/crates/edge/src/actions.rs
+++ b/crates/edge/src/actions.rs
@@ -49,7 +49,7 @@
         ) {
             Ok(connection_id) => {
                 if let Some(connection) = self.connections.get_mut(connection_id) {
-                    connection.write(&request);
+                    connection.queue(&request);
                     connection.flush();
                 }
                 if let Some(session) = self.sessions.get_mut(play) {
--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/answers.rs
@@ -78,7 +78,7 @@
             if !connection.options.head_only && answer.status != 204 {
                 out.extend_from_slice(answer.body.as_bytes());
             }
-            connection.write(&out);
+            connection.queue(&out);
             connection.flush();
         }
     }
@@ -91,7 +91,7 @@
         let (idle_ms, slow_reader_ms, slow_reader_kb) =
             (limits.idle_ms, limits.slow_reader_ms, limits.slow_reader_kb);
         let Some(connection) = self.connections.get_mut(connection_id) else { return };
-        let pending = connection.pending();
+        let pending = connection.unsent_bytes();
         let is_closing = connection.options.close;
         if !connection.input.is_empty() {
             self.connections_with_buffered_request.push(connection_id);
@@ -153,7 +153,7 @@
     pub(crate) fn authorize_pass(&mut self, player: ConnectionId, pass: &str) -> Result<u64, Answer> {
         let peer_ip = self.connections.get_mut(player).and_then(|connection| connection.peer_ip());
         let (now, limits) = (self.wall_clock_now(), &self.config.limits);
-        let pass = self.pass_keys.verify_session_signature(pass, (now / 1000.0) as u64);
+        let pass = self.session_key_ring.verify_session_signature(pass, (now / 1000.0) as u64);
         let pass = pass.map_err(|e| text_answer(e.status(), &e.to_string()))?;
         let not_here = || text_answer(410, "this session does not play here");
         let play = self.sessions.by_id(&pass.sid).ok_or_else(not_here)?;
@@ -191,7 +191,7 @@
             title: title.name.clone(),
             exp: ((self.wall_clock_now() + self.config.limits.pass_ms) / 1000.0).ceil() as u64,
         };
-        let pass = self.pass_keys.sign(&pass);
+        let pass = self.session_key_ring.sign(&pass);
         let bits_per_s = |rung: &Rung| ((rung.rate_kb * product.scale * 8000.0).ceil() as u64).max(1);
         let bandwidths: Vec<u64> = self.config.ladder[..=max_rung].iter().map(bits_per_s).collect();
         let mut presentation = Presentation::clone(&title.presentation);
@@ -248,7 +248,7 @@
         match complete_session {
             // After the last segment, only a repeated request for it can still come: one segment's duration is
             // enough.
-            Some(session) => session.title.presentation.longest_segment() as f64,
+            Some(session) => session.title.presentation.max_segment_ms() as f64,
             None => self.config.limits.play_idle_ms,
         }
     }
--- a/crates/edge/src/approved_versions.rs
+++ b/crates/edge/src/approved_versions.rs
@@ -13,7 +13,7 @@
 const MAX_BYTES: u64 = 64 << 20;
 
 /// Loads and checks the file. An error names the file, the version and the path of the invalid value, and the cause.
-pub fn read(file: &Path, config: &Config) -> anyhow::Result<VersionChain> {
+pub fn load(file: &Path, config: &Config) -> anyhow::Result<VersionChain> {
     let file_error = |cause: String| anyhow::anyhow!("sharing.approved: {}: {cause}", file.display());
     let size = std::fs::metadata(file).map_err(|e| file_error(e.to_string()))?.len();
     if size > MAX_BYTES {
@@ -71,7 +71,7 @@
         if !watched.check_replaced() {
             return;
         }
-        let loaded = read(watched.first_file(), &state.config).map_err(|e| e.to_string());
+        let loaded = load(watched.first_file(), &state.config).map_err(|e| e.to_string());
         let accepted = loaded.and_then(|chain| {
             let number = chain.head().map(|version| version.number);
             fleet.member.set_approved(chain).map(|()| number)
--- a/crates/edge/src/config/limits.rs
+++ b/crates/edge/src/config/limits.rs
@@ -32,7 +32,7 @@
     pub sessions: usize,
     /// Requests that may wait for the answer of one session.
     pub waiters: usize,
-    /// Concurrent segment reads of one play.
+    /// Concurrent segment requests of one play.
     pub fetches: usize,
     /// Whether a session token is valid only from the address that requested the play. Viewers whose address changes
     /// lose their plays.
--- a/crates/edge/src/config/mod.rs
+++ b/crates/edge/src/config/mod.rs
@@ -113,7 +113,7 @@
     /// Highest rung, as an index of the ladder; the top of the ladder if absent.
     pub top: Option<usize>,
     /// Factor of its rates to those of the ladder.
-    #[serde(default = "one")]
+    #[serde(default = "default_factor")]
     pub scale: f64,
     /// Whether its titles are live.
     #[serde(default)]
@@ -184,7 +184,7 @@
     /// Links of all servers together, kB/s.
     pub links_kb: f64,
     /// Load that a further viewer of a live title adds to a stream at the same server, as a fraction of the rate.
-    #[serde(default = "one")]
+    #[serde(default = "default_factor")]
     pub shared_part: f64,
     /// By this much the load metrics of servers are assumed to lag, as do their notes on running plays.
     pub notes_late_ms: f64,
@@ -254,7 +254,7 @@
     pub cross_zone: f64,
 }
 
-fn one() -> f64 {
+fn default_factor() -> f64 {
     1.0
 }
 
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -71,7 +71,7 @@
 /// Blocks SIGTERM, SIGINT, SIGHUP and SIGXFSZ, so that the event loop receives them and their default action, which
 /// ends the process, is not taken. To be called before any thread starts: a thread in which they are not blocked
 /// would still end the process.
-pub fn stop_signals() -> anyhow::Result<Signals> {
+pub fn block_signals() -> anyhow::Result<Signals> {
     // SIGTERM and SIGINT stop the front, SIGHUP has it read all files again. SIGXFSZ is sent when the log's file has
     // reached its size limit, and is ignored.
     Ok(Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGXFSZ])?)
@@ -176,7 +176,7 @@
         keys_file.iter_mut().for_each(|keys_file| {
             keys_file.check_replaced();
         });
-        let (entry_keys, pass_keys, revoked) =
+        let (entry_key_ring, session_key_ring, revoked) =
             config.key_rings().map_err(|(path, cause)| anyhow::anyhow!("{path}: {cause}"))?;
         let mut list_file = WatchedFiles::new(config.list.clone());
         list_file.check_replaced();
@@ -184,8 +184,8 @@
         let timers = Timers::new(started_at.as_secs_f64() * 1000.0);
         let fleet = Fleet::join(&config, &handle, timers.now(), seed)?;
         let state = EdgeState {
-            entry_keys,
-            pass_keys,
+            entry_key_ring,
+            session_key_ring,
             keys_file,
             tls,
             revoked: revoked.into_iter().collect(),
@@ -306,7 +306,7 @@
             return;
         };
         let is_connected =
-            state.connections.get_mut(connection_id).and_then(|connection| connection.connected());
+            state.connections.get_mut(connection_id).and_then(|connection| connection.poll_established());
         let outcome = if is_connected == Some(true) { Outcome::TimedOut } else { Outcome::Unreachable };
         // `waited` counts from the viewer's request, not from this allocation.
         debug!(target: "play", play, server = state.server_name(server), waited = now - session.arrived_at, "set-up timed out");
@@ -323,10 +323,10 @@
             return;
         }
         connection.deadline = f64::INFINITY;
-        let is_connected = connection.connected() == Some(true);
+        let is_connected = connection.poll_established() == Some(true);
         match &connection.role {
             Role::Player(PlayerState::ReadingRequest)
-                if connection.pending() == 0 && !connection.input.is_empty() =>
+                if connection.unsent_bytes() == 0 && !connection.input.is_empty() =>
             {
                 state.send_answer_and_close(
                     connection_id,
@@ -334,7 +334,7 @@
                 );
             }
             Role::Player(_) => {
-                if connection.pending() > 0 {
+                if connection.unsent_bytes() > 0 {
                     info!(target: "front", "closed a player's connection: it read the answer too slowly");
                 }
                 state.close_player_connection(connection_id);
@@ -413,7 +413,7 @@
                 self.state.end_play(play, "front stopped", answer);
             }
         }
-        self.dispatcher.expire_pending(self.state.now(), &mut self.state);
+        self.dispatcher.expire_unanswered(self.state.now(), &mut self.state);
         self.process_pending();
         for play in self.state.sessions.open_plays() {
             self.end_running_play(play, "front stopped");
--- a/crates/edge/src/fleet.rs
+++ b/crates/edge/src/fleet.rs
@@ -101,7 +101,7 @@
             watched
         });
         if let Some(file) = &sharing.approved {
-            let chain = approved_versions::read(file, config)?;
+            let chain = approved_versions::load(file, config)?;
             member.set_approved(chain).map_err(|e| anyhow::anyhow!("sharing.approved: {e}"))?;
         }
         let socket = UdpSocket::bind(listen)
@@ -160,10 +160,10 @@
                 server: Server {
                     id: stable_id(&s.name),
                     zone: zone(&s.zone),
-                    cell: s.cell,
+                    placement_cell: s.cell,
                     link: s.weight * config.fleet.link_unit_kb,
                 },
-                born: s.started_ms as u64,
+                process_started_at: s.started_ms as u64,
                 cold_until: s.started_ms + config.rules.cold_ms,
             })
             .collect();
@@ -173,7 +173,7 @@
         cell_ranges.dedup();
         let cells = config.fleet.cells;
         let holders = |(first, count): (usize, usize)| -> Vec<u64> {
-            let is_holder = |s: &&ListedServer| (s.server.cell + cells - first) % cells < count;
+            let is_holder = |s: &&ListedServer| (s.server.placement_cell + cells - first) % cells < count;
             servers.iter().filter(is_holder).map(|s| s.server.id).collect()
         };
         let holders_of_titles = cell_ranges.into_iter().map(holders).collect();
@@ -210,7 +210,7 @@
                 let zone = zones.iter().position(|z| *z == server.zone).unwrap_or(0);
                 let candidate = Candidate {
                     server: server.stable_id,
-                    born: server.started_at,
+                    process_started_at: server.started_at,
                     zone,
                     chance: *chance,
                     room: *room,
@@ -241,8 +241,11 @@
             return;
         }
         let Some(session) = self.sessions.get(play) else { return };
-        let (n, set_up_time, id) =
-            (session.allocation_count() as u32, now - session.sent_at, self.stable_server_id(server));
+        let (n, set_up_time, id) = (
+            session.allocation_count() as u32,
+            now - session.allocation_sent_at,
+            self.stable_server_id(server),
+        );
         let wall_clock = self.wall_clock_now();
         let Some(fleet) = self.fleet.as_mut() else { return };
         fleet.member.on_allocation_result(now, wall_clock, id, (play, n), outcome, set_up_time);
@@ -346,12 +349,12 @@
     /// were last logged.
     fn log_health(&mut self) {
         let health = self.member.health();
-        if health.doubted == self.last_logged.0 && health.lost == self.last_logged.1 {
+        if health.doubted == self.last_logged.0 && health.lost_zone == self.last_logged.1 {
             return;
         }
         let name = |id: &u64| self.server_names.get(id).cloned().unwrap_or_default();
         let doubted: Vec<String> = health.doubted.iter().map(name).collect();
-        info!(target: "fleet", ?doubted, zone_lost = health.lost, "doubted servers or lost zone changed");
-        (self.last_logged.0, self.last_logged.1) = (health.doubted.clone(), health.lost);
+        info!(target: "fleet", ?doubted, zone_lost = health.lost_zone, "doubted servers or lost zone changed");
+        (self.last_logged.0, self.last_logged.1) = (health.doubted.clone(), health.lost_zone);
     }
 }
--- a/crates/edge/src/http.rs
+++ b/crates/edge/src/http.rs
@@ -6,7 +6,7 @@
 /// The largest number of headers of a message.
 const MAX_HEADERS: usize = 64;
 /// The longest response head of a media server, bytes.
-pub const ANSWER_HEAD: usize = 16 << 10;
+pub const MAX_RESPONSE_HEAD_BYTES: usize = 16 << 10;
 /// The longest line with a chunk's size, bytes.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
 /// The longest validator (`ETag`, `If-None-Match`), bytes; a longer one is ignored.
@@ -167,7 +167,7 @@
 /// Why a media server's response can't be used.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResponseError {
-    #[error("response head longer than {ANSWER_HEAD} bytes")]
+    #[error("response head longer than {MAX_RESPONSE_HEAD_BYTES} bytes")]
     TooLong,
     #[error("response head malformed: {0}")]
     Malformed(String),
@@ -183,9 +183,9 @@
 pub fn parse_response(input: &[u8]) -> Result<Option<(Response, usize)>, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
-    let size = match head.parse(&input[..input.len().min(ANSWER_HEAD)]) {
+    let size = match head.parse(&input[..input.len().min(MAX_RESPONSE_HEAD_BYTES)]) {
         Ok(httparse::Status::Complete(size)) => size,
-        Ok(httparse::Status::Partial) if input.len() < ANSWER_HEAD => return Ok(None),
+        Ok(httparse::Status::Partial) if input.len() < MAX_RESPONSE_HEAD_BYTES => return Ok(None),
         Ok(httparse::Status::Partial) => return Err(ResponseError::TooLong),
         Err(e) => return Err(ResponseError::Malformed(e.to_string())),
     };
@@ -260,7 +260,7 @@
 impl Chunks {
     /// Decodes as much of `input` as is possible to `out`, and removes it from `input`. Returns true once the body
     /// has ended.
-    pub fn feed(&mut self, input: &mut Vec<u8>, out: &mut Vec<u8>) -> Result<bool, ResponseError> {
+    pub fn decode(&mut self, input: &mut Vec<u8>, out: &mut Vec<u8>) -> Result<bool, ResponseError> {
         let mut position = 0;
         let has_ended = loop {
             let rest = &input[position..];
@@ -342,9 +342,9 @@
         let body = b"4\r\nabcd\r\nA;x=y\r\n0123456789\r\n0\r\n\r\nnext";
         for cut in 0..body.len() {
             let (mut chunks, mut input, mut out) = (Chunks::default(), body[..cut].to_vec(), Vec::new());
-            let mut has_ended = chunks.feed(&mut input, &mut out).unwrap();
+            let mut has_ended = chunks.decode(&mut input, &mut out).unwrap();
             input.extend_from_slice(&body[cut..]);
-            has_ended |= !has_ended && chunks.feed(&mut input, &mut out).unwrap();
+            has_ended |= !has_ended && chunks.decode(&mut input, &mut out).unwrap();
             assert_eq!((has_ended, out.as_slice()), (true, b"abcd0123456789".as_slice()), "split at {cut}");
             assert_eq!(input, b"next", "split at {cut}");
         }
@@ -376,6 +376,6 @@
     #[test_case("1\r\nabc"; "longer than its size")]
     fn a_malformed_chunk_is_an_error(text: &str) {
         let (mut input, mut out) = (text.as_bytes().to_vec(), Vec::new());
-        assert!(Chunks::default().feed(&mut input, &mut out).is_err());
+        assert!(Chunks::default().decode(&mut input, &mut out).is_err());
     }
 }
--- a/crates/edge/src/main.rs
+++ b/crates/edge/src/main.rs
@@ -4,7 +4,7 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use pulleystair_edge::approved_versions;
 use pulleystair_edge::config::Config;
-use pulleystair_edge::edge::{self, read_list, stop_signals};
+use pulleystair_edge::edge::{self, block_signals, read_list};
 use pulleystair_edge::status;
 use pulleystair_node::Config as NodeConfig;
 use std::io::Write;
@@ -42,17 +42,27 @@
 #[derive(Subcommand)]
 enum Job {
     /// Run a front with this configuration file until SIGTERM
-    Run { rundown: PathBuf },
+    Run {
+        #[arg(value_name = "RUNDOWN")]
+        config: PathBuf,
+    },
     /// Run a front on the platform's protocol, with the configuration file that PROXY_CONFIG names, until SIGTERM
     Node,
     /// Check a configuration file and its list of servers, and print the first error
-    Check { rundown: PathBuf },
+    Check {
+        #[arg(value_name = "RUNDOWN")]
+        config: PathBuf,
+    },
     /// Print a configuration file with its defaults filled in, as JSON
-    Show { rundown: PathBuf },
+    Show {
+        #[arg(value_name = "RUNDOWN")]
+        config: PathBuf,
+    },
     /// Query the running front of this configuration file for whether the fleet runs the approved version; the exit code is 0
     /// if so, 1 if a front does not, 2 if that is unknown
     Drift {
-        rundown: PathBuf,
+        #[arg(value_name = "RUNDOWN")]
+        config: PathBuf,
         /// Print the whole status report, as JSON
         #[arg(long)]
         json: bool,
@@ -76,38 +86,38 @@
 
 /// Runs a subcommand and returns the exit code.
 fn run(command: Command) -> anyhow::Result<ExitCode> {
-    let stop = stop_signals()?;
+    let stop = block_signals()?;
     let (_guard, dropped_lines) = init_logging(&command)?;
     match command.job {
-        Job::Drift { rundown, json } => {
-            let report = status::query(&Config::read(&rundown)?)?;
+        Job::Drift { config, json } => {
+            let report = status::query(&Config::read(&config)?)?;
             let text =
                 if json { serde_json::to_string_pretty(&report)? + "\n" } else { status::table(&report) };
             std::io::stdout().write_all(text.as_bytes())?;
             return Ok(ExitCode::from(status::exit_code(&report)));
         }
-        Job::Run { rundown } => edge::run(Config::read(&rundown)?, stop, dropped_lines)?,
+        Job::Run { config } => edge::run(Config::read(&config)?, stop, dropped_lines)?,
         Job::Node => {
             let path = std::env::var_os("PROXY_CONFIG").context("PROXY_CONFIG is not set")?;
-            pulleystair_node::run(NodeConfig::read(Path::new(&path))?, stop)?;
+            pulleystair_node::run(NodeConfig::load(Path::new(&path))?, stop)?;
         }
-        Job::Check { rundown } => {
-            let config = Config::read(&rundown)?;
+        Job::Check { config: config_file } => {
+            let config = Config::read(&config_file)?;
             let list = read_list(&config)?;
             if let Some(file) = &config.sharing.approved {
-                approved_versions::read(file, &config)?;
+                approved_versions::load(file, &config)?;
             }
             println!(
                 "{}: valid; {} products, {} rungs, {} servers, {} titles",
-                rundown.display(),
+                config_file.display(),
                 config.products.len(),
                 config.ladder.len(),
                 list.servers.len(),
                 list.titles.len()
             );
         }
-        Job::Show { rundown } => {
-            println!("{}", serde_json::to_string_pretty(&Config::read(&rundown)?)?);
+        Job::Show { config } => {
+            println!("{}", serde_json::to_string_pretty(&Config::read(&config)?)?);
         }
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/edge/src/players.rs
+++ b/crates/edge/src/players.rs
@@ -88,29 +88,29 @@
                 // answer may be lost.
                 connection.read(header_bytes);
                 connection.input.clear();
-                if connection.pending() == 0 {
+                if connection.unsent_bytes() == 0 {
                     connection.shutdown_write();
                 }
-                if connection.closed {
+                if connection.has_ended {
                     state.close_player_connection(connection_id);
                 }
                 return;
             }
             let length_before = connection.input.len();
             let has_read = connection.read(header_bytes);
-            if connection.closed {
+            if connection.has_ended {
                 state.close_player_connection(connection_id);
                 return;
             }
             match player_state {
                 PlayerState::FetchingSegment(_) => {
-                    let (pending, relay_bytes) = (connection.pending(), state.config.limits.relay_bytes);
+                    let (pending, relay_bytes) = (connection.unsent_bytes(), state.config.limits.relay_bytes);
                     if pending < relay_bytes / 2 {
                         self.resume_relay(connection_id);
                     }
                     return;
                 }
-                PlayerState::ReadingRequest if connection.pending() == 0 => {}
+                PlayerState::ReadingRequest if connection.unsent_bytes() == 0 => {}
                 _ => return,
             }
             if connection.input.is_empty() {
@@ -164,9 +164,9 @@
             (_, None) => text_answer(404, "nothing is served here"),
             ("OPTIONS", _) => text_answer(204, ""),
             ("GET" | "HEAD", Some(Route::Time)) => {
-                text_answer(200, &pulleystair_dash::mpd::date(self.state.wall_clock_now() as u64))
+                text_answer(200, &pulleystair_dash::mpd::format_date(self.state.wall_clock_now() as u64))
             }
-            ("GET" | "HEAD", Some(Route::Again { pass })) => {
+            ("GET" | "HEAD", Some(Route::Refresh { pass })) => {
                 match self.state.authorize_pass(connection_id, pass) {
                     Ok(play) => self.state.refresh_manifest(play),
                     Err(answer) => answer,
@@ -217,7 +217,7 @@
         // still valid by it is not refused as expired.
         let earliest_now_s =
             ((state.wall_clock_now() - state.config.limits.skew_ms) / 1000.0).max(0.0) as u64;
-        let entry = match state.entry_keys.verify_entry(token, earliest_now_s, product, title) {
+        let entry = match state.entry_key_ring.verify_entry(token, earliest_now_s, product, title) {
             Ok(entry) if state.revoked.contains(&entry.jti) => {
                 return Some(text_answer(403, "this session was revoked"));
             }
@@ -321,13 +321,13 @@
             product: session.product,
             title: session.title_number as u64,
             first_cell: session.title.first_cell,
-            holders: session.title.holders,
+            holder_cells: session.title.holders,
             max_rung: session.max_rung.min(self.state.config.ladder.len() - 1),
             arrived_at: session.arrived_at,
             deadline: session.deadline,
         };
         self.dispatcher.add_play(now, play, &play_request, &mut self.state);
-        self.state.set_up_limit.on_decided(self.state.now() - now);
+        self.state.set_up_limit.record_decision_time(self.state.now() - now);
     }
 
     /// Answers the queued plays whose time has run out with 503, and admits as many of the others as the limit
@@ -364,11 +364,11 @@
         let number = match which {
             SegmentId::Initialisation => Some(0),
             SegmentId::Number(number) => Some(number),
-            SegmentId::Time { first, time } => presentation.at_time(first, time),
+            SegmentId::Time { first, time } => presentation.segment_number_at(first, time),
         };
         let number = number.filter(|_| rung < state.config.ladder.len());
         let Some(number) = number else { return Some(text_answer(404, "no such segment")) };
-        match presentation.available(state.wall_clock.time_at(now) as u64) {
+        match presentation.available_segments(state.wall_clock.time_at(now) as u64) {
             _ if number == 0 => {}
             Some((first, _)) if number < first => {
                 return Some(text_answer(404, "that segment is kept no more"));
@@ -435,7 +435,7 @@
     pub(crate) fn cancel_undecided_play(&mut self, play: u64, cause: &'static str, answer: Answer) {
         self.state.end_play(play, cause, answer);
         if !self.state.admission_queue.remove(play) {
-            self.dispatcher.on_viewer_left(play, &mut self.state);
+            self.dispatcher.close_play(play, &mut self.state);
         }
     }
 
--- a/crates/edge/src/server_list.rs
+++ b/crates/edge/src/server_list.rs
@@ -79,7 +79,7 @@
     /// File of an MPD that describes the title, relative to the list's folder.
     pub manifest: Option<PathBuf>,
     /// The presentation that results from the fields above; set by [`List::load`].
-    #[serde(skip, default = "nothing")]
+    #[serde(skip, default = "empty_presentation")]
     pub presentation: Rc<Presentation>,
 }
 
@@ -96,7 +96,7 @@
 }
 
 /// Placeholder for the presentation of a title that was parsed, until [`List::load`] sets it.
-fn nothing() -> Rc<Presentation> {
+fn empty_presentation() -> Rc<Presentation> {
     Rc::new(Presentation::plain(String::new(), 1, 1))
 }
 
--- a/crates/edge/src/server_requests.rs
+++ b/crates/edge/src/server_requests.rs
@@ -97,7 +97,7 @@
                 new_request.bytes.split_at(new_request.bytes.len() - if headers.is_empty() { 0 } else { 2 });
             let bytes = [head, headers.as_bytes(), end].concat();
             *request = Some(new_request);
-            connection.write(&bytes);
+            connection.queue(&bytes);
             connection.flush();
         }
         self.set_connection_deadline(connection_id, deadline);
@@ -307,7 +307,7 @@
         let Some(connection) = self.connections.get_mut(player) else { return };
         let mut out = Vec::new();
         http::write_response_head(&mut out, head.status, head.length, !connection.options.close, &headers);
-        connection.write(&out);
+        connection.queue(&out);
         self.set_connection_deadline(player, deadline);
     }
 }
--- a/crates/edge/src/servers.rs
+++ b/crates/edge/src/servers.rs
@@ -25,14 +25,14 @@
     pub(crate) fn on_allocation_connection(&mut self, connection_id: ConnectionId) {
         let now = self.state.now();
         let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
-        let is_connected = connection.connected();
+        let is_connected = connection.poll_established();
         if is_connected == Some(true) {
             connection.flush();
         }
-        connection.read(http::ANSWER_HEAD.max(2 * MAX_NOTE_BYTES));
+        connection.read(http::MAX_RESPONSE_HEAD_BYTES.max(2 * MAX_NOTE_BYTES));
         // Reading may have completed a handshake, or made it fail.
-        let is_connected = connection.connected();
-        let is_closed = connection.closed || is_connected == Some(false);
+        let is_connected = connection.poll_established();
+        let is_closed = connection.has_ended || is_connected == Some(false);
         let tls_error = connection.tls_error.take();
         let Role::Allocation { play, server, stage } = &mut connection.role else { return };
         let (play, server) = (*play, *server);
@@ -77,7 +77,7 @@
     pub(crate) fn on_play_started(&mut self, now: f64, play: u64, server: u32, load: &[LoadMetric]) {
         let state = &mut self.state;
         state.fleet_on_result(now, play, server, Outcome::Playing);
-        let sent_at = state.sessions.get(play).map_or(now, |s| s.sent_at);
+        let sent_at = state.sessions.get(play).map_or(now, |s| s.allocation_sent_at);
         state.set_up_limit.on_set_up(now - sent_at, state.pending_set_ups);
         state.pending_set_ups = state.pending_set_ups.saturating_sub(1);
         if let Some(answer) = state.manifest_answer(play) {
@@ -106,13 +106,13 @@
         loop {
             let now = self.state.now();
             let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
-            let is_closed = connection.closed;
+            let is_closed = connection.has_ended;
             let Role::Allocation { stage: AllocationStage::ReadingNotes { chunks, text }, .. } =
                 &mut connection.role
             else {
                 return;
             };
-            let decoded = chunks.feed(&mut connection.input, text);
+            let decoded = chunks.decode(&mut connection.input, text);
             let mut notes = Vec::new();
             while let Some(end) = text.iter().position(|b| *b == b'\n') {
                 let note: Vec<u8> = text.drain(..=end).collect();
@@ -141,7 +141,7 @@
                 Ok(false) => {}
             }
             let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
-            if !connection.read(2 * MAX_NOTE_BYTES) && !connection.closed {
+            if !connection.read(2 * MAX_NOTE_BYTES) && !connection.has_ended {
                 return;
             }
         }
@@ -180,13 +180,13 @@
             let state = &mut self.state;
             // A set-up that a full server refused, or that timed out, indicates that the servers are overloaded.
             if matches!(outcome, Outcome::Full | Outcome::TimedOut) {
-                state.set_up_limit.on_lost(state.pending_set_ups);
+                state.set_up_limit.on_overload_failure(state.pending_set_ups);
             }
             state.pending_set_ups = state.pending_set_ups.saturating_sub(1);
             state.schedule_session_timer(play);
         }
         self.dispatcher.on_allocation_ended(now, play, server, outcome, was_playing, load, &mut self.state);
-        self.state.set_up_limit.on_decided(self.state.now() - now);
+        self.state.set_up_limit.record_decision_time(self.state.now() - now);
     }
 
     /// Resumes reading a segment from its server once the player has read enough of what was buffered for it.
@@ -208,12 +208,12 @@
             let now = state.now();
             let relay_bytes = state.config.limits.relay_bytes;
             let Some(connection) = state.connections.get_mut(connection_id) else { return };
-            let is_connected = connection.connected();
+            let is_connected = connection.poll_established();
             if is_connected == Some(true) {
                 connection.flush();
             }
             let has_read = connection.read(64 << 10);
-            let is_closed = connection.closed || is_connected == Some(false);
+            let is_closed = connection.has_ended || is_connected == Some(false);
             let Role::ServerPool { server, request, .. } = &mut connection.role else { return };
             let server = *server;
             let Some(request) = request else {
@@ -274,9 +274,9 @@
                     // The player disconnected during the response; the rest is not needed.
                     return state.close_pooled_connection(connection_id);
                 };
-                connection.write(&part);
+                connection.queue(&part);
                 connection.flush();
-                let is_full = connection.pending() >= relay_bytes && !is_done;
+                let is_full = connection.unsent_bytes() >= relay_bytes && !is_done;
                 if n > 0 {
                     state.set_connection_deadline(connection_id, now + state.config.limits.segment_ms);
                     state.add_relayed_bytes(connection_id, n as u64);
@@ -317,7 +317,7 @@
         let mut must_close = false;
         if let Some(connection) = state.connections.get_mut(connection_id) {
             // With more data than its length the response is valid, but the connection can't be reused.
-            must_close = connection.closed || !connection.input.is_empty();
+            must_close = connection.has_ended || !connection.input.is_empty();
             if let Role::ServerPool { request, is_fresh, .. } = &mut connection.role {
                 must_close |= request.as_ref().is_none_or(|r| r.close_after);
                 (*request, *is_fresh) = (None, false);
@@ -337,7 +337,7 @@
             if let Some(session) = state.sessions.get_mut(play) {
                 session.active_fetches = session.active_fetches.saturating_sub(1);
                 session.last_active_at = now;
-                session.is_complete |= session.title.presentation.segments() == Some(number);
+                session.is_complete |= session.title.presentation.segment_count() == Some(number);
                 state.schedule_session_timer(play);
             }
             state.on_answer_written(player);
--- a/crates/edge/src/sessions.rs
+++ b/crates/edge/src/sessions.rs
@@ -111,7 +111,7 @@
     pub server: Option<u32>,
     allocation_count: usize,
     /// When the latest allocation was sent.
-    pub sent_at: f64,
+    pub allocation_sent_at: f64,
     /// The connection of the latest allocation, while it is open.
     pub allocation_connection: Option<u64>,
     /// The rung that the play has now.
@@ -275,7 +275,7 @@
             return None;
         }
         let session = self.sessions.get_mut(&play)?;
-        (session.server, session.rung, session.notified_rung, session.sent_at) =
+        (session.server, session.rung, session.notified_rung, session.allocation_sent_at) =
             (Some(server), rung, Some(rung), now);
         session.allocation_count += 1;
         Some(session.allocation_count)
@@ -353,7 +353,7 @@
             no_waiters_since: now,
             server: None,
             allocation_count: 0,
-            sent_at: 0.0,
+            allocation_sent_at: 0.0,
             allocation_connection: None,
             rung: 0,
             notified_rung: None,
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -84,9 +84,9 @@
 pub(crate) struct EdgeState {
     pub(crate) config: Config,
     /// The keys that verify entry tokens.
-    pub(crate) entry_keys: KeyRing,
+    pub(crate) entry_key_ring: KeyRing,
     /// The keys that sign and verify passes (session tokens).
-    pub(crate) pass_keys: KeyRing,
+    pub(crate) session_key_ring: KeyRing,
     pub(crate) keys_file: Option<WatchedFiles>,
     pub(crate) tls: TlsConfigs,
     /// Ids of the sessions that were revoked.
@@ -178,7 +178,7 @@
         self.is_halted
             || self.is_stopping
                 && is_idle
-                && !self.connections.any_pending(|role| matches!(role, Role::Player(_)))
+                && !self.connections.any_unsent_bytes(|role| matches!(role, Role::Player(_)))
     }
 
     /// The server's name for the log.
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -155,11 +155,11 @@
         let now_s = (now / 1000.0) as u64;
         let replaced = Keys::load(watched.first_file()).map_err(|e| e.to_string()).and_then(
             |(keys, entry_secrets, session_secrets)| {
-                let (entry_ring, session_ring) = (&mut state.entry_keys, &mut state.pass_keys);
+                let (entry_ring, session_ring) = (&mut state.entry_key_ring, &mut state.session_key_ring);
                 // Both are checked before either is changed.
                 entry_ring
-                    .may_replace(&entry_secrets, now_s)
-                    .and(session_ring.may_replace(&session_secrets, now_s))
+                    .check_replace(&entry_secrets, now_s)
+                    .and(session_ring.check_replace(&session_secrets, now_s))
                     .map_err(|e| e.to_string())?;
                 entry_ring.replace(&entry_secrets, now_s, overlap_s).map_err(|e| e.to_string())?;
                 session_ring.replace(&session_secrets, now_s, overlap_s).map_err(|e| e.to_string())?;
@@ -177,7 +177,7 @@
             }
         };
         watched.record_acceptance();
-        let (entry_ring, session_ring) = (&state.entry_keys, &state.pass_keys);
+        let (entry_ring, session_ring) = (&state.entry_key_ring, &state.session_key_ring);
         info!(target: "keys", entry = ?entry_ring, pass = ?session_ring, revoked = revoked.len(), "keys taken");
         state.revoked = revoked.into_iter().collect();
         let revoked_plays: Vec<u64> =
--- a/crates/fleet-member/src/lib.rs
+++ b/crates/fleet-member/src/lib.rs
@@ -15,7 +15,7 @@
 use pulleystair_drift::stricter::stricter;
 use pulleystair_drift::verdict::judge;
 use pulleystair_drift::{ConfigReport, Sections, differences};
-use pulleystair_gossip::message::Origin;
+use pulleystair_gossip::message::FrontId;
 use pulleystair_gossip::{FrontView, Gossip, PeerListError};
 use pulleystair_shared_state::budgets::{BudgetKind, Budgets, PARTS_PER_FRONT};
 use pulleystair_shared_state::counts::PlayCounts;
@@ -44,8 +44,8 @@
 /// Converts a hint to the placement policy's type. `server` is left 0: the caller must set it to the policy's own number of
 /// the server.
 pub fn policy_hint(hint: &ServerHint) -> pulleystair::ServerHint {
-    let ServerHint { doubted, pace, further_gap, probe_gap, .. } = *hint;
-    pulleystair::ServerHint { server: 0, doubted, pace, further_gap, probe_gap }
+    let ServerHint { doubted, pace_multiple, further_gap, probe_gap, .. } = *hint;
+    pulleystair::ServerHint { server: 0, doubted, pace_multiple, further_gap, probe_gap }
 }
 
 /// What a [`FleetMember`] is made with.
@@ -79,7 +79,7 @@
     /// The server.
     pub server: Server,
     /// When its process started.
-    pub born: u64,
+    pub process_started_at: u64,
     /// Until when it is cold, ms.
     pub cold_until: f64,
 }
@@ -131,7 +131,7 @@
         let mut member = FleetMember {
             incarnation,
             front_count,
-            budgets: Budgets::new(now, gossip.own(), incarnation, front_count, config.lease_ms),
+            budgets: Budgets::new(now, gossip.own_id(), incarnation, front_count, config.lease_ms),
             counts: PlayCounts::default(),
             server_health: ServerHealth::new(now, config.zone),
             outcomes: OutcomeLog::new(config.zone, config.bucket, config.max_set_up),
@@ -160,8 +160,9 @@
         self.listed_servers = servers.iter().map(|server| (server.server.id, *server)).collect();
         self.titles = titles;
         let listed_servers = &self.listed_servers;
-        self.outcomes
-            .keep_servers(|id, born| listed_servers.get(&id).is_some_and(|server| server.born == born));
+        self.outcomes.keep_servers(|id, born| {
+            listed_servers.get(&id).is_some_and(|server| server.process_started_at == born)
+        });
         self.last_hints.retain(|id, _| listed_servers.contains_key(id));
     }
 
@@ -266,7 +267,7 @@
     }
 
     /// The name of the front that a datagram is for.
-    pub fn name(&self, to: Origin) -> &str {
+    pub fn name(&self, to: FrontId) -> &str {
         self.gossip.name(to)
     }
 
@@ -295,7 +296,7 @@
     /// Reads the other fronts' rows into the budgets and the health of servers.
     fn read_rows(&mut self, now: f64) {
         let rows: Vec<FrontView> =
-            self.gossip.fronts(now).filter(|v| v.origin != self.gossip.own()).collect();
+            self.gossip.fronts(now).filter(|v| v.origin != self.gossip.own_id()).collect();
         let peers: Vec<PeerState> = rows.iter().map(|row| row::peer_state(row, &self.config.zones)).collect();
         self.budgets.merge(now, &peers);
         let servers: Vec<Server> = self.listed_servers.values().map(|it| it.server).collect();
@@ -314,7 +315,7 @@
             let hint = ServerHint {
                 server: *id,
                 doubted: self.health.doubted.contains(id),
-                pace: share(BudgetKind::Pace),
+                pace_multiple: share(BudgetKind::Pace),
                 further_gap: gap(self.config.further_s, BudgetKind::Further),
                 probe_gap: gap(self.config.probes_s, BudgetKind::Probes),
             };
--- a/crates/fleet-member/src/row.rs
+++ b/crates/fleet-member/src/row.rs
@@ -37,10 +37,10 @@
     let old_count = cells_written.insert(keys.start, cells.len().min(max_cells)).unwrap_or(0);
     let new_count = cells.len();
     for (key, cell) in keys.clone().zip(cells) {
-        gossip.put(key, cell);
+        gossip.set_cell(key, cell);
     }
     for key in keys.skip(new_count).take(old_count.saturating_sub(new_count)) {
-        gossip.put(key, Vec::new());
+        gossip.set_cell(key, Vec::new());
     }
 }
 
@@ -48,7 +48,7 @@
     /// Writes the cell with this front's zone.
     pub(crate) fn write_zone(&mut self) {
         let zone = self.config.zones.get(self.config.zone).cloned().unwrap_or_default();
-        self.gossip.put(ZONE, postcard::to_stdvec(&ZoneCell { zone }).unwrap_or_default());
+        self.gossip.set_cell(ZONE, postcard::to_stdvec(&ZoneCell { zone }).unwrap_or_default());
     }
 
     /// Writes all other cells of this front's row.
@@ -68,7 +68,7 @@
         }
         if self.ticks % SLOW_TICKS == 1 {
             let config_report = self.own_config_report(wall_clock).encode();
-            self.gossip.put(CONFIG_REPORT, config_report);
+            self.gossip.set_cell(CONFIG_REPORT, config_report);
         }
     }
 }
--- a/crates/fleet-member/src/status.rs
+++ b/crates/fleet-member/src/status.rs
@@ -27,7 +27,7 @@
 
 /// All other fronts, with what they report about their configurations.
 pub(crate) fn peer_fronts(gossip: &Gossip, now: f64) -> Vec<KnownFront> {
-    let others = gossip.fronts(now).filter(|row| row.origin != gossip.own());
+    let others = gossip.fronts(now).filter(|row| row.origin != gossip.own_id());
     let front_from = |row: pulleystair_gossip::FrontView| KnownFront {
         name: gossip.name(row.origin).to_string(),
         age: row.age,
@@ -40,7 +40,7 @@
 
 /// Names of the fronts that are unheard now.
 pub(crate) fn unheard(gossip: &Gossip, now: f64) -> BTreeSet<String> {
-    let others = gossip.fronts(now).filter(|row| row.origin != gossip.own());
+    let others = gossip.fronts(now).filter(|row| row.origin != gossip.own_id());
     let others = others.filter(|row| row.liveness == Liveness::Unheard);
     others.map(|row| gossip.name(row.origin).to_string()).collect()
 }
@@ -62,7 +62,7 @@
         let mut aggregates = Aggregates::default();
         let own_cells = self.outcomes.cells();
         aggregates.add(own_cells.iter().map(Vec::as_slice));
-        let others = self.gossip.fronts(now).filter(|row| row.origin != self.gossip.own());
+        let others = self.gossip.fronts(now).filter(|row| row.origin != self.gossip.own_id());
         for row in others.filter(|row| row.liveness != Liveness::Unheard) {
             let cells = row.cells(AGGREGATES).map(|(_, cell)| cell).filter(|cell| !cell.is_empty());
             aggregates.add(cells.collect::<Vec<&[u8]>>());
@@ -72,7 +72,7 @@
 
     /// Number of plays at a server over the whole fleet, of one product or of all.
     pub fn plays_at(&self, now: f64, server: u64, product: Option<u16>, bounds: PlayBounds) -> Interval {
-        let others = self.gossip.fronts(now).filter(|row| row.origin != self.gossip.own());
+        let others = self.gossip.fronts(now).filter(|row| row.origin != self.gossip.own_id());
         let others: Vec<_> = others.map(|row| peer_state(&row, &self.config.zones)).collect();
         self.counts.estimate(server, product, &others, bounds)
     }
@@ -116,7 +116,7 @@
                 json!({
                     "server": server_name(id),
                     "doubted": hint.is_some_and(|hint| hint.doubted),
-                    "pace": hint.map(|hint| hint.pace),
+                    "pace": hint.map(|hint| hint.pace_multiple),
                     "plays_heard": plays.best_estimate,
                 })
             })
@@ -138,7 +138,7 @@
                 "titles": titles.iter().take(MAX_TITLES).map(title_value).collect::<Vec<Value>>(),
             },
             "servers": server_values,
-            "zone_lost": self.health.lost.and_then(|z| self.config.zones.get(z)),
+            "zone_lost": self.health.lost_zone.and_then(|z| self.config.zones.get(z)),
             "unheard": self.unheard(now),
             "exchange": {
                 "sent": stats.sent, "sent_bytes": stats.sent_bytes, "taken": stats.taken, "late": stats.late,
--- a/crates/fuzz-checks/src/lib.rs
+++ b/crates/fuzz-checks/src/lib.rs
@@ -20,15 +20,15 @@
         Ok(manifest.clone()),
         "a written manifest parses as the same one"
     );
-    let segments = manifest.segments();
+    let segments = manifest.segment_count();
     assert!(segments.is_none_or(|n| n > 0 && n <= mpd::MAX_SEGMENTS));
     for now in [0, 1, 1_764_600_716_250, u64::MAX] {
-        if let Some((first, last)) = manifest.available(now) {
+        if let Some((first, last)) = manifest.available_segments(now) {
             assert!(first <= last && segments.is_none_or(|all| last <= all), "{first} to {last}");
         }
     }
     for time in [0, 1, 90_000, u64::MAX] {
-        let found = manifest.at_time(1, time);
+        let found = manifest.segment_number_at(1, time);
         assert!(found.is_none_or(|n| n > 0 && segments.is_none_or(|all| n <= all)));
     }
 }
@@ -106,7 +106,7 @@
         Some(Route::Manifest { product, title, .. }) => {
             assert!(address::is_valid_name(product) && address::is_valid_name(title));
         }
-        Some(Route::Segment { pass, .. } | Route::Again { pass } | Route::Session { pass }) => {
+        Some(Route::Segment { pass, .. } | Route::Refresh { pass } | Route::Session { pass }) => {
             assert!(!pass.is_empty() && !pass.contains('/'));
         }
         Some(Route::Time) | None => {}
@@ -116,7 +116,7 @@
 /// Checks a media server's response: its head is within the limit, and a chunked body decodes the same wherever the input is split.
 fn check_response(bytes: &[u8]) {
     let Ok(Some((response, used))) = http::parse_response(bytes) else { return };
-    assert!(used <= bytes.len().min(http::ANSWER_HEAD));
+    assert!(used <= bytes.len().min(http::MAX_RESPONSE_HEAD_BYTES));
     if !matches!(response.body, Body::Chunked(_)) {
         return;
     }
@@ -124,7 +124,7 @@
         let (mut chunks, mut input, mut out) = (Chunks::default(), Vec::new(), Vec::new());
         for part in parts {
             input.extend_from_slice(part);
-            match chunks.feed(&mut input, &mut out) {
+            match chunks.decode(&mut input, &mut out) {
                 Ok(true) => return Ok((out, true)),
                 Ok(false) => {}
                 Err(_) => return Err(()),
@@ -220,7 +220,7 @@
         let parsed = rtsp::Message::parse(input).map_err(|e| e.to_string())?;
         if let Some((message, used)) = &parsed {
             assert!(*used <= rtsp::MAX_BYTES && message.body.len() < *used);
-            assert!(message.report().all(|(_, value)| value.is_finite()));
+            assert!(message.load_values().all(|(_, value)| value.is_finite()));
         }
         Ok(parsed)
     });
@@ -230,7 +230,10 @@
 pub fn names(bytes: &[u8]) {
     let Ok((_, list)) = dns::parse_response(bytes) else { return };
     for entry in list {
-        assert!(!entry.id.is_empty() && entry.weight.is_finite() && entry.started.is_finite(), "{entry:?}");
+        assert!(
+            !entry.id.is_empty() && entry.weight.is_finite() && entry.started_at.is_finite(),
+            "{entry:?}"
+        );
     }
 }
 
@@ -252,11 +255,11 @@
         unheard_after: 2_000.0,
     };
     let mut front = gossip::Gossip::new(config, 0.0, 1_000, 7).expect("the configuration is valid");
-    front.put(1, vec![7; 500]);
+    front.set_cell(1, vec![7; 500]);
     let answers = front.receive(1.0, bytes);
     assert!(answers.len() <= 4 && answers.iter().all(|a| a.bytes.len() <= gossip::message::MAX_BYTES));
     assert!(
-        front.fronts(1.0).all(|f| f.origin == front.own() || f.age.is_infinite()),
+        front.fronts(1.0).all(|f| f.origin == front.own_id() || f.age.is_infinite()),
         "another front counts as heard, although nothing was requested"
     );
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -17,7 +17,7 @@
 mod row;
 mod view;
 
-use message::{Change, MAX_BYTES, Message, MessageError, Origin, RowVersion};
+use message::{Change, FrontId, MAX_BYTES, Message, MessageError, RowVersion};
 use oorandom::Rand32;
 use row::{ChangeResult, Row};
 use std::collections::{BTreeMap, VecDeque};
@@ -71,7 +71,7 @@
 }
 
 /// The identifier of a front: the CRC-32C of its name.
-pub fn origin_of(name: &str) -> Origin {
+pub fn front_id(name: &str) -> FrontId {
     crc32c::crc32c(name.as_bytes())
 }
 
@@ -79,17 +79,17 @@
 pub struct Gossip {
     config: GossipConfig,
     fleet: u32,
-    own_origin: Origin,
+    own_id: FrontId,
     rng: Rand32,
-    names: BTreeMap<Origin, String>,
-    rows: BTreeMap<Origin, Row>,
+    names: BTreeMap<FrontId, String>,
+    rows: BTreeMap<FrontId, Row>,
     /// Peers still to be asked, in random order. It is refilled once it is empty, so that all are asked equally often.
-    order: Vec<Origin>,
+    order: Vec<FrontId>,
     /// Index of the row that was last listed in rotation.
     rotation: usize,
     nonce: u32,
     /// Recent questions of this front: nonce, peer, and when it was asked.
-    open_questions: VecDeque<(u32, Origin, f64)>,
+    open_questions: VecDeque<(u32, FrontId, f64)>,
     next_round_at: f64,
     /// Bytes that may be sent now, and when that was last updated.
     token_bucket: (f64, f64),
@@ -102,21 +102,21 @@
     /// in any earlier start of this front, e.g. the wall clock's Unix ms. If it is not, it is raised once a peer reports a
     /// newer row of this front. Fails if two names are equal or have the same checksum.
     pub fn new(config: GossipConfig, now: f64, incarnation: u64, seed: u64) -> Result<Gossip, PeerListError> {
-        let own_origin = origin_of(&config.name);
-        let mut names = BTreeMap::from([(own_origin, config.name.clone())]);
+        let own_id = front_id(&config.name);
+        let mut names = BTreeMap::from([(own_id, config.name.clone())]);
         for peer in &config.peers {
-            match names.insert(origin_of(peer), peer.clone()) {
+            match names.insert(front_id(peer), peer.clone()) {
                 Some(other) if other == *peer => return Err(PeerListError::Duplicate(other)),
                 Some(other) => return Err(PeerListError::SameChecksum(other, peer.clone())),
                 None => {}
             }
         }
-        let mut rows: BTreeMap<Origin, Row> = names.keys().map(|o| (*o, Row::default())).collect();
-        rows.insert(own_origin, Row { incarnation, as_of: f64::INFINITY, ..Row::default() });
+        let mut rows: BTreeMap<FrontId, Row> = names.keys().map(|o| (*o, Row::default())).collect();
+        rows.insert(own_id, Row { incarnation, as_of: f64::INFINITY, ..Row::default() });
         Ok(Gossip {
             fleet: crc32c::crc32c(config.fleet.as_bytes()),
-            own_origin,
-            rng: Rand32::new(seed ^ u64::from(own_origin)),
+            own_id,
+            rng: Rand32::new(seed ^ u64::from(own_id)),
             names,
             rows,
             order: Vec::new(),
@@ -131,25 +131,25 @@
     }
 
     /// The identifier of this front.
-    pub fn own(&self) -> Origin {
-        self.own_origin
+    pub fn own_id(&self) -> FrontId {
+        self.own_id
     }
 
     /// The current incarnation of this front's row.
     pub fn incarnation(&self) -> u64 {
-        self.rows[&self.own_origin].incarnation
+        self.rows[&self.own_id].incarnation
     }
 
     /// The name of a front; "?" if it is unknown.
-    pub fn name(&self, origin: Origin) -> &str {
+    pub fn name(&self, origin: FrontId) -> &str {
         self.names.get(&origin).map_or("?", String::as_str)
     }
 
     /// Writes a cell of this front's own row. Writing the same value again changes nothing. Returns false, and writes
     /// nothing, if the value is too long.
-    pub fn put(&mut self, key: u16, value: Vec<u8>) -> bool {
+    pub fn set_cell(&mut self, key: u16, value: Vec<u8>) -> bool {
         let fits = value.len() <= MAX_CELL_BYTES;
-        if let Some(row) = self.rows.get_mut(&self.own_origin).filter(|_| fits)
+        if let Some(row) = self.rows.get_mut(&self.own_id).filter(|_| fits)
             && row.cells.get(&key).is_none_or(|(_, old_value)| *old_value != value)
         {
             row.version += 1;
@@ -164,12 +164,12 @@
     }
 
     /// One front; `None` if it is not in this fleet.
-    pub fn front(&self, now: f64, origin: Origin) -> Option<FrontView<'_>> {
+    pub fn front(&self, now: f64, origin: FrontId) -> Option<FrontView<'_>> {
         self.rows.get(&origin).map(|row| self.view(now, origin, row))
     }
 
     /// A row with its age, and the liveness and contradiction that follow from the time.
-    fn view<'a>(&self, now: f64, origin: Origin, row: &'a Row) -> FrontView<'a> {
+    fn view<'a>(&self, now: f64, origin: FrontId, row: &'a Row) -> FrontView<'a> {
         let age = row.age(now);
         let liveness = match age {
             _ if age > self.config.unheard_after => Liveness::Unheard,
@@ -207,7 +207,7 @@
                 .map(|o| self.rows[&o].received_version(now, o))
                 .collect();
             let question = Message {
-                from: self.own_origin,
+                from: self.own_id,
                 nonce: self.nonce,
                 echo: None,
                 wants_answer: true,
@@ -220,9 +220,9 @@
     }
 
     /// The peer to ask next.
-    fn next_peer(&mut self) -> Option<Origin> {
+    fn next_peer(&mut self) -> Option<FrontId> {
         if self.order.is_empty() {
-            self.order = self.rows.keys().copied().filter(|o| *o != self.own_origin).collect();
+            self.order = self.rows.keys().copied().filter(|o| *o != self.own_id).collect();
             for i in (1..self.order.len()).rev() {
                 self.order.swap(i, self.rng.rand_range(0..i as u32 + 1) as usize);
             }
@@ -231,16 +231,16 @@
     }
 
     /// Rows to list in a question: this front's own, those that changed last, and others in rotation.
-    fn rows_to_ask_about(&mut self) -> Vec<Origin> {
-        let mut latest: Vec<(f64, Origin)> = self.rows.iter().map(|(o, row)| (row.changed_at, *o)).collect();
-        let mut out = vec![self.own_origin];
+    fn rows_to_ask_about(&mut self) -> Vec<FrontId> {
+        let mut latest: Vec<(f64, FrontId)> = self.rows.iter().map(|(o, row)| (row.changed_at, *o)).collect();
+        let mut out = vec![self.own_id];
         if latest.len() <= LATEST_ROWS + ROTATING_ROWS {
-            out.extend(latest.iter().map(|l| l.1).filter(|o| *o != self.own_origin));
+            out.extend(latest.iter().map(|l| l.1).filter(|o| *o != self.own_id));
             return out;
         }
-        let all: Vec<Origin> = self.rows.keys().copied().collect();
+        let all: Vec<FrontId> = self.rows.keys().copied().collect();
         latest.sort_by(|a, b| b.0.total_cmp(&a.0));
-        out.extend(latest.iter().take(LATEST_ROWS).map(|l| l.1).filter(|o| *o != self.own_origin));
+        out.extend(latest.iter().take(LATEST_ROWS).map(|l| l.1).filter(|o| *o != self.own_id));
         for _ in 0..ROTATING_ROWS {
             self.rotation = (self.rotation + 1) % all.len();
             if !out.contains(&all[self.rotation]) {
@@ -267,7 +267,7 @@
                 return out;
             }
         };
-        if message.from == self.own_origin || !self.rows.contains_key(&message.from) {
+        if message.from == self.own_id || !self.rows.contains_key(&message.from) {
             self.stats.unknown += 1;
             return out;
         }
@@ -297,7 +297,7 @@
     /// Applies a change of a row; `asked_at` is when this front asked the question that it answers.
     fn apply_change(&mut self, now: f64, asked_at: f64, change: &Change) {
         let known = &change.known;
-        if known.origin == self.own_origin {
+        if known.origin == self.own_id {
             return self.raise_incarnation(known);
         }
         let Some(row) = self.rows.get_mut(&known.origin) else {
@@ -314,7 +314,7 @@
     /// Uses a peer's report that it knows a row at this version: the report bounds the row's age, or reveals a
     /// contradiction.
     fn confirm(&mut self, now: f64, asked_at: f64, known: &RowVersion) {
-        if known.origin == self.own_origin {
+        if known.origin == self.own_id {
             self.raise_incarnation(known);
         } else if let Some(row) = self.rows.get_mut(&known.origin) {
             row.confirm(now, asked_at, known);
@@ -325,7 +325,7 @@
     /// own row than this front does. That row was written before a restart, under a clock that ran ahead, or by another
     /// process with the same name. The higher incarnation replaces it in both cases.
     fn raise_incarnation(&mut self, known: &RowVersion) {
-        let Some(row) = self.rows.get_mut(&self.own_origin) else { return };
+        let Some(row) = self.rows.get_mut(&self.own_id) else { return };
         if (known.incarnation, known.version) > (row.incarnation, row.version) {
             row.incarnation = known.incarnation.saturating_add(1);
             self.stats.claimed += 1;
@@ -335,7 +335,7 @@
     /// Answers a question, or the question that came with an answer. Asks back only if `may_ask_back`.
     fn answer(&mut self, now: f64, message: &Message, may_ask_back: bool, out: &mut Vec<Datagram>) {
         let mut answers = vec![Message {
-            from: self.own_origin,
+            from: self.own_id,
             nonce: self.nonce,
             echo: Some(message.nonce),
             wants_answer: false,
@@ -350,7 +350,7 @@
             let ours = row.row_version(now, theirs.origin);
             let is_newer = (ours.incarnation, ours.version) > (theirs.incarnation, theirs.version);
             let is_older = (ours.incarnation, ours.version) < (theirs.incarnation, theirs.version);
-            if is_older && theirs.origin == self.own_origin {
+            if is_older && theirs.origin == self.own_id {
                 self.raise_incarnation(theirs);
                 continue;
             }
@@ -359,7 +359,7 @@
                 answers[0].known.push(row.received_version(now, theirs.origin));
             }
             let is_fresher = ours.age.is_some_and(|age| theirs.age.is_none_or(|t| t > age));
-            if !is_newer && !is_older && (is_fresher || ours.sum != theirs.sum) {
+            if !is_newer && !is_older && (is_fresher || ours.checksum != theirs.checksum) {
                 answers[0].known.push(ours);
             }
             if is_newer {
@@ -380,7 +380,7 @@
     }
 
     /// Appends a datagram to `out`, unless it is too long or the rate limit is used up.
-    fn push_datagram(&mut self, now: f64, to: Origin, message: &Message, out: &mut Vec<Datagram>) {
+    fn push_datagram(&mut self, now: f64, to: FrontId, message: &Message, out: &mut Vec<Datagram>) {
         let bytes = message.encode(self.fleet);
         let rate = self.config.bytes_s;
         self.token_bucket =
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -15,7 +15,7 @@
 const MAX_AGE_MS: u32 = 7 * 86_400_000;
 
 /// Identifier of a front, the CRC-32C of its name: the owner of a row, or the sender or receiver of a datagram.
-pub type Origin = u32;
+pub type FrontId = u32;
 
 /// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowVersion {
     /// The front whose row it is.
-    pub origin: Origin,
+    pub origin: FrontId,
     /// Incarnation of the row's origin.
     pub incarnation: u64,
     /// Number of changes that the origin had made in this incarnation.
@@ -49,7 +49,7 @@
     /// Upper bound on the time since the row was current at its origin, ms; `None` if unknown.
     pub age: Option<u32>,
     /// Checksum of all the row's cells; `None` if the front has received only a part of them.
-    pub sum: Option<u32>,
+    pub checksum: Option<u32>,
 }
 
 /// One value of a row, and the version of the row that last changed it.
@@ -63,13 +63,13 @@
     pub value: Vec<u8>,
 }
 
-/// All changes of a row after version `from`, up to `known.version`.
+/// All changes of a row after `after_version`, up to `known.version`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     /// The row, and the version up to which the change goes.
     pub known: RowVersion,
     /// Version after which the change begins; 0 for the whole row.
-    pub from: u64,
+    pub after_version: u64,
     /// Version of the row at the sender when the change was taken from it. If it is above `known.version`, more parts
     /// follow.
     pub source_version: u64,
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     /// The sending front.
-    pub from: Origin,
+    pub from: FrontId,
     /// Number of this message, which an answer repeats as `echo`.
     pub nonce: u32,
     /// Nonce of the question that this answers. It gives the receiver an upper bound on the age of the rows.
@@ -149,8 +149,8 @@
 impl Change {
     /// Whether the versions of the cells lie in the stated range.
     fn is_consistent(&self) -> bool {
-        let within = |c: &Cell| self.from < c.version && c.version <= self.known.version;
-        self.from <= self.known.version
+        let within = |c: &Cell| self.after_version < c.version && c.version <= self.known.version;
+        self.after_version <= self.known.version
             && self.known.version <= self.source_version
             && self.cells.iter().all(within)
     }
--- a/crates/gossip/src/row.rs
+++ b/crates/gossip/src/row.rs
@@ -2,7 +2,7 @@
 //! that a reader never sees half of a change or one that was altered in transit.
 
 use crate::MAX_CLOCK_DRIFT;
-use crate::message::{Cell, Change, MAX_BYTES, Message, Origin, RowVersion};
+use crate::message::{Cell, Change, FrontId, MAX_BYTES, Message, RowVersion};
 use std::collections::BTreeMap;
 
 /// Bytes reserved in a datagram for the header of a change.
@@ -80,24 +80,24 @@
     }
 
     /// The complete version that is known here, as it is reported in an answer.
-    pub(crate) fn row_version(&self, now: f64, origin: Origin) -> RowVersion {
+    pub(crate) fn row_version(&self, now: f64, origin: FrontId) -> RowVersion {
         let age = self.age(now);
         RowVersion {
             origin,
             incarnation: self.incarnation,
             version: self.version,
             age: age.is_finite().then_some(age.ceil() as u32),
-            sum: Some(self.checksum),
+            checksum: Some(self.checksum),
         }
     }
 
     /// The version reported in a question. It includes staged parts, so that they are not sent again.
-    pub(crate) fn received_version(&self, now: f64, origin: Origin) -> RowVersion {
+    pub(crate) fn received_version(&self, now: f64, origin: FrontId) -> RowVersion {
         let row_version = self.row_version(now, origin);
         if self.staged.is_empty() {
             row_version
         } else {
-            RowVersion { version: self.staged_version, age: None, sum: None, ..row_version }
+            RowVersion { version: self.staged_version, age: None, checksum: None, ..row_version }
         }
     }
 
@@ -108,12 +108,12 @@
             return ChangeResult::Outdated;
         }
         if known.incarnation > self.incarnation {
-            if change.from > 0 {
+            if change.after_version > 0 {
                 return ChangeResult::Gap;
             }
             *self = Row { incarnation: known.incarnation, ..Row::default() };
         }
-        if change.from > self.version.max(self.staged_version) {
+        if change.after_version > self.version.max(self.staged_version) {
             return ChangeResult::Gap;
         }
         for Cell { key, version, value } in &change.cells {
@@ -124,7 +124,7 @@
         }
         self.staged_version = self.staged_version.max(known.version);
         self.staged_source_version = self.staged_source_version.max(change.source_version);
-        let Some(sum) = known.sum.filter(|_| known.version >= self.staged_source_version) else {
+        let Some(sum) = known.checksum.filter(|_| known.version >= self.staged_source_version) else {
             return ChangeResult::Accepted;
         };
         if known.version <= self.version {
@@ -162,7 +162,7 @@
         if (known.incarnation, known.version) != (self.incarnation, self.version) || known.incarnation == 0 {
             return;
         }
-        match known.sum {
+        match known.checksum {
             Some(sum) if sum != self.checksum => self.discard(now),
             Some(_) => {
                 self.as_of = known.age.map_or(self.as_of, |age| self.as_of.max(asked_at - f64::from(age)))
@@ -208,10 +208,15 @@
             let known = if is_last {
                 known
             } else {
-                RowVersion { version: to_version, age: None, sum: None, ..known }
+                RowVersion { version: to_version, age: None, checksum: None, ..known }
             };
             if let Some(last) = answers.last_mut() {
-                last.changes.push(Change { known, from, source_version: self.version, cells: part });
+                last.changes.push(Change {
+                    known,
+                    after_version: from,
+                    source_version: self.version,
+                    cells: part,
+                });
             }
             if is_last {
                 return;
--- a/crates/gossip/src/view.rs
+++ b/crates/gossip/src/view.rs
@@ -1,6 +1,6 @@
 //! What the caller of [`crate::Gossip`] sees: other fronts' rows, datagrams to send, and counters.
 
-use crate::message::Origin;
+use crate::message::FrontId;
 use crate::row::Row;
 
 /// How recently a front was heard.
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
     /// The receiving front.
-    pub to: Origin,
+    pub to: FrontId,
     /// The encoded message.
     pub bytes: Vec<u8>,
 }
@@ -56,7 +56,7 @@
 /// One front as this front knows it.
 pub struct FrontView<'a> {
     /// Identifier of the front.
-    pub origin: Origin,
+    pub origin: FrontId,
     /// Incarnation of its row; 0 if it was never heard.
     pub incarnation: u64,
     /// Version of its row.
--- a/crates/gossip/tests/exchange.rs
+++ b/crates/gossip/tests/exchange.rs
@@ -4,13 +4,13 @@
 
 use network::{Faults, Network, front_name, gossip_config};
 use pulleystair_gossip::message::{GOSSIP_VERSION, MAX_BYTES, Message};
-use pulleystair_gossip::{Gossip, Liveness, MAX_CELL_BYTES, MAX_CLOCK_DRIFT, PeerListError, origin_of};
+use pulleystair_gossip::{Gossip, Liveness, MAX_CELL_BYTES, MAX_CLOCK_DRIFT, PeerListError, front_id};
 use test_case::test_case;
 
 const BAD_NETWORK: Faults = Faults { lost: 0.3, duplicated: 0.2, max_delay_ms: 40.0 };
 
 fn cell_value(gossip: &Gossip, now: f64, front: usize) -> Option<Vec<u8>> {
-    gossip.front(now, origin_of(&front_name(front)))?.cell(1).map(<[u8]>::to_vec)
+    gossip.front(now, front_id(&front_name(front)))?.cell(1).map(<[u8]>::to_vec)
 }
 
 fn reached_all(net: &Network, front: usize, bytes: &[u8]) -> bool {
@@ -24,7 +24,7 @@
 fn a_change_reaches_all_fronts(count: usize, faults: Faults, max_ms: f64) {
     let mut net = Network::new(count, 1, faults);
     net.run(5_000.0, |_| {});
-    net.fronts[1].put(1, b"fact".to_vec());
+    net.fronts[1].set_cell(1, b"fact".to_vec());
     net.run(max_ms, |_| {});
     assert!(reached_all(&net, 1, b"fact"));
     let max_bytes = net.bytes.iter().max().copied().unwrap_or(0) as f64;
@@ -46,7 +46,7 @@
         let front = step % 6;
         written_at[front] = net.now;
         let now = net.now;
-        net.fronts[front].put(1, (now as u64).to_be_bytes().to_vec());
+        net.fronts[front].set_cell(1, (now as u64).to_be_bytes().to_vec());
         net.run(70.0, |net| {
             for reader in &net.fronts {
                 for row in reader.fronts(net.now).filter(|row| row.age.is_finite()) {
@@ -73,12 +73,12 @@
 #[test]
 fn an_isolated_front_is_doubted_then_unheard_and_its_row_is_kept() {
     let mut net = Network::new(5, 4, Faults::default());
-    net.fronts[4].put(1, b"lent".to_vec());
+    net.fronts[4].set_cell(1, b"lent".to_vec());
     net.run(3_000.0, |_| {});
     net.link_open = |from, to| from != 4 && to != 4;
     let mut liveness_changes = Vec::new();
     net.run(8_000.0, |net| {
-        let row = net.fronts[0].front(net.now, origin_of(&front_name(4))).expect("the front is a peer");
+        let row = net.fronts[0].front(net.now, front_id(&front_name(4))).expect("the front is a peer");
         if liveness_changes.last() != Some(&row.liveness) {
             liveness_changes.push(row.liveness);
         }
@@ -88,7 +88,7 @@
     net.link_open = |_, _| true;
     net.run(2_000.0, |_| {});
     assert_eq!(
-        net.fronts[0].front(net.now, origin_of(&front_name(4))).expect("the front is a peer").liveness,
+        net.fronts[0].front(net.now, front_id(&front_name(4))).expect("the front is a peer").liveness,
         Liveness::Heard
     );
 }
@@ -100,7 +100,7 @@
     net.run(6_000.0, |_| {});
     for reader in &net.fronts {
         assert_eq!(
-            reader.front(net.now, origin_of(&front_name(4))).expect("the front is a peer").liveness,
+            reader.front(net.now, front_id(&front_name(4))).expect("the front is a peer").liveness,
             Liveness::Heard
         );
     }
@@ -109,11 +109,11 @@
 #[test]
 fn a_restart_replaces_the_row_even_with_a_lower_incarnation() {
     let mut net = Network::new(4, 6, BAD_NETWORK);
-    net.fronts[1].put(1, b"first".to_vec());
+    net.fronts[1].set_cell(1, b"first".to_vec());
     net.run(6_000.0, |_| {});
     assert!(reached_all(&net, 1, b"first"));
     net.restart(1, 500);
-    net.fronts[1].put(1, b"second".to_vec());
+    net.fronts[1].set_cell(1, b"second".to_vec());
     net.run(12_000.0, |_| {});
     assert!(reached_all(&net, 1, b"second"));
     assert!(net.fronts[1].incarnation() > 1_000 && net.fronts[1].stats.claimed > 0);
@@ -125,10 +125,10 @@
     let mut net = Network::new(2, 12, BAD_NETWORK);
     let mut incomplete = 0;
     for part in 0..40 {
-        net.fronts[1].put(part, vec![part as u8; 900]);
+        net.fronts[1].set_cell(part, vec![part as u8; 900]);
     }
     net.run(6_000.0, |net| {
-        let row = net.fronts[0].front(net.now, origin_of(&front_name(1))).expect("the front is a peer");
+        let row = net.fronts[0].front(net.now, front_id(&front_name(1))).expect("the front is a peer");
         let received = row.cells(0..40).count();
         incomplete += usize::from(received == 0);
         assert!(received == 0 || received == 40, "{received} cells visible");
@@ -136,7 +136,7 @@
     });
     assert!(
         incomplete > 0
-            && net.fronts[0].front(net.now, origin_of(&front_name(1))).is_some_and(|row| row.age < 2_000.0)
+            && net.fronts[0].front(net.now, front_id(&front_name(1))).is_some_and(|row| row.age < 2_000.0)
     );
 }
 
@@ -145,17 +145,17 @@
 #[test]
 fn parts_of_two_versions_are_not_mixed() {
     let mut net = Network::new(3, 13, Faults::default());
-    assert!((0..8).all(|key| net.fronts[1].put(key, vec![1; 900])));
+    assert!((0..8).all(|key| net.fronts[1].set_cell(key, vec![1; 900])));
     net.link_open = |from, to| from != 2 && to != 2;
     net.run(5_000.0, |_| {});
-    net.fronts[1].put(0, vec![2; 900]);
+    net.fronts[1].set_cell(0, vec![2; 900]);
     let ask = |net: &mut Network, answering: usize| loop {
         net.now = net.now.max(net.fronts[2].next_deadline());
         let now = net.now;
         let question = net.fronts[2]
             .run_round(now)
             .into_iter()
-            .find(|datagram| datagram.to == origin_of(&front_name(answering)));
+            .find(|datagram| datagram.to == front_id(&front_name(answering)));
         if let Some(question) = question {
             return net.fronts[answering].receive(now, &question.bytes);
         }
@@ -172,11 +172,11 @@
         }
     }
     let now = net.now;
-    let row = net.fronts[2].front(now, origin_of(&front_name(1))).expect("the front is a peer");
+    let row = net.fronts[2].front(now, front_id(&front_name(1))).expect("the front is a peer");
     assert!(row.cells(0..8).count() == 0 && !row.contradictory && row.age.is_infinite());
     net.link_open = |_, _| true;
     net.run(2_000.0, |_| {});
-    let row = net.fronts[2].front(net.now, origin_of(&front_name(1))).expect("the front is a peer");
+    let row = net.fronts[2].front(net.now, front_id(&front_name(1))).expect("the front is a peer");
     assert_eq!((row.cells(0..8).count(), row.cell(0).map(|c| c[0])), (8, Some(2)));
 }
 
@@ -184,9 +184,9 @@
 #[test]
 fn a_change_after_a_gap_is_rejected() {
     let mut net = Network::new(2, 13, Faults::default());
-    net.fronts[1].put(1, b"one".to_vec());
+    net.fronts[1].set_cell(1, b"one".to_vec());
     net.run(3_000.0, |_| {});
-    net.fronts[1].put(2, b"two".to_vec());
+    net.fronts[1].set_cell(2, b"two".to_vec());
     let now = net.fronts[0].next_deadline();
     let question = net.fronts[0].run_round(now).remove(0);
     let fleet =
@@ -194,12 +194,12 @@
     let answer = net.fronts[1].receive(now, &question.bytes).remove(0);
     let mut message = Message::decode(&answer.bytes, fleet).expect("the datagram is valid");
     let change = &mut message.changes[0];
-    change.from += 5;
+    change.after_version += 5;
     change.known.version += 5;
     change.source_version += 5;
     change.cells[0].version += 5;
     net.fronts[0].receive(now, &message.encode(fleet));
-    let row = net.fronts[0].front(now, origin_of(&front_name(1))).expect("the front is a peer");
+    let row = net.fronts[0].front(now, front_id(&front_name(1))).expect("the front is a peer");
     assert_eq!((row.cell(2), net.fronts[0].stats.gaps), (None, 1));
 }
 
@@ -209,26 +209,26 @@
 fn two_processes_with_one_name_and_incarnation_are_detected() {
     let mut net = Network::new(3, 7, Faults::default());
     let now = net.now;
-    net.fronts[1].put(1, b"one".to_vec());
+    net.fronts[1].set_cell(1, b"one".to_vec());
     let mut twin = Gossip::new(gossip_config(1, 3), now, 1_000, 99).expect("the peer list is valid");
-    twin.put(1, b"two".to_vec());
+    twin.set_cell(1, b"two".to_vec());
     net.run(2_000.0, |_| {});
     // Front 0's question for front 1 goes to the twin, which answers it.
     let question = (0..20).find_map(|_| {
         net.now = net.now.max(net.fronts[0].next_deadline());
         let now = net.now;
-        net.fronts[0].run_round(now).into_iter().find(|datagram| datagram.to == origin_of(&front_name(1)))
+        net.fronts[0].run_round(now).into_iter().find(|datagram| datagram.to == front_id(&front_name(1)))
     });
     for answer in twin.receive(net.now, &question.expect("front 0 asks front 1").bytes) {
         net.fronts[0].receive(net.now, &answer.bytes);
     }
     assert!(
-        net.fronts[0].front(net.now, origin_of(&front_name(1))).expect("the front is a peer").contradictory
+        net.fronts[0].front(net.now, front_id(&front_name(1))).expect("the front is a peer").contradictory
     );
     // The twin does not answer again, so the contradiction expires.
     net.run(6_000.0, |_| {});
     assert!(
-        !net.fronts[0].front(net.now, origin_of(&front_name(1))).expect("the front is a peer").contradictory
+        !net.fronts[0].front(net.now, front_id(&front_name(1))).expect("the front is a peer").contradictory
     );
     assert_eq!(cell_value(&net.fronts[0], net.now, 1), Some(b"one".to_vec()));
 }
@@ -276,7 +276,7 @@
     let (mut net, bytes) = network_and_question();
     let now = net.now;
     let answering = usize::from(net.fronts[2].stats.taken < net.fronts[1].stats.taken) + 1;
-    net.fronts[answering].put(1, b"news".to_vec());
+    net.fronts[answering].set_cell(1, b"news".to_vec());
     let answers = net.fronts[answering].receive(now, &bytes);
     let mut receiver = Gossip::new(gossip_config(0, 3), now, 1_000, 1).expect("the peer list is valid");
     for answer in &answers {
@@ -303,7 +303,7 @@
 #[test]
 fn an_oversized_cell_is_rejected() {
     let mut gossip = Gossip::new(gossip_config(0, 3), 0.0, 1, 1).expect("the peer list is valid");
-    assert!(gossip.put(1, vec![0; MAX_CELL_BYTES]) && !gossip.put(2, vec![0; MAX_CELL_BYTES + 1]));
+    assert!(gossip.set_cell(1, vec![0; MAX_CELL_BYTES]) && !gossip.set_cell(2, vec![0; MAX_CELL_BYTES + 1]));
 }
 
 #[test]
@@ -324,7 +324,7 @@
 fn a_slow_clock_does_not_underestimate_a_rows_age() {
     let mut net = Network::new(2, 9, Faults::default());
     net.run(1_000.0, |_| {});
-    let age = |at: f64| net.fronts[0].front(at, origin_of(&front_name(1))).expect("the front is a peer").age;
+    let age = |at: f64| net.fronts[0].front(at, front_id(&front_name(1))).expect("the front is a peer").age;
     let passed = 10_000.0 / (1.0 - MAX_CLOCK_DRIFT);
     assert!(age(net.now + 10_000.0) - age(net.now) >= passed - 1e-6);
 }
--- a/crates/gossip/tests/measure.rs
+++ b/crates/gossip/tests/measure.rs
@@ -5,15 +5,16 @@
 mod network;
 
 use network::{Faults, Network, front_name};
-use pulleystair_gossip::origin_of;
+use pulleystair_gossip::front_id;
 use std::time::Instant;
 
 /// Each front changes four cells of 300 bytes every second, about what a busy front writes for 36 servers.
 fn run_busy_fleet(net: &mut Network, seconds: usize) {
     for second in 0..seconds {
         for front in 0..net.fronts.len() {
-            (0..4)
-                .for_each(|key| assert!(net.fronts[front].put(key + 10, vec![(second + front) as u8; 300])));
+            (0..4).for_each(|key| {
+                assert!(net.fronts[front].set_cell(key + 10, vec![(second + front) as u8; 300]))
+            });
         }
         net.run(1_000.0, |_| {});
     }
@@ -39,11 +40,11 @@
             let mut rounds = Vec::new();
             for fact in 0..5u8 {
                 let front = fact as usize % count;
-                assert!(net.fronts[front].put(1, vec![fact + 1]));
+                assert!(net.fronts[front].set_cell(1, vec![fact + 1]));
                 let from = net.now;
                 let reached_all = |net: &Network| {
                     let cell_value = |g: &pulleystair_gossip::Gossip| {
-                        g.front(net.now, origin_of(&front_name(front)))
+                        g.front(net.now, front_id(&front_name(front)))
                             .and_then(|row| row.cell(1))
                             .map(|c| c[0])
                     };
--- a/crates/gossip/tests/network/mod.rs
+++ b/crates/gossip/tests/network/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)] // Each test file uses only a part of this module.
 
 use oorandom::Rand64;
-use pulleystair_gossip::message::Origin;
-use pulleystair_gossip::{Datagram, Gossip, GossipConfig, origin_of};
+use pulleystair_gossip::message::FrontId;
+use pulleystair_gossip::{Datagram, Gossip, GossipConfig, front_id};
 use std::collections::BTreeMap;
 
 /// Faults of the network: the probabilities that a datagram is lost and that it is duplicated.
@@ -76,8 +76,8 @@
         self.up[front] = true;
     }
 
-    pub fn index(&self, origin: Origin) -> usize {
-        (0..self.fronts.len()).find(|i| origin_of(&front_name(*i)) == origin).expect("a front of this fleet")
+    pub fn index(&self, origin: FrontId) -> usize {
+        (0..self.fronts.len()).find(|i| front_id(&front_name(*i)) == origin).expect("a front of this fleet")
     }
 
     fn send(&mut self, from: usize, out: Vec<Datagram>) {
--- a/crates/message-mutation/src/delivery.rs
+++ b/crates/message-mutation/src/delivery.rs
@@ -7,8 +7,8 @@
 use pulleystair_dispatcher::{Dispatcher, PlayRequest};
 use pulleystair_edge::http;
 use pulleystair_fleet_member::{Candidate, ListedServer, stable_id};
-use pulleystair_gossip::message::Origin;
-use pulleystair_gossip::origin_of;
+use pulleystair_gossip::front_id;
+use pulleystair_gossip::message::FrontId;
 use pulleystair_rtsp as rtsp;
 use pulleystair_rule_checker::Observed;
 use pulleystair_shared_state::Server;
@@ -90,7 +90,7 @@
     /// Sends gossip datagrams of a front to the others.
     pub(crate) fn send_datagrams(&mut self, from: usize, datagrams: Vec<pulleystair_fleet_member::Datagram>) {
         for datagram in datagrams {
-            let to = (0..FRONTS).find(|front_id| origin_of(&front_name(*front_id)) as Origin == datagram.to);
+            let to = (0..FRONTS).find(|front| front_id(&front_name(*front)) as FrontId == datagram.to);
             let Some(to) = to else { continue };
             let delay = 1.0 + 4.0 * self.random();
             self.schedule_delivery(
@@ -130,7 +130,7 @@
             product,
             title: stable_id(&title),
             first_cell,
-            holders,
+            holder_cells: holders,
             max_rung,
             arrived_at: now,
             deadline: now + time_limit.min(TIME_LIMIT_MS),
@@ -164,10 +164,10 @@
             server: Server {
                 id: stable_id(&format!("m{server}")),
                 zone: entry.zone,
-                cell: entry.cell,
+                placement_cell: entry.cell,
                 link: entry.weight,
             },
-            born: entry.started_at as u64,
+            process_started_at: entry.started_at as u64,
             cold_until: entry.started_at + COLD_MS,
         };
         let ready = entries.iter().filter(|l| l.1.standing == Standing::Ready);
@@ -202,15 +202,16 @@
             .filter(|at| at.0 == server);
         let load = messages::load_metrics(&message);
         match (&message.start, allocated_to) {
-            (rtsp::Start::Answer(200), Some((_, false))) => self.on_set_up(front_id, play, &load),
-            (rtsp::Start::Answer(status), Some((_, false))) if *status >= 300 => {
+            (rtsp::StartLine::Response(200), Some((_, false))) => self.on_set_up(front_id, play, &load),
+            (rtsp::StartLine::Response(status), Some((_, false))) if *status >= 300 => {
                 self.on_refused(front_id, play, *status, &load)
             }
-            (rtsp::Start::Request(method), Some((_, true))) if method == "TEARDOWN" => {
+            (rtsp::StartLine::Request(method), Some((_, true))) if method == "TEARDOWN" => {
                 self.end_allocation(front_id, play, Outcome::Finished, &[]);
             }
-            (rtsp::Start::Request(method), Some((_, true))) if method == "ANNOUNCE" => {
-                if let Some(metric) = message.number("Figure").filter(|_| message.field("X-Why") == Some("l"))
+            (rtsp::StartLine::Request(method), Some((_, true))) if method == "ANNOUNCE" => {
+                if let Some(metric) =
+                    message.number_field("Figure").filter(|_| message.field("X-Why") == Some("l"))
                 {
                     let metric = LoadMetric::Link(metric);
                     self.call_dispatcher(front_id, |dispatcher, _, actions| {
@@ -365,7 +366,7 @@
             (session.allocation_number, session.product, session.title.clone());
         let candidate = |(s, chance, room): &(u32, f64, f64)| Candidate {
             server: stable_id(&format!("m{s}")),
-            born: 0,
+            process_started_at: 0,
             zone: *s as usize % 2,
             chance: *chance,
             room: *room,
--- a/crates/message-mutation/src/fields.rs
+++ b/crates/message-mutation/src/fields.rs
@@ -179,7 +179,8 @@
                 choose_value(value, Some(0), Some(u32::MAX), known.map(|k| k.age))?
         }
         7 => {
-            message.known.first_mut()?.sum = choose_value(value, None, Some(u32::MAX), known.map(|k| k.sum))?
+            message.known.first_mut()?.checksum =
+                choose_value(value, None, Some(u32::MAX), known.map(|k| k.checksum))?
         }
         8 => {
             message.changes.first_mut()?.known.origin =
@@ -198,7 +199,10 @@
             message.changes.first_mut()?.known.age =
                 choose_value(value, Some(0), Some(u32::MAX), change.map(|c| c.known.age))?
         }
-        12 => message.changes.first_mut()?.from = choose_value(value, 0, u64::MAX, change.map(|c| c.from))?,
+        12 => {
+            message.changes.first_mut()?.after_version =
+                choose_value(value, 0, u64::MAX, change.map(|c| c.after_version))?
+        }
         13 => {
             let previous_value = change.and_then(|c| c.cells.first()).map(|c| c.key);
             message.changes.first_mut()?.cells.first_mut()?.key =
--- a/crates/message-mutation/src/messages.rs
+++ b/crates/message-mutation/src/messages.rs
@@ -118,7 +118,7 @@
             cell: entry.cell,
             standing,
             weight: entry.weight,
-            started_at: entry.started,
+            started_at: entry.started_at,
         };
         Some((server as u32, listing))
     };
@@ -136,12 +136,19 @@
 
 /// Encodes a media server's notice that a session has ended.
 pub fn encode_teardown(play: u64) -> Vec<u8> {
-    rtsp::request("TEARDOWN", "s", 2, play, &[("Reason", "cause=16")], b"")
+    rtsp::encode_request("TEARDOWN", "s", 2, play, &[("Reason", "cause=16")], b"")
 }
 
 /// Encodes a media server's note on a running play: the load of its link.
 pub fn encode_note(play: u64, metric: f64) -> Vec<u8> {
-    rtsp::request("ANNOUNCE", "s", 4, play, &[("X-Why", "l"), ("Figure", &format!("{metric:.3}"))], b"")
+    rtsp::encode_request(
+        "ANNOUNCE",
+        "s",
+        4,
+        play,
+        &[("X-Why", "l"), ("Figure", &format!("{metric:.3}"))],
+        b"",
+    )
 }
 
 /// The load metrics of a message's load report.
@@ -151,5 +158,5 @@
         "x1" => Some(LoadMetric::Streams(x)),
         _ => None,
     };
-    message.report().filter_map(metric).collect()
+    message.load_values().filter_map(metric).collect()
 }
--- a/crates/message-mutation/src/world.rs
+++ b/crates/message-mutation/src/world.rs
@@ -195,7 +195,7 @@
             self.result.drift_status.push(fleet.status());
             self.result.has_latest_list.push(front.list_serial == Some(self.serial));
             self.result.doubted.push(front.member.health().doubted.len());
-            self.result.has_lost_zone.push(front.member.health().lost.is_some());
+            self.result.has_lost_zone.push(front.member.health().lost_zone.is_some());
             self.result.estimated_plays.push(front.member.whatif(RUN_END_MS, |_| true).plays);
         }
         let (breaches, coverage) = check(&self.observations, &rule_params());
--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -47,7 +47,7 @@
         self.stats.probes += 1;
         let Some(connection_id) = self.connection_to(server_number, false) else { return };
         let id = self.rng.rand_u64();
-        let bytes = rtsp::request("OPTIONS", "load", CSEQ_PROBE, id, &[], b"");
+        let bytes = rtsp::encode_request("OPTIONS", "load", CSEQ_PROBE, id, &[], b"");
         self.write_to_server(connection_id, &bytes);
     }
 
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -77,7 +77,7 @@
 
 impl Config {
     /// Reads and checks the file. Errors name the path and the setting.
-    pub fn read(path: &Path) -> anyhow::Result<Config> {
+    pub fn load(path: &Path) -> anyhow::Result<Config> {
         let path_text = || path.display().to_string();
         let size = std::fs::metadata(path).with_context(path_text)?.len();
         if size > MAX_FILE_BYTES {
--- a/crates/node/src/listing.rs
+++ b/crates/node/src/listing.rs
@@ -92,7 +92,7 @@
         let (is_whole, entries) = self.state.config.known.merged_list();
         self.state.config.known.notices.clear();
         self.apply_list(is_whole, !self.dns_client.has_response, &entries);
-        self.dns_client.revision = Some(self.state.config.known.rev);
+        self.dns_client.revision = Some(self.state.config.known.revision);
     }
 
     /// Queries the name service if the next query is due; otherwise the timer that fired is stale.
@@ -173,7 +173,7 @@
                 cell: entry.cell,
                 standing: entry.standing,
                 weight: entry.weight,
-                started_at: entry.started,
+                started_at: entry.started_at,
             };
             listings.push((server_number, listing));
             let Some(server) = self.state.servers.get_mut(&server_number) else { continue };
@@ -241,7 +241,7 @@
     /// Checks the file, replaces the client of the name service (also if its address is the same), and
     /// applies the file's events if they are newer.
     fn apply_config_file(&mut self) -> anyhow::Result<()> {
-        let config = Config::read(&self.state.config.path)?;
+        let config = Config::load(&self.state.config.path)?;
         let old = &self.state.config;
         // The file belongs to another node, and perhaps to another customer, so no part of it is applied.
         if (&config.name, config.listen) != (&old.name, old.listen) {
@@ -261,7 +261,7 @@
         let old = std::mem::replace(&mut self.dns_client, dns_client);
         self.state.loop_handle.remove(old.source);
         info!(target: "names", was = %old_resolver, resolver = %config.resolver, "name service changed");
-        if self.dns_client.revision.is_none_or(|rev| config.known.rev > rev) {
+        if self.dns_client.revision.is_none_or(|rev| config.known.revision > rev) {
             self.state.config.known = config.known;
             self.apply_initial_events();
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -171,7 +171,7 @@
             return;
         };
         connection.deadline = f64::INFINITY;
-        let connected = connection.connected() == Some(true);
+        let connected = connection.poll_established() == Some(true);
         match &connection.role {
             Role::Viewer(viewer) if !viewer.is_identified && viewer.accepted_at.is_finite() => {
                 debug!(target: "viewer", "connection closed: no set-up was accepted and no session ended on it");
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -9,7 +9,7 @@
 };
 use pulleystair::{LoadMetric, Outcome};
 use pulleystair_connections::ConnectionId;
-use pulleystair_rtsp::{Message, Start};
+use pulleystair_rtsp::{Message, StartLine};
 use pulleystair_viewer_protocol::{self as protocol, code, kind};
 use tracing::{debug, info};
 
@@ -30,7 +30,7 @@
         for _ in 0..MAX_SERVER_READS_PER_TURN {
             let now = self.state.now();
             let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
-            match connection.connected() {
+            match connection.poll_established() {
                 Some(false) => return self.on_server_connection_lost(connection_id),
                 None => return,
                 Some(true) => {}
@@ -45,7 +45,7 @@
             let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
             connection.flush();
             let has_read = connection.read(MAX_INPUT_BYTES);
-            let is_closed = connection.closed;
+            let is_closed = connection.has_ended;
             let Role::Server(server_connection) = &mut connection.role else { return };
             if has_read || has_just_connected {
                 (server_connection.last_heard_at, server_connection.last_active_at) = (now, now);
@@ -115,13 +115,13 @@
         let now = self.state.now();
         let play = message.session;
         let load: Vec<LoadMetric> = message
-            .report()
+            .load_values()
             .filter_map(|(name, value)| pulleystair_settings::load_metric(name, value))
             .collect();
         // If the viewer has gone by now, the response must not be forwarded, so the viewer's input is handled
         // first.
         let awaits_response = |s: &&Session| !s.is_playing && message.cseq() != Some(CSEQ_PROBE);
-        if let (Start::Answer(200), Some(session)) =
+        if let (StartLine::Response(200), Some(session)) =
             (&message.start, self.state.sessions.get(&play).filter(awaits_response))
         {
             self.handle_viewer_connection(session.viewer_connection_id);
@@ -132,24 +132,24 @@
         let is_pending =
             session.is_some_and(|s| !s.is_playing && s.server_connection_id == Some(connection_id));
         match &message.start {
-            Start::Answer(100..=199) => {}
-            Start::Answer(_) if message.cseq() == Some(CSEQ_TEARDOWN) => {}
-            Start::Answer(_) if message.cseq() == Some(CSEQ_PROBE) => {
+            StartLine::Response(100..=199) => {}
+            StartLine::Response(_) if message.cseq() == Some(CSEQ_TEARDOWN) => {}
+            StartLine::Response(_) if message.cseq() == Some(CSEQ_PROBE) => {
                 self.dispatcher.on_load_report(now, server_number, &load, &mut self.state);
             }
-            Start::Answer(200) if is_pending => {
+            StartLine::Response(200) if is_pending => {
                 self.on_set_up_succeeded(now, connection_id, server_number, play, &message.body, &load)
             }
             // The response belongs to an attempt that was abandoned on another connection. This play has a
             // newer attempt or a session at the same server, which a TEARDOWN would end.
-            Start::Answer(200) if session.is_some() => self.state.stats.late += 1,
-            Start::Answer(200) => {
+            StartLine::Response(200) if session.is_some() => self.state.stats.late += 1,
+            StartLine::Response(200) => {
                 // The response is late or belongs to no known play. The server must not keep a session that
                 // was given up.
                 self.state.stats.late += 1;
                 self.state.release_on_server(server_number, Some(connection_id), play, CAUSE_WITHDRAWN);
             }
-            Start::Answer(status) if is_pending => {
+            StartLine::Response(status) if is_pending => {
                 // In RTSP, 453 is "Not Enough Bandwidth", 454 "Session Not Found" and 504 "Gateway Time-out".
                 let outcome = match status {
                     453 => Outcome::Full,
@@ -159,8 +159,8 @@
                 };
                 self.on_attempt_ended(play, server_number, outcome, &load);
             }
-            Start::Answer(_) => {}
-            Start::Request(method) => match method.as_str() {
+            StartLine::Response(_) => {}
+            StartLine::Request(method) => match method.as_str() {
                 "TEARDOWN" if is_playing => {
                     let cause = message.cause().unwrap_or(CAUSE_FAILED);
                     let outcome = match cause {
@@ -188,7 +188,8 @@
                 // A note: the delivered share ("d"), the load of the link ("l") or of the uplink ("u"), or
                 // the rung that the server has changed to ("r").
                 "ANNOUNCE" if is_playing => {
-                    let (Some(metric), Some(value)) = (message.field("X-Why"), message.number("Figure"))
+                    let (Some(metric), Some(value)) =
+                        (message.field("X-Why"), message.number_field("Figure"))
                     else {
                         return;
                     };
@@ -292,7 +293,7 @@
     /// Ends a playing session that its viewer has ended.
     pub(crate) fn on_session_ended_by_viewer(&mut self, play: u64) {
         let now = self.state.now();
-        self.dispatcher.on_viewer_left(play, &mut self.state);
+        self.dispatcher.close_play(play, &mut self.state);
         // The dispatcher has withdrawn the play, which queued an `AllocationEnd`. The end is reported below
         // instead, because the session no longer exists when the queue is processed.
         let Some(session) = self.state.sessions.remove(&play) else { return };
@@ -318,7 +319,7 @@
     /// be parsed.
     pub(crate) fn on_server_connection_lost(&mut self, connection_id: ConnectionId) {
         let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
-        let up = connection.connected() == Some(true);
+        let up = connection.poll_established() == Some(true);
         let bytes_sent = connection.bytes_sent();
         let Role::Server(server_connection) = &mut connection.role else { return };
         let (server_number, lost_set_ups) =
--- a/crates/node/src/set_up.rs
+++ b/crates/node/src/set_up.rs
@@ -90,7 +90,7 @@
             product,
             title: title_id,
             first_cell,
-            holders,
+            holder_cells: holders,
             max_rung,
             arrived_at: now,
             deadline: now + time_limit.clamp(0.0, MAX_TIME_LIMIT_MS),
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -367,9 +367,9 @@
     /// finds is handled when the connection's turn in `revisit_queue` comes.
     pub(crate) fn is_peer_open(&mut self, connection_id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get_mut(connection_id) else { return false };
-        if connection.read(MAX_INPUT_BYTES) || connection.closed {
+        if connection.read(MAX_INPUT_BYTES) || connection.has_ended {
             self.revisit_queue.push_back(connection_id);
         }
-        self.connections.get_mut(connection_id).is_some_and(|connection| !connection.closed)
+        self.connections.get_mut(connection_id).is_some_and(|connection| !connection.has_ended)
     }
 }
--- a/crates/node/src/stopping.rs
+++ b/crates/node/src/stopping.rs
@@ -56,7 +56,7 @@
             || has_partial_message
             || !state.revisit_queue.is_empty()
             || !state.pending_releases.is_empty()
-            || state.connections.any_pending(|_| true);
+            || state.connections.any_unsent_bytes(|_| true);
         !has_open_work
     }
 
@@ -75,7 +75,7 @@
     /// Answers everything that is pending, because the deadline has come, and ends the loop.
     pub(crate) fn expire_pending_and_halt(&mut self) {
         self.drain_input_and_check_done();
-        self.dispatcher.expire_pending(self.state.now(), &mut self.state);
+        self.dispatcher.expire_unanswered(self.state.now(), &mut self.state);
         self.report_finished_allocations();
         self.is_halted = true;
     }
--- a/crates/node/src/to_servers.rs
+++ b/crates/node/src/to_servers.rs
@@ -69,7 +69,7 @@
             let is_needed = server.playing_sessions > 0 && server.connections.len() <= 1;
             for connection_id in &server.connections {
                 let Some(connection) = self.connections.get_mut(*connection_id) else { continue };
-                let has_pending_output = connection.pending() > 0;
+                let has_pending_output = connection.unsent_bytes() > 0;
                 let Role::Server(server_connection) = &connection.role else { continue };
                 let may_close = !is_needed
                     || may_close_needed
@@ -134,7 +134,7 @@
             let may_be_closing = server_connection.pending_set_ups.is_empty()
                 && now - server_connection.last_active_at > max_idle;
             if server_connection.is_unresponsive
-                || connection.closed
+                || connection.has_ended
                 || may_be_closing
                 || excluded.contains(connection_id)
                 || server_connection.pending_set_ups.len() >= self.limits.max_set_ups_per_server_connection
@@ -184,7 +184,7 @@
         let usable = connection_ids.into_iter().find(|connection_id| {
             self.connections
                 .get_mut(*connection_id)
-                .is_some_and(|connection| !connection.closed && matches!(&connection.role, Role::Server(server_connection) if !server_connection.is_unresponsive))
+                .is_some_and(|connection| !connection.has_ended && matches!(&connection.role, Role::Server(server_connection) if !server_connection.is_unresponsive))
         });
         usable.or_else(|| self.dial(server_number, may_close_needed))
     }
@@ -194,11 +194,11 @@
     pub(crate) fn write_to_server(&mut self, connection_id: ConnectionId, bytes: &[u8]) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(connection_id) else { return };
-        connection.write(bytes);
+        connection.queue(bytes);
         if matches!(&connection.role, Role::Server(server_connection) if server_connection.is_established) {
             connection.flush();
         }
-        let (is_closed, bytes_sent) = (connection.closed, connection.bytes_sent());
+        let (is_closed, bytes_sent) = (connection.has_ended, connection.bytes_sent());
         if let Role::Server(server_connection) = &mut connection.role {
             server_connection.last_active_at = now;
             server_connection.unsent_releases.retain(|release| release.offset >= bytes_sent);
@@ -244,8 +244,14 @@
             return;
         };
         let reason = format!("cause={}", release.cause);
-        let bytes =
-            rtsp::request("TEARDOWN", "session", CSEQ_TEARDOWN, release.play, &[("Reason", &reason)], b"");
+        let bytes = rtsp::encode_request(
+            "TEARDOWN",
+            "session",
+            CSEQ_TEARDOWN,
+            release.play,
+            &[("Reason", &reason)],
+            b"",
+        );
         release.offset =
             self.connections.get_mut(connection_id).map_or(0, |connection| connection.bytes_queued());
         if let Some(server_connection) = self.server_connection(connection_id) {
@@ -273,7 +279,7 @@
         preferred: Option<ConnectionId>,
     ) -> Option<ConnectionId> {
         let usable = preferred.filter(|connection_id| {
-            self.connections.get_mut(*connection_id).is_some_and(|connection| !connection.closed)
+            self.connections.get_mut(*connection_id).is_some_and(|connection| !connection.has_ended)
         });
         usable.or_else(|| self.connection_to(server_number, true))
     }
@@ -300,8 +306,14 @@
         let rung = session.rung.to_string();
         let fields: [(&str, &str); 3] =
             [("X-Call-Class", &session.class), ("X-Ring-Limit", &time_limit), ("Rate-Step", &rung)];
-        let bytes =
-            rtsp::request("SETUP", &session.title, CSEQ_SET_UP, attempt.play, &fields, &session.description);
+        let bytes = rtsp::encode_request(
+            "SETUP",
+            &session.title,
+            CSEQ_SET_UP,
+            attempt.play,
+            &fields,
+            &session.description,
+        );
         if let Some(connection) = self.connections.get_mut(connection_id) {
             let offset = connection.bytes_queued();
             if let Role::Server(server_connection) = &mut connection.role {
@@ -319,7 +331,7 @@
     /// The plays whose set-ups on this connection have not been sent, not even in part.
     pub(crate) fn unsent_set_ups(&mut self, connection_id: ConnectionId) -> Vec<u64> {
         let Some(connection) =
-            self.connections.get_mut(connection_id).filter(|connection| connection.pending() > 0)
+            self.connections.get_mut(connection_id).filter(|connection| connection.unsent_bytes() > 0)
         else {
             return Vec::new();
         };
@@ -343,7 +355,7 @@
         else {
             return false;
         };
-        if !connection.cancel_write(set_up.offset, set_up.length) {
+        if !connection.cancel_queued(set_up.offset, set_up.length) {
             return false;
         }
         let Role::Server(server_connection) = &mut connection.role else { return false };
@@ -374,7 +386,7 @@
             session.abandoned_connections.push(connection_id);
         }
         self.remove_pending_set_up(connection_id, play);
-        let bytes = rtsp::request("TEARDOWN", "session", CSEQ_TEARDOWN, play, &[], b"");
+        let bytes = rtsp::encode_request("TEARDOWN", "session", CSEQ_TEARDOWN, play, &[], b"");
         self.write_to_server(connection_id, &bytes);
         false
     }
@@ -407,7 +419,8 @@
         let rung = session.rung.to_string();
         let preferred = session.server_connection_id;
         self.stats.steps += 1;
-        let bytes = rtsp::request("SET_PARAMETER", "session", CSEQ_OTHER, play, &[("Rate-Step", &rung)], b"");
+        let bytes =
+            rtsp::encode_request("SET_PARAMETER", "session", CSEQ_OTHER, play, &[("Rate-Step", &rung)], b"");
         if let Some(connection_id) = self.preferred_or_any_connection(server_number, preferred) {
             self.write_to_server(connection_id, &bytes);
         }
--- a/crates/node/src/to_viewers.rs
+++ b/crates/node/src/to_viewers.rs
@@ -11,10 +11,10 @@
     /// `MAX_UNREAD_BYTES` unsent bytes is closed.
     pub(crate) fn write_to_viewer(&mut self, connection_id: ConnectionId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(connection_id) else { return };
-        connection.write(bytes);
+        connection.queue(bytes);
         connection.flush();
-        if connection.closed || connection.pending() > MAX_UNREAD_BYTES {
-            connection.closed = true;
+        if connection.has_ended || connection.unsent_bytes() > MAX_UNREAD_BYTES {
+            connection.has_ended = true;
             self.revisit_queue.push_back(connection_id);
         }
     }
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -134,7 +134,7 @@
     pub(crate) fn close_viewer_connection(&mut self, connection_id: ConnectionId) {
         self.abandon_pending_set_ups(connection_id);
         let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
-        let unread = connection.is_broken() || connection.pending() > 0;
+        let unread = connection.is_broken() || connection.unsent_bytes() > 0;
         let Some(Role::Viewer(viewer)) = self.state.connections.close(connection_id) else { return };
         self.state.viewer_connections.retain(|id| *id != connection_id);
         debug!(target: "viewer", key = connection_id, proven = viewer.is_identified, unread, viewers = self.state.viewer_connections.len(), "viewer connection closed");
@@ -181,7 +181,7 @@
         let Some(session) = self.state.sessions.get(&play) else { return };
         let (connection_id, server_number) = (session.viewer_connection_id, session.server_number);
         self.state.mark_set_up_answered(connection_id, play);
-        self.dispatcher.on_viewer_left(play, &mut self.state);
+        self.dispatcher.close_play(play, &mut self.state);
         // A session with a current attempt is removed when the outcome of the attempt is reported to the
         // dispatcher.
         if server_number.is_none() {
@@ -195,7 +195,7 @@
             let Some(connection) = self.state.connections.get_mut(connection_id) else { return true };
             connection.flush();
             let has_read = connection.read(MAX_INPUT_BYTES);
-            let is_closed = connection.closed;
+            let is_closed = connection.has_ended;
             if !connection.input.is_empty() {
                 let input = std::mem::take(&mut connection.input);
                 let used = self.handle_viewer_messages(connection_id, &input);
--- a/crates/rtsp/src/lib.rs
+++ b/crates/rtsp/src/lib.rs
@@ -37,9 +37,9 @@
 
 /// The start line of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum StartLine {
     /// A response with its status code.
-    Answer(u16),
+    Response(u16),
     /// A request with its method.
     Request(String),
 }
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// The start line.
-    pub start: Start,
+    pub start: StartLine,
     /// The session id, from the header field `Session`.
     pub session: u64,
     /// The names and values of the header fields.
@@ -64,20 +64,20 @@
 }
 
 /// Parses the start line of a response or a request.
-fn parse_start_line(line: &str) -> Result<Start, ParseError> {
+fn parse_start_line(line: &str) -> Result<StartLine, ParseError> {
     let error = || ParseError::InvalidStartLine(line.chars().take(60).collect());
     let (first_word, rest) = line.split_once(' ').ok_or_else(error)?;
     if first_word == VERSION {
         let code = rest.split(' ').next().unwrap_or(rest);
         let is_valid = code.len() == 3 && code.bytes().all(|b| b.is_ascii_digit());
-        return is_valid.then(|| code.parse().ok()).flatten().map(Start::Answer).ok_or_else(error);
+        return is_valid.then(|| code.parse().ok()).flatten().map(StartLine::Response).ok_or_else(error);
     }
     let is_method = !first_word.is_empty() && first_word.bytes().all(|b| b.is_ascii_uppercase() || b == b'_');
     let (target, version) = rest.rsplit_once(' ').ok_or_else(error)?;
     if !is_method || version != VERSION || target.is_empty() || target.contains(' ') {
         return Err(error());
     }
-    Ok(Start::Request(first_word.to_string()))
+    Ok(StartLine::Request(first_word.to_string()))
 }
 
 impl Message {
@@ -137,7 +137,7 @@
     }
 
     /// The value of a header field as a finite number.
-    pub fn number(&self, name: &str) -> Option<f64> {
+    pub fn number_field(&self, name: &str) -> Option<f64> {
         self.field(name)?.parse().ok().filter(|n: &f64| n.is_finite())
     }
 
@@ -154,7 +154,7 @@
 
     /// The named load values of a load report, from the header field `X-Circuits`, such as `x0:12;x1:40`.
     /// Values that are not finite numbers are skipped.
-    pub fn report(&self) -> impl Iterator<Item = (&str, f64)> {
+    pub fn load_values(&self) -> impl Iterator<Item = (&str, f64)> {
         let pairs = self.field("X-Circuits").unwrap_or("").split(';');
         pairs.filter_map(|pair| {
             let (name, value) = pair.split_once(':')?;
@@ -165,7 +165,7 @@
 
 /// Encodes a request with its header and body. `path` is what follows `rtsp://media/` in the request's
 /// target. The length is not checked against [`MAX_BYTES`].
-pub fn request(
+pub fn encode_request(
     method: &str,
     path: &str,
     cseq: u32,
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -42,7 +42,7 @@
     pub zone: usize,
     /// Index of its placement cell (not a cell of a gossip row): the holders of a title are the servers of consecutive
     /// placement cells. This package does not use it.
-    pub cell: usize,
+    pub placement_cell: usize,
     /// Capacity of its link, in any unit that is the same for all servers.
     pub link: f64,
 }
@@ -55,7 +55,7 @@
     /// Whether it is doubted because of reports of other fronts.
     pub doubted: bool,
     /// This front's part of the server's pace, relative to the part that it has without loans.
-    pub pace: f64,
+    pub pace_multiple: f64,
     /// Minimum gap between two further allocations, and between two probes, of this front to the server, ms; 0 for none.
     pub further_gap: f64,
     pub probe_gap: f64,
--- a/crates/shared-state/src/server_health.rs
+++ b/crates/shared-state/src/server_health.rs
@@ -133,7 +133,7 @@
     /// Identifiers of the servers that are doubted.
     pub doubted: BTreeSet<u64>,
     /// The zone that counts as lost; its servers are among the doubted.
-    pub lost: Option<usize>,
+    pub lost_zone: Option<usize>,
 }
 
 /// This front's own results of the last [`WINDOW_MS`].
@@ -242,7 +242,7 @@
                 });
             }
         }
-        let lost = self.lost_zone(&reports, servers);
+        let lost_zone = self.lost_zone(&reports, servers);
         let mut doubted = BTreeSet::new();
         let mut suspects: Vec<(usize, &Server)> = servers
             .iter()
@@ -263,8 +263,8 @@
                 doubted.insert(server.id);
             }
         }
-        doubted.extend(servers.iter().filter(|s| Some(s.zone) == lost).map(|s| s.id));
-        HealthView { doubted, lost }
+        doubted.extend(servers.iter().filter(|s| Some(s.zone) == lost_zone).map(|s| s.id));
+        HealthView { doubted, lost_zone }
     }
 
     /// Number of fronts (possibly including this one) at which a server is failing, if they are enough to doubt it.
--- a/crates/shared-state/tests/server_health_and_counts.rs
+++ b/crates/shared-state/tests/server_health_and_counts.rs
@@ -9,7 +9,7 @@
 
 /// Eight servers, of which the even ones are in zone 0.
 fn servers() -> Vec<Server> {
-    (0..8).map(|s| Server { id: s, zone: s as usize % 2, cell: s as usize, link: 1.0 }).collect()
+    (0..8).map(|s| Server { id: s, zone: s as usize % 2, placement_cell: s as usize, link: 1.0 }).collect()
 }
 
 /// Eight titles with four holders each.
@@ -94,7 +94,7 @@
 fn any_number_of_false_reports_doubts_only_a_part() {
     let others: Vec<Front> = (0..7).map(|_| timing_out_at(0, &ALL_SERVERS)).collect();
     let view = evaluate(&(0, vec![]), &others, 10.0);
-    assert_eq!((view.doubted.len(), view.lost), (2, None));
+    assert_eq!((view.doubted.len(), view.lost_zone), (2, None));
     for title in titles() {
         assert!(title.iter().filter(|s| view.doubted.contains(s)).count() <= 2);
     }
@@ -115,7 +115,7 @@
     let own_results: Front = (0, vec![(1, AllocationResult::TimedOut, 1), (0, AllocationResult::Success, 3)]);
     let others = [timing_out_at(0, &[3]), timing_out_at(0, &[5]), served_at(0, &[2, 4])];
     let view = evaluate(&own_results, &others, 10.0);
-    assert_eq!((view.lost, view.doubted.into_iter().collect::<Vec<u64>>()), (Some(1), vec![1, 3, 5, 7]));
+    assert_eq!((view.lost_zone, view.doubted.into_iter().collect::<Vec<u64>>()), (Some(1), vec![1, 3, 5, 7]));
     let after_success = [timing_out_at(0, &[3]), timing_out_at(0, &[5]), served_at(0, &[2, 4, 7])];
     assert_eq!(evaluate(&own_results, &after_success, 10.0), HealthView::default());
 }
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -174,8 +174,15 @@
                 let first_cell = fields.read_f32()?.max(0.0) as usize;
                 fields.read_us_as_ms()?;
                 let product = fields.read_u16()?.into();
-                let request =
-                    PlayRequest { product, title, first_cell, holders, max_rung, arrived_at: now, deadline };
+                let request = PlayRequest {
+                    product,
+                    title,
+                    first_cell,
+                    holder_cells: holders,
+                    max_rung,
+                    arrived_at: now,
+                    deadline,
+                };
                 if self.check_product(&request, fields, actions) {
                     self.dispatcher.add_play(now, play_id, &request, actions);
                 }
@@ -194,8 +201,15 @@
                 let max_rung = fields.read_f32()?.max(0.0) as usize;
                 fields.read_u8()?;
                 let server_id = fields.read_u32()?;
-                let request =
-                    PlayRequest { product, title, first_cell, holders, max_rung, arrived_at: now, deadline };
+                let request = PlayRequest {
+                    product,
+                    title,
+                    first_cell,
+                    holder_cells: holders,
+                    max_rung,
+                    arrived_at: now,
+                    deadline,
+                };
                 if self.check_product(&request, fields, actions) {
                     self.dispatcher.adopt(now, play_id, &request, server_id, actions);
                 }
@@ -214,7 +228,7 @@
                 self.dispatcher.on_allocation_ended(now, play_id, server_id, outcome, closed, &load, actions);
             }
             // DROPPED: the viewer has left.
-            21 => self.dispatcher.on_viewer_left(fields.read_u64()?, actions),
+            21 => self.dispatcher.close_play(fields.read_u64()?, actions),
             // ALARM: a timer has fired.
             22 => self.dispatcher.on_timer(now, fields.read_u32()?, actions),
             // ECHO: a probe is answered.
--- a/crates/whatif/src/lib.rs
+++ b/crates/whatif/src/lib.rs
@@ -38,7 +38,7 @@
     /// Identifier of the server.
     pub server: u64,
     /// When its process started. After a restart it counts as a different server.
-    pub born: u64,
+    pub process_started_at: u64,
     /// Index of its zone.
     pub zone: usize,
     /// The probability that the draw chooses it.
@@ -174,7 +174,8 @@
     fn expected_ms(&self, c: &Candidate) -> f64 {
         let overall_mean =
             if self.overall_total.0 > 0.0 { self.overall_total.1 / self.overall_total.0 } else { 0.0 };
-        let (count, sum) = self.server_totals.get(&(c.server, c.born)).copied().unwrap_or_default();
+        let (count, sum) =
+            self.server_totals.get(&(c.server, c.process_started_at)).copied().unwrap_or_default();
         (sum + PRIOR_SET_UPS * overall_mean) / (count + PRIOR_SET_UPS)
     }
 
@@ -204,7 +205,7 @@
             let direct: f64 = policy_chances.iter().zip(&expected).map(|(p, q)| p * q).sum();
             sums.record(set_up_ms, weight, direct, direct + weight * (set_up_ms - expected[choice.chosen]));
         }
-        let id = (candidate.server, candidate.born);
+        let id = (candidate.server, candidate.process_started_at);
         if self.servers.len() < MAX_SERVERS || self.servers.contains_key(&id) {
             self.servers.entry(id).or_default().record(
                 set_up_ms,
--- a/crates/whatif/tests/estimates.rs
+++ b/crates/whatif/tests/estimates.rs
@@ -22,7 +22,7 @@
         let best = (0..4).max_by(|a, b| rooms[*a].total_cmp(&rooms[*b])).unwrap_or(0);
         let candidate = |i: usize| Candidate {
             server: ((first + i) % SERVERS) as u64,
-            born: 1,
+            process_started_at: 1,
             zone: (first + i) % 2,
             chance: 0.5 * f64::from(i == best) + 0.5 * rooms[i] / total,
             room: rooms[i],
@@ -152,7 +152,7 @@
 #[test]
 fn an_impossible_choice_is_not_counted() {
     let mut log = OutcomeLog::new(0, 60_000.0, 1_000.0);
-    let candidate = |chance| Candidate { server: 1, born: 1, zone: 0, chance, room: 1.0 };
+    let candidate = |chance| Candidate { server: 1, process_started_at: 1, zone: 0, chance, room: 1.0 };
     log.record_choice(1, 1, 0, 0, 0, vec![candidate(0.4)]);
     log.record_choice(2, 1, 0, 0, 1, vec![candidate(1.0), candidate(0.0)]);
     log.record_choice(3, 1, 0, 0, 7, vec![candidate(1.0)]);
@@ -164,7 +164,8 @@
 fn a_restarted_server_counts_as_another() {
     let mut log = OutcomeLog::new(0, 60_000.0, 1_000.0);
     for born in [1, 2] {
-        let candidates = vec![Candidate { server: 1, born, zone: 0, chance: 1.0, room: 1.0 }];
+        let candidates =
+            vec![Candidate { server: 1, process_started_at: born, zone: 0, chance: 1.0, room: 1.0 }];
         log.record_choice(born, 1, 0, 0, 0, candidates);
         log.record_result(0.0, born, 1, SetUpResult::Playing(5.0));
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -102,7 +102,7 @@
     /// How much of the server's pace (the rate of plays that it may be sent while cold or doubted) this front holds, in
     /// multiples of its part without loans: 1 where nothing is lent or borrowed. Each 1 above that adds 1/n of the whole pace,
     /// where n is the number of fronts; below 1, this front sends at that fraction of its usual rate.
-    pub pace: f64,
+    pub pace_multiple: f64,
     /// Minimum distance between further allocations (those after a play's first) to the server, ms.
     pub further_gap: f64,
     /// Minimum distance between probes of the server, ms.
--- a/src/logic/facts.rs
+++ b/src/logic/facts.rs
@@ -53,7 +53,7 @@
         let old_gap = self.play_gap(now, hint.server);
         let server = &mut self.servers[hint.server];
         let newly_doubted = hint.doubted && !server.doubted_by_others;
-        (server.doubted_by_others, server.borrowed_pace) = (hint.doubted, hint.pace.max(0.01) - 1.0);
+        (server.doubted_by_others, server.borrowed_pace) = (hint.doubted, hint.pace_multiple.max(0.01) - 1.0);
         (server.further_gap, server.probe_gap) = (hint.further_gap, hint.probe_gap);
         let new_gap = self.play_gap(now, hint.server);
         let first_trial_delay =
--- a/tests/hints_and_candidates.rs
+++ b/tests/hints_and_candidates.rs
@@ -7,7 +7,7 @@
 
 /// A hint with which the front acts as without any hint.
 const NEUTRAL_HINT: ServerHint =
-    ServerHint { server: 0, doubted: false, pace: 1.0, further_gap: 0.0, probe_gap: 0.0 };
+    ServerHint { server: 0, doubted: false, pace_multiple: 1.0, further_gap: 0.0, probe_gap: 0.0 };
 
 /// The reported chances add up to 1, include the server that was drawn, and agree with the frequencies of the draw.
 #[test]
@@ -72,7 +72,7 @@
     host.entries[0].started_at = host.now;
     host.update_list();
     host.now += 5_000.0;
-    host.policy.apply_hint(host.now, &ServerHint { pace, ..NEUTRAL_HINT });
+    host.policy.apply_hint(host.now, &ServerHint { pace_multiple: pace, ..NEUTRAL_HINT });
     host.start_play(0, 1);
     let play_index = host.add_play(0, 1);
     host.plays[play_index].deadline += 60_000.0;
@@ -97,7 +97,7 @@
     host.plays[play_index].deadline += 60_000.0;
     host.place(play_index);
     let before = host.policy.time_to_recheck(host.now, &host.plays[play_index]).expect("the play waits");
-    host.policy.apply_hint(host.now, &ServerHint { pace: 0.5, ..NEUTRAL_HINT });
+    host.policy.apply_hint(host.now, &ServerHint { pace_multiple: 0.5, ..NEUTRAL_HINT });
     host.place(play_index);
     let after = host.policy.time_to_recheck(host.now, &host.plays[play_index]).expect("the play still waits");
     assert!((after / before - 2.0).abs() < 0.01, "{before} {after}");
