--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -1,7 +1,7 @@
 //! What the node does for the dispatcher: starts and withdraws attempts, changes rungs, sends probes and
 //! writes final answers.
 
-use crate::state::{AllocationEnd, Attempt, CAUSE_DECLINED, CAUSE_FAILED, CSEQ_PROBE, NodeState, Timer};
+use crate::state::{Attempt, AttemptEnd, CAUSE_DECLINED, CAUSE_FAILED, CSEQ_PROBE, NodeState, Timer};
 use pulleystair::Outcome;
 use pulleystair_dispatcher::Actions;
 use pulleystair_rtsp as rtsp;
@@ -27,11 +27,11 @@
         let mut outcome = Outcome::Withdrawn;
         if session.is_playing {
             let (preferred, cause) = (session.server_connection_id, session.release_cause);
-            self.release_on_server(server_number, preferred, play, cause);
+            self.tear_down_on_server(server_number, preferred, play, cause);
         } else if self.abandon_attempt(play) {
             outcome = Outcome::NeverSent;
         }
-        self.finished_allocations.push_back(AllocationEnd { play, server_number, outcome });
+        self.unreported_ends.push_back(AttemptEnd { play, server_number, outcome });
     }
 
     /// Records the rung and sends it to the server if the session plays.
--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -7,7 +7,7 @@
 //! all of it is read. Nothing else runs between that read and the queueing of the set-up.
 
 use crate::node::Node;
-use crate::state::{AllocationEnd, Attempt};
+use crate::state::{Attempt, AttemptEnd};
 use pulleystair::{LoadMetric, Outcome, Standing};
 use pulleystair_connections::ConnectionId;
 use tracing::debug;
@@ -19,7 +19,7 @@
         while let Some(attempt) = self.state.outgoing_attempts.pop_front() {
             has_started = true;
             self.start_attempt(attempt);
-            self.report_finished_allocations();
+            self.report_ends();
         }
         has_started
     }
@@ -51,7 +51,7 @@
             self.state.stats.sent += 1;
             return;
         };
-        self.state.finished_allocations.push_back(AllocationEnd { play, server_number, outcome });
+        self.state.unreported_ends.push_back(AttemptEnd { play, server_number, outcome });
     }
 
     /// Checks the set-ups that are queued on a connection and about to be sent. A set-up is dropped if its
@@ -103,7 +103,7 @@
             (true, None) => Outcome::NeverSent,
         };
         self.on_attempt_ended(play, server_number, outcome, &[]);
-        self.report_finished_allocations();
+        self.report_ends();
     }
 
     /// Records that an attempt ended without a playing session, and reports it to the dispatcher.
@@ -133,10 +133,8 @@
     }
 
     /// Reports the queued ends to the dispatcher.
-    pub(crate) fn report_finished_allocations(&mut self) {
-        while let Some(AllocationEnd { play, server_number, outcome }) =
-            self.state.finished_allocations.pop_front()
-        {
+    pub(crate) fn report_ends(&mut self) {
+        while let Some(AttemptEnd { play, server_number, outcome }) = self.state.unreported_ends.pop_front() {
             self.on_attempt_ended(play, server_number, outcome, &[]);
         }
     }
--- a/crates/node/src/listing.rs
+++ b/crates/node/src/listing.rs
@@ -4,7 +4,7 @@
 use crate::config::Config;
 use crate::node::Node;
 use crate::shares::{RETRY_DELAY_MS, is_resource_exhaustion};
-use crate::state::{AllocationEnd, NodeState, Timer};
+use crate::state::{AttemptEnd, NodeState, Timer};
 use anyhow::Context;
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
@@ -188,7 +188,7 @@
             self.on_server_restarted(server_number, started_at);
         }
         self.cancel_unsent_set_ups();
-        self.report_finished_allocations();
+        self.report_ends();
         self.forget_gone_servers();
     }
 
@@ -205,7 +205,7 @@
                 .map_or(Vec::new(), |c| c.pending_set_ups.iter().map(|s| s.play).collect());
             for play in plays {
                 if self.state.cancel_unsent_set_up(connection_id, play) {
-                    self.state.finished_allocations.push_back(AllocationEnd {
+                    self.state.unreported_ends.push_back(AttemptEnd {
                         play,
                         server_number,
                         outcome: Outcome::NeverSent,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -103,7 +103,7 @@
             Role::Viewer(_) => drop(self.handle_viewer_connection(connection_id)),
             Role::Server(_) => self.handle_server_connection(connection_id),
         }
-        self.report_finished_allocations();
+        self.report_ends();
     }
 
     /// Lets the dispatcher place the waiting plays again, and starts the attempts that it requests, until
@@ -112,7 +112,7 @@
         self.requeue_held_attempts();
         loop {
             let has_placed = self.dispatcher.end_turn(self.state.now(), &mut self.state);
-            self.report_finished_allocations();
+            self.report_ends();
             if !self.start_outgoing_attempts() && !has_placed {
                 return;
             }
@@ -131,7 +131,7 @@
                 Timer::QueryList => self.query_list_if_due(now),
                 Timer::CheckServers => {
                     self.check_silent_servers(now);
-                    self.state.retry_pending_releases(now);
+                    self.state.retry_pending_teardowns(now);
                     if enabled!(target: "belief", tracing::Level::DEBUG) {
                         self.log_server_view();
                     }
@@ -141,7 +141,7 @@
                     let state = &self.state;
                     info!(target: "sums", sums = ?state.stats, open = state.pending_set_up_count, sessions = state.sessions.len(),
                         held = self.dispatcher.play_count(), viewers = state.viewer_connections.len(), wires = state.server_connection_count(),
-                        servers = state.servers.len(), owed = state.pending_notices.len(), cuts = state.pending_releases.len(), clocks = state.timers.len());
+                        servers = state.servers.len(), owed = state.pending_notices.len(), cuts = state.pending_teardowns.len(), clocks = state.timers.len());
                     self.forget_gone_servers();
                     self.state.schedule(now + STATS_INTERVAL_MS, Timer::LogStats);
                 }
@@ -150,7 +150,7 @@
                 Timer::ReloadConfig => self.reload_config(true),
                 Timer::StopDeadline => self.expire_pending_and_halt(),
             }
-            self.report_finished_allocations();
+            self.report_ends();
         }
     }
 
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -100,7 +100,7 @@
                     // the message is not used either.
                     if parsed.is_ok() {
                         self.handle_server_message(connection_id, server_number, &message);
-                        self.report_finished_allocations();
+                        self.report_ends();
                         if self.state.connections.get_mut(connection_id).is_none() {
                             return Some(used);
                         }
@@ -147,7 +147,7 @@
                 // The response is late or belongs to no known play. The server must not keep a session that
                 // was given up.
                 self.state.stats.late += 1;
-                self.state.release_on_server(server_number, Some(connection_id), play, CAUSE_WITHDRAWN);
+                self.state.tear_down_on_server(server_number, Some(connection_id), play, CAUSE_WITHDRAWN);
             }
             StartLine::Response(status) if is_pending => {
                 // In RTSP, 453 is "Not Enough Bandwidth", 454 "Session Not Found" and 504 "Gateway Time-out".
@@ -242,7 +242,7 @@
     ) {
         self.state.remove_pending_set_up(connection_id, play);
         let Some(bytes) = protocol::encode(kind::ANSWER, play, &[(code::DESCRIPTION, description)]) else {
-            self.state.release_on_server(server_number, Some(connection_id), play, CAUSE_WITHDRAWN);
+            self.state.tear_down_on_server(server_number, Some(connection_id), play, CAUSE_WITHDRAWN);
             return self.on_attempt_ended(play, server_number, Outcome::Error, load);
         };
         let Some(session) = self.state.sessions.get_mut(&play) else { return };
@@ -287,14 +287,14 @@
             self.state.notify_session_end(play, session.viewer_connection_id, session.viewer_ip, cause);
         }
         self.dispatcher.on_allocation_ended(now, play, server_number, outcome, true, load, &mut self.state);
-        self.report_finished_allocations();
+        self.report_ends();
     }
 
     /// Ends a playing session that its viewer has ended.
     pub(crate) fn on_session_ended_by_viewer(&mut self, play: u64) {
         let now = self.state.now();
         self.dispatcher.close_play(play, &mut self.state);
-        // The dispatcher has withdrawn the play, which queued an `AllocationEnd`. The end is reported below
+        // The dispatcher has withdrawn the play, which queued an `AttemptEnd`. The end is reported below
         // instead, because the session no longer exists when the queue is processed.
         let Some(session) = self.state.sessions.remove(&play) else { return };
         self.state.ended_sessions.record(now, play, EndReport::Both);
@@ -302,7 +302,7 @@
             if let Some(server) = self.state.servers.get_mut(&server_number) {
                 server.playing_sessions = server.playing_sessions.saturating_sub(1);
             }
-            self.state.finished_allocations.retain(|end| end.play != play);
+            self.state.unreported_ends.retain(|end| end.play != play);
             self.dispatcher.on_allocation_ended(
                 now,
                 play,
@@ -348,7 +348,7 @@
                 }
             }
         }
-        self.report_finished_allocations();
+        self.report_ends();
     }
 
     /// Dials a server with sessions that has no connection or is silent, because the server may have ends to
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -81,8 +81,8 @@
     pub(crate) server_number: u32,
     /// Set-ups on this connection that have no response yet.
     pub(crate) pending_set_ups: Vec<PendingSetUp>,
-    /// Release notices that were queued on this connection and of which no byte was sent yet.
-    pub(crate) unsent_releases: Vec<ReleaseNotice>,
+    /// TEARDOWNs that were queued on this connection and of which no byte was sent yet.
+    pub(crate) unsent_teardowns: Vec<Teardown>,
     /// Whether the connection is established.
     pub(crate) is_established: bool,
     /// When something last arrived on the connection, and when something last arrived or was queued, Unix ms.
@@ -97,11 +97,11 @@
 
 impl ServerConnection {
     pub(crate) fn new(server_number: u32, now: f64) -> ServerConnection {
-        let (pending_set_ups, unsent_releases) = (Vec::new(), Vec::new());
+        let (pending_set_ups, unsent_teardowns) = (Vec::new(), Vec::new());
         ServerConnection {
             server_number,
             pending_set_ups,
-            unsent_releases,
+            unsent_teardowns,
             is_established: false,
             last_heard_at: now,
             last_active_at: now,
@@ -119,14 +119,14 @@
     pub(crate) length: usize,
 }
 
-/// The notice to a server that a session has ended, which is sent as a TEARDOWN.
-pub(crate) struct ReleaseNotice {
+/// The TEARDOWN with which a server is told that a session at it has ended.
+pub(crate) struct Teardown {
     pub(crate) server_number: u32,
     pub(crate) play: u64,
     pub(crate) cause: u8,
-    /// When the notice was created, Unix ms.
+    /// When the TEARDOWN was created, Unix ms.
     pub(crate) created_at: f64,
-    /// The offset of the TEARDOWN among all bytes queued on its connection; 0 if it was not queued yet.
+    /// Its offset among all bytes queued on its connection; 0 if it was not queued yet.
     pub(crate) offset: u64,
 }
 
@@ -219,7 +219,7 @@
 
 /// The end of an attempt or the withdrawal of a playing session. It is queued to be reported, because the
 /// dispatcher was busy when it came about. The dispatcher calls an attempt an allocation.
-pub(crate) struct AllocationEnd {
+pub(crate) struct AttemptEnd {
     pub(crate) play: u64,
     pub(crate) server_number: u32,
     pub(crate) outcome: Outcome,
@@ -276,13 +276,13 @@
     pub(crate) next_server_number: u32,
     pub(crate) timers: Timers<Timer>,
     /// Ends of attempts, and withdrawals, that are still to be reported to the dispatcher.
-    pub(crate) finished_allocations: VecDeque<AllocationEnd>,
+    pub(crate) unreported_ends: VecDeque<AttemptEnd>,
     /// Attempts that the dispatcher requested, and those of them whose viewer's connection was read only in
     /// part.
     pub(crate) outgoing_attempts: VecDeque<Attempt>,
     pub(crate) held_attempts: Vec<Attempt>,
-    /// Release notices that are still to be sent, for lack of a connection to their servers.
-    pub(crate) pending_releases: VecDeque<ReleaseNotice>,
+    /// TEARDOWNs that are still to be sent, for lack of a connection to their servers.
+    pub(crate) pending_teardowns: VecDeque<Teardown>,
     pub(crate) ended_sessions: EndedSessions,
     /// Connections to be handled again in the next turn: they may have input left, or are closed.
     pub(crate) revisit_queue: VecDeque<ConnectionId>,
@@ -314,10 +314,10 @@
             server_numbers: HashMap::new(),
             next_server_number: 0,
             timers: Timers::new(unix_ms),
-            finished_allocations: VecDeque::new(),
+            unreported_ends: VecDeque::new(),
             outgoing_attempts: VecDeque::new(),
             held_attempts: Vec::new(),
-            pending_releases: VecDeque::new(),
+            pending_teardowns: VecDeque::new(),
             ended_sessions: EndedSessions::default(),
             revisit_queue: VecDeque::new(),
             viewer_connections: VecDeque::new(),
--- a/crates/node/src/stopping.rs
+++ b/crates/node/src/stopping.rs
@@ -55,7 +55,7 @@
             || state.pending_set_up_count > 0
             || has_partial_message
             || !state.revisit_queue.is_empty()
-            || !state.pending_releases.is_empty()
+            || !state.pending_teardowns.is_empty()
             || state.connections.any_unsent_bytes(|_| true);
         !has_open_work
     }
@@ -76,7 +76,7 @@
     pub(crate) fn expire_pending_and_halt(&mut self) {
         self.drain_input_and_check_done();
         self.dispatcher.expire_unanswered(self.state.now(), &mut self.state);
-        self.report_finished_allocations();
+        self.report_ends();
         self.is_halted = true;
     }
 }
--- a/crates/node/src/to_servers.rs
+++ b/crates/node/src/to_servers.rs
@@ -3,7 +3,7 @@
 use crate::node::SERVER_CHECK_INTERVAL_MS;
 use crate::state::{
     Attempt, CSEQ_OTHER, CSEQ_SET_UP, CSEQ_TEARDOWN, MAX_NOTICES, NOTICE_TTL_MS, NodeState, PendingSetUp,
-    ReleaseNotice, Role, Server, ServerConnection, Timer,
+    Role, Server, ServerConnection, Teardown, Timer,
 };
 use pulleystair_connections::ConnectionId;
 use pulleystair_rtsp as rtsp;
@@ -201,7 +201,7 @@
         let (is_closed, bytes_sent) = (connection.has_ended, connection.bytes_sent());
         if let Role::Server(server_connection) = &mut connection.role {
             server_connection.last_active_at = now;
-            server_connection.unsent_releases.retain(|release| release.offset >= bytes_sent);
+            server_connection.unsent_teardowns.retain(|teardown| teardown.offset >= bytes_sent);
         }
         if is_closed {
             self.revisit_queue.push_back(connection_id);
@@ -213,10 +213,10 @@
         let bytes_sent =
             self.connections.get_mut(connection_id).map_or(0, |connection| connection.bytes_sent());
         let Some(Role::Server(server_connection)) = self.connections.close(connection_id) else { return };
-        // Release notices of which no byte was sent are sent on another connection.
+        // TEARDOWNs of which no byte was sent are sent on another connection.
         let unsent =
-            server_connection.unsent_releases.into_iter().filter(|release| release.offset >= bytes_sent);
-        self.pending_releases.extend(unsent.take(MAX_NOTICES.saturating_sub(self.pending_releases.len())));
+            server_connection.unsent_teardowns.into_iter().filter(|teardown| teardown.offset >= bytes_sent);
+        self.pending_teardowns.extend(unsent.take(MAX_NOTICES.saturating_sub(self.pending_teardowns.len())));
         if let Some(server) = self.servers.get_mut(&server_connection.server_number) {
             server.connections.retain(|id| *id != connection_id);
         }
@@ -224,7 +224,7 @@
 
     /// Notifies a server with a TEARDOWN that a session at it has ended: on the `preferred` connection, on
     /// any other, or later if there is none.
-    pub(crate) fn release_on_server(
+    pub(crate) fn tear_down_on_server(
         &mut self,
         server_number: u32,
         preferred: Option<ConnectionId>,
@@ -232,42 +232,42 @@
         cause: u8,
     ) {
         let created_at = self.now();
-        self.send_release(preferred, ReleaseNotice { server_number, play, cause, created_at, offset: 0 });
+        self.send_teardown(preferred, Teardown { server_number, play, cause, created_at, offset: 0 });
     }
 
-    /// Sends a release notice as a TEARDOWN, or keeps it if there is no connection to its server.
-    fn send_release(&mut self, preferred: Option<ConnectionId>, mut release: ReleaseNotice) {
-        let Some(connection_id) = self.preferred_or_any_connection(release.server_number, preferred) else {
-            if self.pending_releases.len() < MAX_NOTICES {
-                self.pending_releases.push_back(release);
+    /// Sends a TEARDOWN, or keeps it if there is no connection to its server.
+    fn send_teardown(&mut self, preferred: Option<ConnectionId>, mut teardown: Teardown) {
+        let Some(connection_id) = self.preferred_or_any_connection(teardown.server_number, preferred) else {
+            if self.pending_teardowns.len() < MAX_NOTICES {
+                self.pending_teardowns.push_back(teardown);
             }
             return;
         };
-        let reason = format!("cause={}", release.cause);
+        let reason = format!("cause={}", teardown.cause);
         let bytes = rtsp::encode_request(
             "TEARDOWN",
             "session",
             CSEQ_TEARDOWN,
-            release.play,
+            teardown.play,
             &[("Reason", &reason)],
             b"",
         );
-        release.offset =
+        teardown.offset =
             self.connections.get_mut(connection_id).map_or(0, |connection| connection.bytes_queued());
         if let Some(server_connection) = self.server_connection(connection_id) {
-            server_connection.unsent_releases.push(release);
+            server_connection.unsent_teardowns.push(teardown);
         }
         self.write_to_server(connection_id, &bytes);
     }
 
-    /// Tries to send the pending release notices. A notice is dropped if its server is gone or
+    /// Tries to send the pending TEARDOWNs. A TEARDOWN is dropped if its server is gone or
     /// `NOTICE_TTL_MS` has passed, because by then the viewer must have learnt of the end in another way.
-    pub(crate) fn retry_pending_releases(&mut self, now: f64) {
-        for release in std::mem::take(&mut self.pending_releases) {
+    pub(crate) fn retry_pending_teardowns(&mut self, now: f64) {
+        for teardown in std::mem::take(&mut self.pending_teardowns) {
             let is_reachable =
-                self.servers.get(&release.server_number).is_some_and(|s| s.dial_address().is_some());
-            if is_reachable && now - release.created_at < NOTICE_TTL_MS {
-                self.send_release(None, release);
+                self.servers.get(&teardown.server_number).is_some_and(|s| s.dial_address().is_some());
+            if is_reachable && now - teardown.created_at < NOTICE_TTL_MS {
+                self.send_teardown(None, teardown);
             }
         }
     }
@@ -367,7 +367,7 @@
             .filter(|s| s.offset > set_up.offset)
             .for_each(|s| s.offset -= length);
         server_connection
-            .unsent_releases
+            .unsent_teardowns
             .iter_mut()
             .filter(|r| r.offset > set_up.offset)
             .for_each(|r| r.offset -= length);
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -173,7 +173,7 @@
         for play in abandoned.unwrap_or_default() {
             self.abandon_set_up(play);
         }
-        self.report_finished_allocations();
+        self.report_ends();
     }
 
     /// Abandons a pending set-up, because its viewer no longer waits for it.
@@ -235,7 +235,7 @@
                     if !self.handle_viewer_message(connection_id, &message) {
                         return None;
                     }
-                    self.report_finished_allocations();
+                    self.report_ends();
                 }
             }
         }
@@ -379,7 +379,7 @@
                 return self.state.notify_session_end(play, connection_id, viewer_ip, cause);
             }
             Some(EndReport::Viewer(cause)) => {
-                return self.state.release_on_server(server_number, None, play, cause);
+                return self.state.tear_down_on_server(server_number, None, play, cause);
             }
         }
         let request = set_up.request;
