--- a/crates/message-mutation/src/delivery.rs
+++ b/crates/message-mutation/src/delivery.rs
@@ -116,7 +116,7 @@
         }
         self.request_count += 1;
         let (request, now) = (self.request_count, self.now);
-        let SetUp { play, product, title, time_limit, first_cell, holders, max_rung } = set_up;
+        let SetUp { play, product, title, time_limit, first_cell, holder_cells, max_rung } = set_up;
         let session = format!("{front_id}-{play:x}");
         self.record(Observed::Asked {
             request,
@@ -130,7 +130,7 @@
             product,
             title: stable_id(&title),
             first_cell,
-            holder_cells: holders,
+            holder_cells,
             max_rung,
             arrived_at: now,
             deadline: now + time_limit.min(TIME_LIMIT_MS),
--- a/crates/message-mutation/src/messages.rs
+++ b/crates/message-mutation/src/messages.rs
@@ -19,13 +19,13 @@
     pub title: String,
     pub time_limit: f64,
     pub first_cell: usize,
-    pub holders: usize,
+    pub holder_cells: usize,
     pub max_rung: usize,
 }
 
 /// Encodes a viewer's set-up.
 pub fn encode_set_up(set_up: &SetUp) -> Vec<u8> {
-    let extras = format!("home:{};copies:{};top:{}", set_up.first_cell, set_up.holders, set_up.max_rung);
+    let extras = format!("home:{};copies:{};top:{}", set_up.first_cell, set_up.holder_cells, set_up.max_rung);
     let time_limit = format!("{}", set_up.time_limit);
     let parameters: Vec<(u8, &[u8])> = vec![
         (code::CLASS, CLASSES[set_up.product].as_bytes()),
@@ -51,15 +51,16 @@
         let index = ["home", "copies", "top"].iter().position(|n| *n == name);
         index.into_iter().for_each(|i| extras[i] = value.parse::<usize>().ok());
     }
-    let [Some(first_cell), Some(holders), Some(max_rung)] = extras else { return None };
-    let is_valid = (0.0..=MAX_TIME_LIMIT_MS).contains(&time_limit) && holders > 0 && message.session != 0;
+    let [Some(first_cell), Some(holder_cells), Some(max_rung)] = extras else { return None };
+    let is_valid =
+        (0.0..=MAX_TIME_LIMIT_MS).contains(&time_limit) && holder_cells > 0 && message.session != 0;
     is_valid.then_some(SetUp {
         play: message.session,
         product,
         title,
         time_limit,
         first_cell,
-        holders,
+        holder_cells,
         max_rung,
     })
 }
--- a/crates/message-mutation/src/world.rs
+++ b/crates/message-mutation/src/world.rs
@@ -289,7 +289,7 @@
             self.schedule(gap, Event::PlayArrives(front_id));
         }
         let (product, cell) = ((self.random() * 3.0) as usize, (self.random() * SERVERS as f64) as usize);
-        let (cell, holders) = if crowd { (0, 1) } else { (cell, 3) };
+        let (cell, holder_cells) = if crowd { (0, 1) } else { (cell, 3) };
         let play = (front_id as u64 + 1) << 32 | (self.sequence & 0xffff_ffff);
         let set_up = SetUp {
             play,
@@ -297,7 +297,7 @@
             title: format!("t{cell}"),
             time_limit: TIME_LIMIT_MS,
             first_cell: cell,
-            holders,
+            holder_cells,
             max_rung: 1,
         };
         self.schedule_delivery(
--- a/crates/node/src/set_up.rs
+++ b/crates/node/src/set_up.rs
@@ -50,7 +50,8 @@
             }
         }
         let description = message.get(code::DESCRIPTION).ok_or("the description is missing")?.to_vec();
-        let (mut first_cell, mut holders, mut max_rung, mut current_server_id) = (None, None, None, None);
+        let (mut first_cell, mut holder_cells, mut max_rung, mut current_server_id) =
+            (None, None, None, None);
         for pair in message.text(code::EXTRAS).ok_or("home, copies and top are missing")?.split(';') {
             let (name, value) = pair.split_once(':').unwrap_or((pair, ""));
             let parse_count =
@@ -61,7 +62,7 @@
                         Some(parse_count().filter(|x| *x < limits.cells).ok_or("home is out of range")?)
                 }
                 "copies" => {
-                    holders = Some(
+                    holder_cells = Some(
                         parse_count()
                             .filter(|x| (1..=limits.cells).contains(x))
                             .ok_or("copies is out of range")?,
@@ -75,7 +76,8 @@
                 _ => {}
             }
         }
-        let (Some(first_cell), Some(holders), Some(max_rung)) = (first_cell, holders, max_rung) else {
+        let (Some(first_cell), Some(holder_cells), Some(max_rung)) = (first_cell, holder_cells, max_rung)
+        else {
             return Err("home, copies or top is missing");
         };
         // An adopted session plays already, so its time limit no longer applies.
@@ -90,7 +92,7 @@
             product,
             title: title_id,
             first_cell,
-            holder_cells: holders,
+            holder_cells,
             max_rung,
             arrived_at: now,
             deadline: now + time_limit.clamp(0.0, MAX_TIME_LIMIT_MS),
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -167,7 +167,7 @@
                 let max_rung = fields.read_f32()?.max(0.0) as usize;
                 fields.read_u64()?;
                 fields.read_u8()?;
-                let holders = fields.read_f32()?.max(0.0) as usize;
+                let holder_cells = fields.read_f32()?.max(0.0) as usize;
                 fields.read_u32()?;
                 let title = fields.read_u64()?;
                 let deadline = now + fields.read_us_as_ms()?;
@@ -178,7 +178,7 @@
                     product,
                     title,
                     first_cell,
-                    holder_cells: holders,
+                    holder_cells,
                     max_rung,
                     arrived_at: now,
                     deadline,
@@ -197,7 +197,7 @@
                 let deadline = now + fields.read_us_as_ms()?;
                 fields.read_us_as_ms()?;
                 let first_cell = fields.read_f32()?.max(0.0) as usize;
-                let holders = fields.read_f32()?.max(0.0) as usize;
+                let holder_cells = fields.read_f32()?.max(0.0) as usize;
                 let max_rung = fields.read_f32()?.max(0.0) as usize;
                 fields.read_u8()?;
                 let server_id = fields.read_u32()?;
@@ -205,7 +205,7 @@
                     product,
                     title,
                     first_cell,
-                    holder_cells: holders,
+                    holder_cells,
                     max_rung,
                     arrived_at: now,
                     deadline,
