--- a/crates/dispatcher/tests/simulated.rs
+++ b/crates/dispatcher/tests/simulated.rs
@@ -475,8 +475,8 @@
             "seed {seed}: {:?}",
             &verdict.breaches[..1.min(verdict.breaches.len())]
         );
-        let covered = &verdict.covered;
-        assert!(covered.requests > 1_000 && covered.further > 20, "seed {seed}: {covered:?}");
+        let covered = &verdict.coverage;
+        assert!(covered.requests > 1_000 && covered.further_allocations > 20, "seed {seed}: {covered:?}");
         assert!(covered.drains > 2 && covered.cold_set_ups > 5, "seed {seed}: {covered:?}");
     }
 }
@@ -490,5 +490,5 @@
 #[test_case(6, "rules.free_resends", Value::Number(1e6); "no allocation budget")]
 fn settings_that_violate_a_rule_are_detected(rule: u8, name: &str, value: Value) {
     let verdict = Simulation::new(1, &[(name, value)]).run().verdict();
-    assert_eq!(verdict.rules().into_iter().collect::<Vec<u8>>(), [rule], "{:?}", verdict.breaches);
+    assert_eq!(verdict.broken_rules().into_iter().collect::<Vec<u8>>(), [rule], "{:?}", verdict.breaches);
 }
--- a/crates/edge/tests/bounds.rs
+++ b/crates/edge/tests/bounds.rs
@@ -16,7 +16,7 @@
 /// connection. A server may observe that end up to 25 ms after the next set-up.
 fn max_pending_set_ups(fleet: &TestFleet) -> usize {
     const MAX_CLOSE_DELAY_MS: f64 = 25.0;
-    let seen = fleet.log.observations();
+    let seen = fleet.recorder.observations();
     let mut spans: std::collections::BTreeMap<&str, (f64, f64)> = Default::default();
     for s in &seen {
         match &s.what {
@@ -69,7 +69,7 @@
     });
     let fleet = TestFleet::start_with(scenario).await;
     // After a second list the front takes no server for cold; cold servers would be limited in rate.
-    fleet.stage.list(0, ListedState::Ready { started: 0.0 });
+    fleet.environment.set_listed_state(0, ListedState::Ready { started: 0.0 });
     fleet.wait_for_log("list taken", 2).await;
     // Eight set-ups of 100 ms at once, for little more than a second: under 100 of the 300 requests are served.
     fleet.set_faults(|a| a.slow = 20.0);
--- a/crates/edge/tests/crash_recovery.rs
+++ b/crates/edge/tests/crash_recovery.rs
@@ -139,7 +139,7 @@
 async fn killed_front_leaves_no_plays_and_restarts_cleanly(point: Point, product: usize) {
     let mut fleet = TestFleet::start_with(long_running_scenario()).await;
     let mut open = bring_front_to(&fleet, point, product).await;
-    let set_ups_before = set_up_count(&fleet.log.observations());
+    let set_ups_before = set_up_count(&fleet.recorder.observations());
     fleet.restart(0).await;
     // Open connections end, and an incomplete segment is shorter than announced.
     for mut peer in open.peers.drain(..) {
@@ -150,16 +150,16 @@
     for mut pending in open.pending.drain(..) {
         let answer = pending.peer.read_response().await;
         assert!(!matches!(answer, Ok(Some(_))), "no response is sent for a pending request");
-        fleet.log.record(pending.connection_lost());
+        fleet.recorder.record(pending.connection_lost());
     }
     fleet.set_faults(|a| (a.silent, a.lost) = (false, 0.0));
     fleet
         .wait_until("the servers have no plays", || {
-            fleet.boxes.model().servers.iter().all(|s| s.plays.is_empty())
+            fleet.servers.model().servers.iter().all(|s| s.plays.is_empty())
         })
         .await;
     assert_eq!(
-        set_up_count(&fleet.log.observations()),
+        set_up_count(&fleet.recorder.observations()),
         set_ups_before,
         "the new front sends no set-up of its own"
     );
@@ -187,13 +187,13 @@
     let pending = fleet.send_manifest_request(0, "s", PAID).await;
     fleet.wait_for_observations("the set-up", |seen| set_up_count(seen) == 1).await;
     fleet.restart(0).await;
-    fleet.log.record(pending.connection_lost());
+    fleet.recorder.record(pending.connection_lost());
     fleet.set_faults(|a| a.silent = false);
     let ended = |seen: &[Observation]| seen.iter().any(|s| matches!(s.what, Observed::Closed { .. }));
     fleet.wait_for_observations("the server observes the end of the first set-up", ended).await;
     assert_eq!(fleet.fetch_manifest("s", PAID).await.status, 200);
     assert_eq!(fleet.fetch_manifest("s", PAID).await.status, 200, "a repeated request gets the same play");
-    assert_eq!(set_up_count(&fleet.log.observations()), 2);
+    assert_eq!(set_up_count(&fleet.recorder.observations()), 2);
     fleet.assert_rules_kept();
 }
 
@@ -201,7 +201,7 @@
 async fn drain_still_holds_after_a_kill() {
     let mut fleet = TestFleet::start().await;
     for server in 0..3 {
-        fleet.stage.list(server, ListedState::Draining { started: 0.0 });
+        fleet.environment.set_listed_state(server, ListedState::Draining { started: 0.0 });
     }
     fleet.wait_for_log("\"draining\":3", 1).await;
     fleet.restart(0).await;
@@ -223,12 +223,12 @@
         for i in 0..40 {
             pending.push(fleet.send_manifest_request(0, &format!("s{round}-{i}"), FREE).await);
         }
-        let set_ups_before = set_up_count(&fleet.log.observations());
+        let set_ups_before = set_up_count(&fleet.recorder.observations());
         fleet.wait_for_observations("a further set-up", |seen| set_up_count(seen) > set_ups_before).await;
         fleet.restart(0).await;
-        pending.into_iter().for_each(|one| fleet.log.record(one.connection_lost()));
+        pending.into_iter().for_each(|one| fleet.recorder.record(one.connection_lost()));
     }
-    assert!(fleet.boxes.model().servers.iter().all(|s| !s.faults.down), "no cold server was overloaded");
+    assert!(fleet.servers.model().servers.iter().all(|s| !s.faults.down), "no cold server was overloaded");
     fleet.assert_rules_kept();
 }
 
@@ -239,8 +239,8 @@
     let mut fleet = TestFleet::start_with(scenario).await;
     // All servers restart, and the list does not show it yet.
     for server in 0..4 {
-        fleet.boxes.stop(server);
-        fleet.boxes.restart(server, true);
+        fleet.servers.stop(server);
+        fleet.servers.restart(server, true);
     }
     fleet.restart(0).await;
     assert!(fleet.count_concurrent_plays(60, FREE).await > 0, "restarted servers take some plays");
@@ -303,7 +303,7 @@
     assert_eq!(fleet.send_raw(&delete_request).await.expect("an answer").status, 200);
     fleet.signal(0, "-TERM").await;
     fleet.wait_for_log("stopping: no new plays", 1).await;
-    let ended = fleet.fronts.ended(0);
+    let ended = fleet.fronts.wait_exited(0);
     let read = async {
         let mut rest = Vec::new();
         // Reads in small parts until the front logs `stopped`: the front must stay until it has written the response.
@@ -391,7 +391,7 @@
     fleet.signal(0, "-TERM").await;
     let delete_request = format!("DELETE {} HTTP/1.1\r\nHost: f\r\n\r\n", segment_base_url(&last));
     let _ = fleet.send_raw(&delete_request).await;
-    assert!(fleet.fronts.ended(0).await, "the front exits with success");
+    assert!(fleet.fronts.wait_exited(0).await, "the front exits with success");
     fleet.assert_rules_kept();
 }
 
--- a/crates/edge/tests/dash.rs
+++ b/crates/edge/tests/dash.rs
@@ -28,7 +28,7 @@
 
 /// The time of the recorder, in ms since the epoch.
 fn now_ms(fleet: &TestFleet) -> u64 {
-    fleet.log.now() as u64
+    fleet.recorder.now() as u64
 }
 
 /// Sends a request with one more header line (or none) on a connection that is closed afterwards.
@@ -83,7 +83,7 @@
         })
         .await;
     assert_eq!(fleet.get(&mpd.locations[0].url).await.status, 410);
-    assert_eq!(set_up_count(&fleet.log.observations()), 1);
+    assert_eq!(set_up_count(&fleet.recorder.observations()), 1);
     fleet.assert_rules_kept();
 }
 
@@ -139,7 +139,7 @@
         manifest_head.starts_with("HTTP/1.1 405") && manifest_head.contains("\r\nAllow: "),
         "{manifest_head}"
     );
-    assert_eq!(set_up_count(&fleet.log.observations()), 0, "a HEAD request starts no play");
+    assert_eq!(set_up_count(&fleet.recorder.observations()), 0, "a HEAD request starts no play");
     let manifest = fleet.fetch_manifest("s", FREE).await;
     let target = format!("{}1/2.m4s", segment_base_url(&manifest));
     let segment = fleet.get(&target).await;
--- a/crates/edge/tests/failures.rs
+++ b/crates/edge/tests/failures.rs
@@ -41,7 +41,7 @@
         .wait_for_observations("the server observes the end of the play", |seen| closed_count(seen) == 1)
         .await;
     fleet
-        .wait_until("the play is freed", || fleet.boxes.model().servers.iter().all(|s| s.plays.is_empty()))
+        .wait_until("the play is freed", || fleet.servers.model().servers.iter().all(|s| s.plays.is_empty()))
         .await;
     assert_eq!(fleet.get(&format!("{base_url}1/4.m4s")).await.status, 410);
     fleet.assert_rules_kept();
@@ -97,7 +97,7 @@
     scenario["fleet"]["work_ms"] = json!(0);
     scenario["admission"] = json!({ "least": 1000, "most": 1000, "work_ms": 1e9, "behind_ms": 1e9 });
     let fleet = TestFleet::start_with(scenario).await;
-    fleet.stage.list(0, ListedState::Ready { started: 0.0 });
+    fleet.environment.set_listed_state(0, ListedState::Ready { started: 0.0 });
     fleet.wait_for_log("list taken", 2).await;
     fleet.set_faults(|a| a.reset = 1.0);
     assert_eq!(fleet.count_concurrent_plays(400, PAID).await, 0);
@@ -308,7 +308,7 @@
     let pending = fleet.send_manifest_request(0, "s", FREE).await;
     fleet.wait_for_observations("a set-up", |seen| set_up_count(seen) == 1).await;
     for server in 0..4 {
-        fleet.stage.list(server, ListedState::Draining { started: 0.0 });
+        fleet.environment.set_listed_state(server, ListedState::Draining { started: 0.0 });
     }
     assert_eq!(pending.response().await.status, 503);
     assert_eq!(fleet.fetch_manifest("later", FREE).await.status, 503, "no holder may take it");
@@ -323,7 +323,7 @@
     assert_eq!(fleet.send_manifest_request(0, "s", FREE).await.response().await.status, 200);
     fleet.fronts.kill(0).await;
     fleet
-        .wait_until("the lease expires", || fleet.boxes.model().servers.iter().all(|s| s.plays.is_empty()))
+        .wait_until("the lease expires", || fleet.servers.model().servers.iter().all(|s| s.plays.is_empty()))
         .await;
     assert_eq!(
         fleet.send_manifest_request(1, "s2", FREE).await.response().await.status,
@@ -349,7 +349,7 @@
     fleet
         .wait_until("the front logs the invalid value", || log_count("servers[0].weight: found -1") >= 1)
         .await;
-    fleet.stage.list(0, ListedState::Draining { started: 0.0 });
+    fleet.environment.set_listed_state(0, ListedState::Draining { started: 0.0 });
     fleet.wait_until("the valid list is taken", || log_count("\"draining\":1") >= 1).await;
     fleet.assert_rules_kept();
 }
--- a/crates/edge/tests/graceful_stop.rs
+++ b/crates/edge/tests/graceful_stop.rs
@@ -41,7 +41,7 @@
         let delete_request = format!("DELETE {base_url} HTTP/1.1\r\nHost: f\r\n\r\n");
         assert_eq!(fleet.send_raw(&delete_request).await.unwrap().status, 200);
     }
-    assert!(fleet.fronts.ended(0).await, "the front exits with success");
+    assert!(fleet.fronts.wait_exited(0).await, "the front exits with success");
     fleet.assert_rules_kept();
 }
 
@@ -62,7 +62,7 @@
         "the free play may be requested again"
     );
     assert!([502, 504].contains(&pending_paid.response().await.status), "the paid set-up may have run");
-    assert!(fleet.fronts.ended(0).await);
+    assert!(fleet.fronts.wait_exited(0).await);
     fleet.assert_rules_kept();
 
     scenario["limits"] = json!({ "stop_ms": 600_000 });
@@ -71,6 +71,6 @@
     send_term_signal(&fleet).await;
     wait_for_stopping(&fleet).await;
     send_term_signal(&fleet).await;
-    let ended = tokio::time::timeout(Duration::from_secs(30), fleet.fronts.ended(0)).await;
+    let ended = tokio::time::timeout(Duration::from_secs(30), fleet.fronts.wait_exited(0)).await;
     assert_eq!(ended, Ok(true), "the second signal ends the stop period of ten minutes");
 }
--- a/crates/edge/tests/interleaved_events.rs
+++ b/crates/edge/tests/interleaved_events.rs
@@ -24,7 +24,7 @@
 
 /// The rungs of all plays of a product, as the servers know them.
 fn play_rungs(fleet: &TestFleet, product: usize) -> Vec<usize> {
-    let world = fleet.boxes.model();
+    let world = fleet.servers.model();
     let plays = world.servers.iter().flat_map(|s| s.plays.values());
     plays.filter(|p| p.product == product).map(|p| p.rung).collect()
 }
@@ -68,7 +68,7 @@
     // A link of 25 kB for a play of 40 kB: the play is stepped down to 20 kB, and its server applies that late.
     fleet.set_faults(|a| (a.link, a.late_steps_ms) = (0.000_25, 2_500.0));
     fleet
-        .wait_until("the server reads a rung change", || fleet.boxes.model().servers[0].steps_read == 1)
+        .wait_until("the server reads a rung change", || fleet.servers.model().servers[0].steps_read == 1)
         .await;
     // A link of 5 kB: a further rung change would be applied at once.
     fleet.set_faults(|a| (a.link, a.late_steps_ms) = (0.000_05, 0.0));
@@ -80,7 +80,7 @@
         seen.iter().filter_map(rung).collect()
     };
     fleet.wait_for_observations("both rung changes are applied", |seen| rung_changes(seen).len() == 2).await;
-    assert_eq!(rung_changes(&fleet.log.observations()), [1, 0], "applied in the order of the decisions");
+    assert_eq!(rung_changes(&fleet.recorder.observations()), [1, 0], "applied in the order of the decisions");
 }
 
 #[tokio::test]
@@ -92,7 +92,7 @@
     // The server reads rung changes and does not respond in time; the front abandons each request.
     fleet.set_faults(|a| (a.link, a.late_steps_ms) = (0.000_15, 3_600_000.0));
     fleet
-        .wait_until("the server reads a rung change", || fleet.boxes.model().servers[0].steps_read >= 1)
+        .wait_until("the server reads a rung change", || fleet.servers.model().servers[0].steps_read >= 1)
         .await;
     fleet.set_faults(|a| a.late_steps_ms = 0.0);
     fleet.wait_until("the server knows the lower rung", || play_rungs(&fleet, FREE) == [0]).await;
@@ -220,7 +220,7 @@
         tokio::task::yield_now().await;
     }
     for server in 0..4 {
-        fleet.stage.list(server, ListedState::Draining { started: 0.0 });
+        fleet.environment.set_listed_state(server, ListedState::Draining { started: 0.0 });
     }
     fleet.wait_for_log("list not taken", 1).await;
     drop(connections);
@@ -238,7 +238,7 @@
     ring.sign(&EntryToken {
         jti: session.into(),
         sub: "viewer".into(),
-        product: fleet.day.products[FREE].name.clone(),
+        product: fleet.scenario.products[FREE].name.clone(),
         title: fleet.titles[FREE].name.clone(),
         top: 1,
         exp: u64::MAX >> 12,
--- a/crates/edge/tests/keys.rs
+++ b/crates/edge/tests/keys.rs
@@ -14,7 +14,7 @@
 
 /// Claims of an entry token for session `s` that hardly expires.
 fn entry_token(fleet: &TestFleet) -> EntryToken {
-    let (product, title) = (fleet.day.products[FREE].name.clone(), fleet.titles[FREE].name.clone());
+    let (product, title) = (fleet.scenario.products[FREE].name.clone(), fleet.titles[FREE].name.clone());
     EntryToken { jti: "s".into(), sub: "v".into(), product, title, top: 1, exp: u64::MAX >> 12 }
 }
 
--- a/crates/edge/tests/load_and_tokens.rs
+++ b/crates/edge/tests/load_and_tokens.rs
@@ -57,7 +57,7 @@
         fleet.send_manifest_request(1, "free", FREE).await,
     );
     let (first, second) = tokio::join!(first.response(), second.response());
-    assert_eq!((first.status, second.status, set_up_count(&fleet.log.observations())), (200, 200, 2));
+    assert_eq!((first.status, second.status, set_up_count(&fleet.recorder.observations())), (200, 200, 2));
     let session = session_with_home(1);
     let (first, second) = (
         fleet.send_manifest_request(0, &session, PAID).await,
@@ -70,7 +70,7 @@
         first.header("location").map(|at| at.split('?').next()),
         Some(home_location.split('?').next())
     );
-    assert_eq!(set_up_count(&fleet.log.observations()), 3, "the paid session is set up once");
+    assert_eq!(set_up_count(&fleet.recorder.observations()), 3, "the paid session is set up once");
     fleet.assert_rules_kept();
 }
 
@@ -103,7 +103,7 @@
         307,
         "a paid play is redirected to its home"
     );
-    assert_eq!(set_up_count(&fleet.log.observations()), 3);
+    assert_eq!(set_up_count(&fleet.recorder.observations()), 3);
     fleet.assert_rules_kept();
 }
 
@@ -184,7 +184,7 @@
 
 /// Manifest target of a session whose entry token expires at `exp`, in seconds since the epoch.
 fn manifest_target_expiring(fleet: &TestFleet, session: &str, exp: u64) -> String {
-    let (product, title) = (fleet.day.products[FREE].name.clone(), fleet.titles[FREE].name.clone());
+    let (product, title) = (fleet.scenario.products[FREE].name.clone(), fleet.titles[FREE].name.clone());
     let claims = EntryToken { jti: session.into(), sub: "v".into(), product, title, top: 1, exp };
     address::manifest_path(&claims.product, &claims.title, &portal_keys().sign(&claims))
 }
@@ -195,7 +195,7 @@
     let mut scenario = base_scenario();
     scenario["limits"] = json!({ "skew_ms": 12_000 });
     let fleet = TestFleet::start_with(scenario).await;
-    let now = (fleet.log.now() / 1000.0) as u64;
+    let now = (fleet.recorder.now() / 1000.0) as u64;
     let running = fleet.fetch_manifest("s", FREE).await;
     // A token from a portal whose clock is 10 s behind expires 10 s early; one from a clock that is ahead expires late.
     assert_eq!(fleet.get(&manifest_target_expiring(&fleet, "behind", now - 10)).await.status, 200);
@@ -206,7 +206,7 @@
         200,
         "a running play continues"
     );
-    assert_eq!(set_up_count(&fleet.log.observations()), 3);
+    assert_eq!(set_up_count(&fleet.recorder.observations()), 3);
     fleet.assert_rules_kept();
 }
 
@@ -233,7 +233,11 @@
     // The entry token is still valid: it gets the same play with a new session token.
     let again = fleet.fetch_manifest("late", FREE).await;
     assert_eq!(fleet.get(&format!("{}0/1.m4s", segment_base_url(&again))).await.status, 200);
-    assert_eq!(set_up_count(&fleet.log.observations()), 2, "the repeated request made no second allocation");
+    assert_eq!(
+        set_up_count(&fleet.recorder.observations()),
+        2,
+        "the repeated request made no second allocation"
+    );
     fleet.assert_rules_kept();
 }
 
@@ -263,7 +267,7 @@
         std::mem::forget(peer);
     }
     assert_eq!(fleet.get(&target).await.status, 429);
-    assert_eq!(set_up_count(&fleet.log.observations()), 1);
+    assert_eq!(set_up_count(&fleet.recorder.observations()), 1);
     fleet.assert_rules_kept();
 }
 
--- a/crates/edge/tests/many_fronts.rs
+++ b/crates/edge/tests/many_fronts.rs
@@ -22,7 +22,7 @@
 /// The front, with log level `debug` for the target `play`.
 fn edge_program() -> Program {
     let mut program = Program::edge(env!("CARGO_BIN_EXE_pulleystair-edge").into());
-    program.words[3] = "info,play=debug".into();
+    program.args[3] = "info,play=debug".into();
     program
 }
 
@@ -84,9 +84,9 @@
     scenario["products"][FREE]["first_frame_target_ms"] = json!(14_000);
     let mut fleet = TestFleet::start_first(scenario, edge_program(), 8, |_, _| {}).await;
     wait_until_all_heard(&fleet, 8, 1_200.0).await;
-    let relays = fleet.fronts.between.clone().expect("the fronts share state");
-    fleet.stage.restart(0);
-    let restarted_at = fleet.log.now();
+    let relays = fleet.fronts.relays.clone().expect("the fronts share state");
+    fleet.environment.restart(0);
+    let restarted_at = fleet.recorder.now();
     // Many plays at two fronts: the other fronts lend them their parts.
     let mut pending = send_play_requests(&fleet, "first", &[0, 1], 120).await;
     wait_until("parts are lent", || paces(&fleet, 0..2).iter().all(|p| *p > 1.5)).await;
@@ -95,23 +95,24 @@
     // Front 0 is split from the others; then messages are lost and half of the fronts are killed and restarted.
     relays.split(|front| front == 0);
     wait_until("front 0 has only its own part", || paces(&fleet, 0..1) == [1.0]).await;
-    let split_at_ms = fleet.log.now();
+    let split_at_ms = fleet.recorder.now();
     wait_until("set-ups of front 0 without the others", || {
-        let seen = fleet.log.observations();
+        let seen = fleet.recorder.observations();
         seen.iter().filter(|s| s.at > split_at_ms && matches!(s.what, Observed::SetUp { .. })).count() >= 6
     })
     .await;
-    relays.change(|from, to, link| {
-        (link.open, link.lost, link.doubled, link.late_ms) = (from != 3 || to != 0, 0.2, 0.2, 10.0)
+    relays.change_conditions(|from, to, link| {
+        (link.open, link.loss_rate, link.duplicate_rate, link.max_usual_delay_ms) =
+            (from != 3 || to != 0, 0.2, 0.2, 10.0)
     });
     for front in 4..8 {
         fleet.restart(front).await;
     }
     pending.extend(send_play_requests(&fleet, "second", &[0, 1, 2, 3, 4, 5, 6, 7], 12).await);
-    wait_until("the server is warm", || fleet.log.now() > restarted_at + COLD_MS + 500.0).await;
+    wait_until("the server is warm", || fleet.recorder.now() > restarted_at + COLD_MS + 500.0).await;
     drop(pending);
     let set_up_times: Vec<f64> = fleet
-        .log
+        .recorder
         .observations()
         .iter()
         .filter(|s| s.at >= restarted_at && matches!(s.what, Observed::SetUp { .. }))
@@ -251,7 +252,7 @@
     sleep(Duration::from_millis(3_000)).await;
     run_plays(&fleet, "a", &[0, 1, 2, 3, 4, 5], 6).await;
     for server in [1, 3, 5, 7] {
-        fleet.boxes.model().servers[server].faults.silent = true;
+        fleet.servers.model().servers[server].faults.silent = true;
     }
     // One play after the other, as in light traffic.
     for n in 0..14 {
@@ -283,7 +284,7 @@
     let fleet = TestFleet::start_first(scenario, edge_program(), 8, |_, _| {}).await;
     wait_until_all_heard(&fleet, 8, 0.0).await;
     // The factor on 5 ms of work that adds `slower_ms`.
-    fleet.boxes.model().servers[1].faults.slow = 1.0 + slower_ms / 5.0;
+    fleet.servers.model().servers[1].faults.slow = 1.0 + slower_ms / 5.0;
     for n in 0..8 {
         run_plays(&fleet, &format!("p{n}"), &[0, 1, 2, 3, 4, 5, 6, 7], 8).await;
     }
@@ -318,7 +319,7 @@
         assert!(low - 8.0 <= 60.0 && 60.0 <= high + 8.0 && mean > 40.0, "{delay_estimate}");
         assert_eq!((whatif["over"]["heard"].as_u64(), whatif["undecided"].as_bool()), (Some(8), Some(false)));
     }
-    let relays = fleet.fronts.between.clone().expect("the fronts share state");
+    let relays = fleet.fronts.relays.clone().expect("the fronts share state");
     relays.split(|front| front < 4);
     wait_until("half of the fronts are unheard", || {
         query_status(&fleet, 0)["unheard"].as_array().is_some_and(|u| u.len() == 4)
@@ -329,7 +330,7 @@
     assert!(
         partial_report["policies"].as_array().is_some_and(|all| all.iter().all(|p| p["robust"].is_null()))
     );
-    relays.heal();
+    relays.restore();
     wait_until("front 0 names the slow server again", || {
         slow_servers(&query_status(&fleet, 0)["whatif"]) == ["m1"]
     })
--- a/crates/edge/tests/retry_amplification.rs
+++ b/crates/edge/tests/retry_amplification.rs
@@ -15,7 +15,7 @@
 
 /// Number of set-ups of a session that servers have read.
 fn session_set_ups(fleet: &TestFleet, expected_session: &str) -> usize {
-    let seen = fleet.log.observations();
+    let seen = fleet.recorder.observations();
     seen.iter()
         .filter(|s| matches!(&s.what, Observed::SetUp { session, .. } if session == expected_session))
         .count()
@@ -23,7 +23,7 @@
 
 /// Number of segment requests that all servers have read.
 fn total_segments_read(fleet: &TestFleet) -> usize {
-    fleet.boxes.model().servers.iter().map(|s| s.segments_read).sum()
+    fleet.servers.model().servers.iter().map(|s| s.segments_read).sum()
 }
 
 /// Requests a session four times at once at each of two fronts and, after the responses, twice more at each; returns all
@@ -99,9 +99,10 @@
     let fleet = TestFleet::start().await;
     for n in 0..12 {
         let (session, product) = (format!("s{n}"), n % 2);
-        let reads_before: Vec<usize> = fleet.boxes.model().servers.iter().map(|s| s.segments_read).collect();
+        let reads_before: Vec<usize> =
+            fleet.servers.model().servers.iter().map(|s| s.segments_read).collect();
         let manifest = fleet.fetch_manifest(&session, product).await;
-        let seen = fleet.log.observations();
+        let seen = fleet.recorder.observations();
         let (server, rung) = seen
             .iter()
             .rev()
@@ -126,7 +127,7 @@
             assert!(content.intact && content.title == fleet.titles[product].name);
             assert_eq!(content.rung, asked.min(rung));
         }
-        let reads_after: Vec<usize> = fleet.boxes.model().servers.iter().map(|s| s.segments_read).collect();
+        let reads_after: Vec<usize> = fleet.servers.model().servers.iter().map(|s| s.segments_read).collect();
         let other_servers_read =
             (0..4).filter(|s| *s != server && reads_after[*s] != reads_before[*s]).count();
         assert_eq!((reads_after[server] - reads_before[server], other_servers_read), (2, 0));
--- a/crates/edge/tests/rollout.rs
+++ b/crates/edge/tests/rollout.rs
@@ -166,12 +166,12 @@
     fleet.fronts.start(5).await.expect("the front starts again");
     wait_until("the stage of version 2 has ended", || wall_clock_ms() > deadline_ms).await;
     wait_for_verdicts(&fleet, 1, &["behind", "in_step", "torn", "behind", "adrift", "in_step"]).await;
-    let relays = fleet.fronts.between.clone().expect("the fronts share state");
+    let relays = fleet.fronts.relays.clone().expect("the fronts share state");
     relays.split(|front| front == 5);
     wait_for_verdicts(&fleet, 1, &["behind", "in_step", "torn", "behind", "adrift", "unheard"]).await;
 
     // The split is healed and all fronts take version 2: all are in step.
-    relays.heal();
+    relays.restore();
     drop(old_front);
     for front in [0, 2, 3, 4] {
         change_front_config(fleet.folder(), front, change_to_version_2);
--- a/crates/edge/tests/rule_violations.rs
+++ b/crates/edge/tests/rule_violations.rs
@@ -48,7 +48,7 @@
     let sed_script = "s/\"drain_grace_ms\": 400/\"drain_grace_ms\": 900000/; s/\"list_poll_ms\": 300/\"list_poll_ms\": 900000/";
     let fleet = start_with_changed_config(scenario, sed_script).await;
     for server in 0..4 {
-        fleet.stage.list(server, ListedState::Draining { started: 0.0 });
+        fleet.environment.set_listed_state(server, ListedState::Draining { started: 0.0 });
     }
     // The drain grace of the rule, and the delay that it allows for observations.
     tokio::time::sleep(Duration::from_millis(700)).await;
@@ -62,8 +62,8 @@
     scenario["fleet"]["streams"] = json!(24);
     let fleet = start_with_changed_config(scenario, "s/\"cold_ms\": 3000/\"cold_ms\": 1/").await;
     for server in 0..4 {
-        fleet.boxes.stop(server);
-        fleet.stage.restart(server);
+        fleet.servers.stop(server);
+        fleet.environment.restart(server);
     }
     fleet.wait_for_log("list taken", 2).await;
     // The checker allows a front this time to read the list.
@@ -111,7 +111,7 @@
     let history =
         fleet.history(&format!("the real front, told other terms than those of rule {rule}"), &[rule]);
     let verdict = history.verdict();
-    assert_eq!(verdict.rules().into_iter().collect::<Vec<u8>>(), [rule], "{:?}", verdict.breaches);
+    assert_eq!(verdict.broken_rules().into_iter().collect::<Vec<u8>>(), [rule], "{:?}", verdict.breaches);
     write_history(&history, &format!("broken-{rule}"));
 }
 
@@ -141,7 +141,7 @@
         )
         .await;
     fleet.restart(0).await;
-    fleet.log.record(pending.connection_lost());
+    fleet.recorder.record(pending.connection_lost());
     fleet.set_faults(|a| a.silent = false);
     for i in 0..10 {
         fleet.fetch_manifest(&format!("after-{i}"), i % 2).await;
@@ -149,6 +149,10 @@
     let history = fleet.history("a front killed with a paid set-up out, and started again", &[]);
     let verdict = history.verdict();
     assert!(verdict.breaches.is_empty(), "{:?}", verdict.breaches);
-    assert!(verdict.covered.set_ups > 15 && verdict.covered.further > 0, "{:?}", verdict.covered);
+    assert!(
+        verdict.coverage.set_ups > 15 && verdict.coverage.further_allocations > 0,
+        "{:?}",
+        verdict.coverage
+    );
     write_history(&history, "stop");
 }
--- a/crates/edge/tests/scenario_runs.rs
+++ b/crates/edge/tests/scenario_runs.rs
@@ -13,7 +13,7 @@
 /// The long example scenario `dash-day.jsonnet`, shortened to 7 s with two fronts.
 fn short_scenario(seed: u64) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/dash-day.jsonnet");
-    let mut scenario = serde_json::to_value(Scenario::read(&file).expect("the scenario parses"))
+    let mut scenario = serde_json::to_value(Scenario::load(&file).expect("the scenario parses"))
         .expect("the scenario serializes");
     scenario["seed"] = json!(seed);
     scenario["seconds"] = json!(7);
@@ -50,7 +50,7 @@
     // The times of the rules are real ones, with little slack: a machine that delays a front by more than half of the slack
     // breaks them by itself. Such a run is repeated at most twice, and the last one counts whatever the machine did.
     for _ in 0..2 {
-        if result.breaches.is_empty() || result.lateness_ms < scenario.terms().slack / 2.0 {
+        if result.breaches.is_empty() || result.lateness_ms < scenario.rule_params().slack / 2.0 {
             break;
         }
         eprintln!(
@@ -59,7 +59,7 @@
         );
         result = run_once(&scenario).await;
     }
-    let count = |is: fn(&Observed) -> bool| result.seen.iter().filter(|s| is(&s.what)).count();
+    let count = |is: fn(&Observed) -> bool| result.observations.iter().filter(|s| is(&s.what)).count();
     let (asked, set_up) =
         (count(|w| matches!(w, Observed::Asked { .. })), count(|w| matches!(w, Observed::SetUp { .. })));
     let fetched = count(|w| matches!(w, Observed::Fetched { .. }));
@@ -68,11 +68,11 @@
         "{asked} requests, {set_up} set-ups, {fetched} segments"
     );
     assert!(result.breaches.is_empty(), "{:.0} ms late: {:?}", result.lateness_ms, result.breaches);
-    assert!(result.covered.further > 0 && result.covered.drains > 0, "{:?}", result.covered);
+    assert!(result.coverage.further_allocations > 0 && result.coverage.drains > 0, "{:?}", result.coverage);
     // `PULLEYSTAIR_HISTORIES` names a folder for the history; the files are kept in `crates/rule-checker/histories`.
     if let Some(folder) = std::env::var_os("PULLEYSTAIR_HISTORIES") {
         let description = format!("a short bad day under TLS, two fronts, seed {seed}");
-        let text = History::new(&description, &[], scenario.terms(), result.seen)
+        let text = History::new(&description, &[], scenario.rule_params(), result.observations)
             .to_text()
             .expect("the history serializes");
         std::fs::write(Path::new(&folder).join(format!("day-{seed}.jsonl")), text)
--- a/crates/edge/tests/sharing/mod.rs
+++ b/crates/edge/tests/sharing/mod.rs
@@ -6,7 +6,7 @@
 use pulleystair_edge::config::Config;
 use pulleystair_edge::status::query;
 use pulleystair_fleet_member::{AllocationResult, FleetConfig, FleetMember, GossipConfig, stable_id};
-use pulleystair_lab::fronts::name;
+use pulleystair_lab::fronts::front_name;
 use pulleystair_lab::testbed::Testbed;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -207,18 +207,18 @@
         zone: &str,
         mut before_tick: impl FnMut(&mut FleetMember, f64) + Send + 'static,
     ) -> FakeFront {
-        let relays = fleet.fronts.between.clone().expect("the fronts share state");
+        let relays = fleet.fronts.relays.clone().expect("the fronts share state");
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
         socket.set_read_timeout(Some(Duration::from_millis(10))).expect("the read time-out is set");
-        relays.listens(front, socket.local_addr().expect("the socket has an address"));
+        relays.set_front_address(front, socket.local_addr().expect("the socket has an address"));
         let config = load_front_config(fleet, front);
         let sharing = &config.sharing;
         let others: Vec<usize> = (0..config.fronts).filter(|i| *i != front).collect();
         let member_config = FleetConfig {
             gossip: GossipConfig {
                 fleet: "laboratory".into(),
-                name: name(front),
-                peers: others.iter().map(|i| name(*i)).collect(),
+                name: front_name(front),
+                peers: others.iter().map(|i| front_name(*i)).collect(),
                 interval: sharing.every_ms,
                 fan_out: sharing.fan_out,
                 bytes_s: sharing.bytes_s,
@@ -236,7 +236,7 @@
             max_set_up: 5_000.0,
         };
         let addresses: BTreeMap<String, SocketAddr> =
-            others.iter().map(|i| (name(*i), relays.way(front, *i))).collect();
+            others.iter().map(|i| (front_name(*i), relays.relay_address(front, *i))).collect();
         let wall_clock_ms = || {
             let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
             now.expect("a clock").as_secs_f64() * 1000.0
--- a/crates/edge/tests/test_fleet/mod.rs
+++ b/crates/edge/tests/test_fleet/mod.rs
@@ -7,7 +7,7 @@
 use pulleystair_fake_servers::http::{HttpPeer, Message};
 use pulleystair_fake_servers::model::ServerFaults;
 use pulleystair_fake_servers::recorder::Recorder;
-use pulleystair_lab::fronts::{FRONT, Program};
+use pulleystair_lab::fronts::{FRONT_NAME, Program};
 use pulleystair_lab::scenario::Scenario;
 use pulleystair_lab::testbed::Testbed;
 use pulleystair_rule_checker::history::History;
@@ -89,8 +89,8 @@
         let edge = Program::edge(env!("CARGO_BIN_EXE_pulleystair-edge").into());
         let mut arguments = vec!["-c".to_string(), format!("{shell_prefix}; exec \"$0\" \"$@\"")];
         arguments.push(edge.path.display().to_string());
-        arguments.extend(edge.words);
-        TestFleet::start_program(scenario, Program { path: "/bin/sh".into(), words: arguments }).await
+        arguments.extend(edge.args);
+        TestFleet::start_program(scenario, Program { path: "/bin/sh".into(), args: arguments }).await
     }
 
     /// Starts all fronts of a scenario as processes of `program`.
@@ -126,7 +126,7 @@
 
     /// Sends a signal to a front by `kill`; `name` is an option such as `-TERM`.
     pub async fn signal(&self, front: usize, name: &str) {
-        let process_id = self.fronts.process(front).expect("the front runs").to_string();
+        let process_id = self.fronts.process_id(front).expect("the front runs").to_string();
         let sent = tokio::process::Command::new("kill").args([name, &process_id]).status().await;
         assert!(sent.expect("a signal is sent").success());
     }
@@ -146,12 +146,12 @@
 
     /// Changes the injected faults of all servers.
     pub fn set_faults(&self, change: impl Fn(&mut ServerFaults)) {
-        self.boxes.model().servers.iter_mut().for_each(|s| change(&mut s.faults));
+        self.servers.model().servers.iter_mut().for_each(|s| change(&mut s.faults));
     }
 
     /// Changes the injected faults of all servers except one.
     pub fn set_faults_except(&self, excluded: usize, change: impl Fn(&mut ServerFaults)) {
-        let mut model = self.boxes.model();
+        let mut model = self.servers.model();
         let others = model.servers.iter_mut().enumerate().filter(|(server, _)| *server != excluded);
         others.for_each(|(_, s)| change(&mut s.faults));
     }
@@ -167,30 +167,30 @@
         self.fronts.sign(&EntryToken {
             jti: session.into(),
             sub: "viewer".into(),
-            product: self.day.products[product].name.clone(),
+            product: self.scenario.products[product].name.clone(),
             title: self.titles[product].name.clone(),
             top: max_rung,
-            exp: (self.log.now() / 1000.0) as u64 + 600,
+            exp: (self.recorder.now() / 1000.0) as u64 + 600,
         })
     }
 
     /// Request target of the manifest, for a session of a product and the title of the same index.
     pub fn manifest_target(&self, session: &str, product: usize) -> String {
-        let (product_name, title_name) = (&self.day.products[product].name, &self.titles[product].name);
+        let (product_name, title_name) = (&self.scenario.products[product].name, &self.titles[product].name);
         address::manifest_path(product_name, title_name, &self.entry_token(session, product))
     }
 
     /// Sends a manifest request of a session for any title of the scenario, by its index among all titles.
     pub async fn send_title_request(&self, front: usize, session: &str, title: usize) -> PendingRequest {
         let title_entry = &self.titles[title];
-        let product = &self.day.products[title_entry.product].name;
+        let product = &self.scenario.products[title_entry.product].name;
         let token = self.fronts.sign(&EntryToken {
             jti: session.into(),
             sub: "viewer".into(),
             product: product.clone(),
             title: title_entry.name.clone(),
             top: 1,
-            exp: (self.log.now() / 1000.0) as u64 + 600,
+            exp: (self.recorder.now() / 1000.0) as u64 + 600,
         });
         let target = address::manifest_path(product, &title_entry.name, &token);
         self.write_manifest_request(front, session, title, &target).await
@@ -207,7 +207,7 @@
         let mut peer = self.connect(front).await.expect("the front accepts connections");
         let request = self.next_request_id.fetch_add(1, Ordering::Relaxed);
         let title_entry = &self.titles[title];
-        self.log.record(Observed::Asked {
+        self.recorder.record(Observed::Asked {
             request,
             session: session.into(),
             front,
@@ -216,7 +216,7 @@
             top: 1,
         });
         peer.write(get_request(target).as_bytes()).await.expect("the request is taken");
-        PendingRequest { peer, request, log: self.log.clone() }
+        PendingRequest { peer, request, log: self.recorder.clone() }
     }
 
     /// Sends a manifest request of a session to a front; [`PendingRequest::response`] waits for the response.
@@ -227,7 +227,7 @@
 
     /// Requests a play of up to `max_rung`, without recording the request.
     pub async fn fetch_manifest_up_to(&self, session: &str, product: usize, max_rung: usize) -> Message {
-        let (product_name, title_name) = (&self.day.products[product].name, &self.titles[product].name);
+        let (product_name, title_name) = (&self.scenario.products[product].name, &self.titles[product].name);
         self.get(&address::manifest_path(
             product_name,
             title_name,
@@ -256,10 +256,10 @@
 
     /// Restarts all servers cold, one after the other, and waits each time until front 0 has taken the list that says so.
     pub async fn restart_all_servers_cold(&self) {
-        for server in 0..self.day.fleet.servers {
+        for server in 0..self.scenario.fleet.servers {
             let lists_taken = self.front_log(0).matches("list taken").count();
-            self.boxes.stop(server);
-            self.stage.restart(server);
+            self.servers.stop(server);
+            self.environment.restart(server);
             self.wait_for_log("list taken", lists_taken + 1).await;
         }
     }
@@ -268,7 +268,7 @@
     pub async fn connect(&self, front: usize) -> std::io::Result<HttpPeer> {
         HttpPeer::connect(
             self.front_addresses[front],
-            self.tls_connector.as_ref().map(|connector| (connector, FRONT)),
+            self.tls_connector.as_ref().map(|connector| (connector, FRONT_NAME)),
         )
         .await
     }
@@ -300,7 +300,7 @@
 
     /// Waits until the recorded observations fulfil `is_seen`; `what` names the event in the panic message.
     pub async fn wait_for_observations(&self, what: &str, is_seen: impl Fn(&[Observation]) -> bool) {
-        self.wait_until(what, || is_seen(&self.log.observations())).await;
+        self.wait_until(what, || is_seen(&self.recorder.observations())).await;
     }
 
     /// Polls a condition until it holds, for at most [`MAX_WAIT`].
@@ -314,7 +314,7 @@
 
     /// The server of each set-up that servers have read, in order of observation.
     pub fn set_up_servers(&self) -> Vec<usize> {
-        let seen = self.log.observations();
+        let seen = self.recorder.observations();
         let server = |s: &Observation| match s.what {
             Observed::SetUp { server, .. } => Some(server),
             _ => None,
@@ -324,12 +324,12 @@
 
     /// The observations so far, with the terms that the rules apply to them and the rules that the run is meant to break.
     pub fn history(&self, what: &str, breaks: &[u8]) -> History {
-        History::new(what, breaks, self.day.terms(), self.log.observations())
+        History::new(what, breaks, self.scenario.rule_params(), self.recorder.observations())
     }
 
     /// Asserts that the observations contain requests and break no rule.
     pub fn assert_rules_kept(&self) {
-        let (breaches, covered) = check(&self.log.observations(), &self.day.terms());
+        let (breaches, covered) = check(&self.recorder.observations(), &self.scenario.rule_params());
         assert!(covered.requests > 0, "no request was observed");
         assert!(breaches.is_empty(), "{breaches:?}");
     }
--- a/crates/edge/tests/tls.rs
+++ b/crates/edge/tests/tls.rs
@@ -5,7 +5,7 @@
 use pulleystair_fake_servers::certificates::CertificateAuthority;
 use pulleystair_fake_servers::files::replace;
 use pulleystair_fake_servers::http::{HttpPeer, Stream};
-use pulleystair_lab::fronts::FRONT;
+use pulleystair_lab::fronts::FRONT_NAME;
 use pulleystair_rule_checker::Observed;
 use serde_json::{Value, json};
 use std::time::{Duration, SystemTime};
@@ -84,7 +84,7 @@
     let certificates =
         [(0, foreign_authority.issue("m0", seconds_from_now(1000))), (1, expired), (2, other_name)];
     for (server, certificate) in &certificates {
-        fleet.boxes.set_tls(*server, Some(authority.acceptor(certificate, None).unwrap()));
+        fleet.servers.set_tls(*server, Some(authority.acceptor(certificate, None).unwrap()));
     }
     for n in 0..6 {
         let product = if n % 2 == 0 { FREE } else { PAID };
@@ -104,7 +104,7 @@
     for server in 0..4 {
         let certificate = authority.issue(&format!("m{server}"), seconds_from_now(1000));
         fleet
-            .boxes
+            .servers
             .set_tls(server, Some(authority.acceptor(&certificate, Some(&foreign_authority)).unwrap()));
     }
     assert!([502, 503].contains(&fleet.fetch_manifest("s", FREE).await.status));
@@ -113,7 +113,7 @@
         502,
         "the set-up may have run, as far as the front knows"
     );
-    assert_eq!(set_up_count(&fleet.log.observations()), 0);
+    assert_eq!(set_up_count(&fleet.recorder.observations()), 0);
 }
 
 #[tokio::test]
@@ -208,7 +208,7 @@
     );
     // A new connector has no TLS session to resume, so the handshake checks the certificate.
     let new_connector = fleet.fronts.connector().unwrap().unwrap();
-    let refused = HttpPeer::connect(fleet.front_addresses[0], Some((&new_connector, FRONT))).await;
+    let refused = HttpPeer::connect(fleet.front_addresses[0], Some((&new_connector, FRONT_NAME))).await;
     assert!(refused.is_err(), "players reject the expired certificate");
     fleet.fronts.certificate(seconds_from_now(1000)).unwrap().write_files(&folder).unwrap();
     fleet.wait_for_log("certificates taken", 2).await;
@@ -223,7 +223,7 @@
     let fleet = TestFleet::start_with(scenario).await;
     let certificate_before = shown_certificate(&fleet.connect(0).await.unwrap());
     fleet.fronts.renew_certificates().unwrap();
-    let process_id = fleet.fronts.process(0).unwrap().to_string();
+    let process_id = fleet.fronts.process_id(0).unwrap().to_string();
     assert!(std::process::Command::new("kill").args(["-HUP", &process_id]).status().unwrap().success());
     fleet.wait_for_log("certificates taken", 2).await;
     assert_ne!(shown_certificate(&fleet.connect(0).await.unwrap()), certificate_before);
@@ -247,14 +247,15 @@
     ] {
         let connector = authority.connector(certificate.as_ref()).unwrap();
         let send_request = async {
-            let mut peer = HttpPeer::connect(fleet.front_addresses[0], Some((&connector, FRONT))).await?;
+            let mut peer =
+                HttpPeer::connect(fleet.front_addresses[0], Some((&connector, FRONT_NAME))).await?;
             peer.write(get_request(&target).as_bytes()).await?;
             peer.read_response().await
         };
         let answer = send_request.await.ok().flatten().map(|answer| answer.status);
         assert_eq!(answer, is_accepted.then_some(200));
         assert_eq!(
-            set_up_count(&fleet.log.observations()),
+            set_up_count(&fleet.recorder.observations()),
             usize::from(is_accepted),
             "rejected players cause no allocation"
         );
--- a/crates/lab/src/environment.rs
+++ b/crates/lab/src/environment.rs
@@ -146,9 +146,9 @@
     }
 
     /// Changes the listed state of a server, for all fronts at once. The state is changed, recorded and written under
-    /// one lock: otherwise another change could write this one to the file before it is recorded, and a front would
-    /// seem to act on a state that was never listed.
-    pub fn list(&self, server: usize, state: ListedState) {
+    /// one lock: otherwise the file could contain a change before it is recorded, and a front that acts on it would
+    /// seem to break a rule.
+    pub fn set_listed_state(&self, server: usize, state: ListedState) {
         let server_states =
             self.server_states.lock().expect("no task panics while it holds the server states");
         self.apply_state(server_states, server, state);
@@ -207,7 +207,7 @@
     /// Starts the process of a server, cold, and lists it as ready.
     pub fn restart(&self, server: usize) {
         self.servers.restart(server, true);
-        self.list(server, ListedState::Ready { started: self.recorder.now() });
+        self.set_listed_state(server, ListedState::Ready { started: self.recorder.now() });
     }
 
     /// Replaces a server: it drains for `drain_time`, is down for `down_time`, and starts again cold.
@@ -219,10 +219,10 @@
                 ListedState::Ready { started } | ListedState::Draining { started } => started,
                 ListedState::Gone => 0.0,
             };
-        self.list(server, ListedState::Draining { started });
+        self.set_listed_state(server, ListedState::Draining { started });
         sleep(drain_time).await;
         self.servers.stop(server);
-        self.list(server, ListedState::Gone);
+        self.set_listed_state(server, ListedState::Gone);
         sleep(down_time).await;
         self.restart(server);
     }
@@ -256,11 +256,12 @@
                 }
             }
             FaultKind::ExchangeLoss | FaultKind::ExchangeSplit | FaultKind::ExchangeDeaf => {
-                let Some(relays) = &self.fronts.between else { return };
+                let Some(relays) = &self.fronts.relays else { return };
                 let chosen = choose_part(&mut rng, (0..self.fronts.count()).collect(), fault.part);
-                relays.change(|from, to, conditions| match fault.kind {
+                relays.change_conditions(|from, to, conditions| match fault.kind {
                     FaultKind::ExchangeLoss => {
-                        (conditions.lost, conditions.doubled, conditions.late_ms) = (severity, severity, 20.0)
+                        (conditions.loss_rate, conditions.duplicate_rate, conditions.max_usual_delay_ms) =
+                            (severity, severity, 20.0)
                     }
                     FaultKind::ExchangeSplit => {
                         conditions.open &= chosen.contains(&from) == chosen.contains(&to)
@@ -268,7 +269,7 @@
                     _ => conditions.open &= !chosen.contains(&to),
                 });
                 sleep(duration).await;
-                relays.heal();
+                relays.restore();
             }
             FaultKind::Crash | FaultKind::ZoneLoss => {
                 let (candidates, part) = if fault.kind == FaultKind::Crash {
--- a/crates/lab/src/fronts.rs
+++ b/crates/lab/src/fronts.rs
@@ -30,11 +30,12 @@
     last_address: Option<SocketAddr>,
 }
 
-/// The program to run as a front, and its arguments before the path of the configuration file.
+/// The program to run as a front.
 #[derive(Clone, Debug)]
 pub struct Program {
     pub path: PathBuf,
-    pub words: Vec<String>,
+    /// The arguments before the path of the configuration file.
+    pub args: Vec<String>,
 }
 
 impl Program {
@@ -42,7 +43,7 @@
     pub fn edge(path: PathBuf) -> Program {
         Program {
             path,
-            words: ["--log", "json", "--level", "info,server=debug", "run"].map(String::from).to_vec(),
+            args: ["--log", "json", "--level", "info,server=debug", "run"].map(String::from).to_vec(),
         }
     }
 }
@@ -56,7 +57,7 @@
     fronts: Arc<Mutex<Vec<Front>>>,
     recorder: Recorder,
     /// The relays between the fronts, if the fronts share state.
-    pub between: Option<Relays>,
+    pub relays: Option<Relays>,
     /// The portal's present key ring and its number; numbers count the renewals.
     portal: Arc<Mutex<(KeyRing, usize)>>,
     /// Issues the certificates of fronts and servers; none without TLS.
@@ -64,7 +65,7 @@
 }
 
 /// The name in the certificates of the fronts.
-pub const FRONT: &str = "front";
+pub const FRONT_NAME: &str = "front";
 
 /// The portal's first keys, with which entry tokens are signed.
 pub fn portal_keys() -> KeyRing {
@@ -83,7 +84,7 @@
 }
 
 /// The name of a front among its peers.
-pub fn name(front: usize) -> String {
+pub fn front_name(front: usize) -> String {
     format!("front-{front}")
 }
 
@@ -100,7 +101,7 @@
 ) -> Result<serde_json::Value> {
     let mut config = front_config(scenario, front);
     if let (Some(relays), Some(sharing)) = (relays, &scenario.sharing) {
-        let peer = |to: usize| json!({ "name": name(to), "at": relays.way(front, to) });
+        let peer = |to: usize| json!({ "name": front_name(to), "at": relays.relay_address(front, to) });
         config["fleet"]["name"] = json!("laboratory");
         config["fleet"]["listen"] = json!("127.0.0.1:0");
         config["fleet"]["peers"] = (0..scenario.fronts).map(peer).collect();
@@ -186,7 +187,7 @@
             zone_count: scenario.zones.len(),
             fronts: Arc::new(Mutex::new(front_states)),
             recorder,
-            between: relays,
+            relays,
             portal: Arc::new(Mutex::new((portal_key_ring(1), 1))),
             authority: scenario.tls.then(|| Arc::new(CertificateAuthority::default())),
         };
@@ -230,14 +231,14 @@
     pub fn renew_certificates(&self) -> Result<()> {
         let Some(authority) = &self.authority else { return Ok(()) };
         for side in ["players", "servers"] {
-            authority.issue_long_lived(FRONT).write_files(&self.folder.join(side))?;
+            authority.issue_long_lived(FRONT_NAME).write_files(&self.folder.join(side))?;
         }
         Ok(())
     }
 
     /// Issues a certificate for fronts that is valid until `until`; none without TLS.
     pub fn certificate(&self, until: SystemTime) -> Option<Certificate> {
-        Some(self.authority.as_ref()?.issue(FRONT, until))
+        Some(self.authority.as_ref()?.issue(FRONT_NAME, until))
     }
 
     /// The TLS connector of players to fronts; none without TLS.
@@ -261,7 +262,7 @@
         let log_output = std::fs::OpenOptions::new().create(true).append(true).open(&file)?;
         let log_length = log_output.metadata()?.len() as usize;
         let child = Command::new(&self.program.path)
-            .args(&self.program.words)
+            .args(&self.program.args)
             .arg(self.folder.join(format!("front-{front}.json")))
             .stdin(Stdio::null())
             .stdout(Stdio::null())
@@ -274,9 +275,9 @@
             let new_output = &std::fs::read(&file)?[log_length..];
             if let Some(address) = logged_address(new_output, "listens") {
                 if let Some((relays, exchange_address)) =
-                    self.between.as_ref().zip(logged_address(new_output, "joins"))
+                    self.relays.as_ref().zip(logged_address(new_output, "joins"))
                 {
-                    relays.listens(front, exchange_address);
+                    relays.set_front_address(front, exchange_address);
                 }
                 break address;
             }
@@ -346,12 +347,12 @@
     }
 
     /// The process id of a running front.
-    pub fn process(&self, front: usize) -> Option<u32> {
+    pub fn process_id(&self, front: usize) -> Option<u32> {
         self.fronts.lock().expect("no task panics while it holds the fronts")[front].child.as_ref()?.id()
     }
 
     /// Waits until a front exits by itself; true if it exited with success.
-    pub async fn ended(&self, front: usize) -> bool {
+    pub async fn wait_exited(&self, front: usize) -> bool {
         let child = self.fronts.lock().expect("no task panics while it holds the fronts")[front].child.take();
         match child {
             Some(mut child) => child.wait().await.is_ok_and(|status| status.success()),
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -4,7 +4,7 @@
 //! reported.
 
 use crate::environment::{Title, from_ms};
-use crate::fronts::{FRONT, Fronts, Program, portal_keys};
+use crate::fronts::{FRONT_NAME, Fronts, Program, portal_keys};
 use crate::report::{Quantiles, quantiles};
 use crate::scenario::Scenario;
 use crate::testbed::Testbed;
@@ -107,11 +107,11 @@
 pub async fn run(program: Program, folder: &Path, seconds: f64, tls: bool) -> Result<Costs> {
     let testbed = Testbed::build(load_scenario(tls)?, program, folder).await?;
     let front_address = testbed.start().await?[0];
-    let Testbed { boxes: servers, fronts, titles, .. } = testbed;
+    let Testbed { servers, fronts, titles, .. } = testbed;
     let titles = titles.to_vec();
     let tls = match (fronts.connector()?, &fronts.authority) {
         (Some(players), Some(authority)) => {
-            let certificate = authority.issue_long_lived(FRONT);
+            let certificate = authority.issue_long_lived(FRONT_NAME);
             Some((players, authority.connector(Some(&certificate))?))
         }
         _ => None,
@@ -165,7 +165,7 @@
 
 impl LoadTest {
     async fn connect_to_front(&self) -> std::io::Result<HttpPeer> {
-        HttpPeer::connect(self.front_address, self.tls.as_ref().map(|tls| (&tls.0, FRONT))).await
+        HttpPeer::connect(self.front_address, self.tls.as_ref().map(|tls| (&tls.0, FRONT_NAME))).await
     }
 
     async fn connect_to_server(&self, server: usize) -> std::io::Result<HttpPeer> {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -73,21 +73,21 @@
     let testbed = Testbed::build(scenario, Program::edge(PathBuf::new()), out).await?;
     println!(
         "{} servers are running; the server list, keys and configurations are in {}",
-        testbed.day.fleet.servers,
+        testbed.scenario.fleet.servers,
         out.display()
     );
     println!("start a front with: pulleystair-edge run {}", out.join("front-0.json").display());
-    let scheme = if testbed.day.tls { "https" } else { "http" };
+    let scheme = if testbed.scenario.tls { "https" } else { "http" };
     println!("then request one of these URLs within an hour, with the front's address in place of FRONT:");
-    for (product, product_config) in testbed.day.products.iter().enumerate() {
+    for (product, product_config) in testbed.scenario.products.iter().enumerate() {
         let Some(title) = testbed.titles.iter().find(|t| t.product == product) else { continue };
         let entry = portal_keys().sign(&EntryToken {
             jti: format!("by-hand-{product}"),
             sub: "by-hand".into(),
             product: product_config.name.clone(),
             title: title.name.clone(),
-            top: testbed.day.ladder.len() - 1,
-            exp: (testbed.log.now() / 1000.0) as u64 + 3600,
+            top: testbed.scenario.ladder.len() - 1,
+            exp: (testbed.recorder.now() / 1000.0) as u64 + 3600,
         });
         println!("  {scheme}://FRONT{}", address::manifest_path(&product_config.name, &title.name, &entry));
     }
@@ -98,10 +98,10 @@
 fn run(command: Command) -> Result<bool> {
     match command.job {
         Job::Day { script, seed, out, edge, baseline } => {
-            let mut scenario = Scenario::read(&script)?;
+            let mut scenario = Scenario::load(&script)?;
             scenario.seed = seed.unwrap_or(scenario.seed);
             let program = if baseline {
-                Program { path: std::env::current_exe()?, words: vec!["baseline".into()] }
+                Program { path: std::env::current_exe()?, args: vec!["baseline".into()] }
             } else {
                 Program::edge(edge.map_or_else(find_edge_binary, Ok)?)
             };
@@ -113,7 +113,8 @@
             report::plot(&scenario, &result, &out.join("plays.svg"))?;
             let broken_rules: Vec<u8> = result.breaches.iter().map(|breach| breach.rule).collect();
             let description = format!("{}, seed {}", script.display(), scenario.seed);
-            let history = History::new(&description, &broken_rules, scenario.terms(), result.seen);
+            let history =
+                History::new(&description, &broken_rules, scenario.rule_params(), result.observations);
             std::fs::write(out.join("seen.jsonl"), history.to_text()?)?;
             println!(
                 "report.json, plays.svg, seen.jsonl and the logs of the fronts are in {}",
@@ -131,7 +132,7 @@
         }
         Job::Boxes { script, out } => {
             let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-            runtime.block_on(run_fake_servers(Scenario::read(&script)?, &out))?;
+            runtime.block_on(run_fake_servers(Scenario::load(&script)?, &out))?;
             Ok(true)
         }
         Job::Baseline { rundown: config_file } => {
--- a/crates/lab/src/players.rs
+++ b/crates/lab/src/players.rs
@@ -2,7 +2,7 @@
 //! leaves and returns. Players use only the sockets of the fronts, and record what they observe.
 
 use crate::environment::{Title, from_ms};
-use crate::fronts::{FRONT, Fronts};
+use crate::fronts::{FRONT_NAME, Fronts};
 use crate::scenario::{FaultKind, Scenario};
 use anyhow::Result;
 use pulleystair_dash::address;
@@ -221,7 +221,7 @@
 
     /// Connects to a front.
     async fn connect(&self, address: SocketAddr) -> std::io::Result<HttpPeer> {
-        HttpPeer::connect(address, self.tls.as_ref().map(|connector| (connector, FRONT))).await
+        HttpPeer::connect(address, self.tls.as_ref().map(|connector| (connector, FRONT_NAME))).await
     }
 
     /// Signs an entry token for a session, valid for a minute.
--- a/crates/lab/src/relays.rs
+++ b/crates/lab/src/relays.rs
@@ -10,21 +10,23 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-/// The conditions of the link from one front to another. `lost` and `doubled` are the parts of datagrams that are
-/// dropped and duplicated; a link that is not open drops all of them.
+/// The conditions of the link from one front to another.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkConditions {
+    /// Whether datagrams pass at all; a link that is not open drops all of them.
     pub open: bool,
-    pub lost: f64,
-    pub doubled: f64,
-    /// Maximum delay of a datagram, ms; one in ten is delayed by up to ten times as much, so that datagrams are
-    /// reordered.
-    pub late_ms: f64,
+    /// Part of the copies that are dropped, from 0 to 1.
+    pub loss_rate: f64,
+    /// Part of the datagrams that are duplicated, from 0 to 1.
+    pub duplicate_rate: f64,
+    /// Datagrams are delayed by a random time up to this, ms; one in ten by up to ten times that, so that datagrams
+    /// are reordered.
+    pub max_usual_delay_ms: f64,
 }
 
 impl Default for LinkConditions {
     fn default() -> LinkConditions {
-        LinkConditions { open: true, lost: 0.0, doubled: 0.0, late_ms: 0.0 }
+        LinkConditions { open: true, loss_rate: 0.0, duplicate_rate: 0.0, max_usual_delay_ms: 0.0 }
     }
 }
 
@@ -33,8 +35,8 @@
     conditions: Vec<Vec<LinkConditions>>,
     front_addresses: Vec<Option<SocketAddr>>,
     rng: StdRng,
-    /// Number of datagrams that were forwarded.
-    passed: Vec<Vec<u64>>,
+    /// Numbers of datagrams that were forwarded, with duplicates.
+    forwarded_counts: Vec<Vec<u64>>,
 }
 
 /// Handle of the relays between the fronts of a scenario.
@@ -52,7 +54,7 @@
             conditions: vec![vec![LinkConditions::default(); count]; count],
             front_addresses: vec![None; count],
             rng: StdRng::seed_from_u64(seed ^ 0xbe72),
-            passed: vec![vec![0; count]; count],
+            forwarded_counts: vec![vec![0; count]; count],
         }));
         let mut relay_addresses = vec![Vec::new(); count];
         for (from, row) in relay_addresses.iter_mut().enumerate() {
@@ -70,18 +72,18 @@
         self.state.lock().expect("no task panics while it holds the relay state")
     }
 
-    /// The address to which a front sends datagrams for another.
-    pub fn way(&self, from: usize, to: usize) -> SocketAddr {
+    /// The address of the relay to which one front sends its datagrams for another.
+    pub fn relay_address(&self, from: usize, to: usize) -> SocketAddr {
         self.relay_addresses[from][to]
     }
 
-    /// Sets the address on which a front listens.
-    pub fn listens(&self, front: usize, address: SocketAddr) {
+    /// Sets the address on which a front receives datagrams. Until it is set, datagrams for the front are dropped.
+    pub fn set_front_address(&self, front: usize, address: SocketAddr) {
         self.lock_state().front_addresses[front] = Some(address);
     }
 
     /// Changes the conditions of the links of all ordered pairs.
-    pub fn change(&self, change: impl Fn(usize, usize, &mut LinkConditions)) {
+    pub fn change_conditions(&self, change: impl Fn(usize, usize, &mut LinkConditions)) {
         let mut state = self.lock_state();
         for (from, row) in state.conditions.iter_mut().enumerate() {
             row.iter_mut().enumerate().for_each(|(to, conditions)| change(from, to, conditions));
@@ -90,17 +92,17 @@
 
     /// Closes all links between the fronts of one side and the others, in both directions.
     pub fn split(&self, side: impl Fn(usize) -> bool) {
-        self.change(|from, to, conditions| conditions.open = side(from) == side(to));
+        self.change_conditions(|from, to, conditions| conditions.open = side(from) == side(to));
     }
 
     /// Restores perfect conditions on all links.
-    pub fn heal(&self) {
-        self.change(|_, _, conditions| *conditions = LinkConditions::default());
+    pub fn restore(&self) {
+        self.change_conditions(|_, _, conditions| *conditions = LinkConditions::default());
     }
 
-    /// Number of datagrams that were forwarded from one front to another.
-    pub fn passed(&self, from: usize, to: usize) -> u64 {
-        self.lock_state().passed[from][to]
+    /// Number of datagrams that were forwarded from one front to another, with duplicates.
+    pub fn forwarded_count(&self, from: usize, to: usize) -> u64 {
+        self.lock_state().forwarded_counts[from][to]
     }
 }
 
@@ -115,14 +117,15 @@
             let mut state = state.lock().expect("no task panics while it holds the relay state");
             let conditions = state.conditions[from][to];
             let Some(target) = state.front_addresses[to] else { continue };
-            let copy_count = 1 + usize::from(state.rng.random::<f64>() < conditions.doubled);
+            let copy_count = 1 + usize::from(state.rng.random::<f64>() < conditions.duplicate_rate);
             for _ in 0..copy_count {
-                if !conditions.open || state.rng.random::<f64>() < conditions.lost {
+                if !conditions.open || state.rng.random::<f64>() < conditions.loss_rate {
                     continue;
                 }
                 let delay_factor = if state.rng.random::<f64>() < 0.1 { 10.0 } else { 1.0 };
-                copies.push((conditions.late_ms * state.rng.random::<f64>() * delay_factor, target));
-                state.passed[from][to] += 1;
+                copies
+                    .push((conditions.max_usual_delay_ms * state.rng.random::<f64>() * delay_factor, target));
+                state.forwarded_counts[from][to] += 1;
             }
         }
         for (delay_ms, target) in copies {
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -244,7 +244,7 @@
 
 impl Scenario {
     /// Reads a scenario file and checks its values.
-    pub fn read(file: &Path) -> Result<Scenario, LoadError> {
+    pub fn load(file: &Path) -> Result<Scenario, LoadError> {
         let scenario: Scenario = load(file)?;
         scenario
             .validate()
@@ -341,7 +341,7 @@
     }
 
     /// The parameters that the rule checker uses for the run.
-    pub fn terms(&self) -> RuleParams {
+    pub fn rule_params(&self) -> RuleParams {
         let product_params = |p: &Product| rules::Product {
             limit: p.time_limit_ms,
             effect: match p.effect {
--- a/crates/lab/src/scenario_run.rs
+++ b/crates/lab/src/scenario_run.rs
@@ -21,9 +21,9 @@
 /// The results of a run.
 pub struct RunResult {
     pub player_results: Vec<PlayerResult>,
-    pub seen: Vec<Observation>,
+    pub observations: Vec<Observation>,
     pub breaches: Vec<Breach>,
-    pub covered: Coverage,
+    pub coverage: Coverage,
     /// The longest delay of a player's start or of a thread on any core, ms. A run in which it is large says little
     /// about time limits.
     pub lateness_ms: f64,
@@ -35,7 +35,7 @@
 pub async fn run(scenario: Scenario, program: Program, folder: &Path) -> Result<RunResult> {
     let testbed = Testbed::build(scenario, program, folder).await?;
     testbed.start().await?;
-    let Testbed { day: scenario, titles, fronts, stage: environment, log: recorder, .. } = testbed;
+    let Testbed { scenario, titles, fronts, environment, recorder, .. } = testbed;
     let pool = Arc::new(PlayerPool {
         scenario: scenario.clone(),
         titles: titles.clone(),
@@ -60,9 +60,9 @@
     let front_usage = (0..scenario.fronts).map(|front| fronts.resource_usage(front)).collect();
     fronts.stop(STOP_TIMEOUT).await?;
     let lateness_ms = host_load.lateness_ms().max(max_start_delay_ms);
-    let seen = recorder.observations();
-    let (breaches, covered) = check(&seen, &scenario.terms());
+    let observations = recorder.observations();
+    let (breaches, coverage) = check(&observations, &scenario.rule_params());
     let player_results =
         std::mem::take(&mut *pool.results.lock().expect("no player panics while it holds the results"));
-    Ok(RunResult { player_results, seen, breaches, covered, lateness_ms, front_usage })
+    Ok(RunResult { player_results, observations, breaches, coverage, lateness_ms, front_usage })
 }
--- a/crates/lab/src/testbed.rs
+++ b/crates/lab/src/testbed.rs
@@ -13,12 +13,12 @@
 
 /// The parts of a scenario, ready to run.
 pub struct Testbed {
-    pub day: Arc<Scenario>,
+    pub scenario: Arc<Scenario>,
     pub titles: Arc<Vec<Title>>,
-    pub boxes: FakeServers,
+    pub servers: FakeServers,
     pub fronts: Fronts,
-    pub stage: Environment,
-    pub log: Recorder,
+    pub environment: Environment,
+    pub recorder: Recorder,
 }
 
 impl Testbed {
@@ -59,13 +59,13 @@
             recorder.clone(),
             list_file,
         )?;
-        Ok(Testbed { day: scenario, titles, boxes: servers, fronts, stage: environment, log: recorder })
+        Ok(Testbed { scenario, titles, servers, fronts, environment, recorder })
     }
 
     /// Starts all fronts and returns their listening addresses.
     pub async fn start(&self) -> Result<Vec<SocketAddr>> {
         let mut addresses = Vec::new();
-        for front in 0..self.day.fronts {
+        for front in 0..self.scenario.fronts {
             addresses.push(self.fronts.start(front).await?);
         }
         Ok(addresses)
--- a/crates/rule-checker/src/history.rs
+++ b/crates/rule-checker/src/history.rs
@@ -62,12 +62,12 @@
 #[derive(Debug)]
 pub struct Verdict {
     pub breaches: Vec<Breach>,
-    pub covered: Coverage,
+    pub coverage: Coverage,
 }
 
 impl Verdict {
     /// Numbers of the rules that were broken, each once.
-    pub fn rules(&self) -> BTreeSet<u8> {
+    pub fn broken_rules(&self) -> BTreeSet<u8> {
         self.breaches.iter().map(|b| b.rule).collect()
     }
 }
@@ -149,8 +149,8 @@
 
     /// Checks all rules on the observations.
     pub fn verdict(&self) -> Verdict {
-        let (breaches, covered) = check(&self.observations, &self.header.params);
-        Verdict { breaches, covered }
+        let (breaches, coverage) = check(&self.observations, &self.header.params);
+        Verdict { breaches, coverage }
     }
 }
 
--- a/crates/rule-checker/src/rules.rs
+++ b/crates/rule-checker/src/rules.rs
@@ -104,7 +104,7 @@
     pub requests: usize,
     pub set_ups: usize,
     /// Allocations after the first of their play.
-    pub further: usize,
+    pub further_allocations: usize,
     /// List changes of a server to draining or gone.
     pub drains: usize,
     /// Set-ups at servers that were warming up.
@@ -410,7 +410,7 @@
     breaches: &mut Vec<Breach>,
     coverage: &mut Coverage,
 ) {
-    coverage.further = allocations.iter().filter(|allocation| allocation.ordinal > 1).count();
+    coverage.further_allocations = allocations.iter().filter(|allocation| allocation.ordinal > 1).count();
     // A session never has two allocations in flight at one front, whichever plays they belong to.
     let mut by_session: BTreeMap<(FrontRun, &str), Vec<&Allocation>> = BTreeMap::new();
     let mut by_play: BTreeMap<(FrontRun, &str, usize), Vec<&Allocation>> = BTreeMap::new();
--- a/crates/rule-checker/tests/histories.rs
+++ b/crates/rule-checker/tests/histories.rs
@@ -1,7 +1,7 @@
 //! Checks the stored histories in `histories/`, which were recorded with the real front and fake servers. Clean
 //! histories must pass; for each rule there is one history of a front that was configured to break it, which must be
-//! rejected for that rule and no other. They were written by `crates/edge/tests/broken.rs` and `days.rs` with
-//! `PULLEYSTAIR_HISTORIES` set to that folder.
+//! rejected for that rule and no other. They were written by `crates/edge/tests/rule_violations.rs` and
+//! `scenario_runs.rs` with `PULLEYSTAIR_HISTORIES` set to that folder.
 
 use pulleystair_rule_checker::Observed;
 use pulleystair_rule_checker::history::{History, HistoryError};
@@ -30,11 +30,16 @@
     let history = read(name);
     assert_eq!(history.header.breaks, breaks);
     let verdict = history.verdict();
-    assert_eq!(verdict.rules(), breaks.iter().copied().collect::<BTreeSet<u8>>(), "{:?}", verdict.breaches);
-    let coverage = &verdict.covered;
+    assert_eq!(
+        verdict.broken_rules(),
+        breaks.iter().copied().collect::<BTreeSet<u8>>(),
+        "{:?}",
+        verdict.breaches
+    );
+    let coverage = &verdict.coverage;
     assert!(coverage.requests > 0 && (coverage.set_ups > 0 || breaks == [1]), "{coverage:?}");
     if name == "day-1" {
-        let all = [coverage.further, coverage.drains, coverage.cold_set_ups, coverage.segments];
+        let all = [coverage.further_allocations, coverage.drains, coverage.cold_set_ups, coverage.segments];
         assert!(coverage.set_ups > 100 && all.iter().all(|n| *n > 0), "{coverage:?}");
     }
     assert_eq!(
@@ -71,7 +76,7 @@
             .observations
             .insert(index, pulleystair_rule_checker::Observation { at: observation.at, what });
     }
-    assert_eq!(history.verdict().rules().into_iter().collect::<Vec<u8>>(), [rule]);
+    assert_eq!(history.verdict().broken_rules().into_iter().collect::<Vec<u8>>(), [rule]);
 }
 
 fn parse_error(text: &str) -> HistoryError {
--- a/crates/rule-checker/tests/rules.rs
+++ b/crates/rule-checker/tests/rules.rs
@@ -87,7 +87,7 @@
 fn log_without_a_breach_passes(effect: Effect) {
     assert!(log_with_one_retry().closed(3000.0, "f-1-2").broken_rules(&rule_params(effect)).is_empty());
     let (_, coverage) = check(&log_with_one_retry().0, &rule_params(effect));
-    assert_eq!((coverage.requests, coverage.set_ups, coverage.further), (1, 2, 1));
+    assert_eq!((coverage.requests, coverage.set_ups, coverage.further_allocations), (1, 2, 1));
 }
 
 #[test]
