--- a/crates/fake-servers/src/model.rs
+++ b/crates/fake-servers/src/model.rs
@@ -79,7 +79,7 @@
     pub link: f64,
     pub neighbour: f64,
     /// Additional delay of load reports, ms.
-    pub late_ms: f64,
+    pub report_delay_ms: f64,
     /// Part of its capacity that the uplink of the server's rack has.
     pub uplink: f64,
 }
@@ -102,7 +102,7 @@
             slow: 1.0,
             link: 1.0,
             neighbour: 0.0,
-            late_ms: 0.0,
+            report_delay_ms: 0.0,
             uplink: 1.0,
         }
     }
@@ -142,7 +142,7 @@
     pub steps_read: usize,
     pub segments_read: usize,
     /// Counts starts and stops: plays of an earlier process no longer exist.
-    pub process_number: u64,
+    pub generation: u64,
     /// Times of the set-ups within the overload window, while the server is cold.
     recent_set_ups: VecDeque<f64>,
     /// Sampled loads with their times, for reports that are delayed.
@@ -165,7 +165,7 @@
             cold_started_at: None,
             steps_read: 0,
             segments_read: 0,
-            process_number: 0,
+            generation: 0,
             recent_set_ups: VecDeque::new(),
             load_history: VecDeque::new(),
         };
@@ -222,7 +222,7 @@
     /// The load as it was `delay_ms` ago, plus the injected delay of the server's reports.
     pub fn reported_load(&self, now: f64, server: usize, delay_ms: f64) -> Load {
         let state = &self.servers[server];
-        let sampled_by = now - delay_ms - state.faults.late_ms;
+        let sampled_by = now - delay_ms - state.faults.report_delay_ms;
         let sample =
             state.load_history.iter().rev().find(|(at, _)| *at <= sampled_by).or(state.load_history.front());
         sample.map_or_else(|| self.load(server), |(_, load)| *load)
@@ -231,7 +231,7 @@
     /// Starts the process of a server, without plays.
     pub fn start(&mut self, now: f64, server: usize, cold: bool) {
         let state = &mut self.servers[server];
-        state.process_number += 1;
+        state.generation += 1;
         state.faults.down = false;
         state.cold_started_at = cold.then_some(now);
         state.plays.clear();
@@ -242,7 +242,7 @@
     /// Ends the process of a server, with all plays.
     pub fn stop(&mut self, server: usize) {
         let state = &mut self.servers[server];
-        state.process_number += 1;
+        state.generation += 1;
         state.faults.down = true;
         state.plays.clear();
     }
@@ -258,9 +258,9 @@
         while state.recent_set_ups.front().is_some_and(|at| *at <= now - spec.overload_window_ms) {
             state.recent_set_ups.pop_front();
         }
-        let warm_part = spec.cold_from + (1.0 - spec.cold_from) * (now - started_at) / spec.cold_ms;
+        let capacity_fraction = spec.cold_from + (1.0 - spec.cold_from) * (now - started_at) / spec.cold_ms;
         let capacity = spec.overload_factor * state.spec.streams as f64 / spec.cold_ms
-            * warm_part
+            * capacity_fraction
             * spec.overload_window_ms;
         state.recent_set_ups.len() as f64 > capacity + 2.0
     }
@@ -269,9 +269,9 @@
     pub fn slowness(&self, now: f64, server: usize) -> f64 {
         let state = &self.servers[server];
         let cold_factor = state.cold_started_at.filter(|at| now < at + self.spec.cold_ms).map_or(1.0, |at| {
-            let warm_part =
+            let capacity_fraction =
                 self.spec.cold_from + (1.0 - self.spec.cold_from) * (now - at) / self.spec.cold_ms;
-            1.0 / warm_part.clamp(0.25, 1.0)
+            1.0 / capacity_fraction.clamp(0.25, 1.0)
         });
         cold_factor * state.faults.slow
     }
@@ -351,7 +351,7 @@
         model.sample(1000.0);
         assert_eq!(model.reported_load(1050.0, 0, 100.0).link, 0.0);
         assert_eq!(model.reported_load(1150.0, 0, 100.0).link, 0.25);
-        model.servers[0].faults.late_ms = 3000.0;
+        model.servers[0].faults.report_delay_ms = 3000.0;
         assert_eq!(model.reported_load(1150.0, 0, 100.0).link, 0.0);
     }
 
--- a/crates/fake-servers/src/server.rs
+++ b/crates/fake-servers/src/server.rs
@@ -122,13 +122,13 @@
     }
 
     /// A random number from 0 to 1.
-    fn draw(&self) -> f64 {
+    fn random_fraction(&self) -> f64 {
         self.rng.lock().expect("no task panics while it holds the random generator").random()
     }
 
     fn stop(&self, server: usize) {
         self.lock_model().stop(server);
-        self.process_ends[server].send_modify(|life| *life += 1);
+        self.process_ends[server].send_modify(|end_count| *end_count += 1);
         self.recorder.record(Observed::Stopped { server });
     }
 
@@ -260,22 +260,22 @@
     shared: Arc<Shared>,
     server: usize,
     allocation: String,
-    process_number: u64,
+    generation: u64,
     /// Whether the play is freed only after the lease.
     has_lease: bool,
 }
 
 impl Drop for PlayGuard {
     fn drop(&mut self) {
-        let PlayGuard { shared, server, allocation, process_number, has_lease } = self;
+        let PlayGuard { shared, server, allocation, generation, has_lease } = self;
         shared.recorder.record(Observed::Closed { allocation: allocation.clone() });
         shared.end_signals.lock().expect("no task panics while it holds the end signals").remove(allocation);
-        let (shared, server, allocation, process_number) =
-            (shared.clone(), *server, std::mem::take(allocation), *process_number);
+        let (shared, server, allocation, generation) =
+            (shared.clone(), *server, std::mem::take(allocation), *generation);
         let delay_ms = if *has_lease { shared.lock_model().spec.lease_ms } else { 0.0 };
         let free_play = move || {
             let mut model = shared.lock_model();
-            if model.servers[server].process_number == process_number {
+            if model.servers[server].generation == generation {
                 model.servers[server].plays.remove(&allocation);
             }
         };
@@ -340,15 +340,15 @@
     });
     let known_title = shared.titles.get(&title).cloned();
     let now = shared.recorder.now();
-    let (is_overrun, is_full, process_number, faults, rung_count, rate_spread) = {
+    let (is_overloaded, is_full, generation, faults, rung_count, rate_spread) = {
         let mut model = shared.lock_model();
-        let is_overrun = model.on_set_up(now, server);
+        let is_overloaded = model.on_set_up(now, server);
         let state = &model.servers[server];
         let is_full = state.plays.len() >= state.spec.streams;
         (
-            is_overrun,
+            is_overloaded,
             is_full,
-            state.process_number,
+            state.generation,
             state.faults.clone(),
             model.spec.ladder.len(),
             model.spec.rate_spread,
@@ -358,12 +358,12 @@
         shared: shared.clone(),
         server,
         allocation: allocation.clone(),
-        process_number,
+        generation,
         has_lease: false,
     };
     let record_done =
         |ran, status| shared.recorder.record(Observed::Done { allocation: allocation.clone(), ran, status });
-    if is_overrun {
+    if is_overloaded {
         let down_time = Duration::from_secs_f64(shared.lock_model().spec.down_ms / 1000.0);
         let shared = shared.clone();
         tokio::spawn(async move {
@@ -385,7 +385,7 @@
         record_done(false, 429);
         return peer.write(&shared.empty_response(server, 429)).await;
     }
-    if shared.draw() < faults.errors {
+    if shared.random_fraction() < faults.errors {
         record_done(true, 502);
         return peer.write(&shared.empty_response(server, 502)).await;
     }
@@ -393,7 +393,7 @@
         record_done(false, 429);
         return peer.write(&shared.empty_response(server, 429)).await;
     };
-    let factor = known_title.scale * (1.0 + rate_spread * (2.0 * shared.draw() - 1.0));
+    let factor = known_title.scale * (1.0 + rate_spread * (2.0 * shared.random_fraction() - 1.0));
     let play = Play { title, product, live: known_title.live, rung, factor, is_set_up: false };
     shared.lock_model().servers[server].plays.insert(allocation.clone(), play);
     guard.has_lease = true;
@@ -417,7 +417,7 @@
     if let Some(play) = shared.lock_model().servers[server].plays.get_mut(&allocation) {
         play.is_set_up = true;
     }
-    let drawn = shared.draw();
+    let drawn = shared.random_fraction();
     if drawn < faults.lost {
         record_done(true, 0);
         peer.wait_closed().await;
@@ -456,7 +456,7 @@
         let model = shared.lock_model();
         (model.spec.notes_late_ms, model.spec.notes_every_ms)
     };
-    let (mut since_link_note_ms, mut was_short) = (0.0, false);
+    let (mut since_link_note_ms, mut was_reduced) = (0.0, false);
     let tick_ms = 1000.0f64.min(interval_ms);
     loop {
         if timeout(Duration::from_secs_f64(tick_ms / 1000.0), peer.wait_closed()).await.is_ok() {
@@ -465,9 +465,9 @@
         since_link_note_ms += tick_ms;
         let load = shared.lock_model().reported_load(shared.recorder.now(), server, delay_ms);
         let mut note = String::new();
-        if load.delivered < 0.98 || was_short {
+        if load.delivered < 0.98 || was_reduced {
             note += &format!("{{\"delivered\":{}}}\n", load.delivered);
-            was_short = load.delivered < 0.98;
+            was_reduced = load.delivered < 0.98;
         }
         if since_link_note_ms >= interval_ms {
             since_link_note_ms = 0.0;
@@ -535,7 +535,7 @@
     }
     let byte_range = request.header("range").and_then(parse_range);
     let byte_range = byte_range.filter(|_| request.header("if-range").is_none_or(|t| t == etag));
-    let byte_range = byte_range.filter(|_| shared.draw() >= faults.no_ranges);
+    let byte_range = byte_range.filter(|_| shared.random_fraction() >= faults.no_ranges);
     let (first, last) =
         byte_range.map_or((0, segment.len() - 1), |(first, last)| (first, last.min(segment.len() - 1)));
     if first > last {
@@ -555,7 +555,7 @@
     if request.method == "HEAD" {
         return Ok(true);
     }
-    let drawn = shared.draw();
+    let drawn = shared.random_fraction();
     let (cut, stall) = (drawn < faults.cut, drawn >= faults.cut && drawn < faults.cut + faults.stall);
     let sent_body = if cut || stall { &body[..body.len() / 2] } else { body };
     for chunk in sent_body.chunks(32 << 10) {
@@ -570,7 +570,7 @@
     }
     if stall {
         peer.wait_closed().await;
-    } else if !cut && shared.draw() < faults.over_long {
+    } else if !cut && shared.random_fraction() < faults.over_long {
         peer.write(b"more than was told").await?;
     }
     Ok(!cut && !stall)
--- a/crates/fake-servers/tests/stops.rs
+++ b/crates/fake-servers/tests/stops.rs
@@ -1,6 +1,6 @@
 //! Stopping a fake server must close all of its connections, including those that are just being accepted: tests of
 //! lost servers rely on it. On one thread the tasks run in a fixed order, so the test can stop the server after each
-//! possible number of task turns; the runtime polls sockets about every sixty turns.
+//! possible number of task polls; the runtime polls sockets about every sixty polls.
 
 use pulleystair_fake_servers::http::HttpPeer;
 use pulleystair_fake_servers::model::{ServerFleetSpec, ServerSpec};
@@ -43,11 +43,11 @@
         .expect("the server starts")
 }
 
-/// Stops the server after `turns` task turns: each turn is a new task at the end of the run queue.
-fn stop_after(turns: usize, servers: FakeServers, stopped_sender: oneshot::Sender<()>) {
+/// Stops the server after `polls` task polls: each poll is that of a new task at the end of the run queue.
+fn stop_after(polls: usize, servers: FakeServers, stopped_sender: oneshot::Sender<()>) {
     tokio::spawn(async move {
-        if turns > 0 {
-            return stop_after(turns - 1, servers, stopped_sender);
+        if polls > 0 {
+            return stop_after(polls - 1, servers, stopped_sender);
         }
         servers.stop(0);
         let _ = stopped_sender.send(());
@@ -56,11 +56,11 @@
 
 #[tokio::test]
 async fn stopping_a_server_closes_connections_being_accepted() {
-    for turns in 0..200 {
+    for polls in 0..200 {
         let servers = one_server().await;
         let mut peer = HttpPeer::new(TcpStream::connect(servers.addresses[0]).await.expect("a connection"));
         let (stopped_sender, stopped_receiver) = oneshot::channel();
-        stop_after(turns, servers, stopped_sender);
+        stop_after(polls, servers, stopped_sender);
         stopped_receiver.await.expect("the server is stopped");
         let _ = peer.write(b"GET /load HTTP/1.1\r\nHost: m\r\n\r\n").await;
         let answer = timeout(Duration::from_secs(10), peer.read_response())
@@ -68,7 +68,7 @@
             .expect("the connection ends in some way");
         assert!(
             !matches!(answer, Ok(Some(_))),
-            "answered by a process that was stopped {turns} turns after the connection"
+            "answered by a process that was stopped {polls} polls after the connection"
         );
     }
 }
--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -87,14 +87,14 @@
 impl BaselineFront {
     /// Serves the requests of a player's connection.
     async fn serve_connection(self: Arc<BaselineFront>, mut player: HttpPeer) -> std::io::Result<()> {
-        let mut server = None;
+        let mut server_connection = None;
         while let Some(request) = player.read_request().await? {
             let response_bytes = match (request.method.as_str(), address::parse(&request.target)) {
                 ("GET", Some(Route::Manifest { product, title, entry })) => {
                     self.serve_manifest(product, title, entry.unwrap_or("")).await
                 }
                 ("GET", Some(Route::Segment { pass, which: SegmentId::Number(number), .. })) => {
-                    self.serve_segment(pass, number, &mut server).await
+                    self.serve_segment(pass, number, &mut server_connection).await
                 }
                 ("DELETE", Some(Route::Session { pass })) => {
                     if let Some(session) = self.find_session(pass) {
@@ -124,8 +124,13 @@
     }
 
     /// Responds to a manifest request; the first one of a session sets it up.
-    async fn serve_manifest(self: &Arc<BaselineFront>, product: &str, title: &str, token: &str) -> Vec<u8> {
-        let entry = match self.entry_keys.verify_entry(token, self.unix_seconds(), product, title) {
+    async fn serve_manifest(
+        self: &Arc<BaselineFront>,
+        product: &str,
+        title: &str,
+        entry_token: &str,
+    ) -> Vec<u8> {
+        let entry = match self.entry_keys.verify_entry(entry_token, self.unix_seconds(), product, title) {
             Ok(entry) => entry,
             Err(error) => return response(error.status(), "", b""),
         };
@@ -241,17 +246,17 @@
         (if may_have_run && !is_repeatable { 502 } else { 503 }, String::new())
     }
 
-    /// Relays a segment from the server of the session, over the kept connection if it leads there.
+    /// Relays a segment from the server of the session, over `server_connection` if that leads there.
     async fn serve_segment(
         &self,
         session_token: &str,
         number: u64,
-        kept: &mut Option<(String, HttpPeer)>,
+        server_connection: &mut Option<(String, HttpPeer)>,
     ) -> Vec<u8> {
         let Some(session) = self.find_session(session_token) else { return response(401, "", b"") };
         let playing_at = session.playing_at.lock().expect("no task panics while it holds a session").clone();
         let Some((server, allocation_path)) = playing_at else { return response(410, "", b"") };
-        let peer = match kept.take() {
+        let peer = match server_connection.take() {
             Some((kept_server, peer)) if kept_server == server => Some(peer),
             _ => TcpStream::connect(&server).await.ok().map(HttpPeer::new),
         };
@@ -263,7 +268,7 @@
         });
         match received.await {
             Ok(Ok(Some(received))) if received.status == 200 => {
-                *kept = Some((server, peer));
+                *server_connection = Some((server, peer));
                 response(200, "", &received.body)
             }
             _ => response(502, "", b""),
--- a/crates/lab/src/environment.rs
+++ b/crates/lab/src/environment.rs
@@ -358,7 +358,7 @@
         FaultKind::StallSegments => faults.stall = if is_active { severity } else { healthy.stall },
         FaultKind::LinkLoss => faults.link = if is_active { 1.0 / severity } else { healthy.link },
         FaultKind::LateReports => {
-            faults.late_ms = if is_active { severity * 1000.0 } else { healthy.late_ms }
+            faults.report_delay_ms = if is_active { severity * 1000.0 } else { healthy.report_delay_ms }
         }
         _ => {}
     }
--- a/crates/lab/src/fronts.rs
+++ b/crates/lab/src/fronts.rs
@@ -94,7 +94,7 @@
 }
 
 /// The configuration of a front; if the fronts of the scenario share state, with the relays to the others.
-fn front_config_with_sharing(
+fn full_front_config(
     scenario: &Scenario,
     front: usize,
     relays: &Option<Relays>,
@@ -176,7 +176,7 @@
         let relays =
             scenario.sharing.as_ref().map(|_| Relays::open(scenario.fronts, scenario.seed)).transpose()?;
         for front in 0..scenario.fronts {
-            let text = serde_json::to_string_pretty(&front_config_with_sharing(scenario, front, &relays)?)?;
+            let text = serde_json::to_string_pretty(&full_front_config(scenario, front, &relays)?)?;
             std::fs::write(folder.join(format!("front-{front}.json")), text)?;
         }
         let front_states =
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -24,7 +24,7 @@
 use tokio_rustls::TlsConnector;
 
 /// Highest p99 of the set-up time at which a front counts as sustaining a rate, ms.
-const MAX_CARRIED_P99_MS: f64 = 50.0;
+const MAX_SUSTAINED_P99_MS: f64 = 50.0;
 /// The load generator has fallen behind if one of its plays started later than this, ms.
 const MAX_LATENESS_MS: f64 = 25.0;
 /// Number of concurrent plays for the memory measurement.
@@ -133,9 +133,9 @@
     let mut per_s = 250.0;
     while per_s < 20_000.0 {
         let rate = test.measure_rate(per_s, if per_s < 1500.0 { seconds } else { seconds / 2.0 }).await?;
-        let is_carried = rate.front_ms.p99 <= MAX_CARRIED_P99_MS && rate.failed == 0 && !rate.behind;
+        let is_sustained = rate.front_ms.p99 <= MAX_SUSTAINED_P99_MS && rate.failed == 0 && !rate.behind;
         rates.push(rate);
-        if !is_carried {
+        if !is_sustained {
             break;
         }
         max_per_s = per_s;
@@ -222,11 +222,11 @@
         R: Future<Output = Option<f64>> + Send + 'static,
     {
         let start = Instant::now() + from_ms(20.0);
-        let (mut max_delay_ms, mut tasks) = (0.0f64, Vec::new());
+        let (mut max_lateness_ms, mut tasks) = (0.0f64, Vec::new());
         for i in 0..(per_s * seconds) as usize {
             let due_at = start + Duration::from_secs_f64(i as f64 / per_s);
             sleep_until(due_at).await;
-            max_delay_ms = max_delay_ms.max(due_at.elapsed().as_secs_f64() * 1000.0);
+            max_lateness_ms = max_lateness_ms.max(due_at.elapsed().as_secs_f64() * 1000.0);
             tasks.push(tokio::spawn(start_one(due_at)));
         }
         let (mut latencies_ms, mut failed) = (Vec::new(), 0);
@@ -236,7 +236,7 @@
                 _ => failed += 1,
             }
         }
-        (latencies_ms, failed, max_delay_ms)
+        (latencies_ms, failed, max_lateness_ms)
     }
 
     /// Measures the latencies of HTTP requests, direct set-ups and plays through the front at one rate.
@@ -276,7 +276,7 @@
             .await;
         let cpu_before_ms = self.fronts.resource_usage(0).context("the front is not running")?.0;
         let test = self.clone();
-        let (front_ms, failed, max_delay_ms) = self
+        let (front_ms, failed, max_lateness_ms) = self
             .run_open_loop(per_s, seconds, move |due_at| {
                 let test = test.clone();
                 async move {
@@ -300,8 +300,8 @@
             direct_ms: quantiles(direct_ms.into_iter())?,
             front_ms: quantiles(front_ms.into_iter())?,
             cpu_ms_a_play: cpu_ms / plays.max(1) as f64,
-            lateness_ms: max_delay_ms,
-            behind: max_delay_ms > MAX_LATENESS_MS,
+            lateness_ms: max_lateness_ms,
+            behind: max_lateness_ms > MAX_LATENESS_MS,
         })
     }
 
@@ -399,7 +399,7 @@
             );
         }
         text += &format!(
-            "highest rate with p99 within {MAX_CARRIED_P99_MS} ms: {:.0} plays per second\n",
+            "highest rate with p99 within {MAX_SUSTAINED_P99_MS} ms: {:.0} plays per second\n",
             self.most_a_second
         );
         let kb_per_play =
--- a/crates/lab/src/players.rs
+++ b/crates/lab/src/players.rs
@@ -28,7 +28,7 @@
 /// Maximum number of attempts to fetch one segment.
 const MAX_SEGMENT_TRIES: usize = 3;
 /// How long after the time limit a player keeps waiting, so that a late response is recorded as late.
-const LATE_ANSWER_MS: f64 = 1_000.0;
+const LATE_RESPONSE_MS: f64 = 1_000.0;
 
 /// The result of one viewer's play over all its visits.
 #[derive(Clone, Debug, Default)]
@@ -40,7 +40,7 @@
     pub set_up_ms: Option<f64>,
     /// Status of the last response to a manifest request; 0 if there was none.
     pub status: u16,
-    pub tries: usize,
+    pub visits: usize,
     pub segments: usize,
     /// Sum of the rungs of all segments.
     pub rung_sum: usize,
@@ -155,7 +155,7 @@
         let started_at = Instant::now();
         let players = &self.scenario.players;
         for visit in 0..MAX_VISITS {
-            result.tries += 1;
+            result.visits += 1;
             let session = format!("s{:016x}-{visit}", arrival.seed);
             let Some((front, address)) = self.fronts.choose_front(arrival.zone, rng.random()) else {
                 sleep(from_ms(500.0)).await;
@@ -288,7 +288,7 @@
             title: title.name.clone(),
             top: arrival.max_rung,
         });
-        let time_limit = patience.unwrap_or(from_ms(product.time_limit_ms + LATE_ANSWER_MS));
+        let time_limit = patience.unwrap_or(from_ms(product.time_limit_ms + LATE_RESPONSE_MS));
         let response = timeout(time_limit, async {
             peer.write(format!("GET {target} HTTP/1.1\r\nHost: front\r\n\r\n").as_bytes()).await?;
             peer.read_response().await
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -92,41 +92,41 @@
     let player_results = &run.player_results;
     let target_ms = |p: usize| scenario.products[p].first_frame_target_ms;
     let product = |p: usize| {
-        let product_results = || player_results.iter().filter(move |w| w.product == p);
-        let in_time = product_results().filter(|w| w.set_up_ms.is_some_and(|ms| ms <= target_ms(p))).count();
-        let set_up = product_results().filter(|w| w.set_up_ms.is_some()).count();
+        let product_results = || player_results.iter().filter(move |r| r.product == p);
+        let in_time = product_results().filter(|r| r.set_up_ms.is_some_and(|ms| ms <= target_ms(p))).count();
+        let set_up = product_results().filter(|r| r.set_up_ms.is_some()).count();
         Product {
             name: scenario.products[p].name.clone(),
             plays: product_results().count(),
             in_time,
             late: set_up - in_time,
-            declined: product_results().filter(|w| w.set_up_ms.is_none() && w.status == 503).count(),
-            failed: product_results().filter(|w| w.set_up_ms.is_none() && w.status != 503).count(),
+            declined: product_results().filter(|r| r.set_up_ms.is_none() && r.status == 503).count(),
+            failed: product_results().filter(|r| r.set_up_ms.is_none() && r.status != 503).count(),
         }
     };
     let products: Vec<Product> = (0..scenario.products.len()).map(product).collect();
     let sum_importance = |count: fn(&Product) -> usize| -> f64 {
-        products.iter().zip(&scenario.products).map(|(p, d)| count(p) as f64 * d.importance).sum()
+        products.iter().zip(&scenario.products).map(|(p, config)| count(p) as f64 * config.importance).sum()
     };
     let best_earnings = scenario.ladder.iter().map(|r| r.earns).fold(0.0, f64::max);
-    let importance = |w: &PlayerResult| scenario.products[w.product].importance;
+    let importance = |r: &PlayerResult| scenario.products[r.product].importance;
     let earned_importance: f64 =
-        player_results.iter().map(|w| importance(w) * (w.earned_s - w.stalled_ms / 1000.0).max(0.0)).sum();
+        player_results.iter().map(|r| importance(r) * (r.earned_s - r.stalled_ms / 1000.0).max(0.0)).sum();
     let requested_importance: f64 =
-        player_results.iter().map(|w| importance(w) * w.title_s * best_earnings).sum();
-    let segments: usize = player_results.iter().map(|w| w.segments).sum();
+        player_results.iter().map(|r| importance(r) * r.title_s * best_earnings).sum();
+    let segments: usize = player_results.iter().map(|r| r.segments).sum();
     let cpu_ms: f64 = run.front_usage.iter().flatten().map(|u| u.0).sum();
     Ok(Report {
         seed: scenario.seed,
         service: sum_importance(|p| p.in_time) / sum_importance(|p| p.plays).max(1e-9),
         worth: earned_importance / requested_importance.max(1e-9),
         plays: player_results.len(),
-        set_up_ms: quantiles(player_results.iter().filter_map(|w| w.set_up_ms))?,
+        set_up_ms: quantiles(player_results.iter().filter_map(|r| r.set_up_ms))?,
         segments,
-        mean_rung: player_results.iter().map(|w| w.rung_sum).sum::<usize>() as f64 / segments.max(1) as f64,
-        stalls: player_results.iter().map(|w| w.stalls).sum(),
-        stalled_ms: player_results.iter().map(|w| w.stalled_ms).sum(),
-        broken: player_results.iter().filter(|w| w.broken).count(),
+        mean_rung: player_results.iter().map(|r| r.rung_sum).sum::<usize>() as f64 / segments.max(1) as f64,
+        stalls: player_results.iter().map(|r| r.stalls).sum(),
+        stalled_ms: player_results.iter().map(|r| r.stalled_ms).sum(),
+        broken: player_results.iter().filter(|r| r.broken).count(),
         covered: Counts {
             requests: run.coverage.requests,
             set_ups: run.coverage.set_ups,
--- a/crates/lab/src/scenario_run.rs
+++ b/crates/lab/src/scenario_run.rs
@@ -2,9 +2,9 @@
 //! checks the rules.
 
 use crate::fronts::Program;
-use crate::host_load::HostLoad;
 use crate::players::{PlayerPool, PlayerResult, arrivals, run_arrivals};
 use crate::scenario::Scenario;
+use crate::scheduling_delay::SchedulingDelay;
 use crate::testbed::Testbed;
 use anyhow::Result;
 use pulleystair_rule_checker::Observation;
@@ -45,7 +45,7 @@
         next_request: AtomicU64::new(1),
         results: Mutex::default(),
     });
-    let host_load = HostLoad::watch();
+    let scheduling_delay = SchedulingDelay::start();
     let start = Instant::now();
     let mut fault_tasks = Vec::new();
     for (i, fault) in scenario.troubles.iter().enumerate() {
@@ -59,7 +59,7 @@
     }
     let front_usage = (0..scenario.fronts).map(|front| fronts.resource_usage(front)).collect();
     fronts.stop(STOP_TIMEOUT).await?;
-    let lateness_ms = host_load.lateness_ms().max(max_start_delay_ms);
+    let lateness_ms = scheduling_delay.stop().max(max_start_delay_ms);
     let observations = recorder.observations();
     let (breaches, coverage) = check(&observations, &scenario.rule_params());
     let player_results =
--- a/crates/lab/src/host_load.rs
+++ b/crates/lab/src/scheduling_delay.rs
@@ -11,15 +11,15 @@
 /// Length of each sleep: short compared to the delays of interest, and cheap.
 const SLEEP: Duration = Duration::from_millis(5);
 
-/// Measures from its creation until [`HostLoad::lateness_ms`] is called.
-pub struct HostLoad {
+/// Measures from its creation until [`SchedulingDelay::stop`] is called.
+pub struct SchedulingDelay {
     stop: Arc<AtomicBool>,
     sleepers: Vec<JoinHandle<f64>>,
 }
 
-impl HostLoad {
+impl SchedulingDelay {
     /// Starts one thread for each core that this process may use.
-    pub fn watch() -> HostLoad {
+    pub fn start() -> SchedulingDelay {
         let stop = Arc::new(AtomicBool::new(false));
         let allowed = sched_getaffinity(None).unwrap_or_default();
         let cores = (0..CpuSet::MAX_CPU).filter(|core| allowed.is_set(*core));
@@ -40,11 +40,11 @@
                 max_lateness_ms
             })
         });
-        HostLoad { sleepers: sleepers.collect(), stop }
+        SchedulingDelay { sleepers: sleepers.collect(), stop }
     }
 
     /// Stops the threads and returns the longest delay that one of them measured, ms.
-    pub fn lateness_ms(mut self) -> f64 {
+    pub fn stop(mut self) -> f64 {
         self.stop.store(true, Ordering::Relaxed);
         std::mem::take(&mut self.sleepers)
             .into_iter()
@@ -54,7 +54,7 @@
 }
 
 /// Stops the threads if a run fails.
-impl Drop for HostLoad {
+impl Drop for SchedulingDelay {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
     }
--- a/crates/rule-checker/src/rules.rs
+++ b/crates/rule-checker/src/rules.rs
@@ -114,21 +114,21 @@
 
 /// One process lifetime of a front: the front's number and how often it had been started before. A front that is
 /// restarted has lost its state, so each lifetime is checked separately.
-type FrontRun = (usize, usize);
+type FrontLifetime = (usize, usize);
 
 /// Stands for the front of an allocation whose session was never requested.
-const UNKNOWN_RUN: FrontRun = (usize::MAX, 0);
+const UNKNOWN_LIFETIME: FrontLifetime = (usize::MAX, 0);
 
 /// A manifest request with all its responses.
 struct Request<'a> {
     requested_at: f64,
     session: &'a str,
-    run: FrontRun,
+    lifetime: FrontLifetime,
     product: usize,
     title: &'a str,
     max_rung: usize,
     /// Time and status of each response.
-    answers: Vec<(f64, u16)>,
+    responses: Vec<(f64, u16)>,
     /// When the player closed the connection, if it did.
     left_at: Option<f64>,
 }
@@ -146,8 +146,8 @@
     /// When the set-up was completed, whether work was done for it, and its status.
     result: Option<(f64, bool, u16)>,
     closed_at: f64,
-    run: FrontRun,
-    /// Number of the play among those of its session at `run`, counted from 1.
+    lifetime: FrontLifetime,
+    /// Number of the play among those of its session in `lifetime`, counted from 1.
     play_number: usize,
     /// Number of the allocation among those of its play, counted from 1.
     ordinal: usize,
@@ -189,24 +189,24 @@
         let at = observation.at;
         match &observation.what {
             Observed::Asked { request, session, front, product, title, top } => {
-                let run =
+                let lifetime =
                     (*front, lifetimes.front_starts.get(front).map_or(0, |ups| ups.len().saturating_sub(1)));
                 let (product, max_rung) = (*product, *top);
                 let new_request = Request {
                     requested_at: at,
                     session,
-                    run,
+                    lifetime,
                     product,
                     title,
                     max_rung,
-                    answers: Vec::new(),
+                    responses: Vec::new(),
                     left_at: None,
                 };
                 requests.insert(*request, new_request);
             }
             Observed::Answered { request, status } => {
                 if let Some(record) = requests.get_mut(request) {
-                    record.answers.push((at, *status));
+                    record.responses.push((at, *status));
                 }
             }
             // A connection that a running front cut counts as no response; for a front that died, see `front_stops`.
@@ -238,7 +238,7 @@
                     rungs: vec![(at, *rung)],
                     result: None,
                     closed_at: f64::INFINITY,
-                    run: UNKNOWN_RUN,
+                    lifetime: UNKNOWN_LIFETIME,
                     play_number: 1,
                     ordinal: 1,
                 };
@@ -278,7 +278,7 @@
     assign_to_fronts(&requests, &mut allocations, &lifetimes.front_stops, params);
     coverage.requests = requests.len();
     coverage.set_ups = allocations.len();
-    check_answers(&requests, &allocations, &lifetimes.front_stops, last_observed_at, params, &mut breaches);
+    check_responses(&requests, &allocations, &lifetimes.front_stops, last_observed_at, params, &mut breaches);
     check_repeated_allocations(&requests, &allocations, params, &mut breaches, &mut coverage);
     check_drains(&allocations, &list_changes, params, &mut breaches, &mut coverage);
     check_cold_starts(&allocations, &list_changes, &lifetimes, params, &mut breaches, &mut coverage);
@@ -303,52 +303,54 @@
         session_requests.sort_by(|a, b| a.requested_at.total_cmp(&b.requested_at))
     });
     allocations.sort_by(|a, b| a.set_up_at.total_cmp(&b.set_up_at));
-    // The latest allocation of each session at each run: its time, play number and ordinal.
-    let mut latest: BTreeMap<(&str, FrontRun), (f64, usize, usize)> = BTreeMap::new();
+    // The latest allocation of each session in each front lifetime: its time, play number and ordinal.
+    let mut latest: BTreeMap<(&str, FrontLifetime), (f64, usize, usize)> = BTreeMap::new();
     for allocation in allocations {
         let Some(session_requests) = requests_by_session.get(allocation.session) else { continue };
         let earlier_requests = session_requests.iter().filter(|r| r.requested_at <= allocation.set_up_at);
         let is_front_alive = |r: &&&Request| {
             !front_stops.iter().any(|(front, at)| {
-                *front == r.run.0 && *at >= r.requested_at && *at + params.slack < allocation.set_up_at
+                *front == r.lifetime.0 && *at >= r.requested_at && *at + params.slack < allocation.set_up_at
             })
         };
-        let is_unanswered =
-            |r: &&&Request| r.answers.iter().all(|(at, _)| at + params.slack >= allocation.set_up_at);
-        let allocation_count = |run: FrontRun| latest.get(&(allocation.session, run)).map_or(0, |l| l.2);
+        let is_without_response =
+            |r: &&&Request| r.responses.iter().all(|(at, _)| at + params.slack >= allocation.set_up_at);
+        let allocation_count =
+            |lifetime: FrontLifetime| latest.get(&(allocation.session, lifetime)).map_or(0, |l| l.2);
         let pending_request = earlier_requests
             .clone()
             .filter(is_front_alive)
-            .filter(is_unanswered)
-            .min_by_key(|r| allocation_count(r.run));
-        let Some(run) = pending_request
+            .filter(is_without_response)
+            .min_by_key(|r| allocation_count(r.lifetime));
+        let Some(lifetime) = pending_request
             .or(earlier_requests.clone().rev().find(is_front_alive))
             .or(earlier_requests.clone().next_back())
-            .map(|r| r.run)
+            .map(|r| r.lifetime)
         else {
             continue;
         };
-        let (play_number, ordinal) = match latest.get(&(allocation.session, run)) {
+        let (play_number, ordinal) = match latest.get(&(allocation.session, lifetime)) {
             None => (1, 1),
             Some((latest_at, play_number, ordinal)) => {
-                let run_requests = || session_requests.iter().filter(|r| r.run == run);
+                let lifetime_requests = || session_requests.iter().filter(|r| r.lifetime == lifetime);
                 let is_requested_since = |since: f64| {
-                    run_requests().any(|r| r.requested_at >= since && r.requested_at <= allocation.set_up_at)
+                    lifetime_requests()
+                        .any(|r| r.requested_at >= since && r.requested_at <= allocation.set_up_at)
                 };
-                let is_new_play = run_requests()
-                    .flat_map(|r| &r.answers)
-                    .any(|(answered_at, _)| answered_at >= latest_at && is_requested_since(*answered_at));
+                let is_new_play = lifetime_requests()
+                    .flat_map(|r| &r.responses)
+                    .any(|(responded_at, _)| responded_at >= latest_at && is_requested_since(*responded_at));
                 if is_new_play { (play_number + 1, 1) } else { (*play_number, ordinal + 1) }
             }
         };
-        (allocation.run, allocation.play_number, allocation.ordinal) = (run, play_number, ordinal);
-        latest.insert((allocation.session, run), (allocation.set_up_at, play_number, ordinal));
+        (allocation.lifetime, allocation.play_number, allocation.ordinal) = (lifetime, play_number, ordinal);
+        latest.insert((allocation.session, lifetime), (allocation.set_up_at, play_number, ordinal));
     }
 }
 
 /// Rule 1: every request at a front that keeps running gets exactly one response within its time limit, and a response
 /// of 200 means that the title plays.
-fn check_answers(
+fn check_responses(
     requests: &[Request],
     allocations: &[Allocation],
     front_stops: &[(usize, f64)],
@@ -368,11 +370,11 @@
     for request in requests {
         let deadline = request.requested_at + params.products[request.product].limit + params.slack;
         let front_died = front_stops.iter().any(|(front, at)| {
-            *front == request.run.0 && *at >= request.requested_at - params.slack && *at <= deadline
+            *front == request.lifetime.0 && *at >= request.requested_at - params.slack && *at <= deadline
         });
-        let player_left = request.left_at.is_some_and(|at| at <= deadline && request.answers.is_empty());
+        let player_left = request.left_at.is_some_and(|at| at <= deadline && request.responses.is_empty());
         let breach = |at: f64, what: String| Breach { rule: 1, at, what };
-        match request.answers.as_slice() {
+        match request.responses.as_slice() {
             [] if front_died || deadline > last_observed_at => {}
             // A player that closed the connection itself needs no response.
             [] if player_left => {}
@@ -412,12 +414,12 @@
 ) {
     coverage.further_allocations = allocations.iter().filter(|allocation| allocation.ordinal > 1).count();
     // A session never has two allocations in flight at one front, whichever plays they belong to.
-    let mut by_session: BTreeMap<(FrontRun, &str), Vec<&Allocation>> = BTreeMap::new();
-    let mut by_play: BTreeMap<(FrontRun, &str, usize), Vec<&Allocation>> = BTreeMap::new();
+    let mut by_session: BTreeMap<(FrontLifetime, &str), Vec<&Allocation>> = BTreeMap::new();
+    let mut by_play: BTreeMap<(FrontLifetime, &str, usize), Vec<&Allocation>> = BTreeMap::new();
     for allocation in allocations {
-        by_session.entry((allocation.run, allocation.session)).or_default().push(allocation);
+        by_session.entry((allocation.lifetime, allocation.session)).or_default().push(allocation);
         by_play
-            .entry((allocation.run, allocation.session, allocation.play_number))
+            .entry((allocation.lifetime, allocation.session, allocation.play_number))
             .or_default()
             .push(allocation);
     }
@@ -435,7 +437,7 @@
             }
         }
     }
-    for ((run, session, _), sent_allocations) in &by_play {
+    for ((lifetime, session, _), sent_allocations) in &by_play {
         let product = &params.products[sent_allocations[0].product];
         for (i, next) in sent_allocations.iter().enumerate().skip(1) {
             let breach = |what: String| Breach { rule: 2, at: next.set_up_at, what };
@@ -469,16 +471,16 @@
         let any_may_have_run =
             sent_allocations.iter().any(|allocation| !matches!(allocation.result, Some((_, _, 429))));
         let may_decline = matches!(product.effect, Effect::Free | Effect::Keyed { group: Group::All, .. });
-        let next_play_at = by_session[&(*run, *session)]
+        let next_play_at = by_session[&(*lifetime, *session)]
             .iter()
             .find(|allocation| allocation.play_number > sent_allocations[0].play_number)
             .map_or(f64::MAX, |allocation| allocation.set_up_at);
         for request in requests.iter().filter(|request| {
-            (request.session, request.run) == (*session, *run) && any_may_have_run && !may_decline
+            (request.session, request.lifetime) == (*session, *lifetime) && any_may_have_run && !may_decline
         }) {
             let is_within_play = |at: f64| at >= sent_allocations[0].set_up_at && at < next_play_at;
             if let Some((at, _)) =
-                request.answers.iter().find(|(at, status)| *status == 503 && is_within_play(*at))
+                request.responses.iter().find(|(at, status)| *status == 503 && is_within_play(*at))
             {
                 let what =
                     format!("session {session}: declined although {} may have run", sent_allocations[0].name);
@@ -531,7 +533,7 @@
         let cold_until = later_stops.fold(started_at + params.cold, f64::min);
         let earlier_stops =
             server_stops.iter().filter(|(s, at)| s == server && at < started_at).map(|(_, at)| *at);
-        let last_lost_at = earlier_stops.fold(f64::NEG_INFINITY, f64::max);
+        let previous_stop_at = earlier_stops.fold(f64::NEG_INFINITY, f64::max);
         // A front knows of the start once it has read it in the server list, or when it lost its own plays with the
         // server's previous process. A front that started after the server must assume that what it read at its own
         // start may be outdated.
@@ -539,42 +541,46 @@
             list_changes.get(server).into_iter().flatten().find(|(at, ready)| *ready && at >= started_at);
         let server_allocations: Vec<&Allocation> =
             allocations.iter().filter(|a| a.server == *server).collect();
-        let saw_the_loss = |run: FrontRun| {
+        let lost_plays_there = |lifetime: FrontLifetime| {
             server_allocations.iter().any(|a| {
-                a.run == run && a.set_up_at < last_lost_at && a.ended_at() >= last_lost_at - params.slack
+                a.lifetime == lifetime
+                    && a.set_up_at < previous_stop_at
+                    && a.ended_at() >= previous_stop_at - params.slack
             })
         };
-        let started_after_server = |run: FrontRun| {
+        let started_after_server = |lifetime: FrontLifetime| {
             front_starts
-                .get(&run.0)
-                .and_then(|starts| starts.get(run.1))
+                .get(&lifetime.0)
+                .and_then(|starts| starts.get(lifetime.1))
                 .is_some_and(|front_started_at| front_started_at > started_at)
         };
         let was_informed = |allocation: &Allocation| {
             ready_listing.is_some_and(|(at, _)| allocation.set_up_at > at + params.list_delay + params.slack)
-                || saw_the_loss(allocation.run)
-                || started_after_server(allocation.run)
+                || lost_plays_there(allocation.lifetime)
+                || started_after_server(allocation.lifetime)
         };
         let set_ups =
             server_allocations.iter().filter(|a| a.set_up_at >= *started_at && a.set_up_at < cold_until);
         let mut set_ups: Vec<(f64, bool)> = set_ups.map(|a| (a.set_up_at, was_informed(a))).collect();
         set_ups.sort_by(|a, b| a.0.total_cmp(&b.0));
         coverage.cold_set_ups += set_ups.len();
-        for (i, (last, _)) in set_ups.iter().enumerate() {
+        for (i, (window_end, _)) in set_ups.iter().enumerate() {
             let window: Vec<bool> = set_ups[..=i]
                 .iter()
-                .filter(|(at, _)| *at > last - params.overload_window)
+                .filter(|(at, _)| *at > window_end - params.overload_window)
                 .map(|(_, informed)| *informed)
                 .collect();
             let informed_count = window.iter().filter(|informed| **informed).count();
-            let warm_part = params.cold_from + (1.0 - params.cold_from) * (last - started_at) / params.cold;
-            let allowed =
-                params.overload * params.streams[*server] / params.cold * warm_part * params.overload_window;
+            let capacity_fraction =
+                params.cold_from + (1.0 - params.cold_from) * (window_end - started_at) / params.cold;
+            let allowed = params.overload * params.streams[*server] / params.cold
+                * capacity_fraction
+                * params.overload_window;
             // One or two set-ups above the rate are tolerated: they may coincide by chance.
             if window.len() as f64 > allowed + 2.0 && 2 * informed_count > window.len() {
                 let count = window.len();
                 let what = format!("server {server}: {count} set-ups in a window that allows {allowed:.1}");
-                breaches.push(Breach { rule: 4, at: *last, what });
+                breaches.push(Breach { rule: 4, at: *window_end, what });
                 break;
             }
         }
@@ -590,8 +596,8 @@
 ) {
     let requested_max_rungs: BTreeMap<&str, usize> =
         requests.iter().map(|r| (r.session, r.max_rung)).collect();
-    // Start and end of each play, by front run, product and title.
-    type SpansByTitle<'a> = BTreeMap<(FrontRun, usize, &'a str), Vec<(f64, f64)>>;
+    // Start and end of each play, by front lifetime, product and title.
+    type SpansByTitle<'a> = BTreeMap<(FrontLifetime, usize, &'a str), Vec<(f64, f64)>>;
     let mut spans_by_title = SpansByTitle::new();
     for allocation in allocations {
         let product = &params.products[allocation.product];
@@ -608,7 +614,7 @@
         }
         if product.seats > 0 {
             spans_by_title
-                .entry((allocation.run, allocation.product, allocation.title))
+                .entry((allocation.lifetime, allocation.product, allocation.title))
                 .or_default()
                 .push((allocation.set_up_at, allocation.ended_at()));
         }
@@ -638,28 +644,30 @@
     breaches: &mut Vec<Breach>,
 ) {
     let Some(budget) = &params.budget else { return };
-    let mut further_by_run: BTreeMap<FrontRun, Vec<f64>> = BTreeMap::new();
+    let mut further_by_lifetime: BTreeMap<FrontLifetime, Vec<f64>> = BTreeMap::new();
     for allocation in allocations.iter().filter(|allocation| allocation.ordinal > 1) {
-        further_by_run.entry(allocation.run).or_default().push(allocation.set_up_at);
+        further_by_lifetime.entry(allocation.lifetime).or_default().push(allocation.set_up_at);
     }
-    for (run, mut further) in further_by_run {
+    for (lifetime, mut further) in further_by_lifetime {
         further.sort_by(f64::total_cmp);
         let mut sessions = BTreeSet::new();
-        let run_requests = requests.iter().filter(|r| r.run == run);
-        let play_starts: Vec<f64> =
-            run_requests.filter(|r| sessions.insert(r.session)).map(|r| r.requested_at).collect();
+        let lifetime_requests = requests.iter().filter(|r| r.lifetime == lifetime);
+        let first_requests_at: Vec<f64> =
+            lifetime_requests.filter(|r| sessions.insert(r.session)).map(|r| r.requested_at).collect();
         for (i, at) in further.iter().enumerate() {
             let window_start = at - budget.span;
             let further_count =
                 further[..=i].iter().filter(|t| **t > window_start + params.slack).count() as f64;
-            let play_count = play_starts
+            let session_count = first_requests_at
                 .iter()
                 .filter(|t| **t > window_start - params.slack && **t <= at + params.slack)
                 .count();
-            let allowed = budget.free + budget.share * play_count as f64;
+            let allowed = budget.free + budget.share * session_count as f64;
             if further_count > allowed {
-                let what =
-                    format!("front {}: {further_count} further allocations, {allowed:.1} allowed", run.0);
+                let what = format!(
+                    "front {}: {further_count} further allocations, {allowed:.1} allowed",
+                    lifetime.0
+                );
                 breaches.push(Breach { rule: 6, at: *at, what });
                 break;
             }
