--- a/crates/fake-servers/src/certificates.rs
+++ b/crates/fake-servers/src/certificates.rs
@@ -90,8 +90,8 @@
         Arc::new(roots)
     }
 
-    /// The TLS acceptor of a server with this certificate. With `client_authority`, clients must present a certificate
-    /// that this authority issued.
+    /// The TLS acceptor of a server that presents `certificate`, whichever authority issued that. With
+    /// `client_authority`, clients must present a certificate that `client_authority` issued.
     pub fn acceptor(
         &self,
         certificate: &Certificate,
@@ -126,7 +126,7 @@
 }
 
 impl Certificate {
-    /// Decodes the chain and the key.
+    /// Parses the chain and the key.
     fn parse_pem(&self) -> io::Result<(Vec<CertificateDer<'static>>, PrivateKeyDer<'static>)> {
         let chain: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(self.chain.as_bytes()).collect();
         Ok((
--- a/crates/fake-servers/src/content.rs
+++ b/crates/fake-servers/src/content.rs
@@ -51,7 +51,7 @@
     use super::*;
 
     #[test]
-    fn parse_identifies_a_segment_and_detects_damage() {
+    fn parse_identifies_segments_detects_damage_and_rejects_other_bytes() {
         for length in [0, 40, 1000, 100_001] {
             let good = generate("forms", 2, 17, length);
             let read_back = parse(&good).unwrap();
--- a/crates/fake-servers/src/lib.rs
+++ b/crates/fake-servers/src/lib.rs
@@ -9,8 +9,8 @@
 //!
 //! - `POST /plays/NAME` with `{"title","product","rung","session"}` sets up a play. Status `200` is sent when the first
 //!   frame is available; its chunked body carries notes, one JSON object a line (`delivered`, `link`, `uplink`), and
-//!   ends with the play. `429` means refused without inspection. Any other status means that the set-up failed and may
-//!   have run.
+//!   ends with the play. `429` means rejected before any processing. Any other status means that the set-up failed and
+//!   may have run.
 //! - `GET /plays/NAME/RUNG/NUMBER` returns a segment, `PATCH /plays/NAME` with `{"rung"}` changes the rung, and
 //!   `DELETE` ends the play.
 //! - `GET /load` does nothing but respond. Every response has an `endpoint-load-metrics` header.
--- a/crates/fake-servers/src/model.rs
+++ b/crates/fake-servers/src/model.rs
@@ -9,15 +9,19 @@
 #[derive(Clone, Debug)]
 pub struct ServerSpec {
     pub zone: usize,
+    /// Number of the server's cell. A cell is a set of servers that hold the same titles.
     pub cell: usize,
-    /// Number of cores that work on set-ups, of set-ups that may wait for a core, and of streams.
+    /// Number of cores that work on set-ups.
     pub cores: usize,
+    /// Number of set-ups that may wait for a core.
     pub queue: usize,
+    /// Maximum number of concurrent plays.
     pub streams: usize,
     /// True capacity of the link, kB/s.
     pub link_kb: f64,
-    /// Median work of a set-up, ms, and its spread (sigma of a log-normal distribution).
+    /// Median work of a set-up, ms.
     pub work_ms: f64,
+    /// Spread of the work of a set-up: sigma of a log-normal distribution.
     pub work_spread: f64,
 }
 
@@ -32,9 +36,11 @@
     pub shared_part: f64,
     /// True rates differ from the ladder by up to this part.
     pub rate_spread: f64,
-    /// Delay of load reports and of notes, ms, and the interval of link notes, ms.
+    /// Delay of the load in response headers, ms.
     pub reports_late_ms: f64,
+    /// Delay of the load in notes, ms.
     pub notes_late_ms: f64,
+    /// Interval of link notes, ms.
     pub notes_every_ms: f64,
     /// How long a cold server needs to warm up, ms.
     pub cold_ms: f64,
@@ -43,6 +49,7 @@
     /// A cold server is overloaded when set-ups arrive this many times as fast as would fill its streams within
     /// `cold_ms`, counted over a window of `overload_window_ms`.
     pub overload_factor: f64,
+    /// Length of the window over which set-ups at a cold server are counted, ms.
     pub overload_window_ms: f64,
     /// How long a server that failed under overload stays down, ms.
     pub down_ms: f64,
@@ -57,17 +64,21 @@
     pub down: bool,
     /// Accepts connections and requests but never responds.
     pub silent: bool,
-    /// Parts of set-ups that fail at once (`errors`), whose response is lost after the work by silence (`lost`) or by a
-    /// reset (`reset`), and whose response breaks off within its head (`half_heads`).
+    /// Part of the set-ups that fail at once with 502.
     pub errors: f64,
+    /// Part of the set-ups that get no response after the work, while the connection stays open.
     pub lost: f64,
+    /// Part of the set-ups whose connection is reset after the work, instead of a response.
     pub reset: f64,
+    /// Part of the set-ups whose response breaks off within its head, while the connection stays open.
     pub half_heads: f64,
-    /// Parts of segments that break off half-way (`cut`), stall half-way (`stall`), have more bytes than announced
-    /// (`over_long`), and are sent completely although a range was requested (`no_ranges`).
+    /// Part of the segments that break off half-way.
     pub cut: f64,
+    /// Part of the segments that stall half-way.
     pub stall: f64,
+    /// Part of the segments, of those neither cut nor stalled, that have more bytes than announced.
     pub over_long: f64,
+    /// Part of the range requests whose range is ignored, so that the complete segment is sent.
     pub no_ranges: f64,
     /// Delay between reading and carrying out a change of rung, ms.
     pub late_steps_ms: f64,
@@ -75,10 +86,11 @@
     pub edition: u32,
     /// Factor by which set-up work takes longer.
     pub slow: f64,
-    /// Part of its capacity that the link has, and part of that which another program uses.
+    /// Part of its capacity that the link has.
     pub link: f64,
+    /// Part of the link's remaining capacity that another program uses.
     pub neighbour: f64,
-    /// Additional delay of load reports, ms.
+    /// Additional delay of load reports and notes, ms.
     pub report_delay_ms: f64,
     /// Part of its capacity that the uplink of the server's rack has.
     pub uplink: f64,
@@ -121,13 +133,16 @@
     pub is_set_up: bool,
 }
 
-/// Load of a server: demand over capacity of its link and uplink, the share of its rate that a play gets, and the
-/// number of plays.
+/// Load of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
+    /// Demand over capacity of the server's link.
     pub link: f64,
+    /// Demand over capacity of the rack's uplink.
     pub uplink: f64,
+    /// Share of its rate that a play gets, up to 1.
     pub delivered: f64,
+    /// Number of plays, including those that are still being set up.
     pub streams: f64,
 }
 
@@ -138,10 +153,11 @@
     pub plays: BTreeMap<String, Play>,
     /// When the present process started, if it started cold.
     pub cold_started_at: Option<f64>,
-    /// Number of rung changes and of segments that were requested, whether or not they were carried out.
+    /// Number of rung changes that were requested, whether or not they were carried out.
     pub steps_read: usize,
+    /// Number of segments that were requested, whether or not they were sent.
     pub segments_read: usize,
-    /// Counts starts and stops: plays of an earlier process no longer exist.
+    /// Incremented at each start and each stop of the process. A play belongs to one generation and ends with it.
     pub generation: u64,
     /// Times of the set-ups within the overload window, while the server is cold.
     recent_set_ups: VecDeque<f64>,
@@ -219,7 +235,8 @@
         }
     }
 
-    /// The load as it was `delay_ms` ago, plus the injected delay of the server's reports.
+    /// The sampled load as it was `delay_ms` plus the injected `report_delay_ms` ago; the oldest sample if there is
+    /// none that old, and the present load if there are no samples.
     pub fn reported_load(&self, now: f64, server: usize, delay_ms: f64) -> Load {
         let state = &self.servers[server];
         let sampled_by = now - delay_ms - state.faults.report_delay_ms;
--- a/crates/fake-servers/src/server.rs
+++ b/crates/fake-servers/src/server.rs
@@ -34,10 +34,11 @@
     titles: HashMap<String, Title>,
     products: Vec<String>,
     recorder: Recorder,
-    /// For each server: its cores, the number of set-ups that wait for a core or have one, and a channel that tells
-    /// connections that the process has ended.
+    /// The cores of each server.
     cores: Vec<Semaphore>,
+    /// For each server, the number of set-ups that wait for a core or have one.
     queued: Vec<Mutex<usize>>,
+    /// For each server, a channel that notifies its connections when the process ends. The value counts the ends.
     process_ends: Vec<watch::Sender<u64>>,
     /// For each play, notified when a request ends it.
     end_signals: Mutex<HashMap<String, Arc<Notify>>>,
@@ -121,7 +122,7 @@
         self.model.lock().expect("no task panics while it holds the model")
     }
 
-    /// A random number from 0 to 1.
+    /// A uniformly distributed random number, from 0 to below 1.
     fn random_fraction(&self) -> f64 {
         self.rng.lock().expect("no task panics while it holds the random generator").random()
     }
--- a/crates/fake-servers/tests/stops.rs
+++ b/crates/fake-servers/tests/stops.rs
@@ -1,6 +1,6 @@
 //! Stopping a fake server must close all of its connections, including those that are just being accepted: tests of
 //! lost servers rely on it. On one thread the tasks run in a fixed order, so the test can stop the server after each
-//! possible number of task polls; the runtime polls sockets about every sixty polls.
+//! possible number of task polls; the runtime checks sockets about every sixty task polls.
 
 use pulleystair_fake_servers::http::HttpPeer;
 use pulleystair_fake_servers::model::{ServerFleetSpec, ServerSpec};
@@ -63,12 +63,12 @@
         stop_after(polls, servers, stopped_sender);
         stopped_receiver.await.expect("the server is stopped");
         let _ = peer.write(b"GET /load HTTP/1.1\r\nHost: m\r\n\r\n").await;
-        let answer = timeout(Duration::from_secs(10), peer.read_response())
+        let response = timeout(Duration::from_secs(10), peer.read_response())
             .await
             .expect("the connection ends in some way");
         assert!(
-            !matches!(answer, Ok(Some(_))),
-            "answered by a process that was stopped {polls} polls after the connection"
+            !matches!(response, Ok(Some(_))),
+            "a process that was stopped {polls} polls after the connection still responded"
         );
     }
 }
--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -32,10 +32,12 @@
     sessions: Mutex<HashMap<String, Arc<Session>>>,
 }
 
-/// The response to a session's manifest requests, decided once, and its server and allocation while it plays.
+/// A session of a player.
 #[derive(Default)]
 struct Session {
+    /// Status and body of the response to all manifest requests of the session.
     set_up_response: OnceCell<(u16, String)>,
+    /// While the session plays: the address of the server, and the allocation and rung as in segment paths.
     playing_at: Mutex<Option<(String, String)>>,
 }
 
@@ -85,7 +87,8 @@
 }
 
 impl BaselineFront {
-    /// Serves the requests of a player's connection.
+    /// Serves the requests of a player's connection. Segments are read over one connection to a server, which is kept
+    /// between requests with the address of the server.
     async fn serve_connection(self: Arc<BaselineFront>, mut player: HttpPeer) -> std::io::Result<()> {
         let mut server_connection = None;
         while let Some(request) = player.read_request().await? {
@@ -100,6 +103,7 @@
                     if let Some(session) = self.find_session(pass) {
                         session.playing_at.lock().expect("no task panics while it holds a session").take();
                     }
+                    // Also for a session that is unknown or has ended.
                     response(200, "", b"")
                 }
                 _ => response(404, "", b""),
@@ -123,7 +127,7 @@
             .cloned()
     }
 
-    /// Responds to a manifest request; the first one of a session sets it up.
+    /// Responds to a manifest request. The first one of a session sets up the play; later ones get the same response.
     async fn serve_manifest(
         self: &Arc<BaselineFront>,
         product: &str,
@@ -138,7 +142,7 @@
             let mut sessions = self.sessions.lock().expect("no task panics while it holds the sessions");
             sessions.entry(entry.jti.clone()).or_default().clone()
         };
-        // Set up in a task of its own, since other requests of the session wait for the same result.
+        // Runs in a task of its own: if the set-up panics, the response is 502.
         let (front, new_session) = (self.clone(), session.clone());
         let set_up_task = tokio::spawn(async move {
             let set_up = front.set_up_session(new_session.clone(), entry.jti, entry.product, entry.title);
--- a/crates/lab/src/environment.rs
+++ b/crates/lab/src/environment.rs
@@ -50,7 +50,8 @@
     titles
 }
 
-/// State of a server in the list; `started` is the start time of its process in ms since 1970, 0 if unknown.
+/// State of a server in the list; `started` is the start time of its process in ms since 1970, 0 if unknown. A server
+/// that is gone is not in the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ListedState {
     Ready { started: f64 },
@@ -61,7 +62,8 @@
 /// The state of all servers, by their number.
 struct ServerStates {
     states: Vec<ListedState>,
-    /// Servers that an active fault has taken out of service; other faults do not select them.
+    /// Servers that an active fault stops, drains or replaces, or will; no other such fault selects them. Faults that
+    /// only degrade servers may.
     reserved: Vec<bool>,
 }
 
@@ -154,7 +156,8 @@
         self.apply_state(server_states, server, state);
     }
 
-    /// Changes, records and writes the listed state of a server under the caller's lock.
+    /// Changes and records the listed state of a server, writes the list, and then releases the caller's lock. A failed
+    /// write is only reported on stderr.
     fn apply_state(&self, mut server_states: MutexGuard<ServerStates>, server: usize, state: ListedState) {
         server_states.states[server] = state;
         self.recorder.record(Observed::Listed { server, ready: matches!(state, ListedState::Ready { .. }) });
@@ -237,14 +240,14 @@
         match fault.kind {
             FaultKind::Surge | FaultKind::Crowd => {}
             FaultKind::Renew => {
-                let each = duration / severity.max(1.0) as u32;
+                let interval = duration / severity.max(1.0) as u32;
                 for _ in 0..severity as usize {
                     let renewed =
-                        self.fronts.renew_certificates().and(self.fronts.renew_keys(each / 2).await);
+                        self.fronts.renew_certificates().and(self.fronts.renew_keys(interval / 2).await);
                     if let Err(error) = renewed {
                         eprintln!("pulleystair-lab: failed to replace keys or certificates: {error}");
                     }
-                    sleep(each / 2).await;
+                    sleep(interval / 2).await;
                 }
             }
             FaultKind::FrontDeath => {
@@ -300,16 +303,17 @@
             }
             FaultKind::Drain => {
                 let affected = self.reserve_servers(&mut rng, all_servers, fault.part);
-                let each = affected.iter().map(|s| self.replace_server(*s, duration / 2, duration / 2));
-                join_all(each).await;
+                let replacements =
+                    affected.iter().map(|s| self.replace_server(*s, duration / 2, duration / 2));
+                join_all(replacements).await;
                 self.release_servers(&affected);
             }
             FaultKind::Rolling => {
                 let affected = self.reserve_servers(&mut rng, all_servers, fault.part);
-                let each = duration / affected.len().max(1) as u32;
+                let time_per_server = duration / affected.len().max(1) as u32;
                 for server in &affected {
-                    let down_time = Duration::from_secs_f64(severity).min(each / 2);
-                    self.replace_server(*server, each - down_time, down_time).await;
+                    let down_time = Duration::from_secs_f64(severity).min(time_per_server / 2);
+                    self.replace_server(*server, time_per_server - down_time, down_time).await;
                 }
                 self.release_servers(&affected);
             }
@@ -342,7 +346,7 @@
     }
 }
 
-/// Sets the effect of a fault on a server; a severity of NaN removes it.
+/// Applies a fault of this severity to a server, or removes it if the severity is NaN.
 fn set_fault(faults: &mut ServerFaults, kind: FaultKind, severity: f64) {
     let healthy = ServerFaults::default();
     let is_active = !severity.is_nan();
--- a/crates/lab/src/fronts.rs
+++ b/crates/lab/src/fronts.rs
@@ -39,7 +39,7 @@
 }
 
 impl Program {
-    /// The real front, with the log settings that the lab reads.
+    /// The real front, `pulleystair-edge`, with a JSON log, in which the lab looks for the listening addresses.
     pub fn edge(path: PathBuf) -> Program {
         Program {
             path,
@@ -64,7 +64,7 @@
     pub authority: Option<Arc<CertificateAuthority>>,
 }
 
-/// The name in the certificates of the fronts.
+/// The server name for which the certificates of all fronts are issued.
 pub const FRONT_NAME: &str = "front";
 
 /// The portal's first keys, with which entry tokens are signed.
@@ -83,7 +83,7 @@
     format!("{token_kind} tokens of this laboratory, not a secret {number}").into_bytes()
 }
 
-/// The name of a front among its peers.
+/// The name of a front among its peers, in the exchange of shared state.
 pub fn front_name(front: usize) -> String {
     format!("front-{front}")
 }
@@ -93,7 +93,8 @@
     Ok(std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?)
 }
 
-/// The configuration of a front; if the fronts of the scenario share state, with the relays to the others.
+/// The configuration of a front. If the fronts of the scenario share state, it also has the addresses of the relays to
+/// all fronts, itself included, and a free port on which it serves status queries (`ask`).
 fn full_front_config(
     scenario: &Scenario,
     front: usize,
@@ -351,7 +352,8 @@
         self.fronts.lock().expect("no task panics while it holds the fronts")[front].child.as_ref()?.id()
     }
 
-    /// Waits until a front exits by itself; true if it exited with success.
+    /// Waits until a front exits by itself; true if it exited with success, false also if it was not running. The front
+    /// then counts as stopped for `process_id` and `resource_usage`, but `choose_front` may still choose it.
     pub async fn wait_exited(&self, front: usize) -> bool {
         let child = self.fronts.lock().expect("no task panics while it holds the fronts")[front].child.take();
         match child {
@@ -381,15 +383,16 @@
         fronts.iter().position(|front| front.address == Some(address))
     }
 
-    /// Chooses a running front of the zone, or any running front if the zone has none. `draw` is a random number.
-    pub fn choose_front(&self, zone: usize, draw: u64) -> Option<(usize, SocketAddr)> {
+    /// Chooses a running front of the zone, or any running front if the zone has none. `random_number`
+    /// determines which of them.
+    pub fn choose_front(&self, zone: usize, random_number: u64) -> Option<(usize, SocketAddr)> {
         let fronts = self.fronts.lock().expect("no task panics while it holds the fronts");
         let running: Vec<(usize, SocketAddr)> =
             fronts.iter().enumerate().filter_map(|(i, f)| Some((i, f.address?))).collect();
         let in_zone: Vec<(usize, SocketAddr)> =
             running.iter().filter(|(i, _)| i % self.zone_count == zone).copied().collect();
         let candidates = if in_zone.is_empty() { &running } else { &in_zone };
-        (!candidates.is_empty()).then(|| candidates[(draw % candidates.len() as u64) as usize])
+        (!candidates.is_empty()).then(|| candidates[(random_number % candidates.len() as u64) as usize])
     }
 }
 
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -25,7 +25,7 @@
 
 /// Highest p99 of the set-up time at which a front counts as sustaining a rate, ms.
 const MAX_SUSTAINED_P99_MS: f64 = 50.0;
-/// The load generator has fallen behind if one of its plays started later than this, ms.
+/// The load generator has fallen behind if it started one of its plays this long after the intended time, ms.
 const MAX_LATENESS_MS: f64 = 25.0;
 /// Number of concurrent plays for the memory measurement.
 const HELD_PLAYS: usize = 10_000;
@@ -36,10 +36,15 @@
     pub rates: Vec<Rate>,
     /// The highest rate that the front sustained, plays per second.
     pub most_a_second: f64,
+    /// Number of plays that were set up for the memory measurement.
     pub held: usize,
+    /// Resident memory of the front before these plays.
     pub memory_before_kb: u64,
+    /// Resident memory of the front with these plays.
     pub memory_held_kb: u64,
+    /// Throughput of segments through the front.
     pub relay_mb_s: f64,
+    /// Throughput of segments that are read directly from the servers.
     pub direct_mb_s: f64,
 }
 
@@ -49,13 +54,17 @@
     pub per_s: f64,
     pub plays: usize,
     pub failed: usize,
-    /// Latency of an HTTP request on an idle connection, of a set-up sent directly to a server, and of a play through
-    /// the front.
+    /// Latency of an HTTP request to a server on an idle connection, or on a new one if none is idle.
     pub bare_ms: Quantiles,
+    /// Latency of a set-up that is sent directly to a server, on a new connection.
     pub direct_ms: Quantiles,
+    /// Latency of a set-up through the front, on a new connection.
     pub front_ms: Quantiles,
+    /// CPU time of the front per requested play.
     pub cpu_ms_a_play: f64,
+    /// The longest time by which a play was started after its intended time.
     pub lateness_ms: f64,
+    /// Whether the load generator fell behind, so that the rate counts as not sustained.
     pub behind: bool,
 }
 
@@ -103,7 +112,8 @@
     tls: Option<(TlsConnector, TlsConnector)>,
 }
 
-/// Measures rising rates of `seconds` each until the front no longer sustains one, then the throughput and the memory.
+/// Measures rising rates, for about `seconds` each, until the front no longer sustains one; then the throughput and the
+/// memory. The first rate takes twice as long, and those from 1500 plays per second on half as long.
 pub async fn run(program: Program, folder: &Path, seconds: f64, tls: bool) -> Result<Costs> {
     let testbed = Testbed::build(load_scenario(tls)?, program, folder).await?;
     let front_address = testbed.start().await?[0];
@@ -148,7 +158,7 @@
     let memory_before: Result<u64> = read_memory_kb(&test);
     for _ in 0..HELD_PLAYS {
         let (status, _) = test.set_up_play().await?;
-        ensure!(status == 200, "set-up of a play for the memory measurement was answered {status}");
+        ensure!(status == 200, "set-up of a play for the memory measurement got status {status}");
     }
     let memory_held: Result<u64> = read_memory_kb(&test);
     test.fronts.kill(0).await;
@@ -164,10 +174,12 @@
 }
 
 impl LoadTest {
+    /// Opens a connection to the front as a player does.
     async fn connect_to_front(&self) -> std::io::Result<HttpPeer> {
         HttpPeer::connect(self.front_address, self.tls.as_ref().map(|tls| (&tls.0, FRONT_NAME))).await
     }
 
+    /// Opens a connection to a server as the front does.
     async fn connect_to_server(&self, server: usize) -> std::io::Result<HttpPeer> {
         let name = format!("m{server}");
         let tls_and_name = self.tls.as_ref().map(|tls| (&tls.1, name.as_str()));
@@ -202,7 +214,7 @@
         Ok(())
     }
 
-    /// Sets up a play directly at a server and ends it; returns the status.
+    /// Sets up a play directly at a server and ends it by closing the connection; returns the status.
     async fn set_up_at_server(&self) -> Result<u16> {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let mut peer = self.connect_to_server(number as usize % self.servers.addresses.len()).await?;
@@ -214,8 +226,9 @@
         Ok(peer.read_response_head().await?.context("the server closed the connection")?.status)
     }
 
-    /// Starts a request at each intended time, whether or not earlier ones have completed. Returns the latencies in ms,
-    /// the number of failures, and the longest delay of a start in ms.
+    /// Starts requests at a constant rate, whether or not earlier ones have completed. `start_one` gets the intended
+    /// start and returns the latency in ms, or none if the request failed. Returns the latencies, the number of
+    /// failures, and the longest time by which a request was started after its intended start, ms.
     async fn run_open_loop<F, R>(&self, per_s: f64, seconds: f64, start_one: F) -> (Vec<f64>, usize, f64)
     where
         F: Fn(Instant) -> R,
@@ -310,7 +323,7 @@
         let mut readers = Vec::new();
         for _ in 0..4 {
             let (status, manifest) = self.set_up_play().await?;
-            ensure!(status == 200, "set-up of a play for the throughput measurement was answered {status}");
+            ensure!(status == 200, "set-up of a play for the throughput measurement got status {status}");
             readers.push((self.connect_to_front().await?, format!("{}0/1.m4s", base_url(&manifest)?)));
         }
         let through_front = measure_throughput(readers, seconds).await?;
@@ -349,7 +362,7 @@
                     .read_response()
                     .await?
                     .context("the connection was closed during the measurement")?;
-                ensure!(response.status == 200, "a segment was answered {}", response.status);
+                ensure!(response.status == 200, "a segment request got status {}", response.status);
                 bytes += response.body.len();
             }
             Ok(bytes)
@@ -377,9 +390,9 @@
             "{:>9} {:>7} {:>24} {:>24} {:>30} {:>9} {:>8}\n",
             "plays/s",
             "failed",
-            "bare p50/p99/p99.9 ms",
+            "HTTP p50/p99/p99.9 ms",
             "set-up p50/p99/p99.9",
-            "front p50/p99/p99.9 (x bare)",
+            "front p50/p99/p99.9 (x HTTP)",
             "CPU ms",
             "late ms"
         );
--- a/crates/lab/src/players.rs
+++ b/crates/lab/src/players.rs
@@ -21,11 +21,11 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use tokio_rustls::TlsConnector;
 
-/// Maximum number of times that a viewer asks for its play, the first time included.
+/// Maximum number of visits of a viewer, the first one included. Each visit requests the play in a new session.
 const MAX_VISITS: usize = 3;
 /// Number of segments that a player fetches ahead.
 const SEGMENTS_AHEAD: u64 = 2;
-/// Maximum number of attempts to fetch one segment.
+/// Maximum number of attempts to fetch one segment, the first one included.
 const MAX_SEGMENT_TRIES: usize = 3;
 /// How long after the time limit a player keeps waiting, so that a late response is recorded as late.
 const LATE_RESPONSE_MS: f64 = 1_000.0;
@@ -40,15 +40,20 @@
     pub set_up_ms: Option<f64>,
     /// Status of the last response to a manifest request; 0 if there was none.
     pub status: u16,
+    /// Number of visits, each with a new session.
     pub visits: usize,
+    /// Number of segments that arrived.
     pub segments: usize,
     /// Sum of the rungs of all segments.
     pub rung_sum: usize,
-    /// Seconds shown, each weighted with what its rung earns, and the length of the title in seconds.
+    /// Seconds shown, each weighted with what its rung earns.
     pub earned_s: f64,
+    /// Length of the title in seconds.
     pub title_s: f64,
+    /// Total time of all stalls.
     pub stalled_ms: f64,
     pub stalls: usize,
+    /// Whether the play of any visit broke off, even if a later visit played to its end.
     pub broken: bool,
 }
 
@@ -141,7 +146,9 @@
 }
 
 impl PlayerPool {
-    /// Simulates one viewer from the first request to the end of the play, including returns after failures.
+    /// Simulates one viewer: up to `MAX_VISITS` visits, each with a new session, until a play ends as intended. After a
+    /// failure the viewer returns with the probability `come_back`; it does not return after a time-out. A visit that
+    /// finds no running front is always followed by the next one, 500 ms later.
     pub async fn run_player(self: Arc<PlayerPool>, arrival: Arrival) {
         let mut rng = StdRng::seed_from_u64(arrival.seed);
         let title = &self.titles[arrival.title];
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -24,13 +24,17 @@
     /// Time from the first request to the manifest over all plays that were set up, ms.
     pub set_up_ms: Quantiles,
     pub segments: usize,
+    /// Mean rung of the segments.
     pub mean_rung: f64,
     pub stalls: usize,
+    /// Total time of all stalls.
     pub stalled_ms: f64,
+    /// Number of viewers for whom a play broke off, even if a later visit played to its end.
     pub broken: usize,
     pub covered: Counts,
     /// The longest delay of a player's start or of a thread on any core, ms.
     pub lateness_ms: f64,
+    /// CPU time of the fronts' last processes at the end of the run, divided by the number of plays.
     pub cpu_ms_a_play: f64,
     /// Number of plays by second of arrival: in time, late, not set up.
     pub by_second: Vec<[usize; 3]>,
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Number of servers; each is a cell of its own.
+    /// Number of servers. Each is the only one of its cell, which is the set of servers that hold the same titles.
     pub servers: usize,
     pub racks: usize,
     pub cores: usize,
@@ -100,11 +100,13 @@
     pub live: bool,
     #[serde(default)]
     pub seats: usize,
-    /// Share of the new plays, number of titles, number of holders of each title, and shortest and longest title in
-    /// seconds.
+    /// Share of the new plays, relative to the sum over all products.
     pub part: f64,
+    /// Number of titles.
     pub titles: usize,
+    /// Number of servers that hold each title.
     pub holders: usize,
+    /// Shortest and longest title, in seconds.
     pub seconds: (f64, f64),
 }
 
@@ -161,11 +163,14 @@
 pub struct Players {
     /// New plays per second over all fronts.
     pub per_s: f64,
-    /// Parts of players who return after a failure (`come_back`), leave half-way through the title (`leave`), send two
-    /// requests at once (`ask_twice`), and close the connection while they wait and ask again (`ask_again`).
+    /// Part of the failures after which a player returns.
     pub come_back: f64,
+    /// Part of the plays that the player leaves half-way through the title.
     pub leave: f64,
+    /// Part of the manifest requests that players send twice at once.
     pub ask_twice: f64,
+    /// Part of the manifest requests after which the player closes the connection if there is no response within a time
+    /// below 30 ms, and requests again.
     pub ask_again: f64,
     /// Part of viewers who cannot use the upper half of the ladder.
     pub small: f64,
@@ -201,8 +206,9 @@
     LostAnswers,
     /// A part of `size` of the responses breaks off within the head.
     HalfHeads,
-    /// A part of `size` of the segments breaks off half-way (`CutSegments`) or stalls half-way (`StallSegments`).
+    /// A part of `size` of the segments breaks off half-way.
     CutSegments,
+    /// A part of `size` of the segments stalls half-way.
     StallSegments,
     /// Work slows down gradually by a factor of up to `size`; then the process ends and starts again cold.
     SlowDeath,
--- a/crates/lab/src/scheduling_delay.rs
+++ b/crates/lab/src/scheduling_delay.rs
@@ -1,6 +1,6 @@
-//! Measures how late the machine itself is, whatever runs on it. On each core, a thread repeatedly sleeps for a moment
-//! and measures by how much it woke too late. A core that is taken away for a while delays every process on it, so a
-//! run in which that happened says nothing about the time limits of the rules.
+//! Measures the scheduling delay of the machine, whatever runs on it. On each core, a thread repeatedly sleeps for a
+//! few ms and measures how late it is woken. A core that other processes or the hypervisor occupy for a while delays
+//! every process on it, so a run in which that happened says nothing about the time limits of the rules.
 
 use rustix::thread::{CpuSet, sched_getaffinity, sched_setaffinity};
 use std::sync::Arc;
@@ -43,7 +43,7 @@
         SchedulingDelay { sleepers: sleepers.collect(), stop }
     }
 
-    /// Stops the threads and returns the longest delay that one of them measured, ms.
+    /// Stops the threads, and returns the longest delay that any of them measured, ms.
     pub fn stop(mut self) -> f64 {
         self.stop.store(true, Ordering::Relaxed);
         std::mem::take(&mut self.sleepers)
--- a/crates/rule-checker/src/history.rs
+++ b/crates/rule-checker/src/history.rs
@@ -169,7 +169,7 @@
         _ => (None, None),
     };
     let check_index = |what: &str, n: Option<usize>, count: usize| match n {
-        Some(n) if n >= count => Err(format!("{what} {n} is out of range: the terms have {count}")),
+        Some(n) if n >= count => Err(format!("{what} {n} is out of range: the rule parameters have {count}")),
         _ => Ok(()),
     };
     check_index("product", product, params.products.len())?;
--- a/crates/rule-checker/src/rules.rs
+++ b/crates/rule-checker/src/rules.rs
@@ -30,8 +30,9 @@
     pub overload_window: f64,
     /// Number of streams of each server.
     pub streams: Vec<f64>,
-    /// Zone and cell of each server.
+    /// Zone of each server.
     pub zones: Vec<usize>,
+    /// Cell of each server. A cell is a set of servers that hold the same titles.
     pub cells: Vec<usize>,
     /// Budget of further allocations of each front; none if it is unlimited.
     pub budget: Option<Budget>,
@@ -49,8 +50,9 @@
     /// Time limit of a request.
     pub limit: f64,
     pub effect: Effect,
-    /// Lowest and highest rung that plays may be on.
+    /// Lowest rung that plays may be on.
     pub floor: usize,
+    /// Highest rung that plays may be on; a viewer's own limit may be lower.
     pub top: usize,
     /// Maximum number of concurrent plays of a title at one front; 0 if unlimited.
     pub seats: usize,
@@ -65,7 +67,8 @@
     /// A set-up may be repeated only within the same group of servers, and within `window` ms of the first set-up that
     /// may have run.
     Keyed { group: Group, window: f64 },
-    /// A set-up is paid for, so it may be repeated only if all earlier ones were refused without inspection.
+    /// A set-up is paid for, so it may be repeated only if all earlier ones were rejected before any
+    /// processing (429).
     Paid,
 }
 
@@ -78,8 +81,8 @@
     Cell,
 }
 
-/// Budget of further allocations: within any `span`, a front may make `free` of them plus `share` for each play that it
-/// took within that span.
+/// Budget of further allocations: within any `span`, a front may make `free` of them plus `share` for each session that
+/// was first requested at it within that span, also if the session was declined.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
@@ -101,7 +104,9 @@
 /// What a check covered, to distinguish a clean verdict on an empty log from one on a full log.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Coverage {
+    /// Manifest requests of players.
     pub requests: usize,
+    /// Set-up requests that servers read, each allocation counted once.
     pub set_ups: usize,
     /// Allocations after the first of their play.
     pub further_allocations: usize,
@@ -109,6 +114,7 @@
     pub drains: usize,
     /// Set-ups at servers that were warming up.
     pub cold_set_ups: usize,
+    /// Segments that players fetched.
     pub segments: usize,
 }
 
@@ -116,7 +122,7 @@
 /// restarted has lost its state, so each lifetime is checked separately.
 type FrontLifetime = (usize, usize);
 
-/// Stands for the front of an allocation whose session was never requested.
+/// Front lifetime of an allocation whose session was never requested.
 const UNKNOWN_LIFETIME: FrontLifetime = (usize::MAX, 0);
 
 /// A manifest request with all its responses.
@@ -288,8 +294,8 @@
     (breaches, coverage)
 }
 
-/// Determines the front, the play and the ordinal of each allocation. An allocation of a session belongs to a front
-/// that was asked for the session and has not responded yet; of several such fronts, to the one with the fewest
+/// Determines the front lifetime, the play and the ordinal of each allocation. An allocation of a session belongs to a
+/// front that was asked for the session and has not responded yet; of several such fronts, to the one with the fewest
 /// allocations for the session. A session that is requested again after a response is a new play.
 fn assign_to_fronts(
     requests: &[Request],
@@ -378,11 +384,13 @@
             [] if front_died || deadline > last_observed_at => {}
             // A player that closed the connection itself needs no response.
             [] if player_left => {}
-            [] => breaches.push(breach(deadline, format!("session {} was never answered", request.session))),
+            [] => breaches.push(breach(deadline, format!("session {} got no response", request.session))),
             [(at, _)] if *at > deadline => {
                 let late = at - deadline + params.slack;
-                breaches
-                    .push(breach(*at, format!("session {} was answered {late:.0} ms late", request.session)));
+                breaches.push(breach(
+                    *at,
+                    format!("session {} got its response {late:.0} ms late", request.session),
+                ));
             }
             [(at, 200)]
                 if playing_since
@@ -391,20 +399,20 @@
             {
                 breaches.push(breach(
                     *at,
-                    format!("session {} was answered 200 but does not play", request.session),
+                    format!("session {} got a response of 200 but does not play", request.session),
                 ));
             }
             [_] => {}
             [_, (at, _), ..] => {
-                breaches.push(breach(*at, format!("session {} was answered twice", request.session)));
+                breaches.push(breach(*at, format!("session {} got more than one response", request.session)));
             }
         }
     }
 }
 
 /// Rule 2: a play never has two allocations in flight. A paid set-up is repeated only if no earlier one may have run; a
-/// keyed one stays within its group and window. A request is not declined (503) after a set-up that may have run, unless
-/// the set-up could be repeated anywhere.
+/// keyed one stays within its group and window. A request is not declined (503) after a set-up that may have run,
+/// unless the set-up could be repeated anywhere.
 fn check_repeated_allocations(
     requests: &[Request],
     allocations: &[Allocation],
@@ -441,7 +449,8 @@
         let product = &params.products[sent_allocations[0].product];
         for (i, next) in sent_allocations.iter().enumerate().skip(1) {
             let breach = |what: String| Breach { rule: 2, at: next.set_up_at, what };
-            // Judged by what the front can know: only a refusal without inspection (429) proves that no work was done.
+            // Judged by what the front can know: only a rejection before any processing (429) proves that no work
+            // was done.
             let mut may_have_run = sent_allocations[..i]
                 .iter()
                 .filter(|allocation| !matches!(allocation.result, Some((_, _, 429))));
@@ -516,8 +525,9 @@
     }
 }
 
-/// Rule 4: all fronts together stay below the load that overloads a cold server. A window counts only if most of its
-/// set-ups came from fronts that knew of the server's start.
+/// Rule 4: the set-ups of all fronts together do not overload a cold server; two above the limit are tolerated. A
+/// window counts only if most of its set-ups came from fronts that knew, or had to assume, that the server is cold. At
+/// most one breach is reported for each cold start.
 fn check_cold_starts(
     allocations: &[Allocation],
     list_changes: &BTreeMap<usize, Vec<(f64, bool)>>,
@@ -596,7 +606,7 @@
 ) {
     let requested_max_rungs: BTreeMap<&str, usize> =
         requests.iter().map(|r| (r.session, r.max_rung)).collect();
-    // Start and end of each play, by front lifetime, product and title.
+    // Start and end of each allocation, by front lifetime, product and title.
     type SpansByTitle<'a> = BTreeMap<(FrontLifetime, usize, &'a str), Vec<(f64, f64)>>;
     let mut spans_by_title = SpansByTitle::new();
     for allocation in allocations {
@@ -635,8 +645,8 @@
     }
 }
 
-/// Rule 6: within any span, a front makes no more further allocations than its budget allows for the plays that it
-/// took.
+/// Rule 6: within any span, a front makes no more further allocations than its budget allows for the sessions that were
+/// first requested at it. At most one breach is reported for each lifetime of a front.
 fn check_budget(
     requests: &[Request],
     allocations: &[Allocation],
@@ -648,16 +658,16 @@
     for allocation in allocations.iter().filter(|allocation| allocation.ordinal > 1) {
         further_by_lifetime.entry(allocation.lifetime).or_default().push(allocation.set_up_at);
     }
-    for (lifetime, mut further) in further_by_lifetime {
-        further.sort_by(f64::total_cmp);
+    for (lifetime, mut further_set_ups_at) in further_by_lifetime {
+        further_set_ups_at.sort_by(f64::total_cmp);
         let mut sessions = BTreeSet::new();
         let lifetime_requests = requests.iter().filter(|r| r.lifetime == lifetime);
         let first_requests_at: Vec<f64> =
             lifetime_requests.filter(|r| sessions.insert(r.session)).map(|r| r.requested_at).collect();
-        for (i, at) in further.iter().enumerate() {
+        for (i, at) in further_set_ups_at.iter().enumerate() {
             let window_start = at - budget.span;
             let further_count =
-                further[..=i].iter().filter(|t| **t > window_start + params.slack).count() as f64;
+                further_set_ups_at[..=i].iter().filter(|t| **t > window_start + params.slack).count() as f64;
             let session_count = first_requests_at
                 .iter()
                 .filter(|t| **t > window_start - params.slack && **t <= at + params.slack)
--- a/crates/rule-checker/tests/histories.rs
+++ b/crates/rule-checker/tests/histories.rs
@@ -18,7 +18,7 @@
     History::parse(&text(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
 }
 
-#[test_case("broken-1", &[1]; "answers late")]
+#[test_case("broken-1", &[1]; "responds late")]
 #[test_case("broken-2", &[2]; "sends a paid set-up again")]
 #[test_case("broken-3", &[3]; "is not informed of drains")]
 #[test_case("broken-4", &[4]; "overloads cold servers")]
@@ -53,7 +53,7 @@
 /// Guards against checks that pass without looking at the data: changing one observation of a clean history must break
 /// the rule that depends on it.
 #[test_case(|s| matches!(s, Observed::Answered { .. }), |_| None, 1; "a response is missing")]
-#[test_case(|s| matches!(s, Observed::Done { status: 200, .. }), |_| None, 1; "answered 200 but not set up")]
+#[test_case(|s| matches!(s, Observed::Done { status: 200, .. }), |_| None, 1; "a response of 200 without a set-up")]
 #[test_case(|s| matches!(s, Observed::SetUp { .. }), |s| match s {
     Observed::SetUp { server, allocation, session, product, title, .. } =>
         Some(Observed::SetUp { server, allocation, session, product, title, rung: 99 }),
--- a/crates/rule-checker/tests/rules.rs
+++ b/crates/rule-checker/tests/rules.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// A play that is refused once and then set up.
+/// A play whose first set-up is rejected (429) and whose second one succeeds.
 fn log_with_one_retry() -> ObservationLog {
     let mut log = ObservationLog::default();
     log.request(0.0, 1, "s").set_up(1.0, 0, "f-1-1", "s").done(50.0, "f-1-1", 429).closed(51.0, "f-1-1");
@@ -83,7 +83,7 @@
 }
 
 #[test_case(Effect::Free; "free")]
-#[test_case(Effect::Paid; "paid, refused without inspection")]
+#[test_case(Effect::Paid; "paid, rejected before any processing")]
 fn log_without_a_breach_passes(effect: Effect) {
     assert!(log_with_one_retry().closed(3000.0, "f-1-2").broken_rules(&rule_params(effect)).is_empty());
     let (_, coverage) = check(&log_with_one_retry().0, &rule_params(effect));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn rule_1_rejects_missing_late_repeated_and_false_answers() {
+fn rule_1_rejects_missing_late_repeated_and_false_responses() {
     let params = rule_params(Effect::Free);
     assert_eq!(ObservationLog::default().request(0.0, 1, "s").broken_rules(&params), [1]);
     assert_eq!(
@@ -236,7 +236,7 @@
 
 #[test_case(true, &[]; "requested again: a new play")]
 #[test_case(false, &[2]; "not requested again: the same play")]
-fn rule_2_counts_a_request_after_an_answer_as_a_new_play(again: bool, broken: &[u8]) {
+fn rule_2_counts_a_request_after_a_response_as_a_new_play(again: bool, broken: &[u8]) {
     let mut log = ObservationLog::default();
     log.add(0.0, Observed::Front { front: 0, up: true });
     log.request(1.0, 1, "s").set_up(2.0, 0, "f-1-1", "s").closed(50.0, "f-1-1").answered(60.0, 1, 502);
