--- a/crates/lab/src/environment.rs
+++ b/crates/lab/src/environment.rs
@@ -21,8 +21,11 @@
 #[derive(Clone, Debug)]
 pub struct Title {
     pub name: String,
+    /// Index of the product among those of the scenario.
     pub product: usize,
+    /// First of the consecutive cells that hold the title; they continue with cell 0 after the last one.
     pub first_cell: usize,
+    /// Number of cells that hold the title.
     pub holders: usize,
     pub duration_ms: u64,
     pub segment_ms: u64,
--- a/crates/lab/src/players.rs
+++ b/crates/lab/src/players.rs
@@ -62,9 +62,13 @@
 pub struct Arrival {
     /// Time of arrival in ms since the start of the run.
     pub arrives_at: f64,
+    /// Index of the title among those of the scenario.
     pub title: usize,
+    /// Zone of the player, whose fronts it prefers.
     pub zone: usize,
+    /// Highest rung that the player can use.
     pub max_rung: usize,
+    /// Determines the player's random draws, and is part of its session names.
     pub seed: u64,
 }
 
@@ -133,7 +137,9 @@
     /// The TLS connector to the fronts; none without TLS.
     pub tls: Option<TlsConnector>,
     pub recorder: Recorder,
+    /// Number of the next manifest request; numbers are unique within the run.
     pub next_request: AtomicU64,
+    /// Results of the players that have ended.
     pub results: Mutex<Vec<PlayerResult>>,
 }
 
@@ -423,8 +429,11 @@
 
 /// The parts of a manifest that a player uses.
 struct ManifestInfo {
+    /// Base path of the session, which segment paths begin with.
     base: String,
+    /// Template of the rest of a segment path.
     media: String,
+    /// Number of rungs.
     rungs: usize,
 }
 
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -14,15 +14,21 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
+    /// Seed of the random draws of the lab, the fake servers and the fronts.
     pub seed: u64,
+    /// For how long players arrive, in seconds.
     pub seconds: f64,
+    /// Number of fronts. Their zones are assigned in rotation.
     pub fronts: usize,
+    /// Names of the zones. The zones of servers are assigned in rotation.
     pub zones: Vec<String>,
     pub fleet: Fleet,
+    /// The rungs, from the lowest rate to the highest.
     pub ladder: Vec<Rung>,
     pub products: Vec<Product>,
     pub rules: Rules,
     pub players: Players,
+    /// The faults that are injected.
     #[serde(default)]
     pub troubles: Vec<FaultEvent>,
     /// Limits of the fronts, as in a front's configuration file.
@@ -48,24 +54,37 @@
 pub struct Fleet {
     /// Number of servers. Each is the only one of its cell, which is the set of servers that hold the same titles.
     pub servers: usize,
+    /// Number of racks. Servers are assigned to racks in rotation.
     pub racks: usize,
+    /// Number of cores of a server that work on set-ups.
     pub cores: usize,
+    /// Number of set-ups that may wait for a core at a server.
     pub queue: usize,
+    /// Maximum number of concurrent plays of a server.
     pub streams: usize,
+    /// Capacity of the link of a server, kB/s.
     pub link_kb: f64,
+    /// Capacity of the uplink of a rack, kB/s.
     pub rack_link_kb: f64,
     /// True capacities and rates differ by up to this part from those in the fronts' configuration (rates by half of
     /// it).
     pub spread: f64,
+    /// Median work of a set-up, ms.
     pub work_ms: f64,
+    /// Spread of the work of a set-up: sigma of a log-normal distribution.
     pub work_spread: f64,
+    /// Part of its rate that each further viewer of a live title adds to the load.
     #[serde(default = "one")]
     pub shared_part: f64,
+    /// Delay of the load in servers' response headers.
     pub reports_late_ms: f64,
+    /// Delay of the load in notes.
     pub notes_late_ms: f64,
+    /// Interval of link notes.
     pub notes_every_ms: f64,
     /// How long it takes until the list shows a lost server as gone.
     pub list_late_ms: f64,
+    /// How long after its connection broke a play is freed.
     pub lease_ms: f64,
 }
 
@@ -82,22 +101,33 @@
 #[serde(deny_unknown_fields)]
 pub struct Product {
     pub name: String,
+    /// Weight of its plays, relative to the other products.
     pub importance: f64,
+    /// Time after the request within which a play counts as set up in time.
     pub first_frame_target_ms: f64,
+    /// Time after the request within which the front must respond.
     pub time_limit_ms: f64,
+    /// Whether a set-up may be repeated.
     #[serde(default)]
     pub effect: Effect,
+    /// The servers among which a set-up with an idempotency key may be repeated.
     #[serde(default)]
     pub repeat_group: Group,
+    /// For how long such a set-up may be repeated.
     #[serde(default)]
     pub repeat_window_ms: f64,
+    /// Lowest rung, as an index of the ladder.
     #[serde(default)]
     pub floor: usize,
+    /// Highest rung, as an index of the ladder; the highest of the ladder if absent.
     pub top: Option<usize>,
+    /// Factor of its rates relative to those of the ladder.
     #[serde(default = "one")]
     pub scale: f64,
+    /// Whether its titles are live, so that viewers at one server share a stream.
     #[serde(default)]
     pub live: bool,
+    /// Maximum number of concurrent plays of a title at one front; 0 if unlimited.
     #[serde(default)]
     pub seats: usize,
     /// Share of the new plays, relative to the sum over all products.
@@ -134,16 +164,27 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
+    /// How long after a server was listed as not ready set-ups may still be sent to it.
     pub drain_grace_ms: f64,
+    /// How long a cold server needs to warm up.
     pub cold_ms: f64,
+    /// Part of its capacity that a server has at a cold start.
     pub cold_from: f64,
+    /// A cold server is overloaded when set-ups arrive this many times as fast as would fill its streams within
+    /// `cold_ms`.
     pub overload_factor: f64,
+    /// Length of the window over which set-ups at a cold server are counted.
     pub fall_ms: f64,
+    /// How long a server that failed under overload stays down.
     pub down_ms: f64,
+    /// Maximum number of allocations of a play.
     pub allocations: usize,
+    /// Budget of further allocations of each front; none if it is unlimited.
     pub budget: Option<Budget>,
+    /// Longest Retry-After that fronts give; 0 for none.
     #[serde(default)]
     pub retry_after_ms: f64,
+    /// Whether fronts may probe servers.
     #[serde(default)]
     pub probes: bool,
 }
@@ -152,8 +193,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
+    /// Length of the span.
     pub span_ms: f64,
+    /// Further allocations allowed in a span, as a share of the plays.
     pub share: f64,
+    /// Further allocations allowed in a span in addition to that share.
     pub free: f64,
 }
 
@@ -174,6 +218,7 @@
     pub ask_again: f64,
     /// Part of viewers who cannot use the upper half of the ladder.
     pub small: f64,
+    /// Duration of a segment.
     pub segment_ms: u64,
 }
 
--- a/crates/lab/src/scenario_run.rs
+++ b/crates/lab/src/scenario_run.rs
@@ -20,9 +20,13 @@
 
 /// The results of a run.
 pub struct RunResult {
+    /// One result for each viewer that arrived.
     pub player_results: Vec<PlayerResult>,
+    /// All observations of players, fake servers and the lab, sorted by time.
     pub observations: Vec<Observation>,
+    /// The breaches of the rules, sorted by time.
     pub breaches: Vec<Breach>,
+    /// What the check of the rules covered.
     pub coverage: Coverage,
     /// The longest delay of a player's start or of a thread on any core, ms. A run in which it is large says little
     /// about time limits.
--- a/crates/lab/src/testbed.rs
+++ b/crates/lab/src/testbed.rs
@@ -15,9 +15,12 @@
 pub struct Testbed {
     pub scenario: Arc<Scenario>,
     pub titles: Arc<Vec<Title>>,
+    /// The fake media servers.
     pub servers: FakeServers,
     pub fronts: Fronts,
+    /// The server list and the injection of faults.
     pub environment: Environment,
+    /// The log of observations.
     pub recorder: Recorder,
 }
 
--- a/crates/rule-checker/src/lib.rs
+++ b/crates/rule-checker/src/lib.rs
@@ -36,7 +36,7 @@
     // ---- observed by media servers ----
     /// A set-up request was read.
     SetUp { server: usize, allocation: String, session: String, product: usize, title: String, rung: usize },
-    /// The set-up succeeded, was refused or failed. `ran` tells whether work was done for it.
+    /// The set-up succeeded, was rejected or failed. `ran` tells whether work was done for it.
     Done { allocation: String, ran: bool, status: u16 },
     /// The connection of the set-up was closed, by either side.
     Closed { allocation: String },
--- a/crates/rule-checker/src/rules.rs
+++ b/crates/rule-checker/src/rules.rs
@@ -96,6 +96,7 @@
 pub struct Breach {
     /// Number of the rule, 1 to 6; 0 for a wrong segment.
     pub rule: u8,
+    /// Time of the breach in ms, on the clock of the observations.
     pub at: f64,
     /// What was observed.
     pub what: String,
@@ -160,8 +161,8 @@
 }
 
 impl Allocation<'_> {
-    /// Until when the allocation was in flight or playing, as its server observed it. A refusal or an error ends it
-    /// when it is written.
+    /// Until when the allocation was in flight or playing, as its server observed it. A rejection or an error ends it
+    /// when the response is written.
     fn ended_at(&self) -> f64 {
         match self.result {
             Some((at, _, status)) if status != 200 => at.min(self.closed_at),
