--- a/crates/lab/src/players.rs
+++ b/crates/lab/src/players.rs
@@ -2,7 +2,7 @@
 //! leaves and returns. Players use only the sockets of the fronts, and record what they observe.
 
 use crate::environment::{Title, from_ms};
-use crate::fronts::{FRONT, Fronts};
+use crate::fronts::{FRONT_NAME, Fronts};
 use crate::scenario::{FaultKind, Scenario};
 use anyhow::Result;
 use pulleystair_dash::address;
@@ -21,14 +21,14 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use tokio_rustls::TlsConnector;
 
-/// Maximum number of times that a viewer asks for its play, the first time included.
+/// Maximum number of visits of a viewer, the first one included. Each visit requests the play in a new session.
 const MAX_VISITS: usize = 3;
 /// Number of segments that a player fetches ahead.
 const SEGMENTS_AHEAD: u64 = 2;
-/// Maximum number of attempts to fetch one segment.
+/// Maximum number of attempts to fetch one segment, the first one included.
 const MAX_SEGMENT_TRIES: usize = 3;
 /// How long after the time limit a player keeps waiting, so that a late response is recorded as late.
-const LATE_ANSWER_MS: f64 = 1_000.0;
+const LATE_RESPONSE_MS: f64 = 1_000.0;
 
 /// The result of one viewer's play over all its visits.
 #[derive(Clone, Debug, Default)]
@@ -40,15 +40,20 @@
     pub set_up_ms: Option<f64>,
     /// Status of the last response to a manifest request; 0 if there was none.
     pub status: u16,
-    pub tries: usize,
+    /// Number of visits, each with a new session.
+    pub visits: usize,
+    /// Number of segments that arrived.
     pub segments: usize,
     /// Sum of the rungs of all segments.
     pub rung_sum: usize,
-    /// Seconds shown, each weighted with what its rung earns, and the length of the title in seconds.
+    /// Seconds shown, each weighted with what its rung earns.
     pub earned_s: f64,
+    /// Length of the title in seconds.
     pub title_s: f64,
+    /// Total time of all stalls.
     pub stalled_ms: f64,
     pub stalls: usize,
+    /// Whether the play of any visit broke off, even if a later visit played to its end.
     pub broken: bool,
 }
 
@@ -57,9 +62,13 @@
 pub struct Arrival {
     /// Time of arrival in ms since the start of the run.
     pub arrives_at: f64,
+    /// Index of the title among those of the scenario.
     pub title: usize,
+    /// Zone of the player, whose fronts it prefers.
     pub zone: usize,
+    /// Highest rung that the player can use.
     pub max_rung: usize,
+    /// Determines the player's random draws, and is part of its session names.
     pub seed: u64,
 }
 
@@ -128,7 +137,9 @@
     /// The TLS connector to the fronts; none without TLS.
     pub tls: Option<TlsConnector>,
     pub recorder: Recorder,
+    /// Number of the next manifest request; numbers are unique within the run.
     pub next_request: AtomicU64,
+    /// Results of the players that have ended.
     pub results: Mutex<Vec<PlayerResult>>,
 }
 
@@ -141,7 +152,9 @@
 }
 
 impl PlayerPool {
-    /// Simulates one viewer from the first request to the end of the play, including returns after failures.
+    /// Simulates one viewer: up to `MAX_VISITS` visits, each with a new session, until a play ends as intended. After a
+    /// failure the viewer returns with the probability `come_back`; it does not return after a time-out. A visit that
+    /// finds no running front is always followed by the next one, 500 ms later.
     pub async fn run_player(self: Arc<PlayerPool>, arrival: Arrival) {
         let mut rng = StdRng::seed_from_u64(arrival.seed);
         let title = &self.titles[arrival.title];
@@ -155,7 +168,7 @@
         let started_at = Instant::now();
         let players = &self.scenario.players;
         for visit in 0..MAX_VISITS {
-            result.tries += 1;
+            result.visits += 1;
             let session = format!("s{:016x}-{visit}", arrival.seed);
             let Some((front, address)) = self.fronts.choose_front(arrival.zone, rng.random()) else {
                 sleep(from_ms(500.0)).await;
@@ -221,7 +234,7 @@
 
     /// Connects to a front.
     async fn connect(&self, address: SocketAddr) -> std::io::Result<HttpPeer> {
-        HttpPeer::connect(address, self.tls.as_ref().map(|connector| (connector, FRONT))).await
+        HttpPeer::connect(address, self.tls.as_ref().map(|connector| (connector, FRONT_NAME))).await
     }
 
     /// Signs an entry token for a session, valid for a minute.
@@ -288,7 +301,7 @@
             title: title.name.clone(),
             top: arrival.max_rung,
         });
-        let time_limit = patience.unwrap_or(from_ms(product.time_limit_ms + LATE_ANSWER_MS));
+        let time_limit = patience.unwrap_or(from_ms(product.time_limit_ms + LATE_RESPONSE_MS));
         let response = timeout(time_limit, async {
             peer.write(format!("GET {target} HTTP/1.1\r\nHost: front\r\n\r\n").as_bytes()).await?;
             peer.read_response().await
@@ -416,8 +429,11 @@
 
 /// The parts of a manifest that a player uses.
 struct ManifestInfo {
+    /// Base path of the session, which segment paths begin with.
     base: String,
+    /// Template of the rest of a segment path.
     media: String,
+    /// Number of rungs.
     rungs: usize,
 }
 
--- a/crates/lab/src/scenario_run.rs
+++ b/crates/lab/src/scenario_run.rs
@@ -2,9 +2,9 @@
 //! checks the rules.
 
 use crate::fronts::Program;
-use crate::host_load::HostLoad;
 use crate::players::{PlayerPool, PlayerResult, arrivals, run_arrivals};
 use crate::scenario::Scenario;
+use crate::scheduling_delay::SchedulingDelay;
 use crate::testbed::Testbed;
 use anyhow::Result;
 use pulleystair_rule_checker::Observation;
@@ -20,10 +20,14 @@
 
 /// The results of a run.
 pub struct RunResult {
+    /// One result for each viewer that arrived.
     pub player_results: Vec<PlayerResult>,
-    pub seen: Vec<Observation>,
+    /// All observations of players, fake servers and the lab, sorted by time.
+    pub observations: Vec<Observation>,
+    /// The breaches of the rules, sorted by time.
     pub breaches: Vec<Breach>,
-    pub covered: Coverage,
+    /// What the check of the rules covered.
+    pub coverage: Coverage,
     /// The longest delay of a player's start or of a thread on any core, ms. A run in which it is large says little
     /// about time limits.
     pub lateness_ms: f64,
@@ -35,7 +39,7 @@
 pub async fn run(scenario: Scenario, program: Program, folder: &Path) -> Result<RunResult> {
     let testbed = Testbed::build(scenario, program, folder).await?;
     testbed.start().await?;
-    let Testbed { day: scenario, titles, fronts, stage: environment, log: recorder, .. } = testbed;
+    let Testbed { scenario, titles, fronts, environment, recorder, .. } = testbed;
     let pool = Arc::new(PlayerPool {
         scenario: scenario.clone(),
         titles: titles.clone(),
@@ -45,7 +49,7 @@
         next_request: AtomicU64::new(1),
         results: Mutex::default(),
     });
-    let host_load = HostLoad::watch();
+    let scheduling_delay = SchedulingDelay::start();
     let start = Instant::now();
     let mut fault_tasks = Vec::new();
     for (i, fault) in scenario.troubles.iter().enumerate() {
@@ -59,10 +63,10 @@
     }
     let front_usage = (0..scenario.fronts).map(|front| fronts.resource_usage(front)).collect();
     fronts.stop(STOP_TIMEOUT).await?;
-    let lateness_ms = host_load.lateness_ms().max(max_start_delay_ms);
-    let seen = recorder.observations();
-    let (breaches, covered) = check(&seen, &scenario.terms());
+    let lateness_ms = scheduling_delay.stop().max(max_start_delay_ms);
+    let observations = recorder.observations();
+    let (breaches, coverage) = check(&observations, &scenario.rule_params());
     let player_results =
         std::mem::take(&mut *pool.results.lock().expect("no player panics while it holds the results"));
-    Ok(RunResult { player_results, seen, breaches, covered, lateness_ms, front_usage })
+    Ok(RunResult { player_results, observations, breaches, coverage, lateness_ms, front_usage })
 }
