--- a/crates/edge/tests/bounds.rs
+++ b/crates/edge/tests/bounds.rs
@@ -40,8 +40,8 @@
     scenario["limits"] = json!({ "deciding": 200 });
     scenario["admission"] = json!({ "least": 200, "most": 200, "work_ms": 1e9, "behind_ms": 1e9 });
     let fleet = TestFleet::start_with(scenario).await;
-    // Two seconds of work: in that time far more than 200 requests arrive, on any machine.
-    fleet.set_faults(|a| a.slow = 400.0);
+    // Each set-up takes two seconds. In that time far more than 200 requests arrive, on any machine.
+    fleet.set_faults(|faults| faults.slow = 400.0);
     let mut pending = Vec::new();
     for i in 0..1000 {
         pending.push(fleet.send_manifest_request(0, &format!("s{i}"), FREE).await.read_in_background());
@@ -68,18 +68,19 @@
         "least": 8, "most": 8, "queue": 100, "reserve_ms": 400, "work_ms": 1e9, "behind_ms": 1e9,
     });
     let fleet = TestFleet::start_with(scenario).await;
-    // After a second list the front takes no server for cold; cold servers would be limited in rate.
+    // A front treats its first list as possibly out of date and all servers in it as cold, until it has loaded a second
+    // list. Cold servers would be limited in rate.
     fleet.environment.set_listed_state(0, ListedState::Ready { started: 0.0 });
     fleet.wait_for_log("list taken", 2).await;
-    // Eight set-ups of 100 ms at once, for little more than a second: under 100 of the 300 requests are served.
-    fleet.set_faults(|a| a.slow = 20.0);
+    // Eight concurrent set-ups of 100 ms each, for little more than a second: fewer than 100 of the 300 requests are served.
+    fleet.set_faults(|faults| faults.slow = 20.0);
     let mut pending = Vec::new();
     for i in 0..300 {
         pending.push(fleet.send_manifest_request(0, &format!("s{i}"), FREE).await);
     }
     // Ten of the waiting viewers leave.
-    pending.drain(250..260).for_each(|one| one.leave());
-    let pending: Vec<_> = pending.into_iter().map(|one| one.read_in_background()).collect();
+    pending.drain(250..260).for_each(|request| request.leave());
+    let pending: Vec<_> = pending.into_iter().map(|request| request.read_in_background()).collect();
     let (mut played, mut overloaded) = (0, 0);
     for request in pending {
         let answer = request.await.expect("the player task succeeds");
--- a/crates/edge/tests/crash_recovery.rs
+++ b/crates/edge/tests/crash_recovery.rs
@@ -1,5 +1,5 @@
-//! Interruptions at every point: the front is killed, told to stop or can't write, or a connection ends half way. A new
-//! front then starts in its place, and earlier guarantees must still hold. Real sockets and the real front.
+//! Interruptions at every point: the front is killed, gets SIGTERM or can't write, or a connection ends half-way. After a
+//! kill the front is started again, and earlier guarantees must still hold. The sockets and the front are real.
 
 mod test_fleet;
 
@@ -66,29 +66,29 @@
     match point {
         Point::RequestPartlyRead => {
             let mut peer = fleet.connect(0).await.expect("a connection");
-            peer.write(b"GET /v1/free/").await.expect("the front takes half a request head");
+            peer.write(b"GET /v1/free/").await.expect("half a request head is written");
             open.peers.push(peer);
         }
         Point::Queued => {
-            fleet.set_faults(|a| a.silent = true);
-            open.pending.push(fleet.send_manifest_request(0, "out", product).await);
+            fleet.set_faults(|faults| faults.silent = true);
+            open.pending.push(fleet.send_manifest_request(0, "pending", product).await);
             fleet
                 .wait_for_observations("the only set-up that may be pending", |seen| set_up_count(seen) == 1)
                 .await;
             open.pending.push(fleet.send_manifest_request(0, "queued", product).await);
         }
         Point::SetUpUnanswered => {
-            fleet.set_faults(|a| a.silent = true);
-            open.pending.push(fleet.send_manifest_request(0, "out", product).await);
+            fleet.set_faults(|faults| faults.silent = true);
+            open.pending.push(fleet.send_manifest_request(0, "pending", product).await);
             fleet.wait_for_observations("the set-up", |seen| set_up_count(seen) == 1).await;
         }
         Point::SetUpAnswerLost => {
-            fleet.set_faults(|a| a.lost = 1.0);
+            fleet.set_faults(|faults| faults.lost = 1.0);
             open.pending.push(fleet.send_manifest_request(0, "ran", product).await);
             fleet.wait_for_observations("the set-up ran", |seen| done_count(seen) == 1).await;
         }
         Point::Withdrawn => {
-            fleet.set_faults(|a| a.silent = true);
+            fleet.set_faults(|faults| faults.silent = true);
             let pending = fleet.send_manifest_request(0, "left", product).await;
             fleet.wait_for_observations("the set-up", |seen| set_up_count(seen) == 1).await;
             pending.leave();
@@ -109,7 +109,7 @@
                     open.peers.push(slow_reader);
                 }
                 Point::EndNoticeUnanswered => {
-                    fleet.set_faults(|a| a.silent = true);
+                    fleet.set_faults(|faults| faults.silent = true);
                     let delete_request = format!("DELETE {base_url} HTTP/1.1\r\nHost: f\r\n\r\n");
                     assert_eq!(fleet.send_raw(&delete_request).await.expect("an answer").status, 200);
                 }
@@ -152,7 +152,7 @@
         assert!(!matches!(answer, Ok(Some(_))), "no response is sent for a pending request");
         fleet.recorder.record(pending.connection_lost());
     }
-    fleet.set_faults(|a| (a.silent, a.lost) = (false, 0.0));
+    fleet.set_faults(|faults| (faults.silent, faults.lost) = (false, 0.0));
     fleet
         .wait_until("the servers have no plays", || {
             fleet.servers.model().servers.iter().all(|s| s.plays.is_empty())
@@ -183,12 +183,12 @@
 #[tokio::test]
 async fn paid_session_is_set_up_again_after_a_kill_only_once_the_first_ended() {
     let mut fleet = TestFleet::start_with(long_running_scenario()).await;
-    fleet.set_faults(|a| a.silent = true);
+    fleet.set_faults(|faults| faults.silent = true);
     let pending = fleet.send_manifest_request(0, "s", PAID).await;
     fleet.wait_for_observations("the set-up", |seen| set_up_count(seen) == 1).await;
     fleet.restart(0).await;
     fleet.recorder.record(pending.connection_lost());
-    fleet.set_faults(|a| a.silent = false);
+    fleet.set_faults(|faults| faults.silent = false);
     let ended = |seen: &[Observation]| seen.iter().any(|s| matches!(s.what, Observed::Closed { .. }));
     fleet.wait_for_observations("the server observes the end of the first set-up", ended).await;
     assert_eq!(fleet.fetch_manifest("s", PAID).await.status, 200);
@@ -226,7 +226,7 @@
         let set_ups_before = set_up_count(&fleet.recorder.observations());
         fleet.wait_for_observations("a further set-up", |seen| set_up_count(seen) > set_ups_before).await;
         fleet.restart(0).await;
-        pending.into_iter().for_each(|one| fleet.recorder.record(one.connection_lost()));
+        pending.into_iter().for_each(|request| fleet.recorder.record(request.connection_lost()));
     }
     assert!(fleet.servers.model().servers.iter().all(|s| !s.faults.down), "no cold server was overloaded");
     fleet.assert_rules_kept();
@@ -237,7 +237,7 @@
     let mut scenario = base_scenario();
     scenario["fleet"]["streams"] = json!(24);
     let mut fleet = TestFleet::start_with(scenario).await;
-    // All servers restart, and the list does not show it yet.
+    // All servers restart, and the list still has their earlier start times.
     for server in 0..4 {
         fleet.servers.stop(server);
         fleet.servers.restart(server, true);
@@ -333,35 +333,37 @@
     scenario
 }
 
-/// Shell prefix: the log goes into a pipe that is read up to 4 kB, and on once the file `go` exists in the folder.
+/// Shell prefix: the log goes into a pipe. Its reader stops after 4 kB and goes on once the file `go` exists in the folder
+/// of the fleet, or after a minute. `$last` is the last argument, the path of the configuration file.
 const SLOW_LOG_READER: &str = r#"for last; do :; done; d=$(dirname "$last"); mkfifo "$d/p"
     { dd bs=1 count=4000 status=none; n=0; while [ ! -e "$d/go" ] && [ $n -lt 1200 ]; do sleep 0.05; n=$((n+1)); done; cat; } <"$d/p" >&2 &
     exec 2>"$d/p"; set -- --log-lines 16 "$@""#;
 
-/// Shell prefix: the log goes into a pipe whose reader exits after 4 kB.
+/// Shell prefix: the log goes into a pipe whose reader exits after 4 kB. `$last` is as in [`SLOW_LOG_READER`].
 const CLOSED_LOG_READER: &str = r#"for last; do :; done; d=$(dirname "$last"); mkfifo "$d/p"
     dd bs=1 count=4000 status=none <"$d/p" >&2 &
     exec 2>"$d/p""#;
 
-/// Requests plays one after the other, every second one while all set-ups fail; returns how many played and were declined.
-async fn run_plays(fleet: &TestFleet, plays: usize) -> (u64, u64) {
+/// Requests plays one after the other, every second one, from the first on, while all set-ups fail; returns how many played
+/// and how many were declined.
+async fn run_alternately_failing_plays(fleet: &TestFleet, plays: usize) -> (u64, u64) {
     let (mut played, mut declined) = (0, 0);
     for i in 0..plays {
-        fleet.set_faults(|a| a.errors = if i % 2 == 0 { 1.0 } else { 0.0 });
+        fleet.set_faults(|faults| faults.errors = if i % 2 == 0 { 1.0 } else { 0.0 });
         match fleet.fetch_manifest(&format!("s{i}"), FREE).await.status {
             200 => played += 1,
             503 => declined += 1,
             other => panic!("answered {other}"),
         }
     }
-    fleet.set_faults(|a| a.errors = 0.0);
+    fleet.set_faults(|faults| faults.errors = 0.0);
     (played, declined)
 }
 
 #[tokio::test]
 async fn stats_count_plays_whose_log_lines_were_dropped() {
     let fleet = TestFleet::start_with_shell_prefix(frequent_stats_scenario(), SLOW_LOG_READER).await;
-    let (played, declined) = run_plays(&fleet, 1200).await;
+    let (played, declined) = run_alternately_failing_plays(&fleet, 1200).await;
     std::fs::write(fleet.folder().join("go"), "").expect("the file go is written");
     let stat = |name: &str| fleet.latest_stats(0).get(name).and_then(Value::as_u64).unwrap_or(0);
     fleet.wait_until("the statistics count all plays", || stat("taken") == 1200).await;
@@ -384,7 +386,7 @@
 #[tokio::test]
 async fn unwritable_log_does_not_stop_the_front(shell_prefix: &str) {
     let fleet = TestFleet::start_with_shell_prefix(frequent_stats_scenario(), shell_prefix).await;
-    run_plays(&fleet, 200).await;
+    run_alternately_failing_plays(&fleet, 200).await;
     assert!(fleet.front_log(0).len() <= 4096, "the log has reached its limit");
     let last = fleet.fetch_manifest("last", FREE).await;
     assert_eq!(fleet.get(&format!("{}0/1.m4s", segment_base_url(&last))).await.status, 200);
@@ -403,7 +405,7 @@
     for _ in 0..500 {
         let mut peer =
             HttpPeer::new(TcpStream::connect(fleet.front_addresses[0]).await.expect("a connection"));
-        peer.write(partial_head.as_bytes()).await.expect("the front takes the partial head");
+        peer.write(partial_head.as_bytes()).await.expect("the partial head is written");
         partial_requests.push(peer);
     }
     assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 200);
--- a/crates/edge/tests/dash.rs
+++ b/crates/edge/tests/dash.rs
@@ -12,7 +12,7 @@
 
 const FREE: usize = 0;
 
-/// Changes the free title in the list, and waits until the front has taken or rejected the new list.
+/// Changes the free title in the list, and waits until the front has loaded or rejected the new list.
 async fn replace_title(fleet: &TestFleet, change: impl Fn(&mut Value)) {
     let file = fleet.folder().join("list.json");
     let mut list: Value = serde_json::from_str(&std::fs::read_to_string(&file).unwrap()).unwrap();
@@ -31,7 +31,8 @@
     fleet.recorder.now() as u64
 }
 
-/// Sends a request with one more header line (or none) on a connection that is closed afterwards.
+/// Sends a request on a connection that is closed afterwards; returns the response. `header` is empty or one more header
+/// line with its CRLF.
 async fn send_request(fleet: &TestFleet, method: &str, target: &str, header: &str) -> Message {
     let text = format!("{method} {target} HTTP/1.1\r\nHost: f\r\nConnection: close\r\n{header}\r\n");
     fleet.send_raw(&text).await.expect("the front responds")
@@ -45,7 +46,7 @@
 #[tokio::test]
 async fn live_title_is_served_from_its_window_to_its_end() {
     let fleet = TestFleet::start().await;
-    // Live since 6.5 s, with a window of 3 s; its last segment, of 8, is complete 8 s after the start.
+    // The title went live 6.5 s ago, with a window of 3 s. It has eight segments; the last is complete 8 s after the start.
     let live_since_ms = now_ms(&fleet) - 6_500;
     let live = json!({ "from_ms": live_since_ms, "update_ms": 500, "window_ms": 3000 });
     replace_title(&fleet, |title| {
@@ -187,7 +188,7 @@
     scenario["limits"] = json!({ "segment_ms": 300 });
     let fleet = TestFleet::start_with(scenario).await;
     let target = format!("{}0/2.m4s", segment_base_url(&fleet.fetch_manifest("s", FREE).await));
-    fleet.set_faults(|a| (a.stall, a.edition) = (1.0, 1));
+    fleet.set_faults(|faults| (faults.stall, faults.edition) = (1.0, 1));
     let read_segment = async {
         let mut peer = fleet.connect(0).await.unwrap();
         peer.write(get_request(&target).as_bytes()).await.unwrap();
@@ -196,12 +197,13 @@
         received.len()
     };
     let (received_bytes, ()) = tokio::join!(read_segment, async {
+        // `Again` is the logged action of a retry.
         fleet.wait_for_log("Again", 1).await;
-        fleet.set_faults(|a| (a.stall, a.edition) = (0.0, 2));
+        fleet.set_faults(|faults| (faults.stall, faults.edition) = (0.0, 2));
     });
     assert!(received_bytes < 200_000, "the response is shorter than announced: {received_bytes} bytes");
     fleet.wait_for_log("errand failed", 2).await;
-    fleet.set_faults(|a| a.stall = 0.0);
+    fleet.set_faults(|faults| faults.stall = 0.0);
     assert_eq!(segment_number(&fleet.get(&target).await), 2);
     fleet.assert_rules_kept();
 }
--- a/crates/edge/tests/failures.rs
+++ b/crates/edge/tests/failures.rs
@@ -50,7 +50,7 @@
 #[tokio::test]
 async fn unanswered_set_ups_decline_free_plays_and_fail_paid_plays() {
     let fleet = TestFleet::start().await;
-    fleet.set_faults(|a| a.silent = true);
+    fleet.set_faults(|faults| faults.silent = true);
     let answer = fleet.fetch_manifest("s", FREE).await;
     assert_eq!((answer.status, answer.header("retry-after")), (503, Some("1")));
     let paid = fleet.fetch_manifest("p", PAID).await;
@@ -61,14 +61,14 @@
 #[tokio::test]
 async fn truncated_response_head_is_retried_for_a_free_play() {
     let fleet = TestFleet::start().await;
-    fleet.set_faults(|a| a.half_heads = 1.0);
+    fleet.set_faults(|faults| faults.half_heads = 1.0);
     assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 503);
     assert!(fleet.set_up_servers().len() > 1, "a free play is set up again");
     fleet.assert_rules_kept();
 }
 
-#[test_case(FREE, 200, 2; "free: sent to another server")]
-#[test_case(PAID, 502, 1; "paid: neither sent again nor declined")]
+#[test_case(FREE, 200, 2; "free: set up again")]
+#[test_case(PAID, 502, 1; "paid: fails with 502, not set up again")]
 #[tokio::test]
 async fn reset_after_the_set_up_ran_is_retried_only_for_free_plays(
     product: usize,
@@ -76,13 +76,14 @@
     min_set_ups: usize,
 ) {
     let fleet = TestFleet::start().await;
-    fleet.set_faults(|a| a.reset = 1.0);
+    fleet.set_faults(|faults| faults.reset = 1.0);
     let pending = fleet.send_manifest_request(0, "s", product).await;
     fleet.wait_for_observations("a set-up", |seen| set_up_count(seen) == 1).await;
     // Only the first server keeps the fault.
     let first = fleet.set_up_servers()[0];
-    fleet.set_faults_except(first, |a| a.reset = 0.0);
+    fleet.set_faults_except(first, |faults| faults.reset = 0.0);
     assert_eq!(pending.response().await.status, status);
+    // `min_set_ups` is a minimum for the free play and exact for the paid one.
     assert!(fleet.set_up_servers().len() >= min_set_ups, "{:?}", fleet.set_up_servers());
     assert!(product == FREE || fleet.set_up_servers().len() == 1);
     fleet.assert_rules_kept();
@@ -97,9 +98,11 @@
     scenario["fleet"]["work_ms"] = json!(0);
     scenario["admission"] = json!({ "least": 1000, "most": 1000, "work_ms": 1e9, "behind_ms": 1e9 });
     let fleet = TestFleet::start_with(scenario).await;
+    // A front treats its first list as possibly out of date and all servers in it as cold, until it has loaded a second
+    // list. Cold servers would be limited in rate.
     fleet.environment.set_listed_state(0, ListedState::Ready { started: 0.0 });
     fleet.wait_for_log("list taken", 2).await;
-    fleet.set_faults(|a| a.reset = 1.0);
+    fleet.set_faults(|faults| faults.reset = 1.0);
     assert_eq!(fleet.count_concurrent_plays(400, PAID).await, 0);
     assert_eq!(fleet.set_up_servers().len(), 400, "one set-up for each play");
     fleet.assert_rules_kept();
@@ -108,11 +111,11 @@
 #[tokio::test]
 async fn late_response_after_the_time_out_is_ignored() {
     let fleet = TestFleet::start().await;
-    fleet.set_faults(|a| a.slow = 120.0);
+    fleet.set_faults(|faults| faults.slow = 120.0);
     let pending = fleet.send_manifest_request(0, "s", FREE).await;
     fleet.wait_for_observations("a set-up", |seen| set_up_count(seen) == 1).await;
     let first = fleet.set_up_servers()[0];
-    fleet.set_faults_except(first, |a| a.slow = 1.0);
+    fleet.set_faults_except(first, |faults| faults.slow = 1.0);
     assert_eq!(pending.response().await.status, 200);
     assert_eq!(fleet.set_up_servers().len(), 2);
     // The first connection was closed before the second set-up was sent, so a late response cannot arrive.
@@ -123,7 +126,7 @@
 #[tokio::test]
 async fn concurrent_requests_of_one_session_share_one_play() {
     let fleet = TestFleet::start().await;
-    fleet.set_faults(|a| a.slow = 20.0);
+    fleet.set_faults(|faults| faults.slow = 20.0);
     let (first, second) =
         (fleet.send_manifest_request(0, "s", FREE).await, fleet.send_manifest_request(0, "s", FREE).await);
     let (first, second) = tokio::join!(first.response(), second.response());
@@ -139,7 +142,7 @@
 #[tokio::test]
 async fn viewer_disconnect_withdraws_the_pending_set_up() {
     let fleet = TestFleet::start_with(long_time_limit_scenario()).await;
-    fleet.set_faults(|a| a.silent = true);
+    fleet.set_faults(|faults| faults.silent = true);
     let pending = fleet.send_manifest_request(0, "s", FREE).await;
     fleet.wait_for_observations("a set-up", |seen| set_up_count(seen) == 1).await;
     pending.leave();
@@ -152,7 +155,7 @@
 #[tokio::test]
 async fn returning_viewer_gets_the_result_of_the_pending_set_up() {
     let fleet = TestFleet::start_with(long_time_limit_scenario()).await;
-    fleet.set_faults(|a| a.slow = 40.0);
+    fleet.set_faults(|faults| faults.slow = 40.0);
     let pending = fleet.send_manifest_request(0, "s", FREE).await;
     fleet.wait_for_observations("a set-up", |seen| set_up_count(seen) == 1).await;
     pending.leave();
@@ -165,6 +168,8 @@
 async fn slow_reader_is_disconnected_while_others_are_served() {
     let mut scenario = base_scenario();
     scenario["ladder"] = json!([{ "rate_kb": 4000, "earns": 0.4 }, { "rate_kb": 8000, "earns": 1 }]);
+    // The front closes a connection whose player has not read a response within `slow_reader_ms` plus the response's size
+    // over `slow_reader_kb`. The small buffers keep the 4 MB of the segment from being buffered.
     scenario["limits"] = json!({
         "send_buffer_bytes": 8192, "relay_bytes": 65536, "slow_reader_ms": 300, "slow_reader_kb": 20000,
     });
@@ -173,30 +178,31 @@
     let target = format!("{}0/1.m4s", segment_base_url(&manifest));
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(4096).expect("a small buffer");
-    let mut slow = HttpPeer::new(socket.connect(fleet.front_addresses[0]).await.expect("a connection"));
-    slow.write(get_request(&target).as_bytes()).await.expect("the request is taken");
-    let mut read = 0;
+    let mut slow_reader =
+        HttpPeer::new(socket.connect(fleet.front_addresses[0]).await.expect("a connection"));
+    slow_reader.write(get_request(&target).as_bytes()).await.expect("the request is written");
+    let mut bytes_read = 0;
     let mut byte = [0];
     let ended = loop {
         let other_segment = fleet.get(&format!("{}0/init.mp4", segment_base_url(&manifest))).await;
         assert!(
             content::parse(&other_segment.body).is_some_and(|c| c.intact),
-            "another player is served meanwhile"
+            "another connection is served meanwhile"
         );
-        match slow.stream.read(&mut byte).await {
+        match slow_reader.stream.read(&mut byte).await {
             Ok(0) | Err(_) => break true,
-            Ok(n) => read += n,
+            Ok(n) => bytes_read += n,
         }
         // Buffered bytes can still be read after the front has closed; its log shows the close at once.
         let log = fleet.front_log(0);
         if log.contains("too slow") {
             let mut rest = Vec::new();
-            let _ = slow.stream.read_to_end(&mut rest).await;
-            read += rest.len();
+            let _ = slow_reader.stream.read_to_end(&mut rest).await;
+            bytes_read += rest.len();
             break true;
         }
     };
-    assert!(ended && read < 4_000_000, "{read} bytes");
+    assert!(ended && bytes_read < 4_000_000, "{bytes_read} bytes");
     fleet.assert_rules_kept();
 }
 
@@ -216,18 +222,19 @@
     content::parse(bytes).is_some_and(|c| c.intact && c.number == 2)
 }
 
-#[test_case(|a| a.cut = 1.0; "cut short")]
-#[test_case(|a| a.stall = 1.0; "stalled")]
+#[test_case(|faults| faults.cut = 1.0; "cut short")]
+#[test_case(|faults| faults.stall = 1.0; "stalled")]
 #[tokio::test]
 async fn interrupted_segment_read_resumes_at_the_missing_byte(
     set_fault: fn(&mut pulleystair_fake_servers::model::ServerFaults),
 ) {
-    // Each try reads half of the remaining bytes; ten tries leave less than a 200th, which is read once the fault is over.
+    // Each try reads half of the remaining bytes. The fault ends after the first retry; 50 tries are more than that needs.
     let (fleet, target) = start_with_segment(json!({ "tries": 50, "free": 100 })).await;
     fleet.set_faults(set_fault);
     let (fetched, ()) = tokio::join!(fleet.get(&target), async {
-        fleet.wait_until("another try of the read", || fleet.front_log(0).contains("Again")).await;
-        fleet.set_faults(|a| (a.cut, a.stall) = (0.0, 0.0));
+        // `Again` is the logged action of a retry.
+        fleet.wait_until("a retry of the read", || fleet.front_log(0).contains("Again")).await;
+        fleet.set_faults(|faults| (faults.cut, faults.stall) = (0.0, 0.0));
     });
     assert_eq!(fetched.status, 200);
     assert!(is_segment_2(&fetched.body), "no byte is missing or duplicated");
@@ -235,9 +242,9 @@
     fleet.assert_rules_kept();
 }
 
-#[test_case(json!({ "tries": 2 }), |a| a.cut = 1.0; "no tries left")]
-#[test_case(json!({ "free": 0, "share": 0 }), |a| a.cut = 1.0; "no budget")]
-#[test_case(json!({}), |a| (a.cut, a.no_ranges) = (1.0, 1.0); "a server without ranges")]
+#[test_case(json!({ "tries": 2 }), |faults| faults.cut = 1.0; "no tries left")]
+#[test_case(json!({ "free": 0, "share": 0 }), |faults| faults.cut = 1.0; "no budget")]
+#[test_case(json!({}), |faults| (faults.cut, faults.no_ranges) = (1.0, 1.0); "a server without ranges")]
 #[tokio::test]
 async fn segment_that_cannot_resume_ends_short_without_wrong_bytes(
     reads: serde_json::Value,
@@ -246,14 +253,14 @@
     let (fleet, target) = start_with_segment(reads).await;
     fleet.set_faults(set_fault);
     let mut peer = HttpPeer::new(TcpStream::connect(fleet.front_addresses[0]).await.expect("a connection"));
-    peer.write(get_request(&target).as_bytes()).await.expect("the request is taken");
+    peer.write(get_request(&target).as_bytes()).await.expect("the request is written");
     let mut bytes = Vec::new();
     peer.stream.read_to_end(&mut bytes).await.expect("the front closes");
     let body = bytes.windows(4).position(|w| w == b"\r\n\r\n").map(|at| bytes.split_off(at + 4));
     let body = body.expect("the response has a head");
     assert!(body.len() < 200_000, "the body is shorter than announced");
     assert_eq!(body, content::generate(&fleet.titles[FREE].name, 0, 2, 200_000)[..body.len()]);
-    fleet.set_faults(|a| (a.cut, a.no_ranges) = (0.0, 0.0));
+    fleet.set_faults(|faults| (faults.cut, faults.no_ranges) = (0.0, 0.0));
     assert!(
         is_segment_2(&fleet.get(&target).await.body),
         "a new request of the player gets the whole segment"
@@ -264,7 +271,7 @@
 #[tokio::test]
 async fn bytes_beyond_the_content_length_are_not_relayed() {
     let (fleet, target) = start_with_segment(json!({})).await;
-    fleet.set_faults(|a| a.over_long = 1.0);
+    fleet.set_faults(|faults| faults.over_long = 1.0);
     for _ in 0..5 {
         assert!(is_segment_2(&fleet.get(&target).await.body));
     }
@@ -276,7 +283,7 @@
     let (fleet, target) = start_with_segment(json!({})).await;
     let fetch_range = async |range: &str| {
         let text = format!("GET {target} HTTP/1.1\r\nHost: f\r\nRange: {range}\r\n\r\n");
-        fleet.send_raw(&text).await.expect("an answer comes")
+        fleet.send_raw(&text).await.expect("the front responds")
     };
     let (first, rest) = (fetch_range("bytes=0-99999").await, fetch_range("bytes=100000-").await);
     assert_eq!((first.status, rest.status), (206, 206));
@@ -304,7 +311,7 @@
 #[tokio::test]
 async fn plays_are_declined_once_all_holders_drain() {
     let fleet = TestFleet::start().await;
-    fleet.set_faults(|a| a.silent = true);
+    fleet.set_faults(|faults| faults.silent = true);
     let pending = fleet.send_manifest_request(0, "s", FREE).await;
     fleet.wait_for_observations("a set-up", |seen| set_up_count(seen) == 1).await;
     for server in 0..4 {
@@ -338,10 +345,11 @@
     let fleet = TestFleet::start().await;
     let file = fleet.folder().join("list.json");
     let list_text = std::fs::read_to_string(&file).expect("the list is there");
-    let log_count = |what: &str| {
+    let log_count = |text: &str| {
         let log = fleet.front_log(0);
-        log.matches(what).count()
+        log.matches(text).count()
     };
+    // A truncated list, then one with a negative weight, then a valid one.
     std::fs::write(&file, &list_text[..list_text.len() / 2]).expect("the list is written");
     fleet.wait_until("the front logs the rejected list", || log_count("list not taken") >= 1).await;
     assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 200, "the current list stays in use");
@@ -350,7 +358,7 @@
         .wait_until("the front logs the invalid value", || log_count("servers[0].weight: found -1") >= 1)
         .await;
     fleet.environment.set_listed_state(0, ListedState::Draining { started: 0.0 });
-    fleet.wait_until("the valid list is taken", || log_count("\"draining\":1") >= 1).await;
+    fleet.wait_until("the valid list is loaded", || log_count("\"draining\":1") >= 1).await;
     fleet.assert_rules_kept();
 }
 
--- a/crates/edge/tests/graceful_stop.rs
+++ b/crates/edge/tests/graceful_stop.rs
@@ -27,7 +27,7 @@
 async fn stopping_front_finishes_pending_and_running_plays() {
     let fleet = TestFleet::start().await;
     let manifest = fleet.fetch_manifest("s", FREE).await;
-    fleet.set_faults(|a| a.slow = 60.0);
+    fleet.set_faults(|faults| faults.slow = 60.0);
     let pending_free = fleet.send_manifest_request(0, "waits", FREE).await;
     fleet.wait_for_observations("the set-up of the pending play", |seen| set_up_count(seen) == 2).await;
     send_term_signal(&fleet).await;
@@ -50,7 +50,7 @@
     let mut scenario = base_scenario();
     scenario["limits"] = json!({ "stop_ms": 100 });
     let fleet = TestFleet::start_with(scenario.clone()).await;
-    fleet.set_faults(|a| a.silent = true);
+    fleet.set_faults(|faults| faults.silent = true);
     let pending_free = fleet.send_manifest_request(0, "waits", FREE).await;
     let pending_paid = fleet.send_manifest_request(0, "paid", PAID).await;
     fleet.wait_for_observations("both set-ups", |seen| set_up_count(seen) == 2).await;
--- a/crates/edge/tests/interleaved_events.rs
+++ b/crates/edge/tests/interleaved_events.rs
@@ -24,8 +24,8 @@
 
 /// The rungs of all plays of a product, as the servers know them.
 fn play_rungs(fleet: &TestFleet, product: usize) -> Vec<usize> {
-    let world = fleet.servers.model();
-    let plays = world.servers.iter().flat_map(|s| s.plays.values());
+    let model = fleet.servers.model();
+    let plays = model.servers.iter().flat_map(|s| s.plays.values());
     plays.filter(|p| p.product == product).map(|p| p.rung).collect()
 }
 
@@ -41,17 +41,17 @@
         scenario["products"][product]["first_frame_target_ms"] = json!(10_000);
     }
     let fleet = TestFleet::start_with(scenario).await;
-    // With the response the front learns that the link is free.
+    // The response reports the load of the server, so the front knows that the link has room.
     assert_eq!(fleet.fetch_manifest("first", PAID).await.status, 200);
-    fleet.set_faults(|a| a.slow = 60.0);
-    let low_importance = fleet.send_manifest_request(0, "cheap", FREE).await;
+    fleet.set_faults(|faults| faults.slow = 60.0);
+    let low_importance = fleet.send_manifest_request(0, "low", FREE).await;
     fleet
         .wait_for_observations("the set-up of the free play", |seen| {
             seen.iter().any(|s| matches!(&s.what, Observed::SetUp { rung: 1, product: FREE, .. }))
         })
         .await;
     // The link does not carry both plays on the high rung, and the paid one is worth ten times as much.
-    let high_importance = fleet.send_manifest_request(0, "dear", PAID).await;
+    let high_importance = fleet.send_manifest_request(0, "high", PAID).await;
     assert_eq!((low_importance.response().await.status, high_importance.response().await.status), (200, 200));
     fleet.wait_until("the server knows the lower rung", || play_rungs(&fleet, FREE) == [0]).await;
     fleet.assert_rules_kept();
@@ -65,13 +65,14 @@
     ]);
     let fleet = TestFleet::start_with(scenario).await;
     assert_eq!(fleet.fetch_manifest_up_to("s", FREE, 2).await.status, 200);
-    // A link of 25 kB for a play of 40 kB: the play is stepped down to 20 kB, and its server applies that late.
-    fleet.set_faults(|a| (a.link, a.late_steps_ms) = (0.000_25, 2_500.0));
+    // A link of 25 kB/s for a play of 40 kB/s: the play is stepped down to 20 kB/s, and its server applies that rung change
+    // 2.5 s after reading it.
+    fleet.set_faults(|faults| (faults.link, faults.late_steps_ms) = (0.000_25, 2_500.0));
     fleet
         .wait_until("the server reads a rung change", || fleet.servers.model().servers[0].steps_read == 1)
         .await;
-    // A link of 5 kB: a further rung change would be applied at once.
-    fleet.set_faults(|a| (a.link, a.late_steps_ms) = (0.000_05, 0.0));
+    // A link of 5 kB/s: the play is stepped down again, and its server would apply that rung change at once.
+    fleet.set_faults(|faults| (faults.link, faults.late_steps_ms) = (0.000_05, 0.0));
     let rung_changes = |seen: &[Observation]| -> Vec<usize> {
         let rung = |s: &Observation| match s.what {
             Observed::Rung { rung, .. } => Some(rung),
@@ -90,11 +91,11 @@
     let fleet = TestFleet::start_with(scenario).await;
     assert_eq!(fleet.fetch_manifest_up_to("s", FREE, 1).await.status, 200);
     // The server reads rung changes and does not respond in time; the front abandons each request.
-    fleet.set_faults(|a| (a.link, a.late_steps_ms) = (0.000_15, 3_600_000.0));
+    fleet.set_faults(|faults| (faults.link, faults.late_steps_ms) = (0.000_15, 3_600_000.0));
     fleet
         .wait_until("the server reads a rung change", || fleet.servers.model().servers[0].steps_read >= 1)
         .await;
-    fleet.set_faults(|a| a.late_steps_ms = 0.0);
+    fleet.set_faults(|faults| faults.late_steps_ms = 0.0);
     fleet.wait_until("the server knows the lower rung", || play_rungs(&fleet, FREE) == [0]).await;
 }
 
@@ -138,9 +139,9 @@
     }
 }
 
-/// Gives all servers in the list this address, and waits until the front has taken the list.
-async fn move_servers(fleet: &TestFleet, address: SocketAddr) {
-    let lists_taken = fleet.front_log(0).matches("list taken").count();
+/// Gives all servers in the list this address, and waits until the front has loaded the list.
+async fn set_all_server_addresses(fleet: &TestFleet, address: SocketAddr) {
+    let lists_loaded = fleet.front_log(0).matches("list taken").count();
     let file = fleet.folder().join("list.json");
     let mut list: serde_json::Value =
         serde_json::from_str(&std::fs::read_to_string(&file).expect("the list")).expect("the list is JSON");
@@ -148,7 +149,7 @@
         server["address"] = json!(address);
     }
     replace(&file, list.to_string()).expect("the list is replaced");
-    fleet.wait_for_log("list taken", lists_taken + 1).await;
+    fleet.wait_for_log("list taken", lists_loaded + 1).await;
 }
 
 /// Starts a fleet with one play at a [`ManualServer`]; returns the fleet, the server, the base URL of the play's segments
@@ -159,7 +160,7 @@
     scenario["reads"] = reads;
     let fleet = TestFleet::start_with(scenario).await;
     let mut server = ManualServer::open().await;
-    move_servers(&fleet, server.address).await;
+    set_all_server_addresses(&fleet, server.address).await;
     let pending = fleet.send_manifest_request(0, "s", FREE).await;
     let (mut peer, _) = server.next("POST").await;
     peer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -172,7 +173,7 @@
 /// Sends a request without waiting for its response, and makes sure that the front has read it.
 async fn begin_request(fleet: &TestFleet, target: &str) -> HttpPeer {
     let mut peer = fleet.connect(0).await.expect("a connection");
-    peer.write(get_request(target).as_bytes()).await.expect("the request is taken");
+    peer.write(get_request(target).as_bytes()).await.expect("the request is written");
     assert_eq!(fleet.get("/v1/time").await.status, 200);
     peer
 }
@@ -185,7 +186,7 @@
     let (current, _) = server.next("GET").await;
     let mut queued = begin_request(&fleet, &format!("{base_url}0/2.m4s")).await;
     // The server moves to an address that refuses connections at once, and its current connection is reset.
-    move_servers(&fleet, "127.255.255.255:9".parse().expect("an address")).await;
+    set_all_server_addresses(&fleet, "127.255.255.255:9".parse().expect("an address")).await;
     current.reset();
     for peer in [&mut first, &mut queued] {
         let answer = timeout(MAX_WAIT, peer.read_response()).await.expect("the front responds");
@@ -224,9 +225,10 @@
     }
     fleet.wait_for_log("list not taken", 1).await;
     drop(connections);
-    // The last of the four lists, or one before it, could not be read; no later replacement makes the front read it again.
+    // The front failed to read at least one of the four lists, perhaps the last. The file does not change any more, so the
+    // front must retry by itself.
     fleet.wait_for_log("\"draining\":4", 1).await;
-    assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 503, "no server may take it");
+    assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 503, "all servers drain");
     assert!(fleet.set_up_servers().is_empty());
     fleet.assert_rules_kept();
 }
--- a/crates/edge/tests/keys.rs
+++ b/crates/edge/tests/keys.rs
@@ -52,9 +52,14 @@
     assert!(!log.is_empty() && !log.contains(&valid[..20]), "the log contains a token");
 }
 
-/// Replaces the keys of the portal and of the front by those of the given numbers, and waits until the front has taken or
-/// rejected them.
-async fn replace_keys(fleet: &TestFleet, entry: &[u8], pass: &[u8], revoked: &[&str]) {
+/// Replaces the portal's keys (which sign entry tokens) and the front's keys (which sign session tokens) with those of the
+/// given numbers and the revoked sessions with the given ones, and waits until the front has loaded or rejected them.
+async fn replace_keys(
+    fleet: &TestFleet,
+    portal_key_numbers: &[u8],
+    front_key_numbers: &[u8],
+    revoked: &[&str],
+) {
     let files_read = || {
         fleet.front_log(0).matches("keys taken").count()
             + fleet.front_log(0).matches("keys not taken").count()
@@ -68,19 +73,21 @@
         };
         numbers.iter().map(write_key).collect()
     };
-    let key_set = json!({ "entry": keys("portal", entry), "pass": keys("pass", pass), "revoked": revoked });
+    let key_set = json!({
+        "entry": keys("portal", portal_key_numbers), "pass": keys("pass", front_key_numbers), "revoked": revoked,
+    });
     replace(&fleet.folder().join("keys.json"), key_set.to_string()).expect("keys are replaced");
     fleet.wait_until("the front has read the keys", || files_read() > read_before).await;
 }
 
-/// The secret of a key number.
+/// The secret of the key with this number.
 fn secret(n: u8) -> Vec<u8> {
     vec![b'a' + n; 40]
 }
 
 /// Status of a manifest request whose entry token is signed with a portal key.
-async fn status_with_portal_key(fleet: &TestFleet, key: u8, session: &str) -> u16 {
-    let token = KeyRing::new(&[(format!("portal-{key}"), secret(key))])
+async fn status_with_portal_key(fleet: &TestFleet, key_number: u8, session: &str) -> u16 {
+    let token = KeyRing::new(&[(format!("portal-{key_number}"), secret(key_number))])
         .expect("the key ring is valid")
         .sign(&EntryToken { jti: session.into(), ..entry_token(fleet) });
     fleet.get(&format!("/v1/free/{}/manifest.mpd?token={token}", fleet.titles[FREE].name)).await.status
@@ -128,23 +135,23 @@
     scenario["limits"] = json!({ "keys_poll_ms": 20 });
     let fleet = TestFleet::start_with(scenario).await;
     replace_keys(&fleet, &[2], &[2], &[]).await;
-    let was_refused = |n: usize| fleet.front_log(0).matches("keys not taken").count() == n;
-    // The keys of the portal are valid, those of the front too many: neither is taken.
+    let rejection_count_is = |n: usize| fleet.front_log(0).matches("keys not taken").count() == n;
+    // The keys of the portal are valid, those of the front too many: none of them is loaded.
     replace_keys(&fleet, &[3], &[3, 4, 5, 6], &[]).await;
-    assert!(was_refused(1) && fleet.front_log(0).contains("4 keys"));
+    assert!(rejection_count_is(1) && fleet.front_log(0).contains("4 keys"));
     assert_eq!(
         (status_with_portal_key(&fleet, 3, "a").await, status_with_portal_key(&fleet, 2, "b").await),
         (401, 200)
     );
     std::fs::write(fleet.folder().join("keys.json"), "{ \"entry\": [").expect("half a file is written");
-    fleet.wait_until("the truncated file is rejected", || was_refused(2)).await;
+    fleet.wait_until("the truncated file is rejected", || rejection_count_is(2)).await;
     // A changed secret under a known key id.
     std::fs::write(fleet.folder().join("pass-2.key"), secret(9)).expect("a key is written");
     let changed_secret = json!({
         "entry": [{ "kid": "portal-2", "file": "portal-2.key" }], "pass": [{ "kid": "pass-2", "file": "pass-2.key" }],
     });
     std::fs::write(fleet.folder().join("keys.json"), changed_secret.to_string()).expect("keys are written");
-    fleet.wait_until("the changed secret is rejected", || was_refused(3)).await;
+    fleet.wait_until("the changed secret is rejected", || rejection_count_is(3)).await;
     assert!(fleet.front_log(0).contains("a new secret needs a new id"));
     assert_eq!(status_with_portal_key(&fleet, 2, "c").await, 200);
 }
@@ -157,10 +164,11 @@
     replace_keys(&fleet, &[2], &[2], &[]).await;
     assert_eq!(status_with_portal_key(&fleet, 2, "bad").await, 200);
     assert_eq!(status_with_portal_key(&fleet, 2, "good").await, 200);
-    replace_keys(&fleet, &[2], &[2], &["bad", "later"]).await;
+    // Session `never-played` is revoked before its first request.
+    replace_keys(&fleet, &[2], &[2], &["bad", "never-played"]).await;
     fleet.wait_for_observations("the end of the play at the server", |seen| closed_count(seen) == 1).await;
     assert_eq!(status_with_portal_key(&fleet, 2, "bad").await, 403);
-    assert_eq!(status_with_portal_key(&fleet, 2, "later").await, 403);
+    assert_eq!(status_with_portal_key(&fleet, 2, "never-played").await, 403);
     assert_eq!(status_with_portal_key(&fleet, 2, "good").await, 200);
     assert_eq!(fleet.set_up_servers().len(), 2);
 }
--- a/crates/edge/tests/load_and_tokens.rs
+++ b/crates/edge/tests/load_and_tokens.rs
@@ -29,12 +29,12 @@
     scenario
 }
 
-/// Name of a session whose home is the given one of two fronts.
+/// Id of a session whose home is the given one of two fronts.
 fn session_with_home(front: usize) -> String {
     (0..)
         .map(|n| format!("s{n}"))
-        .find(|name| home_front(name, 2) == front)
-        .expect("each front is the home of half of the names")
+        .find(|session| home_front(session, 2) == front)
+        .expect("each front is the home of half of the sessions")
 }
 
 /// Waits until both fronts know the home of every session.
@@ -50,7 +50,7 @@
 async fn session_at_two_fronts_plays_at_both_if_free_and_at_its_home_if_paid() {
     let fleet = TestFleet::start_with(two_front_scenario()).await;
     wait_for_homes(&fleet).await;
-    fleet.set_faults(|a| a.slow = 20.0);
+    fleet.set_faults(|faults| faults.slow = 20.0);
     // A free session plays at each front; a paid one is redirected to its home.
     let (first, second) = (
         fleet.send_manifest_request(0, "free", FREE).await,
@@ -80,19 +80,19 @@
 async fn paid_play_of_a_killed_front_is_not_set_up_at_another_front() {
     let fleet = TestFleet::start_with(two_front_scenario()).await;
     wait_for_homes(&fleet).await;
-    fleet.set_faults(|a| a.silent = true);
+    fleet.set_faults(|faults| faults.silent = true);
     let (free, paid) = ("s", session_with_home(0));
     let pending =
         [fleet.send_manifest_request(0, free, FREE).await, fleet.send_manifest_request(0, &paid, PAID).await];
     fleet.wait_for_observations("both set-ups are pending", |seen| set_up_count(seen) == 2).await;
     fleet.fronts.kill(0).await;
-    pending.into_iter().for_each(|one| one.leave());
+    pending.into_iter().for_each(|request| request.leave());
     fleet
         .wait_for_observations("servers observe the end of both", |seen| {
             seen.iter().filter(|s| matches!(s.what, Observed::Closed { .. })).count() == 2
         })
         .await;
-    fleet.set_faults(|a| a.silent = false);
+    fleet.set_faults(|faults| faults.silent = false);
     assert_eq!(
         fleet.send_manifest_request(1, free, FREE).await.response().await.status,
         200,
@@ -219,7 +219,7 @@
     let late_manifest = fleet.fetch_manifest("late", FREE).await;
     let quick_manifest = fleet.fetch_manifest("quick", FREE).await;
     // The link is so slow that the segment takes longer than the session token is valid.
-    fleet.set_faults(|a| a.link = 0.002);
+    fleet.set_faults(|faults| faults.link = 0.002);
     let requested_at = Instant::now();
     let segment = fleet.get(&format!("{}0/1.m4s", segment_base_url(&quick_manifest))).await;
     assert!(
@@ -227,7 +227,7 @@
         "the segment took longer than the session token is valid"
     );
     assert!(content::parse(&segment.body).is_some_and(|c| c.intact), "a segment that was begun is completed");
-    fleet.set_faults(|a| a.link = 1.0);
+    fleet.set_faults(|faults| faults.link = 1.0);
     let first = fleet.get(&format!("{}0/1.m4s", segment_base_url(&late_manifest))).await;
     assert_eq!(first.status, 410, "{}", body_text(&first));
     // The entry token is still valid: it gets the same play with a new session token.
@@ -246,7 +246,7 @@
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind((address, 0).into()).expect("every address in 127/8 is local");
     let mut peer = HttpPeer::new(socket.connect(fleet.front_addresses[0]).await.expect("a connection"));
-    peer.write(get_request(target).as_bytes()).await.expect("the request is taken");
+    peer.write(get_request(target).as_bytes()).await.expect("the request is written");
     peer.read_response().await.expect("an answer").expect("an answer").status
 }
 
@@ -259,7 +259,7 @@
     assert_eq!(fetch_status_from([127, 0, 0, 1], &fleet, &target).await, 200);
     assert_eq!(fetch_status_from([127, 0, 0, 2], &fleet, &target).await, 403);
     // At the same address, a shared session token is limited to the parallel fetches of one viewer.
-    fleet.set_faults(|a| a.stall = 1.0);
+    fleet.set_faults(|faults| faults.stall = 1.0);
     let peers = [fleet.connect(0).await.unwrap(), fleet.connect(0).await.unwrap()];
     for mut peer in peers {
         peer.write(get_request(&target).as_bytes()).await.unwrap();
--- a/crates/edge/tests/many_fronts.rs
+++ b/crates/edge/tests/many_fronts.rs
@@ -46,7 +46,7 @@
     server_names(status, |s| s["doubted"] == true)
 }
 
-/// The pace of each front towards server 0, as reported in its status.
+/// Pace of each front for server 0 as reported in its status, as a multiple of its own part of the budget.
 fn paces(fleet: &TestFleet, fronts: std::ops::Range<usize>) -> Vec<f64> {
     fronts.map(|front| query_status(fleet, front)["servers"][0]["pace"].as_f64().expect("a pace")).collect()
 }
@@ -60,13 +60,15 @@
     sleep(Duration::from_secs_f64(lend_ms * 1.1 / 1000.0)).await;
 }
 
-// ---- 1: the shared budget for a cold server ----
+// ---- the shared budget for a cold server ----
 
 const STREAMS: u32 = 500;
 const COLD_MS: f64 = 9_000.0;
 
-/// Set-ups that all fronts together may send a cold server from `from` to `to`, in ms after its start: the pace at the end
-/// of the window over its length, and one play for each front that had its turn.
+/// Maximum number of set-ups that all fronts together may send a cold server from `from` to `to`, in ms after its start: the
+/// pace at the end of the window times its length, plus one play for each front. The factors of the pace are `cold_from`
+/// (0.3, which rises to 1 during the warm-up), `overload_factor` (2.5) and the share of the overload that all fronts
+/// together use (0.6, `PACED_SHARE` in `src/logic/pace.rs`).
 fn max_set_ups(fronts: usize, from: f64, to: f64) -> f64 {
     let pace =
         |at: f64| f64::from(STREAMS) / COLD_MS * (0.3 + 0.7 * (at / COLD_MS).clamp(0.0, 1.0)) * 2.5 * 0.6;
@@ -87,12 +89,13 @@
     let relays = fleet.fronts.relays.clone().expect("the fronts share state");
     fleet.environment.restart(0);
     let restarted_at = fleet.recorder.now();
-    // Many plays at two fronts: the other fronts lend them their parts.
+    // Many plays at two fronts: the other fronts lend them parts of their budgets.
     let mut pending = send_play_requests(&fleet, "first", &[0, 1], 120).await;
-    wait_until("parts are lent", || paces(&fleet, 0..2).iter().all(|p| *p > 1.5)).await;
+    wait_until("parts of the budget are lent", || paces(&fleet, 0..2).iter().all(|p| *p > 1.5)).await;
     let lent_paces = paces(&fleet, 2..8);
     assert!(lent_paces.iter().all(|p| (0.25..1.0).contains(p)), "{lent_paces:?}");
-    // Front 0 is split from the others; then messages are lost and half of the fronts are killed and restarted.
+    // Front 0 is split from the others. Then the links open again, except that from front 3 to front 0, and lose, duplicate
+    // and delay messages, and half of the fronts are killed and restarted.
     relays.split(|front| front == 0);
     wait_until("front 0 has only its own part", || paces(&fleet, 0..1) == [1.0]).await;
     let split_at_ms = fleet.recorder.now();
@@ -130,8 +133,9 @@
     fleet.assert_rules_kept();
 }
 
-// ---- 2: doubted servers ----
+// ---- doubted servers and zones inferred lost ----
 
+/// Two fronts that cannot reach a server are fewer than the three (`MIN_AGREEING`) whose reports are needed to doubt it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
 async fn server_failing_at_two_fronts_is_doubted_by_no_front() {
     let _exclusive = sharing::exclusive_run().await;
@@ -163,21 +167,22 @@
         (5..8).map(|front| FakeFront::start(&fleet, front, "here", FakeFront::report_all_failing)).collect();
     wait_until_all_heard(&fleet, 5, 0.0).await;
     run_plays(&fleet, "a", &[0, 1, 2, 3, 4], 30).await;
-    // By then each front has heard of the successes of the others.
-    let messages_taken = |f| query_status(&fleet, f)["exchange"]["taken"].as_u64().unwrap_or(0);
-    let taken_before: Vec<u64> = (0..5).map(messages_taken).collect();
+    // After 24 more messages each front has received the successes of the others.
+    let accepted_messages = |f| query_status(&fleet, f)["exchange"]["taken"].as_u64().unwrap_or(0);
+    let accepted_before: Vec<u64> = (0..5).map(accepted_messages).collect();
     wait_until("reports of the successes have been exchanged", || {
-        (0..5).all(|f| messages_taken(f) >= taken_before[f] + 24)
+        (0..5).all(|f| accepted_messages(f) >= accepted_before[f] + 24)
     })
     .await;
-    let doubting_none = (0..5).filter(|f| doubted_servers(&query_status(&fleet, *f)).is_empty()).count();
-    assert_eq!(doubting_none, 5, "the successes of others outvote the false reports");
+    let fronts_without_doubts =
+        (0..5).filter(|f| doubted_servers(&query_status(&fleet, *f)).is_empty()).count();
+    assert_eq!(fronts_without_doubts, 5, "the successes of others outvote the false reports");
     wait_until("the reports of the real fronts are old", || {
         doubted_servers(&query_status(&fleet, 0)).len() == 2
     })
     .await;
     let doubted = doubted_servers(&query_status(&fleet, 0));
-    // A quarter of eight servers of equal size; titles have four holders.
+    // At most a quarter of the total link capacity may be doubted because of reports: two of eight equal servers.
     assert_eq!(doubted.len(), 2);
     let mut n = 0;
     while doubted_servers(&query_status(&fleet, 0)).iter().any(|s| doubted.contains(s)) {
@@ -230,7 +235,7 @@
     fleet.assert_rules_kept();
 }
 
-// ---- 3: a lost zone ----
+// ---- time-outs when a zone is lost ----
 
 /// Number of time-outs of each front while half of the servers, one of two zones, do not respond.
 async fn count_time_outs(is_sharing: bool) -> Vec<usize> {
@@ -248,7 +253,7 @@
     if is_sharing {
         wait_until_all_heard(&fleet, 6, 0.0).await;
     }
-    // At its start a front takes its list for old and all servers on it for cold: wait until they are warm.
+    // A front treats its first list as possibly out of date and all servers in it as cold: wait for the 3 s of `cold_ms`.
     sleep(Duration::from_millis(3_000)).await;
     run_plays(&fleet, "a", &[0, 1, 2, 3, 4, 5], 6).await;
     for server in [1, 3, 5, 7] {
@@ -274,7 +279,7 @@
     );
 }
 
-// ---- 5: estimates of what other holders would have taken ----
+// ---- estimates of the set-up time at other holders ----
 
 /// Runs 512 plays at eight fronts with server `m1` slower by `slower_ms`; returns the estimates that each front reports.
 async fn run_estimates(slower_ms: f64) -> (TestFleet, Vec<Value>) {
--- a/crates/edge/tests/retry_amplification.rs
+++ b/crates/edge/tests/retry_amplification.rs
@@ -1,6 +1,6 @@
-//! The maximum load that one play can cause, with every layer that retries provoked at once: players that request twice and
-//! come back, fronts that hold the same session, further allocations by the placement, and resumed reads of segments.
-//! Counted on the servers' sockets. `docs/review-of-parts.md` has the table of the maxima that this checks.
+//! The maximum number of set-ups and segment reads that one play can cause, with each layer made to retry: players that
+//! request twice and come back, fronts that hold the same session, further allocations of the placement logic, and resumed
+//! reads of segments. Both are counted at the servers. `docs/review-of-parts.md` has the table of the maxima that this checks.
 
 mod test_fleet;
 
@@ -26,8 +26,8 @@
     fleet.servers.model().servers.iter().map(|s| s.segments_read).sum()
 }
 
-/// Requests a session four times at once at each of two fronts and, after the responses, twice more at each; returns all
-/// statuses.
+/// Requests the manifest of a session four times concurrently at each of two fronts and, after the responses, twice more at
+/// each, one after the other; returns the 12 statuses.
 async fn request_repeatedly(fleet: &TestFleet, session: &str, product: usize) -> Vec<u16> {
     let mut pending = Vec::new();
     for n in 0..8 {
@@ -56,8 +56,8 @@
             .wait_until("the front knows the homes", || fleet.front_log(front).contains("homes taken"))
             .await;
     }
-    fleet.set_faults(|a| a.errors = 1.0);
-    // A free play: at each requested front, as many set-ups as the placement may make.
+    fleet.set_faults(|faults| faults.errors = 1.0);
+    // A free play: at each requested front, as many set-ups as the setting `allocations` permits.
     let statuses = request_repeatedly(&fleet, "free", FREE).await;
     assert!(statuses.iter().all(|status| *status == 503), "{statuses:?}");
     assert_eq!(session_set_ups(&fleet, "free"), 2 * ALLOCATIONS);
@@ -66,10 +66,10 @@
     assert!(statuses.iter().all(|status| [307, 502].contains(status)), "{statuses:?}");
     assert_eq!(session_set_ups(&fleet, "paid"), 1);
     // A running play whose server then sends half of every segment.
-    fleet.set_faults(|a| (a.errors, a.cut) = (0.0, 1.0));
+    fleet.set_faults(|faults| (faults.errors, faults.cut) = (0.0, 1.0));
     let manifest = fleet.fetch_manifest("plays", FREE).await;
     let reads_before = total_segments_read(&fleet);
-    for asked in 1..=3 {
+    for request_count in 1..=3 {
         assert!(
             fleet
                 .send_raw(&test_fleet::get_request(&format!("{}0/1.m4s", segment_base_url(&manifest))))
@@ -79,8 +79,8 @@
         );
         assert_eq!(
             total_segments_read(&fleet) - reads_before,
-            asked * READ_TRIES,
-            "reads of one segment, requested {asked} times"
+            request_count * READ_TRIES,
+            "reads of one segment, requested {request_count} times"
         );
         assert_eq!(fleet.fetch_manifest("plays", FREE).await.status, 200, "the manifest is still served");
     }
@@ -92,8 +92,8 @@
     fleet.assert_rules_kept();
 }
 
-/// The placement alone chooses: the reads of a play go only to the server of its set-up, on the rung of the set-up or a
-/// lower one, for its own title and product.
+/// Reads of a play go only to the server that the placement logic chose for its set-up, on the rung of the set-up or a lower
+/// one, and for its title and product.
 #[tokio::test]
 async fn reads_use_the_server_rung_and_title_of_the_set_up() {
     let fleet = TestFleet::start().await;
@@ -121,11 +121,11 @@
                 _ => None,
             })
             .expect("the play was set up");
-        for asked in 0..2 {
-            let segment = fleet.get(&format!("{}{asked}/1.m4s", segment_base_url(&manifest))).await;
+        for requested_rung in 0..2 {
+            let segment = fleet.get(&format!("{}{requested_rung}/1.m4s", segment_base_url(&manifest))).await;
             let content = pulleystair_fake_servers::content::parse(&segment.body).expect("a segment");
             assert!(content.intact && content.title == fleet.titles[product].name);
-            assert_eq!(content.rung, asked.min(rung));
+            assert_eq!(content.rung, requested_rung.min(rung));
         }
         let reads_after: Vec<usize> = fleet.servers.model().servers.iter().map(|s| s.segments_read).collect();
         let other_servers_read =
--- a/crates/edge/tests/rollout.rs
+++ b/crates/edge/tests/rollout.rs
@@ -19,7 +19,7 @@
 const EDGE: &str = env!("CARGO_BIN_EXE_pulleystair-edge");
 
 /// The wall clock in ms since the epoch, rounded down to a second.
-fn wall_clock_ms() -> f64 {
+fn wall_clock_whole_second_ms() -> f64 {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     now.expect("a clock").as_secs_f64().floor() * 1000.0
 }
@@ -47,7 +47,7 @@
     }
 }
 
-/// Appends a version with these sections to the chain: fronts may take it from `from_ms` on and must have it by `by_ms`.
+/// Appends a version with these sections to the chain: fronts may use it from `from_ms` on and must use it by `by_ms`.
 fn approve(folder: &Path, sections: Sections, from_ms: f64, by_ms: f64) {
     let mut chain = chain(folder);
     let head = chain.head();
@@ -74,7 +74,7 @@
     scenario["sharing"]["stricter"] = json!(stricter);
     TestFleet::start_first(scenario, Program::edge(EDGE.into()), count, |_, folder| {
         // The configuration loads only if the file exists.
-        let approved_at = wall_clock_ms() - 60_000.0;
+        let approved_at = wall_clock_whole_second_ms() - 60_000.0;
         std::fs::write(folder.join("approved.jsonl"), "").expect("the empty chain is written");
         approve(folder, sections(folder, 0), approved_at, approved_at);
     })
@@ -133,11 +133,16 @@
     assert!(text.contains("1 adrift, 5 in step") && text.contains(r#"policy is "of last year""#), "{text}");
 
     // Version 2 is approved, and all but front 3 are signalled to read it.
-    let deadline_ms = wall_clock_ms() + 4_000.0;
+    let deadline_ms = wall_clock_whole_second_ms() + 4_000.0;
     let new_file = fleet.folder().join("front-9.json");
     std::fs::copy(fleet.folder().join("front-0.json"), &new_file).expect("the configuration is copied");
     change_front_config(fleet.folder(), 9, change_to_version_2);
-    approve(fleet.folder(), sections(fleet.folder(), 9), wall_clock_ms() - 30_000.0, deadline_ms);
+    approve(
+        fleet.folder(),
+        sections(fleet.folder(), 9),
+        wall_clock_whole_second_ms() - 30_000.0,
+        deadline_ms,
+    );
     for front in [0, 1, 2, 5] {
         fleet.signal(front, "-HUP").await;
     }
@@ -155,7 +160,7 @@
         "front 4 is adrift from both versions"
     );
 
-    // Fronts 1 and 5 take version 2; front 2 takes half of its changes.
+    // Fronts 1 and 5 are configured for version 2; front 2 gets half of its changes.
     for front in [1, 5] {
         change_front_config(fleet.folder(), front, change_to_version_2);
     }
@@ -164,13 +169,13 @@
     fleet.restart(2).await;
     fleet.fronts.kill(5).await;
     fleet.fronts.start(5).await.expect("the front starts again");
-    wait_until("the stage of version 2 has ended", || wall_clock_ms() > deadline_ms).await;
+    wait_until("the stage of version 2 has ended", || wall_clock_whole_second_ms() > deadline_ms).await;
     wait_for_verdicts(&fleet, 1, &["behind", "in_step", "torn", "behind", "adrift", "in_step"]).await;
     let relays = fleet.fronts.relays.clone().expect("the fronts share state");
     relays.split(|front| front == 5);
     wait_for_verdicts(&fleet, 1, &["behind", "in_step", "torn", "behind", "adrift", "unheard"]).await;
 
-    // The split is healed and all fronts take version 2: all are in step.
+    // The split ends and all fronts are configured for version 2: all are in step.
     relays.restore();
     drop(old_front);
     for front in [0, 2, 3, 4] {
@@ -198,7 +203,12 @@
     set_value(&mut stricter, "rules", "overload_factor", json!(9.0));
     set_value(&mut stricter, "floors", "paid", json!(1));
     let original = sections(fleet.folder(), 0);
-    approve(fleet.folder(), stricter, wall_clock_ms() - 30_000.0, wall_clock_ms() - 30_000.0);
+    approve(
+        fleet.folder(),
+        stricter,
+        wall_clock_whole_second_ms() - 30_000.0,
+        wall_clock_whole_second_ms() - 30_000.0,
+    );
     fleet.signal(0, "-HUP").await;
     fleet.wait_for_log("goes by the stricter figure", 2).await;
     let log = fleet.front_log(0);
@@ -219,7 +229,12 @@
     fleet.wait_for_log("approved version not taken", 1).await;
     replace_approved(&valid);
     // A third version with the content of the first: the front is in step, so its own values are in use again.
-    approve(fleet.folder(), original, wall_clock_ms() - 20_000.0, wall_clock_ms() - 20_000.0);
+    approve(
+        fleet.folder(),
+        original,
+        wall_clock_whole_second_ms() - 20_000.0,
+        wall_clock_whole_second_ms() - 20_000.0,
+    );
     fleet.signal(0, "-HUP").await;
     fleet.wait_for_log("goes by its own figure again", 2).await;
     wait_for_verdicts(&fleet, 0, &["in_step"]).await;
@@ -237,9 +252,9 @@
 #[test_case(|config| config["fleet"]["listen"] = json!("192.0.2.1:1"), leave_files, "fleet.listen: 192.0.2.1:1 can't be had"; "a foreign listen address")]
 #[test_case(|config| config["sharing"]["approved"] = json!("nowhere"), leave_files, "sharing.approved"; "a missing version file")]
 #[test_case(|_| {}, |folder| std::fs::write(folder.join("approved.jsonl"), "{").expect("written"), "line 1"; "versions that do not parse")]
-#[test_case(|_| {}, remove_parent, "parent: missing"; "a version without a parent")]
-#[test_case(|_| {}, set_past_stage, "lies in the past"; "a version that starts in the past")]
-#[test_case(|_| {}, set_invalid_rule, "version 2: rules.cold_from: 7"; "a version with an invalid value")]
+#[test_case(|_| {}, append_version_without_parent, "parent: missing"; "a version without a parent")]
+#[test_case(|_| {}, append_version_with_early_stage, "lies in the past"; "a version whose stage starts before its approval")]
+#[test_case(|_| {}, append_version_with_invalid_rule, "version 2: rules.cold_from: 7"; "a version with an invalid value")]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn invalid_configuration_fails_the_start_with_path_and_cause(
     change: fn(&mut Value),
@@ -255,26 +270,26 @@
     assert!(!output.status.success() && text.contains(cause), "{cause}: {text}");
 }
 
-/// Approves version 2 and then rewrites it, changed, without the checks of the chain.
+/// Appends version 2 to the chain, changes it and writes the chain again without validation.
 fn append_changed_version(folder: &Path, change: impl FnOnce(&mut ApprovedVersion)) {
-    approve(folder, sections(folder, 0), wall_clock_ms(), wall_clock_ms());
+    approve(folder, sections(folder, 0), wall_clock_whole_second_ms(), wall_clock_whole_second_ms());
     let mut second = chain(folder).documents[1].clone();
     change(&mut second);
     let text = chain(folder).documents[0].line() + &second.line();
     std::fs::write(folder.join("approved.jsonl"), text).expect("the chain is written");
 }
 
-/// Approves a version 2 without a parent.
-fn remove_parent(folder: &Path) {
+/// Appends a version 2 without the digest of its parent, unvalidated.
+fn append_version_without_parent(folder: &Path) {
     append_changed_version(folder, |d| d.parent = None);
 }
 
-/// Approves a version 2 whose stage lies in the past.
-fn set_past_stage(folder: &Path) {
+/// Appends a version 2 whose stage starts before the version was approved, unvalidated.
+fn append_version_with_early_stage(folder: &Path) {
     append_changed_version(folder, |d| d.stages[0].from_ms = 1.0);
 }
 
-/// Approves a version 2 with an invalid value of a rule.
-fn set_invalid_rule(folder: &Path) {
+/// Appends a version 2 with an invalid value of a rule, unvalidated.
+fn append_version_with_invalid_rule(folder: &Path) {
     append_changed_version(folder, |d| set_value(&mut d.sections, "rules", "cold_from", json!(7)));
 }
--- a/crates/edge/tests/rule_violations.rs
+++ b/crates/edge/tests/rule_violations.rs
@@ -1,6 +1,6 @@
 //! Fronts that break a rule on purpose, one for each rule: the real front, with another configuration than the one that
-//! the rules are checked against. By the observations of its players and servers the checker must find that it breaks
-//! that rule and no other; a checker that passes one of them is useless.
+//! the rules are checked against. From the observations of its players and servers, the checker must find that the front
+//! breaks that rule and no other; a checker that finds no breach in one of these runs is useless.
 
 mod test_fleet;
 
@@ -14,7 +14,8 @@
 const FREE: usize = 0;
 const PAID: usize = 1;
 
-/// Starts a fleet whose front reads a configuration that was changed by a sed script, unlike the scenario.
+/// Starts a fleet whose front reads a configuration that a sed script has changed; the rules are checked against the
+/// unchanged scenario. `$last` is the last argument, the path of the configuration file.
 async fn start_with_changed_config(scenario: Value, sed_script: &str) -> TestFleet {
     TestFleet::start_with_shell_prefix(
         scenario,
@@ -28,15 +29,15 @@
     let fleet =
         start_with_changed_config(base_scenario(), "s/\"time_limit_ms\": 1500/\"time_limit_ms\": 3000/")
             .await;
-    fleet.set_faults(|a| a.silent = true);
+    fleet.set_faults(|faults| faults.silent = true);
     fleet.fetch_manifest("s", FREE).await;
     fleet
 }
 
-/// Rule 2: the front takes the paid product for one that may be set up again.
+/// Rule 2: the front treats the paid product as one that may be set up again.
 async fn run_paid_retry() -> TestFleet {
     let fleet = start_with_changed_config(base_scenario(), "s/\"non_idempotent\"/\"read_like\"/").await;
-    fleet.set_faults(|a| a.errors = 1.0);
+    fleet.set_faults(|faults| faults.errors = 1.0);
     fleet.fetch_manifest("s", PAID).await;
     fleet
 }
@@ -50,13 +51,13 @@
     for server in 0..4 {
         fleet.environment.set_listed_state(server, ListedState::Draining { started: 0.0 });
     }
-    // The drain grace of the rule, and the delay that it allows for observations.
+    // By then the rule's drain grace (400 ms) and the checker's tolerance (150 ms) have passed.
     tokio::time::sleep(Duration::from_millis(700)).await;
     fleet.fetch_manifest("s", FREE).await;
     fleet
 }
 
-/// Rule 4: the front takes cold servers for warm after 1 ms.
+/// Rule 4: the front treats cold servers as warm after 1 ms.
 async fn run_cold_overload() -> TestFleet {
     let mut scenario = base_scenario();
     scenario["fleet"]["streams"] = json!(24);
@@ -66,13 +67,14 @@
         fleet.environment.restart(server);
     }
     fleet.wait_for_log("list taken", 2).await;
-    // The checker allows a front this time to read the list.
+    // The front may not have read the last of the four lists yet. The checker allows 100 ms for reading a list and adds a
+    // tolerance of 150 ms.
     tokio::time::sleep(Duration::from_millis(300)).await;
     fleet.count_concurrent_plays(100, FREE).await;
     fleet
 }
 
-/// Rule 5: the front does not know the floor of the free product.
+/// Rule 5: the front is configured without the minimum rung (`floor`) of the free product.
 async fn run_below_rung_floor() -> TestFleet {
     let mut scenario = base_scenario();
     scenario["fleet"]["link_kb"] = json!(15.0);
@@ -87,7 +89,7 @@
     let mut scenario = base_scenario();
     scenario["rules"]["budget"] = json!({ "span_ms": 5000, "share": 0, "free": 0 });
     let fleet = start_with_changed_config(scenario, "s/\"free\": 0/\"free\": 50/").await;
-    fleet.set_faults(|a| a.errors = 1.0);
+    fleet.set_faults(|faults| faults.errors = 1.0);
     fleet.fetch_manifest("s", FREE).await;
     fleet
 }
@@ -115,7 +117,7 @@
     write_history(&history, &format!("broken-{rule}"));
 }
 
-/// Writes the history to the folder that `PULLEYSTAIR_HISTORIES` names, if it is set; the files are kept in
+/// Writes the history to the folder that `PULLEYSTAIR_HISTORIES` names, if it is set; the committed copies are in
 /// `crates/rule-checker/histories`.
 fn write_history(history: &pulleystair_rule_checker::history::History, name: &str) {
     if let Some(folder) = std::env::var_os("PULLEYSTAIR_HISTORIES") {
@@ -128,11 +130,11 @@
 #[tokio::test]
 async fn front_killed_during_a_paid_set_up_breaks_no_rule() {
     let mut fleet = TestFleet::start().await;
-    fleet.set_faults(|a| a.errors = 0.5);
+    fleet.set_faults(|faults| faults.errors = 0.5);
     for i in 0..10 {
         fleet.fetch_manifest(&format!("before-{i}"), i % 2).await;
     }
-    fleet.set_faults(|a| (a.silent, a.errors) = (true, 0.0));
+    fleet.set_faults(|faults| (faults.silent, faults.errors) = (true, 0.0));
     let pending = fleet.send_manifest_request(0, "out", PAID).await;
     fleet
         .wait_for_observations(
@@ -142,7 +144,7 @@
         .await;
     fleet.restart(0).await;
     fleet.recorder.record(pending.connection_lost());
-    fleet.set_faults(|a| a.silent = false);
+    fleet.set_faults(|faults| faults.silent = false);
     for i in 0..10 {
         fleet.fetch_manifest(&format!("after-{i}"), i % 2).await;
     }
--- a/crates/edge/tests/scenario_runs.rs
+++ b/crates/edge/tests/scenario_runs.rs
@@ -10,7 +10,8 @@
 use std::path::Path;
 use test_case::test_case;
 
-/// The long example scenario `dash-day.jsonnet`, shortened to 7 s with two fronts.
+/// The long example scenario `dash-day.jsonnet`, shortened to 7 s with two fronts, titles of 2 to 4 s and segments of
+/// 500 ms. Times and lengths of faults are divided by 7, and keys and certificates are replaced three times instead of six.
 fn short_scenario(seed: u64) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/dash-day.jsonnet");
     let mut scenario = serde_json::to_value(Scenario::load(&file).expect("the scenario parses"))
@@ -60,16 +61,16 @@
         result = run_once(&scenario).await;
     }
     let count = |is: fn(&Observed) -> bool| result.observations.iter().filter(|s| is(&s.what)).count();
-    let (asked, set_up) =
+    let (requested, set_up) =
         (count(|w| matches!(w, Observed::Asked { .. })), count(|w| matches!(w, Observed::SetUp { .. })));
     let fetched = count(|w| matches!(w, Observed::Fetched { .. }));
     assert!(
-        asked > 50 && set_up > 30 && fetched > 50,
-        "{asked} requests, {set_up} set-ups, {fetched} segments"
+        requested > 50 && set_up > 30 && fetched > 50,
+        "{requested} requests, {set_up} set-ups, {fetched} segments"
     );
     assert!(result.breaches.is_empty(), "{:.0} ms late: {:?}", result.lateness_ms, result.breaches);
     assert!(result.coverage.further_allocations > 0 && result.coverage.drains > 0, "{:?}", result.coverage);
-    // `PULLEYSTAIR_HISTORIES` names a folder for the history; the files are kept in `crates/rule-checker/histories`.
+    // `PULLEYSTAIR_HISTORIES` names a folder for the history; the committed copies are in `crates/rule-checker/histories`.
     if let Some(folder) = std::env::var_os("PULLEYSTAIR_HISTORIES") {
         let description = format!("a short bad day under TLS, two fronts, seed {seed}");
         let text = History::new(&description, &[], scenario.rule_params(), result.observations)
--- a/crates/edge/tests/sharing/mod.rs
+++ b/crates/edge/tests/sharing/mod.rs
@@ -20,7 +20,8 @@
 /// Time after which a wait fails. It only bounds a hang: no awaited event takes this long on any machine.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// Guard that lets only one fleet of processes run at a time, so that none is slowed down by a lack of cores.
+/// Guard that lets only one fleet of processes of this test program run at a time, so that none is slowed down by a lack
+/// of cores. Where each test runs in a process of its own (as with nextest), it has no effect.
 pub async fn exclusive_run() -> tokio::sync::MutexGuard<'static, ()> {
     static FLEET: tokio::sync::Mutex<()> = tokio::sync::Mutex::const_new(());
     FLEET.lock().await
@@ -98,7 +99,7 @@
     requests
 }
 
-/// Like [`send_play_requests`], and waits for all responses.
+/// Like [`send_play_requests`], but waits for all responses.
 pub async fn run_plays(fleet: &TestFleet, session_prefix: &str, fronts: &[usize], count: usize) {
     for pending in send_play_requests(fleet, session_prefix, fronts, count).await {
         pending.response().await;
@@ -146,7 +147,8 @@
     change_json(&folder.join(format!("front-{front}.json")), change);
 }
 
-/// Gives a front a server list of its own, `list-N.json`, in which some servers have another address.
+/// Gives a front a server list of its own, `list-N.json`, in which some servers, given by number, have another address.
+/// The front reads the file's name when it starts.
 pub fn override_server_addresses(
     _testbed: &Testbed,
     folder: &Path,
@@ -164,7 +166,7 @@
     change_front_config(folder, front, |config| config["list"] = json!(list_name));
 }
 
-/// Replaces the front's own list by the common one.
+/// Replaces the front's own list, written by [`override_server_addresses`], with a copy of the common one.
 pub fn restore_server_addresses(fleet: &TestFleet, front: usize) {
     let text = std::fs::read(fleet.folder().join("list.json")).expect("the common list is readable");
     pulleystair_fake_servers::files::replace(&fleet.folder().join(format!("list-{front}.json")), text)
@@ -183,14 +185,15 @@
 }
 
 impl FakeFront {
-    /// Reports a timed-out allocation for each of the servers `m0` to `m7`.
+    /// Action for [`FakeFront::start`]: records a timed-out allocation for each of the servers `m0` to `m7`, whatever they
+    /// do.
     pub fn report_all_failing(member: &mut FleetMember, now: f64) {
         (0..8).for_each(|server| {
             member.on_result(now, stable_id(&format!("m{server}")), AllocationResult::TimedOut)
         });
     }
 
-    /// Like [`FakeFront::start_with`], for an action without state.
+    /// Like [`FakeFront::start_with`], for a function that captures no state.
     pub fn start(
         fleet: &TestFleet,
         front: usize,
--- a/crates/edge/tests/test_fleet/mod.rs
+++ b/crates/edge/tests/test_fleet/mod.rs
@@ -84,7 +84,8 @@
         TestFleet::start_program(scenario, Program::edge(env!("CARGO_BIN_EXE_pulleystair-edge").into())).await
     }
 
-    /// Starts all fronts by a shell that runs `shell_prefix` first, which limits their resources or changes their files.
+    /// Starts all fronts by a shell that first runs `shell_prefix`, which limits their resources or changes their files.
+    /// The shell's arguments are those of the front; the last one is the path of its configuration file.
     pub async fn start_with_shell_prefix(scenario: Value, shell_prefix: &str) -> TestFleet {
         let edge = Program::edge(env!("CARGO_BIN_EXE_pulleystair-edge").into());
         let mut arguments = vec!["-c".to_string(), format!("{shell_prefix}; exec \"$0\" \"$@\"")];
@@ -156,8 +157,8 @@
         others.for_each(|(_, s)| change(&mut s.faults));
     }
 
-    /// Signed entry token for a product and the title of the same index (its only title in the base scenario), for rungs up
-    /// to 1.
+    /// Signed entry token for a product, for rungs up to 1. The index of the product also serves as the index of its title:
+    /// in the base scenario each product has one title, and both are in the same order.
     pub fn entry_token(&self, session: &str, product: usize) -> String {
         self.entry_token_up_to(session, product, 1)
     }
@@ -174,7 +175,8 @@
         })
     }
 
-    /// Request target of the manifest, for a session of a product and the title of the same index.
+    /// Request target of the manifest, for a session of a product and the title of the same index (see
+    /// [`TestFleet::entry_token`]).
     pub fn manifest_target(&self, session: &str, product: usize) -> String {
         let (product_name, title_name) = (&self.scenario.products[product].name, &self.titles[product].name);
         address::manifest_path(product_name, title_name, &self.entry_token(session, product))
@@ -196,7 +198,7 @@
         self.write_manifest_request(front, session, title, &target).await
     }
 
-    /// Writes a manifest request on a new connection and records it as asked.
+    /// Writes a manifest request for `target` on a new connection, and records it as [`Observed::Asked`] for the title.
     async fn write_manifest_request(
         &self,
         front: usize,
@@ -215,17 +217,19 @@
             title: title_entry.name.clone(),
             top: 1,
         });
-        peer.write(get_request(target).as_bytes()).await.expect("the request is taken");
-        PendingRequest { peer, request, log: self.recorder.clone() }
+        peer.write(get_request(target).as_bytes()).await.expect("the request is written");
+        PendingRequest { peer, request, recorder: self.recorder.clone() }
     }
 
-    /// Sends a manifest request of a session to a front; [`PendingRequest::response`] waits for the response.
+    /// Sends a manifest request of a session to a front, for the title of the product's index;
+    /// [`PendingRequest::response`] waits for the response.
     pub async fn send_manifest_request(&self, front: usize, session: &str, product: usize) -> PendingRequest {
         let target = self.manifest_target(session, product);
         self.write_manifest_request(front, session, product, &target).await
     }
 
-    /// Requests a play of up to `max_rung`, without recording the request.
+    /// Requests a manifest for rungs up to `max_rung` from front 0 and waits for the response. The request is not recorded,
+    /// so the rules are not checked on it.
     pub async fn fetch_manifest_up_to(&self, session: &str, product: usize, max_rung: usize) -> Message {
         let (product_name, title_name) = (&self.scenario.products[product].name, &self.titles[product].name);
         self.get(&address::manifest_path(
@@ -254,13 +258,14 @@
         played
     }
 
-    /// Restarts all servers cold, one after the other, and waits each time until front 0 has taken the list that says so.
+    /// Restarts all servers cold, one after the other, and waits after each until front 0 has loaded the list with the new
+    /// start time.
     pub async fn restart_all_servers_cold(&self) {
         for server in 0..self.scenario.fleet.servers {
-            let lists_taken = self.front_log(0).matches("list taken").count();
+            let lists_loaded = self.front_log(0).matches("list taken").count();
             self.servers.stop(server);
             self.environment.restart(server);
-            self.wait_for_log("list taken", lists_taken + 1).await;
+            self.wait_for_log("list taken", lists_loaded + 1).await;
         }
     }
 
@@ -278,9 +283,9 @@
         std::fs::read_to_string(self.folder().join(format!("front-{front}.log"))).unwrap_or_default()
     }
 
-    /// Waits until the log of front 0 contains a text `times` times.
-    pub async fn wait_for_log(&self, what: &str, times: usize) {
-        self.wait_until(what, || self.front_log(0).matches(what).count() >= times).await;
+    /// Waits until the log of front 0 contains a text at least `times` times.
+    pub async fn wait_for_log(&self, text: &str, times: usize) {
+        self.wait_until(text, || self.front_log(0).matches(text).count() >= times).await;
     }
 
     /// Sends a GET request to front 0 on a new connection; returns the response.
@@ -303,7 +308,7 @@
         self.wait_until(what, || is_seen(&self.recorder.observations())).await;
     }
 
-    /// Polls a condition until it holds, for at most [`MAX_WAIT`].
+    /// Polls a condition until it holds, for at most [`MAX_WAIT`]; `what` names it in the panic message.
     pub async fn wait_until(&self, what: &str, condition: impl Fn() -> bool) {
         let start = Instant::now();
         while !condition() {
@@ -322,12 +327,13 @@
         seen.iter().filter_map(server).collect()
     }
 
-    /// The observations so far, with the terms that the rules apply to them and the rules that the run is meant to break.
-    pub fn history(&self, what: &str, breaks: &[u8]) -> History {
-        History::new(what, breaks, self.scenario.rule_params(), self.recorder.observations())
+    /// The observations so far, with a description of the run, the parameters of the rules, and the numbers of the rules
+    /// that the run is meant to break.
+    pub fn history(&self, description: &str, breaks: &[u8]) -> History {
+        History::new(description, breaks, self.scenario.rule_params(), self.recorder.observations())
     }
 
-    /// Asserts that the observations contain requests and break no rule.
+    /// Asserts that the recorded observations contain requests and break no rule.
     pub fn assert_rules_kept(&self) {
         let (breaches, covered) = check(&self.recorder.observations(), &self.scenario.rule_params());
         assert!(covered.requests > 0, "no request was observed");
@@ -339,7 +345,7 @@
 pub struct PendingRequest {
     pub peer: HttpPeer,
     request: u64,
-    log: Recorder,
+    recorder: Recorder,
 }
 
 impl PendingRequest {
@@ -348,23 +354,23 @@
         let answer =
             tokio::time::timeout(MAX_WAIT, self.peer.read_response()).await.expect("a response arrives");
         let answer = answer.expect("the response is complete").expect("the front responds");
-        self.log.record(Observed::Answered { request: self.request, status: answer.status });
+        self.recorder.record(Observed::Answered { request: self.request, status: answer.status });
         answer
     }
 
-    /// Reads the response in a task of its own, so that the recorded moment is that of arrival and not that of a later await.
+    /// Reads the response in a separate task, so that the recorded moment is that of its arrival, not that of a later await.
     pub fn read_in_background(self) -> tokio::task::JoinHandle<Message> {
         tokio::spawn(self.response())
     }
 
-    /// Observation that the connection broke before a response, as its player sees it.
+    /// Observation that the connection broke before the response, as its player sees it; the caller records it.
     pub fn connection_lost(&self) -> Observed {
         Observed::Cut { request: self.request }
     }
 
     /// Closes the connection without waiting for the response, and records that the viewer left.
     pub fn leave(self) {
-        self.log.record(Observed::Left { request: self.request });
+        self.recorder.record(Observed::Left { request: self.request });
     }
 }
 
--- a/crates/edge/tests/tls.rs
+++ b/crates/edge/tests/tls.rs
@@ -24,13 +24,13 @@
     scenario
 }
 
-/// The time so many seconds from now.
+/// The moment `seconds` from now.
 fn seconds_from_now(seconds: u64) -> SystemTime {
     SystemTime::now() + Duration::from_secs(seconds)
 }
 
 /// The certificate that the front presented on a connection.
-fn shown_certificate(peer: &HttpPeer) -> Vec<u8> {
+fn presented_certificate(peer: &HttpPeer) -> Vec<u8> {
     let Stream::Tls(stream) = &peer.stream else { panic!("the connection has no TLS") };
     let (_, connection) = stream.get_ref();
     connection.peer_certificates().expect("the front presents a certificate")[0].to_vec()
@@ -95,7 +95,8 @@
     fleet.assert_rules_kept();
 }
 
-/// A server that requires a certificate of the front rejects its absence only after the request may have reached it.
+/// The servers trust only a foreign authority, so they reject the certificate that the front presents. With TLS 1.3 the
+/// front may have sent its request by then, so it must assume that a set-up has run.
 #[tokio::test]
 async fn servers_that_reject_the_client_certificate_count_as_failed() {
     let fleet = TestFleet::start_with(tls_scenario()).await;
@@ -124,10 +125,10 @@
     let manifest = fleet.fetch_manifest("s", FREE).await;
     let target = format!("{}1/1.m4s", segment_base_url(&manifest));
     let mut old_connection = fleet.connect(0).await.unwrap();
-    let mut certificate_before = shown_certificate(&old_connection);
+    let mut certificate_before = presented_certificate(&old_connection);
     for n in 1..=10 {
         fleet.fronts.renew_certificates().unwrap();
-        // One line for the players' side and one for the servers'.
+        // The front logs one line for the players' side and one for the servers'.
         fleet.wait_for_log("certificates taken", 2 * n).await;
         old_connection.write(get_request(&target).as_bytes()).await.unwrap();
         assert_eq!(
@@ -135,9 +136,9 @@
             200,
             "the old connection stays open"
         );
-        let shown_now = shown_certificate(&fleet.connect(0).await.unwrap());
-        assert_ne!(shown_now, certificate_before, "new connections get the new certificate");
-        certificate_before = shown_now;
+        let certificate_now = presented_certificate(&fleet.connect(0).await.unwrap());
+        assert_ne!(certificate_now, certificate_before, "new connections get the new certificate");
+        certificate_before = certificate_now;
         assert_eq!(
             fleet.fetch_manifest(&format!("s{n}"), PAID).await.status,
             200,
@@ -150,14 +151,14 @@
 #[tokio::test]
 async fn invalid_certificates_are_rejected_and_the_old_ones_stay_in_use() {
     let fleet = TestFleet::start_with(tls_scenario()).await;
-    let certificate_before = shown_certificate(&fleet.connect(0).await.unwrap());
+    let certificate_before = presented_certificate(&fleet.connect(0).await.unwrap());
     let folder = fleet.folder().join("players");
     let valid_key = std::fs::read(folder.join("key.pem")).unwrap();
     // A key that does not fit the certificate, then an expired certificate, then a truncated key.
     std::fs::write(folder.join("key.pem"), fleet.fronts.certificate(seconds_from_now(1000)).unwrap().key)
         .unwrap();
     fleet.wait_for_log("key does not fit", 1).await;
-    assert_eq!(shown_certificate(&fleet.connect(0).await.unwrap()), certificate_before);
+    assert_eq!(presented_certificate(&fleet.connect(0).await.unwrap()), certificate_before);
     fleet
         .fronts
         .certificate(SystemTime::now() - Duration::from_secs(60))
@@ -165,20 +166,20 @@
         .write_files(&folder)
         .unwrap();
     fleet.wait_for_log("expired", 1).await;
-    assert_eq!(shown_certificate(&fleet.connect(0).await.unwrap()), certificate_before);
+    assert_eq!(presented_certificate(&fleet.connect(0).await.unwrap()), certificate_before);
     std::fs::write(folder.join("key.pem"), &valid_key[..valid_key.len() / 2]).unwrap();
     fleet.wait_for_log("certificates not taken", 3).await;
-    assert_eq!(shown_certificate(&fleet.connect(0).await.unwrap()), certificate_before);
+    assert_eq!(presented_certificate(&fleet.connect(0).await.unwrap()), certificate_before);
     assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 200);
     let log = fleet.front_log(0);
     assert!(
         !log.contains("BEGIN") && !log.contains(&lossy_text(&valid_key)[40..80]),
         "the log contains key material"
     );
-    // A valid set is taken after the invalid ones.
+    // A valid certificate and key are loaded after the invalid ones.
     fleet.fronts.certificate(seconds_from_now(1000)).unwrap().write_files(&folder).unwrap();
     fleet.wait_for_log("certificates taken", 1).await;
-    assert_ne!(shown_certificate(&fleet.connect(0).await.unwrap()), certificate_before);
+    assert_ne!(presented_certificate(&fleet.connect(0).await.unwrap()), certificate_before);
     fleet.assert_rules_kept();
 }
 
@@ -221,12 +222,12 @@
     let mut scenario = tls_scenario();
     scenario["limits"] = json!({ "keys_poll_ms": 3_600_000, "list_poll_ms": 300 });
     let fleet = TestFleet::start_with(scenario).await;
-    let certificate_before = shown_certificate(&fleet.connect(0).await.unwrap());
+    let certificate_before = presented_certificate(&fleet.connect(0).await.unwrap());
     fleet.fronts.renew_certificates().unwrap();
     let process_id = fleet.fronts.process_id(0).unwrap().to_string();
     assert!(std::process::Command::new("kill").args(["-HUP", &process_id]).status().unwrap().success());
     fleet.wait_for_log("certificates taken", 2).await;
-    assert_ne!(shown_certificate(&fleet.connect(0).await.unwrap()), certificate_before);
+    assert_ne!(presented_certificate(&fleet.connect(0).await.unwrap()), certificate_before);
     assert_eq!(fleet.fetch_manifest("s", FREE).await.status, 200);
     fleet.assert_rules_kept();
 }
