--- a/crates/edge/tests/load_and_tokens.rs
+++ b/crates/edge/tests/load_and_tokens.rs
@@ -29,12 +29,12 @@
     scenario
 }
 
-/// Name of a session whose home is the given one of two fronts.
+/// Id of a session whose home is the given one of two fronts.
 fn session_with_home(front: usize) -> String {
     (0..)
         .map(|n| format!("s{n}"))
-        .find(|name| home_front(name, 2) == front)
-        .expect("each front is the home of half of the names")
+        .find(|session| home_front(session, 2) == front)
+        .expect("each front is the home of half of the sessions")
 }
 
 /// Waits until both fronts know the home of every session.
@@ -50,14 +50,14 @@
 async fn session_at_two_fronts_plays_at_both_if_free_and_at_its_home_if_paid() {
     let fleet = TestFleet::start_with(two_front_scenario()).await;
     wait_for_homes(&fleet).await;
-    fleet.set_faults(|a| a.slow = 20.0);
+    fleet.set_faults(|faults| faults.slow = 20.0);
     // A free session plays at each front; a paid one is redirected to its home.
     let (first, second) = (
         fleet.send_manifest_request(0, "free", FREE).await,
         fleet.send_manifest_request(1, "free", FREE).await,
     );
     let (first, second) = tokio::join!(first.response(), second.response());
-    assert_eq!((first.status, second.status, set_up_count(&fleet.log.observations())), (200, 200, 2));
+    assert_eq!((first.status, second.status, set_up_count(&fleet.recorder.observations())), (200, 200, 2));
     let session = session_with_home(1);
     let (first, second) = (
         fleet.send_manifest_request(0, &session, PAID).await,
@@ -70,7 +70,7 @@
         first.header("location").map(|at| at.split('?').next()),
         Some(home_location.split('?').next())
     );
-    assert_eq!(set_up_count(&fleet.log.observations()), 3, "the paid session is set up once");
+    assert_eq!(set_up_count(&fleet.recorder.observations()), 3, "the paid session is set up once");
     fleet.assert_rules_kept();
 }
 
@@ -80,19 +80,19 @@
 async fn paid_play_of_a_killed_front_is_not_set_up_at_another_front() {
     let fleet = TestFleet::start_with(two_front_scenario()).await;
     wait_for_homes(&fleet).await;
-    fleet.set_faults(|a| a.silent = true);
+    fleet.set_faults(|faults| faults.silent = true);
     let (free, paid) = ("s", session_with_home(0));
     let pending =
         [fleet.send_manifest_request(0, free, FREE).await, fleet.send_manifest_request(0, &paid, PAID).await];
     fleet.wait_for_observations("both set-ups are pending", |seen| set_up_count(seen) == 2).await;
     fleet.fronts.kill(0).await;
-    pending.into_iter().for_each(|one| one.leave());
+    pending.into_iter().for_each(|request| request.leave());
     fleet
         .wait_for_observations("servers observe the end of both", |seen| {
             seen.iter().filter(|s| matches!(s.what, Observed::Closed { .. })).count() == 2
         })
         .await;
-    fleet.set_faults(|a| a.silent = false);
+    fleet.set_faults(|faults| faults.silent = false);
     assert_eq!(
         fleet.send_manifest_request(1, free, FREE).await.response().await.status,
         200,
@@ -103,7 +103,7 @@
         307,
         "a paid play is redirected to its home"
     );
-    assert_eq!(set_up_count(&fleet.log.observations()), 3);
+    assert_eq!(set_up_count(&fleet.recorder.observations()), 3);
     fleet.assert_rules_kept();
 }
 
@@ -184,7 +184,7 @@
 
 /// Manifest target of a session whose entry token expires at `exp`, in seconds since the epoch.
 fn manifest_target_expiring(fleet: &TestFleet, session: &str, exp: u64) -> String {
-    let (product, title) = (fleet.day.products[FREE].name.clone(), fleet.titles[FREE].name.clone());
+    let (product, title) = (fleet.scenario.products[FREE].name.clone(), fleet.titles[FREE].name.clone());
     let claims = EntryToken { jti: session.into(), sub: "v".into(), product, title, top: 1, exp };
     address::manifest_path(&claims.product, &claims.title, &portal_keys().sign(&claims))
 }
@@ -195,7 +195,7 @@
     let mut scenario = base_scenario();
     scenario["limits"] = json!({ "skew_ms": 12_000 });
     let fleet = TestFleet::start_with(scenario).await;
-    let now = (fleet.log.now() / 1000.0) as u64;
+    let now = (fleet.recorder.now() / 1000.0) as u64;
     let running = fleet.fetch_manifest("s", FREE).await;
     // A token from a portal whose clock is 10 s behind expires 10 s early; one from a clock that is ahead expires late.
     assert_eq!(fleet.get(&manifest_target_expiring(&fleet, "behind", now - 10)).await.status, 200);
@@ -206,7 +206,7 @@
         200,
         "a running play continues"
     );
-    assert_eq!(set_up_count(&fleet.log.observations()), 3);
+    assert_eq!(set_up_count(&fleet.recorder.observations()), 3);
     fleet.assert_rules_kept();
 }
 
@@ -219,7 +219,7 @@
     let late_manifest = fleet.fetch_manifest("late", FREE).await;
     let quick_manifest = fleet.fetch_manifest("quick", FREE).await;
     // The link is so slow that the segment takes longer than the session token is valid.
-    fleet.set_faults(|a| a.link = 0.002);
+    fleet.set_faults(|faults| faults.link = 0.002);
     let requested_at = Instant::now();
     let segment = fleet.get(&format!("{}0/1.m4s", segment_base_url(&quick_manifest))).await;
     assert!(
@@ -227,13 +227,17 @@
         "the segment took longer than the session token is valid"
     );
     assert!(content::parse(&segment.body).is_some_and(|c| c.intact), "a segment that was begun is completed");
-    fleet.set_faults(|a| a.link = 1.0);
+    fleet.set_faults(|faults| faults.link = 1.0);
     let first = fleet.get(&format!("{}0/1.m4s", segment_base_url(&late_manifest))).await;
     assert_eq!(first.status, 410, "{}", body_text(&first));
     // The entry token is still valid: it gets the same play with a new session token.
     let again = fleet.fetch_manifest("late", FREE).await;
     assert_eq!(fleet.get(&format!("{}0/1.m4s", segment_base_url(&again))).await.status, 200);
-    assert_eq!(set_up_count(&fleet.log.observations()), 2, "the repeated request made no second allocation");
+    assert_eq!(
+        set_up_count(&fleet.recorder.observations()),
+        2,
+        "the repeated request made no second allocation"
+    );
     fleet.assert_rules_kept();
 }
 
@@ -242,7 +246,7 @@
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind((address, 0).into()).expect("every address in 127/8 is local");
     let mut peer = HttpPeer::new(socket.connect(fleet.front_addresses[0]).await.expect("a connection"));
-    peer.write(get_request(target).as_bytes()).await.expect("the request is taken");
+    peer.write(get_request(target).as_bytes()).await.expect("the request is written");
     peer.read_response().await.expect("an answer").expect("an answer").status
 }
 
@@ -255,7 +259,7 @@
     assert_eq!(fetch_status_from([127, 0, 0, 1], &fleet, &target).await, 200);
     assert_eq!(fetch_status_from([127, 0, 0, 2], &fleet, &target).await, 403);
     // At the same address, a shared session token is limited to the parallel fetches of one viewer.
-    fleet.set_faults(|a| a.stall = 1.0);
+    fleet.set_faults(|faults| faults.stall = 1.0);
     let peers = [fleet.connect(0).await.unwrap(), fleet.connect(0).await.unwrap()];
     for mut peer in peers {
         peer.write(get_request(&target).as_bytes()).await.unwrap();
@@ -263,7 +267,7 @@
         std::mem::forget(peer);
     }
     assert_eq!(fleet.get(&target).await.status, 429);
-    assert_eq!(set_up_count(&fleet.log.observations()), 1);
+    assert_eq!(set_up_count(&fleet.recorder.observations()), 1);
     fleet.assert_rules_kept();
 }
 
--- a/crates/lab/src/environment.rs
+++ b/crates/lab/src/environment.rs
@@ -21,8 +21,11 @@
 #[derive(Clone, Debug)]
 pub struct Title {
     pub name: String,
+    /// Index of the product among those of the scenario.
     pub product: usize,
+    /// First of the consecutive cells that hold the title; they continue with cell 0 after the last one.
     pub first_cell: usize,
+    /// Number of cells that hold the title.
     pub holders: usize,
     pub duration_ms: u64,
     pub segment_ms: u64,
@@ -50,7 +53,8 @@
     titles
 }
 
-/// State of a server in the list; `started` is the start time of its process in ms since 1970, 0 if unknown.
+/// State of a server in the list; `started` is the start time of its process in ms since 1970, 0 if unknown. A server
+/// that is gone is not in the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ListedState {
     Ready { started: f64 },
@@ -61,7 +65,8 @@
 /// The state of all servers, by their number.
 struct ServerStates {
     states: Vec<ListedState>,
-    /// Servers that an active fault has taken out of service; other faults do not select them.
+    /// Servers that an active fault stops, drains or replaces, or will; no other such fault selects them. Faults that
+    /// only degrade servers may.
     reserved: Vec<bool>,
 }
 
@@ -146,15 +151,16 @@
     }
 
     /// Changes the listed state of a server, for all fronts at once. The state is changed, recorded and written under
-    /// one lock: otherwise another change could write this one to the file before it is recorded, and a front would
-    /// seem to act on a state that was never listed.
-    pub fn list(&self, server: usize, state: ListedState) {
+    /// one lock: otherwise the file could contain a change before it is recorded, and a front that acts on it would
+    /// seem to break a rule.
+    pub fn set_listed_state(&self, server: usize, state: ListedState) {
         let server_states =
             self.server_states.lock().expect("no task panics while it holds the server states");
         self.apply_state(server_states, server, state);
     }
 
-    /// Changes, records and writes the listed state of a server under the caller's lock.
+    /// Changes and records the listed state of a server, writes the list, and then releases the caller's lock. A failed
+    /// write is only reported on stderr.
     fn apply_state(&self, mut server_states: MutexGuard<ServerStates>, server: usize, state: ListedState) {
         server_states.states[server] = state;
         self.recorder.record(Observed::Listed { server, ready: matches!(state, ListedState::Ready { .. }) });
@@ -207,7 +213,7 @@
     /// Starts the process of a server, cold, and lists it as ready.
     pub fn restart(&self, server: usize) {
         self.servers.restart(server, true);
-        self.list(server, ListedState::Ready { started: self.recorder.now() });
+        self.set_listed_state(server, ListedState::Ready { started: self.recorder.now() });
     }
 
     /// Replaces a server: it drains for `drain_time`, is down for `down_time`, and starts again cold.
@@ -219,10 +225,10 @@
                 ListedState::Ready { started } | ListedState::Draining { started } => started,
                 ListedState::Gone => 0.0,
             };
-        self.list(server, ListedState::Draining { started });
+        self.set_listed_state(server, ListedState::Draining { started });
         sleep(drain_time).await;
         self.servers.stop(server);
-        self.list(server, ListedState::Gone);
+        self.set_listed_state(server, ListedState::Gone);
         sleep(down_time).await;
         self.restart(server);
     }
@@ -237,14 +243,14 @@
         match fault.kind {
             FaultKind::Surge | FaultKind::Crowd => {}
             FaultKind::Renew => {
-                let each = duration / severity.max(1.0) as u32;
+                let interval = duration / severity.max(1.0) as u32;
                 for _ in 0..severity as usize {
                     let renewed =
-                        self.fronts.renew_certificates().and(self.fronts.renew_keys(each / 2).await);
+                        self.fronts.renew_certificates().and(self.fronts.renew_keys(interval / 2).await);
                     if let Err(error) = renewed {
                         eprintln!("pulleystair-lab: failed to replace keys or certificates: {error}");
                     }
-                    sleep(each / 2).await;
+                    sleep(interval / 2).await;
                 }
             }
             FaultKind::FrontDeath => {
@@ -256,11 +262,12 @@
                 }
             }
             FaultKind::ExchangeLoss | FaultKind::ExchangeSplit | FaultKind::ExchangeDeaf => {
-                let Some(relays) = &self.fronts.between else { return };
+                let Some(relays) = &self.fronts.relays else { return };
                 let chosen = choose_part(&mut rng, (0..self.fronts.count()).collect(), fault.part);
-                relays.change(|from, to, conditions| match fault.kind {
+                relays.change_conditions(|from, to, conditions| match fault.kind {
                     FaultKind::ExchangeLoss => {
-                        (conditions.lost, conditions.doubled, conditions.late_ms) = (severity, severity, 20.0)
+                        (conditions.loss_rate, conditions.duplicate_rate, conditions.max_usual_delay_ms) =
+                            (severity, severity, 20.0)
                     }
                     FaultKind::ExchangeSplit => {
                         conditions.open &= chosen.contains(&from) == chosen.contains(&to)
@@ -268,7 +275,7 @@
                     _ => conditions.open &= !chosen.contains(&to),
                 });
                 sleep(duration).await;
-                relays.heal();
+                relays.restore();
             }
             FaultKind::Crash | FaultKind::ZoneLoss => {
                 let (candidates, part) = if fault.kind == FaultKind::Crash {
@@ -299,16 +306,17 @@
             }
             FaultKind::Drain => {
                 let affected = self.reserve_servers(&mut rng, all_servers, fault.part);
-                let each = affected.iter().map(|s| self.replace_server(*s, duration / 2, duration / 2));
-                join_all(each).await;
+                let replacements =
+                    affected.iter().map(|s| self.replace_server(*s, duration / 2, duration / 2));
+                join_all(replacements).await;
                 self.release_servers(&affected);
             }
             FaultKind::Rolling => {
                 let affected = self.reserve_servers(&mut rng, all_servers, fault.part);
-                let each = duration / affected.len().max(1) as u32;
+                let time_per_server = duration / affected.len().max(1) as u32;
                 for server in &affected {
-                    let down_time = Duration::from_secs_f64(severity).min(each / 2);
-                    self.replace_server(*server, each - down_time, down_time).await;
+                    let down_time = Duration::from_secs_f64(severity).min(time_per_server / 2);
+                    self.replace_server(*server, time_per_server - down_time, down_time).await;
                 }
                 self.release_servers(&affected);
             }
@@ -341,7 +349,7 @@
     }
 }
 
-/// Sets the effect of a fault on a server; a severity of NaN removes it.
+/// Applies a fault of this severity to a server, or removes it if the severity is NaN.
 fn set_fault(faults: &mut ServerFaults, kind: FaultKind, severity: f64) {
     let healthy = ServerFaults::default();
     let is_active = !severity.is_nan();
@@ -357,7 +365,7 @@
         FaultKind::StallSegments => faults.stall = if is_active { severity } else { healthy.stall },
         FaultKind::LinkLoss => faults.link = if is_active { 1.0 / severity } else { healthy.link },
         FaultKind::LateReports => {
-            faults.late_ms = if is_active { severity * 1000.0 } else { healthy.late_ms }
+            faults.report_delay_ms = if is_active { severity * 1000.0 } else { healthy.report_delay_ms }
         }
         _ => {}
     }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -4,7 +4,7 @@
 //! reported.
 
 use crate::environment::{Title, from_ms};
-use crate::fronts::{FRONT, Fronts, Program, portal_keys};
+use crate::fronts::{FRONT_NAME, Fronts, Program, portal_keys};
 use crate::report::{Quantiles, quantiles};
 use crate::scenario::Scenario;
 use crate::testbed::Testbed;
@@ -24,8 +24,8 @@
 use tokio_rustls::TlsConnector;
 
 /// Highest p99 of the set-up time at which a front counts as sustaining a rate, ms.
-const MAX_CARRIED_P99_MS: f64 = 50.0;
-/// The load generator has fallen behind if one of its plays started later than this, ms.
+const MAX_SUSTAINED_P99_MS: f64 = 50.0;
+/// The load generator has fallen behind if it started one of its plays this long after the intended time, ms.
 const MAX_LATENESS_MS: f64 = 25.0;
 /// Number of concurrent plays for the memory measurement.
 const HELD_PLAYS: usize = 10_000;
@@ -36,10 +36,15 @@
     pub rates: Vec<Rate>,
     /// The highest rate that the front sustained, plays per second.
     pub most_a_second: f64,
+    /// Number of plays that were set up for the memory measurement.
     pub held: usize,
+    /// Resident memory of the front before these plays.
     pub memory_before_kb: u64,
+    /// Resident memory of the front with these plays.
     pub memory_held_kb: u64,
+    /// Throughput of segments through the front.
     pub relay_mb_s: f64,
+    /// Throughput of segments that are read directly from the servers.
     pub direct_mb_s: f64,
 }
 
@@ -49,13 +54,17 @@
     pub per_s: f64,
     pub plays: usize,
     pub failed: usize,
-    /// Latency of an HTTP request on an idle connection, of a set-up sent directly to a server, and of a play through
-    /// the front.
+    /// Latency of an HTTP request to a server on an idle connection, or on a new one if none is idle.
     pub bare_ms: Quantiles,
+    /// Latency of a set-up that is sent directly to a server, on a new connection.
     pub direct_ms: Quantiles,
+    /// Latency of a set-up through the front, on a new connection.
     pub front_ms: Quantiles,
+    /// CPU time of the front per requested play.
     pub cpu_ms_a_play: f64,
+    /// The longest time by which a play was started after its intended time.
     pub lateness_ms: f64,
+    /// Whether the load generator fell behind, so that the rate counts as not sustained.
     pub behind: bool,
 }
 
@@ -103,15 +112,16 @@
     tls: Option<(TlsConnector, TlsConnector)>,
 }
 
-/// Measures rising rates of `seconds` each until the front no longer sustains one, then the throughput and the memory.
+/// Measures rising rates, for about `seconds` each, until the front no longer sustains one; then the throughput and the
+/// memory. The first rate takes twice as long, and those from 1500 plays per second on half as long.
 pub async fn run(program: Program, folder: &Path, seconds: f64, tls: bool) -> Result<Costs> {
     let testbed = Testbed::build(load_scenario(tls)?, program, folder).await?;
     let front_address = testbed.start().await?[0];
-    let Testbed { boxes: servers, fronts, titles, .. } = testbed;
+    let Testbed { servers, fronts, titles, .. } = testbed;
     let titles = titles.to_vec();
     let tls = match (fronts.connector()?, &fronts.authority) {
         (Some(players), Some(authority)) => {
-            let certificate = authority.issue_long_lived(FRONT);
+            let certificate = authority.issue_long_lived(FRONT_NAME);
             Some((players, authority.connector(Some(&certificate))?))
         }
         _ => None,
@@ -133,9 +143,9 @@
     let mut per_s = 250.0;
     while per_s < 20_000.0 {
         let rate = test.measure_rate(per_s, if per_s < 1500.0 { seconds } else { seconds / 2.0 }).await?;
-        let is_carried = rate.front_ms.p99 <= MAX_CARRIED_P99_MS && rate.failed == 0 && !rate.behind;
+        let is_sustained = rate.front_ms.p99 <= MAX_SUSTAINED_P99_MS && rate.failed == 0 && !rate.behind;
         rates.push(rate);
-        if !is_carried {
+        if !is_sustained {
             break;
         }
         max_per_s = per_s;
@@ -148,7 +158,7 @@
     let memory_before: Result<u64> = read_memory_kb(&test);
     for _ in 0..HELD_PLAYS {
         let (status, _) = test.set_up_play().await?;
-        ensure!(status == 200, "set-up of a play for the memory measurement was answered {status}");
+        ensure!(status == 200, "set-up of a play for the memory measurement got status {status}");
     }
     let memory_held: Result<u64> = read_memory_kb(&test);
     test.fronts.kill(0).await;
@@ -164,10 +174,12 @@
 }
 
 impl LoadTest {
+    /// Opens a connection to the front as a player does.
     async fn connect_to_front(&self) -> std::io::Result<HttpPeer> {
-        HttpPeer::connect(self.front_address, self.tls.as_ref().map(|tls| (&tls.0, FRONT))).await
+        HttpPeer::connect(self.front_address, self.tls.as_ref().map(|tls| (&tls.0, FRONT_NAME))).await
     }
 
+    /// Opens a connection to a server as the front does.
     async fn connect_to_server(&self, server: usize) -> std::io::Result<HttpPeer> {
         let name = format!("m{server}");
         let tls_and_name = self.tls.as_ref().map(|tls| (&tls.1, name.as_str()));
@@ -202,7 +214,7 @@
         Ok(())
     }
 
-    /// Sets up a play directly at a server and ends it; returns the status.
+    /// Sets up a play directly at a server and ends it by closing the connection; returns the status.
     async fn set_up_at_server(&self) -> Result<u16> {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let mut peer = self.connect_to_server(number as usize % self.servers.addresses.len()).await?;
@@ -214,19 +226,20 @@
         Ok(peer.read_response_head().await?.context("the server closed the connection")?.status)
     }
 
-    /// Starts a request at each intended time, whether or not earlier ones have completed. Returns the latencies in ms,
-    /// the number of failures, and the longest delay of a start in ms.
+    /// Starts requests at a constant rate, whether or not earlier ones have completed. `start_one` gets the intended
+    /// start and returns the latency in ms, or none if the request failed. Returns the latencies, the number of
+    /// failures, and the longest time by which a request was started after its intended start, ms.
     async fn run_open_loop<F, R>(&self, per_s: f64, seconds: f64, start_one: F) -> (Vec<f64>, usize, f64)
     where
         F: Fn(Instant) -> R,
         R: Future<Output = Option<f64>> + Send + 'static,
     {
         let start = Instant::now() + from_ms(20.0);
-        let (mut max_delay_ms, mut tasks) = (0.0f64, Vec::new());
+        let (mut max_lateness_ms, mut tasks) = (0.0f64, Vec::new());
         for i in 0..(per_s * seconds) as usize {
             let due_at = start + Duration::from_secs_f64(i as f64 / per_s);
             sleep_until(due_at).await;
-            max_delay_ms = max_delay_ms.max(due_at.elapsed().as_secs_f64() * 1000.0);
+            max_lateness_ms = max_lateness_ms.max(due_at.elapsed().as_secs_f64() * 1000.0);
             tasks.push(tokio::spawn(start_one(due_at)));
         }
         let (mut latencies_ms, mut failed) = (Vec::new(), 0);
@@ -236,7 +249,7 @@
                 _ => failed += 1,
             }
         }
-        (latencies_ms, failed, max_delay_ms)
+        (latencies_ms, failed, max_lateness_ms)
     }
 
     /// Measures the latencies of HTTP requests, direct set-ups and plays through the front at one rate.
@@ -276,7 +289,7 @@
             .await;
         let cpu_before_ms = self.fronts.resource_usage(0).context("the front is not running")?.0;
         let test = self.clone();
-        let (front_ms, failed, max_delay_ms) = self
+        let (front_ms, failed, max_lateness_ms) = self
             .run_open_loop(per_s, seconds, move |due_at| {
                 let test = test.clone();
                 async move {
@@ -300,8 +313,8 @@
             direct_ms: quantiles(direct_ms.into_iter())?,
             front_ms: quantiles(front_ms.into_iter())?,
             cpu_ms_a_play: cpu_ms / plays.max(1) as f64,
-            lateness_ms: max_delay_ms,
-            behind: max_delay_ms > MAX_LATENESS_MS,
+            lateness_ms: max_lateness_ms,
+            behind: max_lateness_ms > MAX_LATENESS_MS,
         })
     }
 
@@ -310,7 +323,7 @@
         let mut readers = Vec::new();
         for _ in 0..4 {
             let (status, manifest) = self.set_up_play().await?;
-            ensure!(status == 200, "set-up of a play for the throughput measurement was answered {status}");
+            ensure!(status == 200, "set-up of a play for the throughput measurement got status {status}");
             readers.push((self.connect_to_front().await?, format!("{}0/1.m4s", base_url(&manifest)?)));
         }
         let through_front = measure_throughput(readers, seconds).await?;
@@ -349,7 +362,7 @@
                     .read_response()
                     .await?
                     .context("the connection was closed during the measurement")?;
-                ensure!(response.status == 200, "a segment was answered {}", response.status);
+                ensure!(response.status == 200, "a segment request got status {}", response.status);
                 bytes += response.body.len();
             }
             Ok(bytes)
@@ -377,9 +390,9 @@
             "{:>9} {:>7} {:>24} {:>24} {:>30} {:>9} {:>8}\n",
             "plays/s",
             "failed",
-            "bare p50/p99/p99.9 ms",
+            "HTTP p50/p99/p99.9 ms",
             "set-up p50/p99/p99.9",
-            "front p50/p99/p99.9 (x bare)",
+            "front p50/p99/p99.9 (x HTTP)",
             "CPU ms",
             "late ms"
         );
@@ -399,7 +412,7 @@
             );
         }
         text += &format!(
-            "highest rate with p99 within {MAX_CARRIED_P99_MS} ms: {:.0} plays per second\n",
+            "highest rate with p99 within {MAX_SUSTAINED_P99_MS} ms: {:.0} plays per second\n",
             self.most_a_second
         );
         let kb_per_play =
