--- a/crates/dash/benches/manifest_request.rs
+++ b/crates/dash/benches/manifest_request.rs
@@ -2,7 +2,7 @@
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use pulleystair_dash::mpd::{self, Period, Presentation, Segments, TimelineEntry};
-use pulleystair_dash::token::{EntryToken, KeyRing, SessionToken};
+use pulleystair_dash::token::{EntryClaims, KeyRing, SessionClaims};
 use std::hint::black_box;
 
 const NOW: u64 = 1_764_600_000;
@@ -17,7 +17,7 @@
     let (product, title) = ("guide".to_string(), "forms-12".to_string());
     let jti = "0f3c7a5e9b1d4826".to_string();
     let sub = "viewer-81723".to_string();
-    let entry_claims = EntryToken {
+    let entry_claims = EntryClaims {
         jti: jti.clone(),
         sub,
         product: product.clone(),
@@ -26,7 +26,7 @@
         exp: NOW + 60,
     };
     let session_claims =
-        SessionToken { sid: jti, product: product.clone(), title: title.clone(), exp: NOW + 60 };
+        SessionClaims { sid: jti, product: product.clone(), title: title.clone(), exp: NOW + 60 };
     let (entry_token, session_token) = (key_ring.sign(&entry_claims), key_ring.sign(&session_claims));
     let forged = format!("{}AA", &session_token[..session_token.len() - 2]);
     let mut group = c.benchmark_group("tokens");
@@ -46,8 +46,8 @@
 
 fn manifests(c: &mut Criterion) {
     let bandwidths: Vec<u64> = (1..=5).map(|n| n * 400_000).collect();
-    let mut plain = Presentation::plain("forms-12".into(), 600_000, 2000);
-    plain.base = format!("/s/{}/", "x".repeat(200));
+    let mut plain = Presentation::single_period("forms-12".into(), 600_000, 2000);
+    plain.base_url = format!("/s/{}/", "x".repeat(200));
     plain.periods[0].bandwidths = bandwidths.clone();
     let entries = (0..300)
         .map(|n| TimelineEntry { start: n * 400_000, duration: 180_000 + n % 7, repeat: 1 })
@@ -60,9 +60,9 @@
     let mut group = c.benchmark_group("MPDs");
     group.throughput(Throughput::Elements(1));
     for (name, presentation) in [("fixed duration", &plain), ("300 timeline entries", &timeline)] {
-        let text = presentation.write();
+        let text = presentation.to_xml();
         assert_eq!(mpd::parse(&text).as_ref(), Ok(presentation));
-        group.bench_function(format!("write MPD, {name}"), |b| b.iter(|| black_box(presentation).write()));
+        group.bench_function(format!("write MPD, {name}"), |b| b.iter(|| black_box(presentation).to_xml()));
         group.bench_function(format!("parse MPD, {name}"), |b| {
             b.iter(|| mpd::parse(black_box(&text)).is_ok())
         });
--- a/crates/dash/src/address.rs
+++ b/crates/dash/src/address.rs
@@ -25,16 +25,16 @@
 /// What a request target names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route<'a> {
-    /// A new play. `entry` is the entry token in the query, if any.
-    Manifest { product: &'a str, title: &'a str, entry: Option<&'a str> },
-    /// A segment of a session; `pass` is the session token.
-    Segment { pass: &'a str, rung: usize, which: SegmentId },
+    /// A new play, with the entry token in the query, if any.
+    Manifest { product: &'a str, title: &'a str, entry_token: Option<&'a str> },
+    /// A segment of a session.
+    Segment { session_token: &'a str, rung: usize, segment: SegmentId },
     /// The current manifest of a running play.
-    Refresh { pass: &'a str },
+    Refresh { session_token: &'a str },
     /// The time.
     Time,
     /// The session itself, which a `DELETE` ends.
-    Session { pass: &'a str },
+    Session { session_token: &'a str },
 }
 
 /// Names one of a title's segments.
@@ -59,7 +59,7 @@
 }
 
 /// Request target of a play: path and query, with the entry token.
-pub fn manifest_path(product: &str, title: &str, entry_token: &str) -> String {
+pub fn play_request_target(product: &str, title: &str, entry_token: &str) -> String {
     format!("/v1/{product}/{title}/manifest.mpd?token={entry_token}")
 }
 
@@ -72,13 +72,15 @@
     let mut parts = path.strip_prefix('/')?.split('/');
     let route = match (parts.next()?, parts.next()?, parts.next()?, parts.next()) {
         ("v1", product, title, Some("manifest.mpd")) if is_valid_name(product) && is_valid_name(title) => {
-            let entry = query.split('&').find_map(|pair| pair.strip_prefix("token="));
-            Route::Manifest { product, title, entry }
+            let entry_token = query.split('&').find_map(|pair| pair.strip_prefix("token="));
+            Route::Manifest { product, title, entry_token }
         }
-        ("s", pass, "manifest.mpd", None) if !pass.is_empty() => Route::Refresh { pass },
-        ("s", pass, "", None) if !pass.is_empty() => Route::Session { pass },
-        ("s", pass, rung, Some(file)) if !pass.is_empty() => {
-            let which = match file.strip_suffix(".m4s").map(|name| (name, name.split_once("-t"))) {
+        ("s", session_token, "manifest.mpd", None) if !session_token.is_empty() => {
+            Route::Refresh { session_token }
+        }
+        ("s", session_token, "", None) if !session_token.is_empty() => Route::Session { session_token },
+        ("s", session_token, rung, Some(file)) if !session_token.is_empty() => {
+            let segment = match file.strip_suffix(".m4s").map(|name| (name, name.split_once("-t"))) {
                 Some((_, Some((first, time)))) => SegmentId::Time {
                     first: parse_digits(first).filter(|n| *n > 0)?,
                     time: parse_digits(time)?,
@@ -87,7 +89,7 @@
                 None if file == "init.mp4" => SegmentId::Initialisation,
                 None => return None,
             };
-            Route::Segment { pass, rung: parse_digits(rung)?.try_into().ok()?, which }
+            Route::Segment { session_token, rung: parse_digits(rung)?.try_into().ok()?, segment }
         }
         _ => return None,
     };
--- a/crates/dash/src/mpd.rs
+++ b/crates/dash/src/mpd.rs
@@ -33,7 +33,7 @@
     /// The title, as the MPD's id.
     pub title: String,
     /// BaseURL of the segments, relative to the manifest or absolute; ends in a slash. Empty if the MPD has none.
-    pub base: String,
+    pub base_url: String,
     /// URL from which players refresh the manifest, if it differs from its own.
     pub location: Option<String>,
     /// Total duration, ms; none while the end of a live title is not known.
@@ -113,10 +113,10 @@
 
 impl Presentation {
     /// A static title of one Period, with segments of equal duration.
-    pub fn plain(title: String, duration_ms: u64, segment_ms: u64) -> Presentation {
+    pub fn single_period(title: String, duration_ms: u64, segment_ms: u64) -> Presentation {
         Presentation {
             title,
-            base: String::new(),
+            base_url: String::new(),
             location: None,
             duration_ms: Some(duration_ms),
             live: None,
@@ -192,7 +192,7 @@
     }
 
     /// The MPD as XML text.
-    pub fn write(&self) -> String {
+    pub fn to_xml(&self) -> String {
         let mut writer = Writer::new_with_indent(Vec::new(), b' ', 1);
         self.write_to(&mut writer).expect("writing to a vector does not fail");
         String::from_utf8(writer.into_inner()).expect("the XML is UTF-8")
@@ -218,8 +218,8 @@
         if let Some(location) = &self.location {
             out.create_element("Location").write_text_content(BytesText::new(location))?;
         }
-        if !self.base.is_empty() {
-            out.create_element("BaseURL").write_text_content(BytesText::new(&self.base))?;
+        if !self.base_url.is_empty() {
+            out.create_element("BaseURL").write_text_content(BytesText::new(&self.base_url))?;
         }
         let mut first_number = 1;
         for (period, duration_ms) in self.periods_with_durations() {
@@ -482,7 +482,7 @@
                 let Some(name) = path.pop() else { return context.error("end tag without a start tag") };
                 let text = std::mem::take(&mut content).trim().to_string();
                 match (name.as_str(), path.len(), mpd.as_mut()) {
-                    ("BaseURL", 1, Some(mpd)) if mpd.base.is_empty() => mpd.base = text,
+                    ("BaseURL", 1, Some(mpd)) if mpd.base_url.is_empty() => mpd.base_url = text,
                     ("Location", 1, Some(mpd)) => mpd.location = Some(text),
                     _ => {}
                 }
@@ -595,7 +595,14 @@
         Some(other) => return context.error(format!("type {other:?} is neither static nor dynamic")),
     };
     let title = context.attribute(start, "id")?.unwrap_or_default();
-    Ok(Presentation { title, base: String::new(), location: None, duration_ms, live, periods: Vec::new() })
+    Ok(Presentation {
+        title,
+        base_url: String::new(),
+        location: None,
+        duration_ms,
+        live,
+        periods: Vec::new(),
+    })
 }
 
 /// Parses an `S` element (5.3.9.6). Without `t` it follows the entry before. A negative `r` would repeat up to an end that
--- a/crates/dash/src/token.rs
+++ b/crates/dash/src/token.rs
@@ -21,7 +21,7 @@
 
 /// Claims of an entry token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EntryToken {
+pub struct EntryClaims {
     /// Identifier of the session: requests with the same one belong to the same play.
     pub jti: String,
     /// Identifier of the viewer.
@@ -36,7 +36,7 @@
 
 /// Claims of a session token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SessionToken {
+pub struct SessionClaims {
     /// Identifier of the session: the `jti` of its entry token.
     pub sid: String,
     pub product: String,
@@ -219,8 +219,8 @@
         now: u64,
         product: &str,
         title: &str,
-    ) -> Result<EntryToken, TokenError> {
-        let claims: EntryToken = self.verify_signature(token, now)?;
+    ) -> Result<EntryClaims, TokenError> {
+        let claims: EntryClaims = self.verify_signature(token, now)?;
         if claims.product != product || claims.title != title {
             return Err(TokenError::WrongTitleOrProduct);
         }
@@ -231,13 +231,13 @@
     }
 
     /// Verifies a session token at `now`, s since 1970.
-    pub fn verify_session(&self, token: &str, now: u64) -> Result<SessionToken, TokenError> {
+    pub fn verify_session(&self, token: &str, now: u64) -> Result<SessionClaims, TokenError> {
         let claims = self.verify_session_signature(token, now)?;
         if claims.exp <= now { Err(TokenError::Expired) } else { Ok(claims) }
     }
 
     /// Verifies a session token but not its expiry, for callers that extend a session's lifetime after its token was signed.
-    pub fn verify_session_signature(&self, token: &str, now: u64) -> Result<SessionToken, TokenError> {
+    pub fn verify_session_signature(&self, token: &str, now: u64) -> Result<SessionClaims, TokenError> {
         self.verify_signature(token, now)
     }
 }
--- a/crates/dash/tests/mpd.rs
+++ b/crates/dash/tests/mpd.rs
@@ -5,8 +5,8 @@
 use test_case::test_case;
 
 fn plain(duration_ms: u64, segment_ms: u64) -> Presentation {
-    let mut presentation = Presentation::plain("forms & fees <1>".into(), duration_ms, segment_ms);
-    presentation.base = "/s/a.b.c/".into();
+    let mut presentation = Presentation::single_period("forms & fees <1>".into(), duration_ms, segment_ms);
+    presentation.base_url = "/s/a.b.c/".into();
     presentation.periods[0].bandwidths = vec![400_000, 964_000, 2_400_000];
     presentation
 }
@@ -17,7 +17,7 @@
 fn an_independent_parser_reads_a_written_manifest(duration_ms: u64, segment_ms: u64, segments: u64) {
     let presentation = plain(duration_ms, segment_ms);
     assert_eq!(presentation.segment_count(), Some(segments));
-    let mpd = dash_mpd::parse(&presentation.write()).expect("the independent parser accepts it");
+    let mpd = dash_mpd::parse(&presentation.to_xml()).expect("the independent parser accepts it");
     assert_eq!(mpd.mpdtype.as_deref(), Some("static"));
     assert_eq!(mpd.id.as_deref(), Some("forms & fees <1>"));
     assert_eq!(mpd.mediaPresentationDuration.unwrap().as_millis() as u64, duration_ms);
@@ -48,7 +48,7 @@
 fn a_live_title_gives_a_dynamic_manifest() {
     let mut presentation = live(30_000, None);
     presentation.location = Some("/s/a.b.c/manifest.mpd".into());
-    let mpd = dash_mpd::parse(&presentation.write()).expect("the independent parser accepts it");
+    let mpd = dash_mpd::parse(&presentation.to_xml()).expect("the independent parser accepts it");
     assert_eq!(mpd.mpdtype.as_deref(), Some("dynamic"));
     assert_eq!(mpd.minimumUpdatePeriod.unwrap().as_millis(), 2000);
     assert_eq!(mpd.timeShiftBufferDepth.unwrap().as_millis(), 30_000);
@@ -112,9 +112,9 @@
         "segments of the second Period are addressed by number"
     );
     // The MPD that is written for players numbers segments through all Periods, and parses to the same presentation.
-    let reparsed = parse(&presentation.write()).unwrap();
+    let reparsed = parse(&presentation.to_xml()).unwrap();
     assert_eq!(reparsed, presentation);
-    let mpd = dash_mpd::parse(&presentation.write()).expect("the independent parser accepts it");
+    let mpd = dash_mpd::parse(&presentation.to_xml()).expect("the independent parser accepts it");
     let template = |p: usize| mpd.periods[p].adaptations[0].SegmentTemplate.clone().unwrap();
     assert_eq!(template(0).media.as_deref(), Some("$RepresentationID$/1-t$Time$.m4s"));
     assert_eq!((template(1).startNumber, template(0).SegmentTimeline.unwrap().segments.len()), (Some(6), 2));
@@ -223,14 +223,14 @@
                 published_ms: from_ms + 5,
             });
             let duration_ms = Some(start_ms).filter(|_| live.is_none() || start_ms % 2 == 0);
-            Presentation { title, base, location, duration_ms, live, periods }
+            Presentation { title, base_url: base, location, duration_ms, live, periods }
         })
 }
 
 proptest! {
     #[test]
     fn a_written_manifest_parses_to_the_same(presentation in presentation()) {
-        prop_assert_eq!(parse(&presentation.write()), Ok(presentation));
+        prop_assert_eq!(parse(&presentation.to_xml()), Ok(presentation));
     }
 
     /// Each start time in a timeline maps to its own number, in order, and no other time maps to any.
--- a/crates/dash/tests/targets_and_tokens.rs
+++ b/crates/dash/tests/targets_and_tokens.rs
@@ -1,26 +1,32 @@
 //! Tests of request targets and tokens, valid and invalid.
 
 use pulleystair_dash::address::{self, Route, SegmentId};
-use pulleystair_dash::token::{EntryToken, KeyError, KeyRing, SessionToken, TokenError};
+use pulleystair_dash::token::{EntryClaims, KeyError, KeyRing, SessionClaims, TokenError};
 use test_case::test_case;
 
 #[test]
 fn request_targets_parse_to_routes() {
-    let manifest = address::manifest_path("guide", "forms", "x.y.z");
+    let manifest = address::play_request_target("guide", "forms", "x.y.z");
     let entry = Some("x.y.z");
-    assert_eq!(address::parse(&manifest), Some(Route::Manifest { product: "guide", title: "forms", entry }));
+    assert_eq!(
+        address::parse(&manifest),
+        Some(Route::Manifest { product: "guide", title: "forms", entry_token: entry })
+    );
     assert_eq!(
         address::parse("/s/p/2/17.m4s"),
-        Some(Route::Segment { pass: "p", rung: 2, which: SegmentId::Number(17) })
+        Some(Route::Segment { session_token: "p", rung: 2, segment: SegmentId::Number(17) })
     );
     assert_eq!(
         address::parse("/s/p/0/init.mp4"),
-        Some(Route::Segment { pass: "p", rung: 0, which: SegmentId::Initialisation })
+        Some(Route::Segment { session_token: "p", rung: 0, segment: SegmentId::Initialisation })
     );
-    assert_eq!(address::parse("/s/p/"), Some(Route::Session { pass: "p" }));
+    assert_eq!(address::parse("/s/p/"), Some(Route::Session { session_token: "p" }));
     let which = SegmentId::Time { first: 18, time: 90_000 };
-    assert_eq!(address::parse("/s/p/1/18-t90000.m4s"), Some(Route::Segment { pass: "p", rung: 1, which }));
-    assert_eq!(address::parse(&address::refresh_path("p")), Some(Route::Refresh { pass: "p" }));
+    assert_eq!(
+        address::parse("/s/p/1/18-t90000.m4s"),
+        Some(Route::Segment { session_token: "p", rung: 1, segment: which })
+    );
+    assert_eq!(address::parse(&address::refresh_path("p")), Some(Route::Refresh { session_token: "p" }));
     assert_eq!(address::parse("/v1/time"), Some(Route::Time));
 }
 
@@ -49,9 +55,9 @@
     KeyRing::new(&keys).unwrap()
 }
 
-fn entry_claims() -> EntryToken {
+fn entry_claims() -> EntryClaims {
     let text = |t: &str| t.to_string();
-    EntryToken {
+    EntryClaims {
         jti: text("s1"),
         sub: text("v"),
         product: text("guide"),
@@ -79,9 +85,9 @@
 #[test]
 fn tokens_of_a_retired_key_verify_until_its_overlap_ends() {
     let mut key_ring = make_key_ring(&[("k1", 1)]);
-    let old = key_ring.sign(&EntryToken { exp: 1000, ..entry_claims() });
+    let old = key_ring.sign(&EntryClaims { exp: 1000, ..entry_claims() });
     key_ring.replace(&secrets(&[("k2", 2)]), 100, 30).unwrap();
-    let new = key_ring.sign(&EntryToken { exp: 1000, ..entry_claims() });
+    let new = key_ring.sign(&EntryClaims { exp: 1000, ..entry_claims() });
     assert!(key_ring.verify_entry(&old, 129, "guide", "forms").is_ok());
     assert_eq!(key_ring.verify_entry(&old, 130, "guide", "forms"), Err(TokenError::UnknownKey));
     assert!(key_ring.verify_entry(&new, 130, "guide", "forms").is_ok());
@@ -166,7 +172,7 @@
 fn entry_and_session_tokens_are_not_interchangeable() {
     let key_ring = make_key_ring(&[("k1", 1)]);
     let session_claims =
-        SessionToken { sid: "s1".into(), product: "guide".into(), title: "forms".into(), exp: 100 };
+        SessionClaims { sid: "s1".into(), product: "guide".into(), title: "forms".into(), exp: 100 };
     assert_eq!(key_ring.verify_session(&key_ring.sign(&session_claims), 99), Ok(session_claims.clone()));
     assert_eq!(key_ring.verify_session(&key_ring.sign(&session_claims), 100), Err(TokenError::Expired));
     assert_eq!(key_ring.verify_session(&key_ring.sign(&entry_claims()), 99), Err(TokenError::Malformed));
--- a/crates/drift/src/approved.rs
+++ b/crates/drift/src/approved.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VersionChain {
     /// The versions in their order.
-    pub documents: Vec<ApprovedVersion>,
+    pub versions: Vec<ApprovedVersion>,
     digests: Vec<String>,
 }
 
@@ -67,7 +67,7 @@
     }
 
     /// The version's line in the file.
-    pub fn line(&self) -> String {
+    pub fn to_line(&self) -> String {
         let mut value = serde_json::to_value(self).unwrap_or(Value::Null);
         value["digest"] = Value::String(self.digest());
         format!("{value}\n")
@@ -138,7 +138,7 @@
         let mut chain = VersionChain::default();
         for (i, line) in text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()) {
             let line_error = |cause: String| ChainError { line: i + 1, cause };
-            if chain.documents.len() >= MAX_VERSIONS {
+            if chain.versions.len() >= MAX_VERSIONS {
                 return Err(line_error(format!("the file has more than {MAX_VERSIONS} versions")));
             }
             let mut value: Value = serde_json::from_str(line).map_err(|e| line_error(e.to_string()))?;
@@ -153,7 +153,7 @@
             }
             chain.append(version).map_err(line_error)?;
         }
-        if chain.documents.is_empty() {
+        if chain.versions.is_empty() {
             return Err(ChainError { line: 1, cause: "the file has no approved version".into() });
         }
         Ok(chain)
@@ -161,10 +161,10 @@
 
     /// Appends a version if it may follow the last one. The error names the field and what is wrong with it.
     pub fn append(&mut self, version: ApprovedVersion) -> Result<(), String> {
-        let parent = self.documents.last().zip(self.digests.last().map(String::as_str));
+        let parent = self.versions.last().zip(self.digests.last().map(String::as_str));
         version.validate(parent)?;
         self.digests.push(version.digest());
-        self.documents.push(version);
+        self.versions.push(version);
         Ok(())
     }
 
@@ -175,7 +175,7 @@
 
     /// The newest version.
     pub fn head(&self) -> Option<&ApprovedVersion> {
-        self.documents.last()
+        self.versions.last()
     }
 
     /// The newest version's number, and the first eight bytes of its digest.
@@ -194,22 +194,22 @@
     /// front has passed by then. `None` if there is none.
     pub fn version_window(&self, front: &str, wall_clock: f64) -> (Option<usize>, Option<usize>) {
         let latest = |time: fn((f64, f64)) -> f64| {
-            self.documents
-                .iter()
-                .rposition(|d| d.stage_times(front).is_some_and(|times| time(times) <= wall_clock))
+            self.versions.iter().rposition(|version| {
+                version.stage_times(front).is_some_and(|times| time(times) <= wall_clock)
+            })
         };
         (latest(|times| times.0), latest(|times| times.1))
     }
 
     /// Short digest of a section in a version. A section that the version omits is as in the previous one.
     pub fn section_digest(&self, index: usize, name: &str) -> Option<u64> {
-        self.documents[..=index].iter().rev().find_map(|d| d.sections.get(name)).map(short_digest)
+        self.versions[..=index].iter().rev().find_map(|version| version.sections.get(name)).map(short_digest)
     }
 
     /// All sections of a version, including those that it takes from earlier ones.
     pub fn sections(&self, index: usize) -> Sections {
         let mut out = Sections::new();
-        for version in &self.documents[..=index.min(self.documents.len() - 1)] {
+        for version in &self.versions[..=index.min(self.versions.len() - 1)] {
             out.extend(version.sections.clone());
         }
         out
--- a/crates/drift/src/verdict.rs
+++ b/crates/drift/src/verdict.rs
@@ -92,7 +92,7 @@
         _ => {}
     }
     let (allowed, required) = chain.version_window(&front.name, wall_clock);
-    let indices = 0..chain.documents.len();
+    let indices = 0..chain.versions.len();
     let approved_sections: Vec<(usize, &'static str)> = SECTIONS
         .iter()
         .enumerate()
@@ -113,15 +113,15 @@
             .clone()
             .filter(|index| *index >= oldest_accepted && allowed.is_some_and(|allowed| *index < allowed));
         if let Some(index) = still_allowed.clone().rev().find(|index| section_matches(*index, i, name)) {
-            let next = chain.documents.get(index + 1).and_then(|d| d.stage_times(&front.name));
+            let next = chain.versions.get(index + 1).and_then(|version| version.stage_times(&front.name));
             return Verdict::OnItsWay { until: next.map_or(f64::INFINITY, |times| times.1) };
         }
         let matching = indices.clone().rev().find(|index| section_matches(*index, i, name));
         match matching {
             Some(index) if allowed.is_none_or(|allowed| index > allowed) => {
-                Verdict::Ahead { number: chain.documents[index].number }
+                Verdict::Ahead { number: chain.versions[index].number }
             }
-            Some(index) => Verdict::Behind { number: chain.documents[index].number },
+            Some(index) => Verdict::Behind { number: chain.versions[index].number },
             None => Verdict::Adrift,
         }
     };
--- a/crates/drift/tests/verdicts.rs
+++ b/crates/drift/tests/verdicts.rs
@@ -128,7 +128,7 @@
 #[test]
 fn a_fork_is_reported_on_both_sides_and_heals() {
     let (left, mut right) = (chain(), VersionChain::default());
-    right.append(left.documents[0].clone()).expect("it is valid as the first version");
+    right.append(left.versions[0].clone()).expect("it is valid as the first version");
     let all = vec![RolloutStage { fronts: vec![], from_ms: 1_000.0, by_ms: 2_000.0 }];
     right
         .append(next_version(&right, sections(200.0, 100.0), 600.0, all))
@@ -150,7 +150,7 @@
 fn a_version_unknown_to_the_reader_is_reported_as_unknown() {
     let long = chain();
     let mut short = VersionChain::default();
-    short.append(long.documents[0].clone()).expect("it is valid as the first version");
+    short.append(long.versions[0].clone()).expect("it is valid as the first version");
     assert_eq!(
         judge(&short, 2_500.0, &known_front("a", &sections(300.0, 150.0), &long)).0,
         Verdict::Unknown { number: 2 }
@@ -193,7 +193,7 @@
 
 /// The file of a chain.
 fn text(chain: &VersionChain) -> String {
-    chain.documents.iter().map(ApprovedVersion::line).collect()
+    chain.versions.iter().map(ApprovedVersion::to_line).collect()
 }
 
 #[test]
@@ -203,14 +203,14 @@
 
 /// The file of the two versions, with a change to the second one's JSON.
 fn chain_with_change(change: impl Fn(&mut Value)) -> String {
-    let mut version = chain().documents[1].clone();
+    let mut version = chain().versions[1].clone();
     let mut value = serde_json::to_value(&version).expect("a version is plain JSON");
     change(&mut value);
-    let first = chain().documents[0].line();
+    let first = chain().versions[0].to_line();
     match serde_json::from_value(value) {
         Ok(changed) => {
             version = changed;
-            first + &version.line()
+            first + &version.to_line()
         }
         Err(_) => first,
     }
@@ -218,7 +218,7 @@
 
 #[test_case("", "line 1: the file has no approved version"; "nothing")]
 #[test_case("{", "line 1: EOF"; "no json")]
-#[test_case(&chain().documents[1].line(), "line 1: parent: "; "no first")]
+#[test_case(&chain().versions[1].to_line(), "line 1: parent: "; "no first")]
 #[test_case(&text(&chain()).replace("200", "201"), "line 1: digest: "; "content changed")]
 #[test_case(&chain_with_change(|d| d["parent"] = json!(null)), "line 2: parent: missing"; "no parent")]
 #[test_case(&chain_with_change(|d| d["parent"] = json!("ab")), "line 2: parent: ab, but"; "another parent")]
--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/answers.rs
@@ -7,7 +7,7 @@
 use crate::sessions::{Answer, SessionPhase};
 use pulleystair_dash::address;
 use pulleystair_dash::mpd::Presentation;
-use pulleystair_dash::token::{SessionToken, TokenError};
+use pulleystair_dash::token::{SessionClaims, TokenError};
 use std::time::{Duration, UNIX_EPOCH};
 use tracing::info;
 
@@ -185,7 +185,7 @@
         let last_rung = self.config.ladder.len() - 1;
         let max_rung =
             session.max_rung.min(product.top.unwrap_or(last_rung)).min(last_rung).max(product.floor);
-        let pass = SessionToken {
+        let pass = SessionClaims {
             sid: session.session_id.clone(),
             product: product.name.clone(),
             title: title.name.clone(),
@@ -195,10 +195,10 @@
         let bits_per_s = |rung: &Rung| ((rung.rate_kb * product.scale * 8000.0).ceil() as u64).max(1);
         let bandwidths: Vec<u64> = self.config.ladder[..=max_rung].iter().map(bits_per_s).collect();
         let mut presentation = Presentation::clone(&title.presentation);
-        presentation.base = address::base_path(&pass);
+        presentation.base_url = address::base_path(&pass);
         presentation.location = presentation.live.is_some().then(|| address::refresh_path(&pass));
         presentation.periods.iter_mut().for_each(|period| period.bandwidths = bandwidths.clone());
-        Some(Answer { status: 200, body: presentation.write().into(), retry_after: None, location: None })
+        Some(Answer { status: 200, body: presentation.to_xml().into(), retry_after: None, location: None })
     }
 
     /// The manifest of a running play, requested again by its pass.
--- a/crates/edge/src/approved_versions.rs
+++ b/crates/edge/src/approved_versions.rs
@@ -21,7 +21,7 @@
     }
     let text = std::fs::read_to_string(file).map_err(|e| file_error(e.to_string()))?;
     let chain = VersionChain::parse(&text).map_err(|e| file_error(e.to_string()))?;
-    for (i, version) in chain.documents.iter().enumerate() {
+    for (i, version) in chain.versions.iter().enumerate() {
         check_sections(config, &chain.sections(i)).map_err(|(path, found, allowed)| {
             file_error(format!("version {}: {path}: {found}; allowed: {allowed}", version.number))
         })?;
--- a/crates/edge/src/config/mod.rs
+++ b/crates/edge/src/config/mod.rs
@@ -261,7 +261,7 @@
 impl Config {
     /// Loads and checks a configuration file. Its paths, which are relative to the folder of the file, are joined to
     /// that folder.
-    pub fn read(file: &Path) -> Result<Config, LoadError> {
+    pub fn load(file: &Path) -> Result<Config, LoadError> {
         let mut config: Config = load(file)?;
         config.check().map_err(|(path, found, allowed)| invalid_value(file, &path, found, allowed))?;
         let folder = file.parent().unwrap_or(Path::new(""));
--- a/crates/edge/src/main.rs
+++ b/crates/edge/src/main.rs
@@ -90,19 +90,19 @@
     let (_guard, dropped_lines) = init_logging(&command)?;
     match command.job {
         Job::Drift { config, json } => {
-            let report = status::query(&Config::read(&config)?)?;
+            let report = status::query(&Config::load(&config)?)?;
             let text =
                 if json { serde_json::to_string_pretty(&report)? + "\n" } else { status::table(&report) };
             std::io::stdout().write_all(text.as_bytes())?;
             return Ok(ExitCode::from(status::exit_code(&report)));
         }
-        Job::Run { config } => edge::run(Config::read(&config)?, stop, dropped_lines)?,
+        Job::Run { config } => edge::run(Config::load(&config)?, stop, dropped_lines)?,
         Job::Node => {
             let path = std::env::var_os("PROXY_CONFIG").context("PROXY_CONFIG is not set")?;
             pulleystair_node::run(NodeConfig::load(Path::new(&path))?, stop)?;
         }
         Job::Check { config: config_file } => {
-            let config = Config::read(&config_file)?;
+            let config = Config::load(&config_file)?;
             let list = read_list(&config)?;
             if let Some(file) = &config.sharing.approved {
                 approved_versions::load(file, &config)?;
@@ -117,7 +117,7 @@
             );
         }
         Job::Show { config } => {
-            println!("{}", serde_json::to_string_pretty(&Config::read(&config)?)?);
+            println!("{}", serde_json::to_string_pretty(&Config::load(&config)?)?);
         }
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/edge/src/players.rs
+++ b/crates/edge/src/players.rs
@@ -166,8 +166,8 @@
             ("GET" | "HEAD", Some(Route::Time)) => {
                 text_answer(200, &pulleystair_dash::mpd::format_date(self.state.wall_clock_now() as u64))
             }
-            ("GET" | "HEAD", Some(Route::Refresh { pass })) => {
-                match self.state.authorize_pass(connection_id, pass) {
+            ("GET" | "HEAD", Some(Route::Refresh { session_token })) => {
+                match self.state.authorize_pass(connection_id, session_token) {
                     Ok(play) => self.state.refresh_manifest(play),
                     Err(answer) => answer,
                 }
@@ -175,27 +175,28 @@
             ("HEAD", Some(Route::Manifest { .. })) => {
                 text_answer(405, "HEAD would take no play: GET the manifest, or HEAD one that plays")
             }
-            ("GET", Some(Route::Manifest { product, title, entry })) => {
-                let token = request.bearer.as_deref().or(entry).unwrap_or("");
+            ("GET", Some(Route::Manifest { product, title, entry_token })) => {
+                let token = request.bearer.as_deref().or(entry_token).unwrap_or("");
                 match self.handle_manifest_request(connection_id, product, title, token) {
                     Some(answer) => answer,
                     None => return,
                 }
             }
-            ("GET" | "HEAD", Some(Route::Segment { pass, rung, which })) => {
-                match self.handle_segment_request(connection_id, pass, rung, which, request) {
+            ("GET" | "HEAD", Some(Route::Segment { session_token, rung, segment })) => {
+                match self.handle_segment_request(connection_id, session_token, rung, segment, request) {
                     Some(answer) => answer,
                     None => return,
                 }
             }
-            ("DELETE", Some(Route::Session { pass })) => match self.state.authorize_pass(connection_id, pass)
-            {
-                Ok(play) => {
-                    self.end_running_play(play, "viewer left");
-                    text_answer(200, "ended")
+            ("DELETE", Some(Route::Session { session_token })) => {
+                match self.state.authorize_pass(connection_id, session_token) {
+                    Ok(play) => {
+                        self.end_running_play(play, "viewer left");
+                        text_answer(200, "ended")
+                    }
+                    Err(answer) => answer,
                 }
-                Err(answer) => answer,
-            },
+            }
             _ => text_answer(405, "GET a manifest or a segment, or DELETE a session"),
         };
         self.state.send_answer(connection_id, &answer);
@@ -246,7 +247,7 @@
                 let location = format!(
                     "//{}{}",
                     state.home_addresses[home],
-                    address::manifest_path(&entry.product, &entry.title, token)
+                    address::play_request_target(&entry.product, &entry.title, token)
                 );
                 let answer = text_answer(307, "this session is at home at another front");
                 return Some(Answer { location: Some(location.into()), ..answer });
@@ -343,25 +344,25 @@
         }
     }
 
-    /// Handles a request for a segment by its pass, a session token. Returns the answer that refuses it, or none
+    /// Handles a request for a segment by its session token. Returns the answer that refuses it, or none
     /// where the segment is fetched from the play's server.
     pub(crate) fn handle_segment_request(
         &mut self,
         connection_id: ConnectionId,
-        pass: &str,
+        session_token: &str,
         rung: usize,
-        which: SegmentId,
+        segment: SegmentId,
         request: &http::Request,
     ) -> Option<Answer> {
         let state = &mut self.state;
         let now = state.now();
-        let play = match state.authorize_pass(connection_id, pass) {
+        let play = match state.authorize_pass(connection_id, session_token) {
             Ok(play) => play,
             Err(answer) => return Some(answer),
         };
         let session = state.sessions.get_mut(play)?;
         let presentation = &session.title.presentation;
-        let number = match which {
+        let number = match segment {
             SegmentId::Initialisation => Some(0),
             SegmentId::Number(number) => Some(number),
             SegmentId::Time { first, time } => presentation.segment_number_at(first, time),
--- a/crates/edge/src/server_list.rs
+++ b/crates/edge/src/server_list.rs
@@ -97,14 +97,15 @@
 
 /// Placeholder for the presentation of a title that was parsed, until [`List::load`] sets it.
 fn empty_presentation() -> Rc<Presentation> {
-    Rc::new(Presentation::plain(String::new(), 1, 1))
+    Rc::new(Presentation::single_period(String::new(), 1, 1))
 }
 
 impl Title {
     /// Sets the presentation of a title without a manifest, from `duration_ms`, `segment_ms` and `live`: all segments
     /// are `segment_ms` long.
     pub fn with_uniform_segments(self) -> Title {
-        let mut presentation = Presentation::plain(self.name.clone(), self.duration_ms, self.segment_ms);
+        let mut presentation =
+            Presentation::single_period(self.name.clone(), self.duration_ms, self.segment_ms);
         if let Some(live) = self.live {
             presentation.duration_ms = Some(self.duration_ms).filter(|ms| *ms > 0);
             presentation.live = Some(mpd::Live {
--- a/crates/edge/src/sessions.rs
+++ b/crates/edge/src/sessions.rs
@@ -440,7 +440,7 @@
             segment_ms: 1000,
             live: None,
             manifest: None,
-            presentation: Rc::new(pulleystair_dash::mpd::Presentation::plain("t".into(), 1000, 1000)),
+            presentation: Rc::new(pulleystair_dash::mpd::Presentation::single_period("t".into(), 1000, 1000)),
         })));
     }
 
--- a/crates/edge/tests/config.rs
+++ b/crates/edge/tests/config.rs
@@ -33,7 +33,7 @@
 
     /// The error that loading the configuration and its list gives.
     fn load_error(&self) -> String {
-        match Config::read(&self.file()) {
+        match Config::load(&self.file()) {
             Err(e) => e.to_string(),
             Ok(config) => read_list(&config).expect_err("the list is invalid").to_string(),
         }
@@ -43,7 +43,7 @@
 #[test]
 fn the_example_is_valid_and_converts_to_settings() {
     let folder = Folder::new(EXAMPLE_CONFIG, EXAMPLE_LIST);
-    let config = Config::read(&folder.file()).unwrap();
+    let config = Config::load(&folder.file()).unwrap();
     assert!(read_list(&config).unwrap().servers.len() > 1);
     let settings = config.policy_settings();
     assert_eq!(settings["balancers"], Value::Number(config.fronts as f64));
--- a/crates/edge/tests/interleaved_events.rs
+++ b/crates/edge/tests/interleaved_events.rs
@@ -3,7 +3,7 @@
 
 mod test_fleet;
 
-use pulleystair_dash::token::{EntryToken, KeyRing};
+use pulleystair_dash::token::{EntryClaims, KeyRing};
 use pulleystair_fake_servers::files::replace;
 use pulleystair_fake_servers::http::HttpPeer;
 use pulleystair_lab::environment::ListedState;
@@ -237,7 +237,7 @@
 fn sign_token(fleet: &TestFleet, key_number: u8, session: &str) -> String {
     let ring = KeyRing::new(&[(format!("portal-{key_number}"), vec![b'a' + key_number; 40])])
         .expect("the key ring is valid");
-    ring.sign(&EntryToken {
+    ring.sign(&EntryClaims {
         jti: session.into(),
         sub: "viewer".into(),
         product: fleet.scenario.products[FREE].name.clone(),
--- a/crates/edge/tests/keys.rs
+++ b/crates/edge/tests/keys.rs
@@ -2,7 +2,7 @@
 
 mod test_fleet;
 
-use pulleystair_dash::token::{EntryToken, KeyRing};
+use pulleystair_dash::token::{EntryClaims, KeyRing};
 use pulleystair_fake_servers::files::replace;
 use pulleystair_lab::fronts::portal_keys;
 use serde_json::json;
@@ -13,18 +13,18 @@
 const PAID: usize = 1;
 
 /// Claims of an entry token for session `s` that hardly expires.
-fn entry_token(fleet: &TestFleet) -> EntryToken {
+fn entry_claims(fleet: &TestFleet) -> EntryClaims {
     let (product, title) = (fleet.scenario.products[FREE].name.clone(), fleet.titles[FREE].name.clone());
-    EntryToken { jti: "s".into(), sub: "v".into(), product, title, top: 1, exp: u64::MAX >> 12 }
+    EntryClaims { jti: "s".into(), sub: "v".into(), product, title, top: 1, exp: u64::MAX >> 12 }
 }
 
 #[tokio::test]
 async fn invalid_tokens_cause_no_allocation() {
     let fleet = TestFleet::start().await;
-    let valid = portal_keys().sign(&entry_token(&fleet));
-    let forged = KeyRing::new(&[("portal-1".into(), vec![9; 32])]).unwrap().sign(&entry_token(&fleet));
-    let unknown = KeyRing::new(&[("portal-9".into(), vec![9; 32])]).unwrap().sign(&entry_token(&fleet));
-    let expired = portal_keys().sign(&EntryToken { exp: 1, ..entry_token(&fleet) });
+    let valid = portal_keys().sign(&entry_claims(&fleet));
+    let forged = KeyRing::new(&[("portal-1".into(), vec![9; 32])]).unwrap().sign(&entry_claims(&fleet));
+    let unknown = KeyRing::new(&[("portal-9".into(), vec![9; 32])]).unwrap().sign(&entry_claims(&fleet));
+    let expired = portal_keys().sign(&EntryClaims { exp: 1, ..entry_claims(&fleet) });
     let other_product = fleet.entry_token("p", PAID);
     let title = &fleet.titles[FREE].name;
     for (token, status) in
@@ -45,7 +45,7 @@
         "GET /v1/free/{title}/manifest.mpd HTTP/1.1\r\nHost: f\r\nAuthorization: Bearer {valid}\r\n\r\n"
     );
     assert_eq!(fleet.send_raw(&bearer).await.unwrap().status, 200);
-    let other_viewer = portal_keys().sign(&EntryToken { sub: "w".into(), ..entry_token(&fleet) });
+    let other_viewer = portal_keys().sign(&EntryClaims { sub: "w".into(), ..entry_claims(&fleet) });
     let answer = fleet.get(&format!("/v1/free/{title}/manifest.mpd?token={other_viewer}")).await;
     assert_eq!(answer.status, 403, "the session belongs to another viewer");
     let log = fleet.front_log(0);
@@ -89,7 +89,7 @@
 async fn status_with_portal_key(fleet: &TestFleet, key_number: u8, session: &str) -> u16 {
     let token = KeyRing::new(&[(format!("portal-{key_number}"), secret(key_number))])
         .expect("the key ring is valid")
-        .sign(&EntryToken { jti: session.into(), ..entry_token(fleet) });
+        .sign(&EntryClaims { jti: session.into(), ..entry_claims(fleet) });
     fleet.get(&format!("/v1/free/{}/manifest.mpd?token={token}", fleet.titles[FREE].name)).await.status
 }
 
--- a/crates/edge/tests/load_and_tokens.rs
+++ b/crates/edge/tests/load_and_tokens.rs
@@ -5,7 +5,7 @@
 
 use pulleystair_admission::homes::home_front;
 use pulleystair_dash::address;
-use pulleystair_dash::token::EntryToken;
+use pulleystair_dash::token::EntryClaims;
 use pulleystair_fake_servers::content;
 use pulleystair_fake_servers::http::HttpPeer;
 use pulleystair_lab::fronts::portal_keys;
@@ -185,8 +185,8 @@
 /// Manifest target of a session whose entry token expires at `exp`, in seconds since the epoch.
 fn manifest_target_expiring(fleet: &TestFleet, session: &str, exp: u64) -> String {
     let (product, title) = (fleet.scenario.products[FREE].name.clone(), fleet.titles[FREE].name.clone());
-    let claims = EntryToken { jti: session.into(), sub: "v".into(), product, title, top: 1, exp };
-    address::manifest_path(&claims.product, &claims.title, &portal_keys().sign(&claims))
+    let claims = EntryClaims { jti: session.into(), sub: "v".into(), product, title, top: 1, exp };
+    address::play_request_target(&claims.product, &claims.title, &portal_keys().sign(&claims))
 }
 
 /// The front cannot tell whether its own clock or that of the portal is off; it only sees that they disagree.
--- a/crates/edge/tests/rollout.rs
+++ b/crates/edge/tests/rollout.rs
@@ -26,7 +26,7 @@
 
 /// The sections of a front's configuration file without the server list, which changes while a front runs.
 fn sections(folder: &Path, front: usize) -> Sections {
-    let config = Config::read(&folder.join(format!("front-{front}.json"))).expect("the configuration loads");
+    let config = Config::load(&folder.join(format!("front-{front}.json"))).expect("the configuration loads");
     let mut sections = active_config::sections(&config, Value::Null);
     sections.remove("list");
     sections
@@ -60,7 +60,7 @@
         at_ms: head.map_or(from_ms, |d| d.at_ms),
     };
     chain.append(version).expect("the version continues the chain");
-    let text: String = chain.documents.iter().map(ApprovedVersion::line).collect();
+    let text: String = chain.versions.iter().map(ApprovedVersion::to_line).collect();
     pulleystair_fake_servers::files::replace(&folder.join("approved.jsonl"), text)
         .expect("the chain is replaced");
 }
@@ -273,9 +273,9 @@
 /// Appends version 2 to the chain, changes it and writes the chain again without validation.
 fn append_changed_version(folder: &Path, change: impl FnOnce(&mut ApprovedVersion)) {
     approve(folder, sections(folder, 0), wall_clock_whole_second_ms(), wall_clock_whole_second_ms());
-    let mut second = chain(folder).documents[1].clone();
+    let mut second = chain(folder).versions[1].clone();
     change(&mut second);
-    let text = chain(folder).documents[0].line() + &second.line();
+    let text = chain(folder).versions[0].to_line() + &second.to_line();
     std::fs::write(folder.join("approved.jsonl"), text).expect("the chain is written");
 }
 
--- a/crates/edge/tests/sharing/mod.rs
+++ b/crates/edge/tests/sharing/mod.rs
@@ -49,7 +49,7 @@
 
 /// Loads the configuration file of a front.
 fn load_front_config(fleet: &TestFleet, front: usize) -> Config {
-    Config::read(&fleet.folder().join(format!("front-{front}.json")))
+    Config::load(&fleet.folder().join(format!("front-{front}.json")))
         .expect("the configuration of the front loads")
 }
 
@@ -224,19 +224,19 @@
                 peers: others.iter().map(|i| front_name(*i)).collect(),
                 interval: sharing.every_ms,
                 fan_out: sharing.fan_out,
-                bytes_s: sharing.bytes_s,
+                max_bytes_per_second: sharing.bytes_s,
                 doubted_after: sharing.doubted_ms,
                 unheard_after: sharing.unheard_ms,
             },
             zone: 0,
             zones: vec![zone.to_string()],
             lease_ms: sharing.lend_ms,
-            further_s: sharing.further_s,
-            probes_s: sharing.probes_s,
-            alarm_delay: sharing.hold_ms,
+            max_further_per_second: sharing.further_s,
+            max_probes_per_second: sharing.probes_s,
+            alarm_delay_ms: sharing.hold_ms,
             stricter: false,
-            bucket: sharing.bucket_ms,
-            max_set_up: 5_000.0,
+            bucket_ms: sharing.bucket_ms,
+            max_set_up_ms: 5_000.0,
         };
         let addresses: BTreeMap<String, SocketAddr> =
             others.iter().map(|i| (front_name(*i), relays.relay_address(front, *i))).collect();
--- a/crates/edge/tests/test_fleet/mod.rs
+++ b/crates/edge/tests/test_fleet/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // Each test target uses a part of it.
 
 use pulleystair_dash::address;
-use pulleystair_dash::token::EntryToken;
+use pulleystair_dash::token::EntryClaims;
 use pulleystair_fake_servers::http::{HttpPeer, Message};
 use pulleystair_fake_servers::model::ServerFaults;
 use pulleystair_fake_servers::recorder::Recorder;
@@ -165,7 +165,7 @@
 
     /// Like [`TestFleet::entry_token`], for rungs up to `max_rung`. The token expires in ten minutes.
     fn entry_token_up_to(&self, session: &str, product: usize, max_rung: usize) -> String {
-        self.fronts.sign(&EntryToken {
+        self.fronts.sign(&EntryClaims {
             jti: session.into(),
             sub: "viewer".into(),
             product: self.scenario.products[product].name.clone(),
@@ -179,14 +179,14 @@
     /// [`TestFleet::entry_token`]).
     pub fn manifest_target(&self, session: &str, product: usize) -> String {
         let (product_name, title_name) = (&self.scenario.products[product].name, &self.titles[product].name);
-        address::manifest_path(product_name, title_name, &self.entry_token(session, product))
+        address::play_request_target(product_name, title_name, &self.entry_token(session, product))
     }
 
     /// Sends a manifest request of a session for any title of the scenario, by its index among all titles.
     pub async fn send_title_request(&self, front: usize, session: &str, title: usize) -> PendingRequest {
         let title_entry = &self.titles[title];
         let product = &self.scenario.products[title_entry.product].name;
-        let token = self.fronts.sign(&EntryToken {
+        let token = self.fronts.sign(&EntryClaims {
             jti: session.into(),
             sub: "viewer".into(),
             product: product.clone(),
@@ -194,7 +194,7 @@
             top: 1,
             exp: (self.recorder.now() / 1000.0) as u64 + 600,
         });
-        let target = address::manifest_path(product, &title_entry.name, &token);
+        let target = address::play_request_target(product, &title_entry.name, &token);
         self.write_manifest_request(front, session, title, &target).await
     }
 
@@ -232,7 +232,7 @@
     /// so the rules are not checked on it.
     pub async fn fetch_manifest_up_to(&self, session: &str, product: usize, max_rung: usize) -> Message {
         let (product_name, title_name) = (&self.scenario.products[product].name, &self.titles[product].name);
-        self.get(&address::manifest_path(
+        self.get(&address::play_request_target(
             product_name,
             title_name,
             &self.entry_token_up_to(session, product, max_rung),
--- a/crates/fleet-member/src/lib.rs
+++ b/crates/fleet-member/src/lib.rs
@@ -60,17 +60,17 @@
     /// How long parts of budgets are lent, ms.
     pub lease_ms: f64,
     /// Maximum number of further allocations, and of probes, of all fronts to one server per second; 0 for no limit.
-    pub further_s: f64,
-    pub probes_s: f64,
+    pub max_further_per_second: f64,
+    pub max_probes_per_second: f64,
     /// A front raises an alarm once its verdicts have been wrong or unknown without a break for this time, ms.
-    pub alarm_delay: f64,
+    pub alarm_delay_ms: f64,
     /// Whether the front uses the stricter of its own and the approved values while its verdict is wrong (behind, ahead,
     /// adrift or torn).
     pub stricter: bool,
     /// Length of the time buckets of the estimates, ms.
-    pub bucket: f64,
+    pub bucket_ms: f64,
     /// Set-ups that take longer than this count as this long in the estimates, ms.
-    pub max_set_up: f64,
+    pub max_set_up_ms: f64,
 }
 
 /// A server in this front's list, when its process started, and until when it is cold (ms).
@@ -134,8 +134,8 @@
             budgets: Budgets::new(now, gossip.own_id(), incarnation, front_count, config.lease_ms),
             counts: PlayCounts::default(),
             server_health: ServerHealth::new(now, config.zone),
-            outcomes: OutcomeLog::new(config.zone, config.bucket, config.max_set_up),
-            detector: Detector::new(config.alarm_delay),
+            outcomes: OutcomeLog::new(config.zone, config.bucket_ms, config.max_set_up_ms),
+            detector: Detector::new(config.alarm_delay_ms),
             chain: None,
             sections: Sections::new(),
             listed_servers: BTreeMap::new(),
@@ -316,8 +316,8 @@
                 server: *id,
                 doubted: self.health.doubted.contains(id),
                 pace_multiple: share(BudgetKind::Pace),
-                further_gap: gap(self.config.further_s, BudgetKind::Further),
-                probe_gap: gap(self.config.probes_s, BudgetKind::Probes),
+                further_gap: gap(self.config.max_further_per_second, BudgetKind::Further),
+                probe_gap: gap(self.config.max_probes_per_second, BudgetKind::Probes),
             };
             if self.last_hints.get(id) != Some(&hint) {
                 self.last_hints.insert(*id, hint);
--- a/crates/fuzz-checks/src/lib.rs
+++ b/crates/fuzz-checks/src/lib.rs
@@ -16,7 +16,7 @@
     let Ok(text) = std::str::from_utf8(bytes) else { return };
     let Ok(manifest) = mpd::parse(text) else { return };
     assert_eq!(
-        mpd::parse(&manifest.write()),
+        mpd::parse(&manifest.to_xml()),
         Ok(manifest.clone()),
         "a written manifest parses as the same one"
     );
@@ -106,8 +106,12 @@
         Some(Route::Manifest { product, title, .. }) => {
             assert!(address::is_valid_name(product) && address::is_valid_name(title));
         }
-        Some(Route::Segment { pass, .. } | Route::Refresh { pass } | Route::Session { pass }) => {
-            assert!(!pass.is_empty() && !pass.contains('/'));
+        Some(
+            Route::Segment { session_token, .. }
+            | Route::Refresh { session_token }
+            | Route::Session { session_token },
+        ) => {
+            assert!(!session_token.is_empty() && !session_token.contains('/'));
         }
         Some(Route::Time) | None => {}
     }
@@ -250,7 +254,7 @@
         peers: vec!["f1".into(), "f2".into()],
         interval: 200.0,
         fan_out: 2,
-        bytes_s: 64_000.0,
+        max_bytes_per_second: 64_000.0,
         doubted_after: 1_000.0,
         unheard_after: 2_000.0,
     };
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -52,7 +52,7 @@
     /// Number of peers asked in each round.
     pub fan_out: usize,
     /// Maximum number of bytes sent per second, questions and answers together.
-    pub bytes_s: f64,
+    pub max_bytes_per_second: f64,
     /// A front is doubted once its row is older than this, ms.
     pub doubted_after: f64,
     /// A front is unheard once its row is older than this, ms.
@@ -124,7 +124,7 @@
             nonce: 0,
             open_questions: VecDeque::new(),
             next_round_at: now,
-            token_bucket: (config.bytes_s, now),
+            token_bucket: (config.max_bytes_per_second, now),
             stats: GossipStats::default(),
             config,
         })
@@ -382,7 +382,7 @@
     /// Appends a datagram to `out`, unless it is too long or the rate limit is used up.
     fn push_datagram(&mut self, now: f64, to: FrontId, message: &Message, out: &mut Vec<Datagram>) {
         let bytes = message.encode(self.fleet);
-        let rate = self.config.bytes_s;
+        let rate = self.config.max_bytes_per_second;
         self.token_bucket =
             ((self.token_bucket.0 + (now - self.token_bucket.1) * rate / 1000.0).min(rate), now);
         if self.token_bucket.0 < bytes.len() as f64 || bytes.len() > MAX_BYTES {
--- a/crates/gossip/tests/exchange.rs
+++ b/crates/gossip/tests/exchange.rs
@@ -289,7 +289,7 @@
 #[test]
 fn the_rate_limit_holds_datagrams_back_and_counts_them() {
     let mut gossip_config = gossip_config(0, 40);
-    gossip_config.bytes_s = 300.0;
+    gossip_config.max_bytes_per_second = 300.0;
     let mut gossip = Gossip::new(gossip_config, 0.0, 1, 1).expect("the peer list is valid");
     let mut sent = 0;
     for _ in 0..100 {
--- a/crates/gossip/tests/network/mod.rs
+++ b/crates/gossip/tests/network/mod.rs
@@ -42,7 +42,7 @@
         peers: (0..count).filter(|i| *i != front).map(front_name).collect(),
         interval: 200.0,
         fan_out: 2,
-        bytes_s: 64_000.0,
+        max_bytes_per_second: 64_000.0,
         doubted_after: 2_000.0,
         unheard_after: 5_000.0,
     }
--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -7,7 +7,7 @@
 use anyhow::{Context, Result};
 use pulleystair_dash::address::{self, Route, SegmentId};
 use pulleystair_dash::mpd::Presentation;
-use pulleystair_dash::token::{KeyRing, SessionToken};
+use pulleystair_dash::token::{KeyRing, SessionClaims};
 use pulleystair_fake_servers::http::{HttpPeer, Message};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -93,14 +93,14 @@
         let mut server_connection = None;
         while let Some(request) = player.read_request().await? {
             let response_bytes = match (request.method.as_str(), address::parse(&request.target)) {
-                ("GET", Some(Route::Manifest { product, title, entry })) => {
-                    self.serve_manifest(product, title, entry.unwrap_or("")).await
+                ("GET", Some(Route::Manifest { product, title, entry_token })) => {
+                    self.serve_manifest(product, title, entry_token.unwrap_or("")).await
                 }
-                ("GET", Some(Route::Segment { pass, which: SegmentId::Number(number), .. })) => {
-                    self.serve_segment(pass, number, &mut server_connection).await
+                ("GET", Some(Route::Segment { session_token, segment: SegmentId::Number(number), .. })) => {
+                    self.serve_segment(session_token, number, &mut server_connection).await
                 }
-                ("DELETE", Some(Route::Session { pass })) => {
-                    if let Some(session) = self.find_session(pass) {
+                ("DELETE", Some(Route::Session { session_token })) => {
+                    if let Some(session) = self.find_session(session_token) {
                         session.playing_at.lock().expect("no task panics while it holds a session").take();
                     }
                     // Also for a session that is unknown or has ended.
@@ -236,16 +236,16 @@
             });
             let exp = self.unix_seconds() + 600;
             let session_token =
-                self.session_keys.sign(&SessionToken { sid: jti, product, title: title.clone(), exp });
+                self.session_keys.sign(&SessionClaims { sid: jti, product, title: title.clone(), exp });
             let ladder = self.config["ladder"].as_array().into_iter().flatten();
             let ladder: Vec<f64> = ladder.filter_map(|r| r["rate_kb"].as_f64()).collect();
             let mut presentation =
-                Presentation::plain(title, duration_ms, to_number(&title_entry["segment_ms"]));
-            presentation.base = address::base_path(&session_token);
+                Presentation::single_period(title, duration_ms, to_number(&title_entry["segment_ms"]));
+            presentation.base_url = address::base_path(&session_token);
             let bandwidths =
                 ladder[..=floor.min(ladder.len() - 1)].iter().map(|kb| (kb * 8000.0).ceil() as u64);
             presentation.periods[0].bandwidths = bandwidths.collect();
-            return (200, presentation.write());
+            return (200, presentation.to_xml());
         }
         (if may_have_run && !is_repeatable { 502 } else { 503 }, String::new())
     }
--- a/crates/lab/src/fronts.rs
+++ b/crates/lab/src/fronts.rs
@@ -4,7 +4,7 @@
 use crate::relays::Relays;
 use crate::scenario::Scenario;
 use anyhow::{Context, Result, bail, ensure};
-use pulleystair_dash::token::{EntryToken, KeyRing};
+use pulleystair_dash::token::{EntryClaims, KeyRing};
 use pulleystair_fake_servers::certificates::{Certificate, CertificateAuthority};
 use pulleystair_fake_servers::files::replace;
 use pulleystair_fake_servers::recorder::Recorder;
@@ -248,7 +248,7 @@
     }
 
     /// Signs an entry token with the portal's present key.
-    pub fn sign(&self, entry: &EntryToken) -> String {
+    pub fn sign(&self, entry: &EntryClaims) -> String {
         self.portal.lock().expect("no task panics while it holds the portal's keys").0.sign(entry)
     }
 
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -10,7 +10,7 @@
 use crate::testbed::Testbed;
 use anyhow::{Context, Result, ensure};
 use pulleystair_dash::address;
-use pulleystair_dash::token::{EntryToken, KeyRing};
+use pulleystair_dash::token::{EntryClaims, KeyRing};
 use pulleystair_fake_servers::http::HttpPeer;
 use pulleystair_fake_servers::server::FakeServers;
 use serde::Serialize;
@@ -190,7 +190,7 @@
     async fn set_up_play(&self) -> Result<(u16, Vec<u8>)> {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let title = &self.titles[number as usize % self.titles.len()].name;
-        let token = self.portal_keys.sign(&EntryToken {
+        let token = self.portal_keys.sign(&EntryClaims {
             jti: format!("s{number}"),
             sub: "v".into(),
             product: "any".into(),
@@ -199,7 +199,7 @@
             exp: u64::MAX >> 12,
         });
         let mut peer = self.connect_to_front().await?;
-        let target = address::manifest_path("any", title, &token);
+        let target = address::play_request_target("any", title, &token);
         peer.write(format!("GET {target} HTTP/1.1\r\nHost: f\r\n\r\n").as_bytes()).await?;
         let response = peer.read_response().await?.context("the front closed the connection")?;
         Ok((response.status, response.body))
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -2,7 +2,7 @@
 
 use anyhow::{Context, Result};
 use clap::{Parser, Subcommand};
-use pulleystair_dash::{address, token::EntryToken};
+use pulleystair_dash::{address, token::EntryClaims};
 use pulleystair_lab::fronts::{Program, portal_keys};
 use pulleystair_lab::testbed::Testbed;
 use pulleystair_lab::{baseline, load, report, scenario::Scenario, scenario_run};
@@ -56,7 +56,10 @@
     },
     /// Run as a baseline front, as started by `day --baseline`
     #[command(hide = true)]
-    Baseline { rundown: PathBuf },
+    Baseline {
+        #[arg(value_name = "RUNDOWN")]
+        config: PathBuf,
+    },
 }
 
 /// The path of the front that was built with this program.
@@ -81,7 +84,7 @@
     println!("then request one of these URLs within an hour, with the front's address in place of FRONT:");
     for (product, product_config) in testbed.scenario.products.iter().enumerate() {
         let Some(title) = testbed.titles.iter().find(|t| t.product == product) else { continue };
-        let entry = portal_keys().sign(&EntryToken {
+        let entry = portal_keys().sign(&EntryClaims {
             jti: format!("by-hand-{product}"),
             sub: "by-hand".into(),
             product: product_config.name.clone(),
@@ -89,7 +92,10 @@
             top: testbed.scenario.ladder.len() - 1,
             exp: (testbed.recorder.now() / 1000.0) as u64 + 3600,
         });
-        println!("  {scheme}://FRONT{}", address::manifest_path(&product_config.name, &title.name, &entry));
+        println!(
+            "  {scheme}://FRONT{}",
+            address::play_request_target(&product_config.name, &title.name, &entry)
+        );
     }
     Ok(tokio::signal::ctrl_c().await?)
 }
@@ -135,7 +141,7 @@
             runtime.block_on(run_fake_servers(Scenario::load(&script)?, &out))?;
             Ok(true)
         }
-        Job::Baseline { rundown: config_file } => {
+        Job::Baseline { config: config_file } => {
             tokio::runtime::Runtime::new()?.block_on(baseline::run(&config_file))?;
             Ok(true)
         }
--- a/crates/lab/src/players.rs
+++ b/crates/lab/src/players.rs
@@ -6,7 +6,7 @@
 use crate::scenario::{FaultKind, Scenario};
 use anyhow::Result;
 use pulleystair_dash::address;
-use pulleystair_dash::token::EntryToken;
+use pulleystair_dash::token::EntryClaims;
 use pulleystair_fake_servers::content;
 use pulleystair_fake_servers::http::{HttpPeer, Message};
 use pulleystair_fake_servers::recorder::Recorder;
@@ -240,7 +240,7 @@
     /// Signs an entry token for a session, valid for a minute.
     fn token(&self, session: &str, arrival: &Arrival) -> String {
         let title = &self.titles[arrival.title];
-        self.fronts.sign(&EntryToken {
+        self.fronts.sign(&EntryClaims {
             jti: session.to_string(),
             sub: format!("v{:x}", arrival.seed),
             product: self.scenario.products[title.product].name.clone(),
@@ -292,7 +292,7 @@
         let product = &self.scenario.products[title.product];
         let Ok(mut peer) = self.connect(address).await else { return ManifestResult::Disconnected };
         let request = self.next_request.fetch_add(1, Ordering::Relaxed);
-        let target = address::manifest_path(&product.name, &title.name, &self.token(session, arrival));
+        let target = address::play_request_target(&product.name, &title.name, &self.token(session, arrival));
         self.recorder.record(Observed::Asked {
             request,
             session: session.to_string(),
--- a/crates/message-mutation/src/front.rs
+++ b/crates/message-mutation/src/front.rs
@@ -159,7 +159,7 @@
         peers: (0..FRONTS).filter(|f| *f != rank).map(front_name).collect(),
         interval: 250.0,
         fan_out: 1,
-        bytes_s: 64_000.0,
+        max_bytes_per_second: 64_000.0,
         doubted_after: 900.0,
         unheard_after: 1_600.0,
     };
@@ -168,12 +168,12 @@
         zone: rank % 2,
         zones: vec!["z0".into(), "z1".into()],
         lease_ms: 600.0,
-        further_s: 50.0,
-        probes_s: 50.0,
-        alarm_delay: 0.0,
+        max_further_per_second: 50.0,
+        max_probes_per_second: 50.0,
+        alarm_delay_ms: 0.0,
         stricter: false,
-        bucket: 60_000.0,
-        max_set_up: TIME_LIMIT_MS,
+        bucket_ms: 60_000.0,
+        max_set_up_ms: TIME_LIMIT_MS,
     };
     let sections = Sections::from([("rules".into(), json!({ "drain_grace_ms": 300 }))]);
     let stage = RolloutStage { fronts: vec![], from_ms: 0.0, by_ms: 0.0 };
