--- a/crates/edge/src/server_list.rs
+++ b/crates/edge/src/server_list.rs
@@ -79,7 +79,7 @@
     /// File of an MPD that describes the title, relative to the list's folder.
     pub manifest: Option<PathBuf>,
     /// The presentation that results from the fields above; set by [`List::load`].
-    #[serde(skip, default = "nothing")]
+    #[serde(skip, default = "empty_presentation")]
     pub presentation: Rc<Presentation>,
 }
 
@@ -96,15 +96,16 @@
 }
 
 /// Placeholder for the presentation of a title that was parsed, until [`List::load`] sets it.
-fn nothing() -> Rc<Presentation> {
-    Rc::new(Presentation::plain(String::new(), 1, 1))
+fn empty_presentation() -> Rc<Presentation> {
+    Rc::new(Presentation::single_period(String::new(), 1, 1))
 }
 
 impl Title {
     /// Sets the presentation of a title without a manifest, from `duration_ms`, `segment_ms` and `live`: all segments
     /// are `segment_ms` long.
     pub fn with_uniform_segments(self) -> Title {
-        let mut presentation = Presentation::plain(self.name.clone(), self.duration_ms, self.segment_ms);
+        let mut presentation =
+            Presentation::single_period(self.name.clone(), self.duration_ms, self.segment_ms);
         if let Some(live) = self.live {
             presentation.duration_ms = Some(self.duration_ms).filter(|ms| *ms > 0);
             presentation.live = Some(mpd::Live {
--- a/crates/gossip/tests/network/mod.rs
+++ b/crates/gossip/tests/network/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)] // Each test file uses only a part of this module.
 
 use oorandom::Rand64;
-use pulleystair_gossip::message::Origin;
-use pulleystair_gossip::{Datagram, Gossip, GossipConfig, origin_of};
+use pulleystair_gossip::message::FrontId;
+use pulleystair_gossip::{Datagram, Gossip, GossipConfig, front_id};
 use std::collections::BTreeMap;
 
 /// Faults of the network: the probabilities that a datagram is lost and that it is duplicated.
@@ -42,7 +42,7 @@
         peers: (0..count).filter(|i| *i != front).map(front_name).collect(),
         interval: 200.0,
         fan_out: 2,
-        bytes_s: 64_000.0,
+        max_bytes_per_second: 64_000.0,
         doubted_after: 2_000.0,
         unheard_after: 5_000.0,
     }
@@ -76,8 +76,8 @@
         self.up[front] = true;
     }
 
-    pub fn index(&self, origin: Origin) -> usize {
-        (0..self.fronts.len()).find(|i| origin_of(&front_name(*i)) == origin).expect("a front of this fleet")
+    pub fn index(&self, origin: FrontId) -> usize {
+        (0..self.fronts.len()).find(|i| front_id(&front_name(*i)) == origin).expect("a front of this fleet")
     }
 
     fn send(&mut self, from: usize, out: Vec<Datagram>) {
--- a/crates/message-mutation/src/messages.rs
+++ b/crates/message-mutation/src/messages.rs
@@ -19,13 +19,13 @@
     pub title: String,
     pub time_limit: f64,
     pub first_cell: usize,
-    pub holders: usize,
+    pub holder_cells: usize,
     pub max_rung: usize,
 }
 
 /// Encodes a viewer's set-up.
 pub fn encode_set_up(set_up: &SetUp) -> Vec<u8> {
-    let extras = format!("home:{};copies:{};top:{}", set_up.first_cell, set_up.holders, set_up.max_rung);
+    let extras = format!("home:{};copies:{};top:{}", set_up.first_cell, set_up.holder_cells, set_up.max_rung);
     let time_limit = format!("{}", set_up.time_limit);
     let parameters: Vec<(u8, &[u8])> = vec![
         (code::CLASS, CLASSES[set_up.product].as_bytes()),
@@ -51,15 +51,16 @@
         let index = ["home", "copies", "top"].iter().position(|n| *n == name);
         index.into_iter().for_each(|i| extras[i] = value.parse::<usize>().ok());
     }
-    let [Some(first_cell), Some(holders), Some(max_rung)] = extras else { return None };
-    let is_valid = (0.0..=MAX_TIME_LIMIT_MS).contains(&time_limit) && holders > 0 && message.session != 0;
+    let [Some(first_cell), Some(holder_cells), Some(max_rung)] = extras else { return None };
+    let is_valid =
+        (0.0..=MAX_TIME_LIMIT_MS).contains(&time_limit) && holder_cells > 0 && message.session != 0;
     is_valid.then_some(SetUp {
         play: message.session,
         product,
         title,
         time_limit,
         first_cell,
-        holders,
+        holder_cells,
         max_rung,
     })
 }
@@ -118,7 +119,7 @@
             cell: entry.cell,
             standing,
             weight: entry.weight,
-            started_at: entry.started,
+            started_at: entry.started_at,
         };
         Some((server as u32, listing))
     };
@@ -136,12 +137,19 @@
 
 /// Encodes a media server's notice that a session has ended.
 pub fn encode_teardown(play: u64) -> Vec<u8> {
-    rtsp::request("TEARDOWN", "s", 2, play, &[("Reason", "cause=16")], b"")
+    rtsp::encode_request("TEARDOWN", "s", 2, play, &[("Reason", "cause=16")], b"")
 }
 
 /// Encodes a media server's note on a running play: the load of its link.
 pub fn encode_note(play: u64, metric: f64) -> Vec<u8> {
-    rtsp::request("ANNOUNCE", "s", 4, play, &[("X-Why", "l"), ("Figure", &format!("{metric:.3}"))], b"")
+    rtsp::encode_request(
+        "ANNOUNCE",
+        "s",
+        4,
+        play,
+        &[("X-Why", "l"), ("Figure", &format!("{metric:.3}"))],
+        b"",
+    )
 }
 
 /// The load metrics of a message's load report.
@@ -151,5 +159,5 @@
         "x1" => Some(LoadMetric::Streams(x)),
         _ => None,
     };
-    message.report().filter_map(metric).collect()
+    message.load_values().filter_map(metric).collect()
 }
--- a/crates/node/src/listing.rs
+++ b/crates/node/src/listing.rs
@@ -4,7 +4,7 @@
 use crate::config::Config;
 use crate::node::Node;
 use crate::shares::{RETRY_DELAY_MS, is_resource_exhaustion};
-use crate::state::{AllocationEnd, NodeState, Timer};
+use crate::state::{AttemptEnd, NodeState, Timer};
 use anyhow::Context;
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
@@ -92,7 +92,7 @@
         let (is_whole, entries) = self.state.config.known.merged_list();
         self.state.config.known.notices.clear();
         self.apply_list(is_whole, !self.dns_client.has_response, &entries);
-        self.dns_client.revision = Some(self.state.config.known.rev);
+        self.dns_client.revision = Some(self.state.config.known.revision);
     }
 
     /// Queries the name service if the next query is due; otherwise the timer that fired is stale.
@@ -173,7 +173,7 @@
                 cell: entry.cell,
                 standing: entry.standing,
                 weight: entry.weight,
-                started_at: entry.started,
+                started_at: entry.started_at,
             };
             listings.push((server_number, listing));
             let Some(server) = self.state.servers.get_mut(&server_number) else { continue };
@@ -188,7 +188,7 @@
             self.on_server_restarted(server_number, started_at);
         }
         self.cancel_unsent_set_ups();
-        self.report_finished_allocations();
+        self.report_ends();
         self.forget_gone_servers();
     }
 
@@ -205,7 +205,7 @@
                 .map_or(Vec::new(), |c| c.pending_set_ups.iter().map(|s| s.play).collect());
             for play in plays {
                 if self.state.cancel_unsent_set_up(connection_id, play) {
-                    self.state.finished_allocations.push_back(AllocationEnd {
+                    self.state.unreported_ends.push_back(AttemptEnd {
                         play,
                         server_number,
                         outcome: Outcome::NeverSent,
@@ -241,7 +241,7 @@
     /// Checks the file, replaces the client of the name service (also if its address is the same), and
     /// applies the file's events if they are newer.
     fn apply_config_file(&mut self) -> anyhow::Result<()> {
-        let config = Config::read(&self.state.config.path)?;
+        let config = Config::load(&self.state.config.path)?;
         let old = &self.state.config;
         // The file belongs to another node, and perhaps to another customer, so no part of it is applied.
         if (&config.name, config.listen) != (&old.name, old.listen) {
@@ -261,7 +261,7 @@
         let old = std::mem::replace(&mut self.dns_client, dns_client);
         self.state.loop_handle.remove(old.source);
         info!(target: "names", was = %old_resolver, resolver = %config.resolver, "name service changed");
-        if self.dns_client.revision.is_none_or(|rev| config.known.rev > rev) {
+        if self.dns_client.revision.is_none_or(|rev| config.known.revision > rev) {
             self.state.config.known = config.known;
             self.apply_initial_events();
         }
--- a/crates/node/src/to_servers.rs
+++ b/crates/node/src/to_servers.rs
@@ -3,7 +3,7 @@
 use crate::node::SERVER_CHECK_INTERVAL_MS;
 use crate::state::{
     Attempt, CSEQ_OTHER, CSEQ_SET_UP, CSEQ_TEARDOWN, MAX_NOTICES, NOTICE_TTL_MS, NodeState, PendingSetUp,
-    ReleaseNotice, Role, Server, ServerConnection, Timer,
+    Role, Server, ServerConnection, Teardown, Timer,
 };
 use pulleystair_connections::ConnectionId;
 use pulleystair_rtsp as rtsp;
@@ -69,7 +69,7 @@
             let is_needed = server.playing_sessions > 0 && server.connections.len() <= 1;
             for connection_id in &server.connections {
                 let Some(connection) = self.connections.get_mut(*connection_id) else { continue };
-                let has_pending_output = connection.pending() > 0;
+                let has_pending_output = connection.unsent_bytes() > 0;
                 let Role::Server(server_connection) = &connection.role else { continue };
                 let may_close = !is_needed
                     || may_close_needed
@@ -134,7 +134,7 @@
             let may_be_closing = server_connection.pending_set_ups.is_empty()
                 && now - server_connection.last_active_at > max_idle;
             if server_connection.is_unresponsive
-                || connection.closed
+                || connection.has_ended
                 || may_be_closing
                 || excluded.contains(connection_id)
                 || server_connection.pending_set_ups.len() >= self.limits.max_set_ups_per_server_connection
@@ -184,7 +184,7 @@
         let usable = connection_ids.into_iter().find(|connection_id| {
             self.connections
                 .get_mut(*connection_id)
-                .is_some_and(|connection| !connection.closed && matches!(&connection.role, Role::Server(server_connection) if !server_connection.is_unresponsive))
+                .is_some_and(|connection| !connection.has_ended && matches!(&connection.role, Role::Server(server_connection) if !server_connection.is_unresponsive))
         });
         usable.or_else(|| self.dial(server_number, may_close_needed))
     }
@@ -194,14 +194,14 @@
     pub(crate) fn write_to_server(&mut self, connection_id: ConnectionId, bytes: &[u8]) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(connection_id) else { return };
-        connection.write(bytes);
+        connection.queue(bytes);
         if matches!(&connection.role, Role::Server(server_connection) if server_connection.is_established) {
             connection.flush();
         }
-        let (is_closed, bytes_sent) = (connection.closed, connection.bytes_sent());
+        let (is_closed, bytes_sent) = (connection.has_ended, connection.bytes_sent());
         if let Role::Server(server_connection) = &mut connection.role {
             server_connection.last_active_at = now;
-            server_connection.unsent_releases.retain(|release| release.offset >= bytes_sent);
+            server_connection.unsent_teardowns.retain(|teardown| teardown.offset >= bytes_sent);
         }
         if is_closed {
             self.revisit_queue.push_back(connection_id);
@@ -213,10 +213,10 @@
         let bytes_sent =
             self.connections.get_mut(connection_id).map_or(0, |connection| connection.bytes_sent());
         let Some(Role::Server(server_connection)) = self.connections.close(connection_id) else { return };
-        // Release notices of which no byte was sent are sent on another connection.
+        // TEARDOWNs of which no byte was sent are sent on another connection.
         let unsent =
-            server_connection.unsent_releases.into_iter().filter(|release| release.offset >= bytes_sent);
-        self.pending_releases.extend(unsent.take(MAX_NOTICES.saturating_sub(self.pending_releases.len())));
+            server_connection.unsent_teardowns.into_iter().filter(|teardown| teardown.offset >= bytes_sent);
+        self.pending_teardowns.extend(unsent.take(MAX_NOTICES.saturating_sub(self.pending_teardowns.len())));
         if let Some(server) = self.servers.get_mut(&server_connection.server_number) {
             server.connections.retain(|id| *id != connection_id);
         }
@@ -224,7 +224,7 @@
 
     /// Notifies a server with a TEARDOWN that a session at it has ended: on the `preferred` connection, on
     /// any other, or later if there is none.
-    pub(crate) fn release_on_server(
+    pub(crate) fn tear_down_on_server(
         &mut self,
         server_number: u32,
         preferred: Option<ConnectionId>,
@@ -232,36 +232,42 @@
         cause: u8,
     ) {
         let created_at = self.now();
-        self.send_release(preferred, ReleaseNotice { server_number, play, cause, created_at, offset: 0 });
+        self.send_teardown(preferred, Teardown { server_number, play, cause, created_at, offset: 0 });
     }
 
-    /// Sends a release notice as a TEARDOWN, or keeps it if there is no connection to its server.
-    fn send_release(&mut self, preferred: Option<ConnectionId>, mut release: ReleaseNotice) {
-        let Some(connection_id) = self.preferred_or_any_connection(release.server_number, preferred) else {
-            if self.pending_releases.len() < MAX_NOTICES {
-                self.pending_releases.push_back(release);
+    /// Sends a TEARDOWN, or keeps it if there is no connection to its server.
+    fn send_teardown(&mut self, preferred: Option<ConnectionId>, mut teardown: Teardown) {
+        let Some(connection_id) = self.preferred_or_any_connection(teardown.server_number, preferred) else {
+            if self.pending_teardowns.len() < MAX_NOTICES {
+                self.pending_teardowns.push_back(teardown);
             }
             return;
         };
-        let reason = format!("cause={}", release.cause);
-        let bytes =
-            rtsp::request("TEARDOWN", "session", CSEQ_TEARDOWN, release.play, &[("Reason", &reason)], b"");
-        release.offset =
+        let reason = format!("cause={}", teardown.cause);
+        let bytes = rtsp::encode_request(
+            "TEARDOWN",
+            "session",
+            CSEQ_TEARDOWN,
+            teardown.play,
+            &[("Reason", &reason)],
+            b"",
+        );
+        teardown.offset =
             self.connections.get_mut(connection_id).map_or(0, |connection| connection.bytes_queued());
         if let Some(server_connection) = self.server_connection(connection_id) {
-            server_connection.unsent_releases.push(release);
+            server_connection.unsent_teardowns.push(teardown);
         }
         self.write_to_server(connection_id, &bytes);
     }
 
-    /// Tries to send the pending release notices. A notice is dropped if its server is gone or
+    /// Tries to send the pending TEARDOWNs. A TEARDOWN is dropped if its server is gone or
     /// `NOTICE_TTL_MS` has passed, because by then the viewer must have learnt of the end in another way.
-    pub(crate) fn retry_pending_releases(&mut self, now: f64) {
-        for release in std::mem::take(&mut self.pending_releases) {
+    pub(crate) fn retry_pending_teardowns(&mut self, now: f64) {
+        for teardown in std::mem::take(&mut self.pending_teardowns) {
             let is_reachable =
-                self.servers.get(&release.server_number).is_some_and(|s| s.dial_address().is_some());
-            if is_reachable && now - release.created_at < NOTICE_TTL_MS {
-                self.send_release(None, release);
+                self.servers.get(&teardown.server_number).is_some_and(|s| s.dial_address().is_some());
+            if is_reachable && now - teardown.created_at < NOTICE_TTL_MS {
+                self.send_teardown(None, teardown);
             }
         }
     }
@@ -273,7 +279,7 @@
         preferred: Option<ConnectionId>,
     ) -> Option<ConnectionId> {
         let usable = preferred.filter(|connection_id| {
-            self.connections.get_mut(*connection_id).is_some_and(|connection| !connection.closed)
+            self.connections.get_mut(*connection_id).is_some_and(|connection| !connection.has_ended)
         });
         usable.or_else(|| self.connection_to(server_number, true))
     }
@@ -300,8 +306,14 @@
         let rung = session.rung.to_string();
         let fields: [(&str, &str); 3] =
             [("X-Call-Class", &session.class), ("X-Ring-Limit", &time_limit), ("Rate-Step", &rung)];
-        let bytes =
-            rtsp::request("SETUP", &session.title, CSEQ_SET_UP, attempt.play, &fields, &session.description);
+        let bytes = rtsp::encode_request(
+            "SETUP",
+            &session.title,
+            CSEQ_SET_UP,
+            attempt.play,
+            &fields,
+            &session.description,
+        );
         if let Some(connection) = self.connections.get_mut(connection_id) {
             let offset = connection.bytes_queued();
             if let Role::Server(server_connection) = &mut connection.role {
@@ -319,7 +331,7 @@
     /// The plays whose set-ups on this connection have not been sent, not even in part.
     pub(crate) fn unsent_set_ups(&mut self, connection_id: ConnectionId) -> Vec<u64> {
         let Some(connection) =
-            self.connections.get_mut(connection_id).filter(|connection| connection.pending() > 0)
+            self.connections.get_mut(connection_id).filter(|connection| connection.unsent_bytes() > 0)
         else {
             return Vec::new();
         };
@@ -343,7 +355,7 @@
         else {
             return false;
         };
-        if !connection.cancel_write(set_up.offset, set_up.length) {
+        if !connection.cancel_queued(set_up.offset, set_up.length) {
             return false;
         }
         let Role::Server(server_connection) = &mut connection.role else { return false };
@@ -355,7 +367,7 @@
             .filter(|s| s.offset > set_up.offset)
             .for_each(|s| s.offset -= length);
         server_connection
-            .unsent_releases
+            .unsent_teardowns
             .iter_mut()
             .filter(|r| r.offset > set_up.offset)
             .for_each(|r| r.offset -= length);
@@ -374,7 +386,7 @@
             session.abandoned_connections.push(connection_id);
         }
         self.remove_pending_set_up(connection_id, play);
-        let bytes = rtsp::request("TEARDOWN", "session", CSEQ_TEARDOWN, play, &[], b"");
+        let bytes = rtsp::encode_request("TEARDOWN", "session", CSEQ_TEARDOWN, play, &[], b"");
         self.write_to_server(connection_id, &bytes);
         false
     }
@@ -407,7 +419,8 @@
         let rung = session.rung.to_string();
         let preferred = session.server_connection_id;
         self.stats.steps += 1;
-        let bytes = rtsp::request("SET_PARAMETER", "session", CSEQ_OTHER, play, &[("Rate-Step", &rung)], b"");
+        let bytes =
+            rtsp::encode_request("SET_PARAMETER", "session", CSEQ_OTHER, play, &[("Rate-Step", &rung)], b"");
         if let Some(connection_id) = self.preferred_or_any_connection(server_number, preferred) {
             self.write_to_server(connection_id, &bytes);
         }
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -134,7 +134,7 @@
     pub(crate) fn close_viewer_connection(&mut self, connection_id: ConnectionId) {
         self.abandon_pending_set_ups(connection_id);
         let Some(connection) = self.state.connections.get_mut(connection_id) else { return };
-        let unread = connection.is_broken() || connection.pending() > 0;
+        let unread = connection.is_broken() || connection.unsent_bytes() > 0;
         let Some(Role::Viewer(viewer)) = self.state.connections.close(connection_id) else { return };
         self.state.viewer_connections.retain(|id| *id != connection_id);
         debug!(target: "viewer", key = connection_id, proven = viewer.is_identified, unread, viewers = self.state.viewer_connections.len(), "viewer connection closed");
@@ -173,7 +173,7 @@
         for play in abandoned.unwrap_or_default() {
             self.abandon_set_up(play);
         }
-        self.report_finished_allocations();
+        self.report_ends();
     }
 
     /// Abandons a pending set-up, because its viewer no longer waits for it.
@@ -181,7 +181,7 @@
         let Some(session) = self.state.sessions.get(&play) else { return };
         let (connection_id, server_number) = (session.viewer_connection_id, session.server_number);
         self.state.mark_set_up_answered(connection_id, play);
-        self.dispatcher.on_viewer_left(play, &mut self.state);
+        self.dispatcher.close_play(play, &mut self.state);
         // A session with a current attempt is removed when the outcome of the attempt is reported to the
         // dispatcher.
         if server_number.is_none() {
@@ -195,7 +195,7 @@
             let Some(connection) = self.state.connections.get_mut(connection_id) else { return true };
             connection.flush();
             let has_read = connection.read(MAX_INPUT_BYTES);
-            let is_closed = connection.closed;
+            let is_closed = connection.has_ended;
             if !connection.input.is_empty() {
                 let input = std::mem::take(&mut connection.input);
                 let used = self.handle_viewer_messages(connection_id, &input);
@@ -235,7 +235,7 @@
                     if !self.handle_viewer_message(connection_id, &message) {
                         return None;
                     }
-                    self.report_finished_allocations();
+                    self.report_ends();
                 }
             }
         }
@@ -379,7 +379,7 @@
                 return self.state.notify_session_end(play, connection_id, viewer_ip, cause);
             }
             Some(EndReport::Viewer(cause)) => {
-                return self.state.release_on_server(server_number, None, play, cause);
+                return self.state.tear_down_on_server(server_number, None, play, cause);
             }
         }
         let request = set_up.request;
