--- a/crates/edge/tests/fake_peers/dns.rs
+++ b/crates/edge/tests/fake_peers/dns.rs
@@ -141,11 +141,12 @@
         self.queries.load(Ordering::SeqCst)
     }
 
-    /// Waits until `more` further queries were handled in the present mode, answered or not.
+    /// Waits until `more` further queries have been received and handled, answered or not. The node sends a query every 150 to 250 ms,
+    /// and one more after each SIGHUP; the first may be due at once. Without a SIGHUP, N queries thus take at least (N - 1) x 150 ms.
     pub fn wait_for_queries(&self, more: usize) {
-        let deadline = self.queries.load(Ordering::SeqCst) + more;
+        let target_count = self.queries.load(Ordering::SeqCst) + more;
         let started_at = Instant::now();
-        while self.queries.load(Ordering::SeqCst) < deadline {
+        while self.queries.load(Ordering::SeqCst) < target_count {
             assert!(started_at.elapsed() < TIMEOUT, "the name service was not queried in time");
             std::thread::sleep(Duration::from_millis(5));
         }
--- a/crates/edge/tests/fake_peers/mod.rs
+++ b/crates/edge/tests/fake_peers/mod.rs
@@ -1,6 +1,6 @@
 //! Scripted peers of a real node on loopback: viewers, media servers and the name service. They are written from the protocol
 //! description and share no codec with the node, so that an error on both sides can't cancel out. All calls block; a test
-//! fails after [`TIMEOUT`].
+//! fails after [`TIMEOUT`]. The kinds and parameter codes of viewers' messages are listed at the head of `viewers.rs`.
 #![allow(dead_code, unused_imports)] // Each test target uses only some of the peers.
 
 mod dns;
--- a/crates/edge/tests/fake_peers/process.rs
+++ b/crates/edge/tests/fake_peers/process.rs
@@ -34,7 +34,8 @@
 }
 
 impl Node {
-    /// The configuration file of a node: name service, servers listed at start, limit of sockets, interval of load reports.
+    /// The configuration file of a node: name service, servers listed at start, limit of sockets, interval of the servers' load reports
+    /// in µs.
     pub fn config(
         resolver: SocketAddr,
         listed: &[&MediaServer],
--- a/crates/edge/tests/fake_peers/servers.rs
+++ b/crates/edge/tests/fake_peers/servers.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A server that is listed and doesn't listen.
+    /// A server without a listener of its own, to be listed at `addr`.
     pub fn without_listener(id: &str, cell: usize, addr: SocketAddr) -> MediaServer {
         MediaServer {
             id: id.into(),
@@ -206,20 +206,20 @@
         ));
     }
 
-    /// Expects a set-up, answers it with 200 and asserts that its viewer receives the answer.
+    /// Expects a set-up, answers it with 200 and asserts that its viewer receives the answer (kind 9).
     pub fn serve_set_up(&mut self, viewer: &mut Viewer, session: u64) {
         let request = self.expect_request("SETUP");
         self.respond(&request, 200, DESCRIPTION);
         viewer.expect_message(9, session);
     }
 
-    /// Ends an established session and asserts that its viewer receives the release.
+    /// Ends an established session and asserts that its viewer receives the release (kind 12).
     pub fn end_play(&mut self, viewer: &mut Viewer, session: u64) {
         self.send_request("TEARDOWN", session, "Reason: cause=16\r\n");
         assert_eq!(viewer.expect_message(12, session).cause(), 16);
     }
 
-    /// Closes the connection in order, as a server closes an idle one.
+    /// Closes the connection with a FIN, as a server closes an idle one; the socket is closed when the value is dropped.
     pub fn close(self) {}
 
     /// Resets the connection.
--- a/crates/edge/tests/fake_peers/viewers.rs
+++ b/crates/edge/tests/fake_peers/viewers.rs
@@ -1,4 +1,10 @@
-//! Viewers, and the binary messages that they exchange with the node.
+//! Viewers, and the binary messages that they exchange with the node. Messages and parameters are written with their numbers:
+//!
+//! - kinds: 1 set-up, 6 progress, 9 answer, 12 release, 52 health check, 53 reply to a health check;
+//! - parameters: 3 class, 6 time limit (ms), 15 title, 18 extras (such as the cells that hold the title), 21 delay before a retry (ms),
+//!   33 time hint, 45 cause of a release or result of a health check, 48 session description;
+//! - causes of a release to a viewer: 16 the session has finished, 34 the play was declined, 41 the play failed or its session was lost,
+//!   42 the node is busy, 100 the set-up is unusable.
 
 use super::*;
 use std::io::{Read, Write};
@@ -29,7 +35,7 @@
     }
 }
 
-/// Encodes a message with its length in front.
+/// Encodes a message of this kind with its length in front; parameters are pairs of code and value.
 pub fn encode_message(kind: u8, session: u64, parameters: &[(u8, &[u8])]) -> Vec<u8> {
     let mut body = vec![kind];
     body.extend(session.to_be_bytes());
@@ -43,9 +49,10 @@
     out
 }
 
-/// Encodes a valid set-up in which these parameters replace the usual ones; an empty value removes the parameter.
+/// Encodes a valid set-up in which these parameters (code, value) replace the usual ones; an empty value removes the parameter.
 pub fn set_up_message(session: u64, replacements: &[(u8, &str)]) -> Vec<u8> {
     let mut parameters = vec![
+        // Class, time limit, title, extras and session description.
         (3, "paid"),
         (6, "3000"),
         (15, "7f3a9c21e0b4d655"),
@@ -103,7 +110,7 @@
         message
     }
 
-    /// Asserts that nothing else was on its way: the next message is the reply to a health check.
+    /// Sends a health check and asserts that the next message is the reply to it: nothing else was on its way to the viewer.
     pub fn expect_no_message(&mut self) {
         self.send(&encode_message(52, 77, &[(45, &[0])]));
         self.expect_message(53, 77);
--- a/crates/edge/tests/node.rs
+++ b/crates/edge/tests/node.rs
@@ -21,8 +21,9 @@
     assert_eq!(request.start_line, "SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0");
     assert_eq!((request.header("CSeq"), request.header("Session")), (Some("1"), Some("9b1f03aa5c7e2d41")));
     assert_eq!((request.header("X-Call-Class"), request.header("Rate-Step")), (Some("paid"), Some("1")));
-    let waits: u32 = request.header("X-Ring-Limit").expect("a time limit").parse().expect("a number of ms");
-    assert!(waits > 0 && waits <= 3000);
+    let time_limit_ms: u32 =
+        request.header("X-Ring-Limit").expect("a time limit").parse().expect("a number of ms");
+    assert!(time_limit_ms > 0 && time_limit_ms <= 3000);
     assert_eq!(request.body, DESCRIPTION);
     // Progress is ignored; the description of the answer is relayed unchanged.
     connection.respond(&request, 180, "");
@@ -102,7 +103,7 @@
     viewer.expect_no_message();
 }
 
-/// It may be the only connection left for a long time.
+/// A connection on which only a release was sent is used for end notices too: it may be the only one left for a long time.
 #[test]
 fn connection_that_released_a_session_receives_the_end_of_another() {
     let fixture = start_fixture();
@@ -232,7 +233,8 @@
     drop(connection);
 }
 
-/// The server sends notes ten times a second. It may be silent for eight seconds before viewers must be notified of an end.
+/// By the settings, servers send notes ten times a second; this one sends none and refuses connections for 4.8 s. The node keeps
+/// the sessions of a silent server for more than five seconds, as viewers need not be notified sooner than eight seconds after an end.
 #[test]
 fn sessions_survive_a_server_unreachable_for_some_seconds() {
     let mut fixture = start_fixture();
@@ -242,7 +244,7 @@
     let mut connection = fixture.start_session(&mut viewer, 19);
     fixture.servers[0].stop_listening();
     for _ in 0..2 {
-        // The node closes a connection on which nothing was sent after 2.4 s.
+        // The node closes a connection that has sent no message within 2.4 s.
         assert_eq!(fixture.node.connect_viewer().next_message(), None);
     }
     connection.end_play(&mut viewer, 19);
--- a/crates/edge/tests/node_bad_peers.rs
+++ b/crates/edge/tests/node_bad_peers.rs
@@ -92,7 +92,8 @@
 
 // ---- bad servers ----
 
-/// Connects as many viewers as the node accepts. The first has an established session; none has an open set-up.
+/// Connects 22 viewers, as many as a node with 64 sockets accepts without evicting one. The first has an established session; none
+/// has an open set-up.
 fn fill_with_viewers(fixture: &NodeFixture) -> (Vec<Viewer>, ServerConnection) {
     let mut viewers: Vec<Viewer> = (0..22).map(|_| fixture.node.connect_viewer()).collect();
     let mut connection = fixture.start_session(&mut viewers[0], 100);
@@ -124,6 +125,7 @@
 #[test]
 fn viewer_beyond_the_connection_limit_is_declined() {
     let fixture = start_with_sockets(64);
+    // As many viewers as the node accepts without evicting one, all with an open set-up.
     let mut viewers: Vec<Viewer> = (0..22).map(|_| fixture.node.connect_viewer()).collect();
     viewers
         .iter_mut()
@@ -179,7 +181,8 @@
 
 // ---- size ----
 
-/// Starts twelve servers, each of which holds titles of its own, and a node that may have ten connections to servers.
+/// Starts twelve servers, each of which holds titles of its own, and a node with 64 sockets, which may have ten connections
+/// to servers.
 fn start_with_twelve_servers() -> (Vec<MediaServer>, DnsServer, Node) {
     let servers: Vec<MediaServer> =
         (0..12).map(|cell| MediaServer::start(&format!("s-{cell:08x}"), cell)).collect();
@@ -189,7 +192,7 @@
     (servers, dns, node)
 }
 
-/// Ten connections to servers are allowed here; each title is held by one of twelve servers.
+/// With 64 sockets a node may have ten connections to servers; each title is held by one of twelve servers.
 #[test]
 fn server_connections_unused_for_longest_are_evicted_at_the_limit() {
     let (servers, _dns, node) = start_with_twelve_servers();
@@ -212,8 +215,8 @@
     connections[0].expect_request("SETUP");
 }
 
-/// Ten connections to servers are allowed here, and twelve servers have sessions. Connections are closed in turn, and each server is
-/// reconnected in time to report the end of its session.
+/// With 64 sockets a node may have ten connections to servers, and twelve servers have sessions. Connections are closed in turn, and
+/// each server is reconnected in time to report the end of its session.
 #[test]
 fn servers_with_sessions_beyond_the_connection_limit_are_reconnected_in_turn() {
     let (servers, dns, node) = start_with_twelve_servers();
@@ -221,7 +224,8 @@
     let mut connections: Vec<ServerConnection> = Vec::new();
     for (cell, server) in servers.iter().enumerate() {
         if cell == 10 {
-            // Half a second of the node's time: until then a server may still report ends of earlier sessions.
+            // At least 0.6 s. The node may close the only connection to a server with sessions 0.5 s after dialling it at the earliest:
+            // until then the server may still report ends of earlier sessions on it.
             dns.wait_for_queries(5);
         }
         let play = 700 + cell as u64;
@@ -238,7 +242,8 @@
     }
 }
 
-/// The largest list that fits a datagram of the name service, with 1,024 nodes and 1,024 servers listed at start.
+/// The configuration file lists 1,024 servers, and its settings have 1,024 nodes. The name service then lists 351 servers in one
+/// datagram of about 55 kB, of 64 kB at most, and after that only one.
 #[test]
 fn server_lists_of_up_to_1024_entries_are_applied() {
     let server = MediaServer::start("s-0000ffff", 0);
@@ -246,10 +251,11 @@
     let records = |n: usize| (0..n).map(numbered).chain([server.dns_record()]).collect::<Vec<ServerRecord>>();
     let dns = DnsServer::start(records(350));
     dns.update_zone(|zone| zone.serial = 2);
-    let many: Vec<MediaServer> = (1..1_024)
+    let other_servers: Vec<MediaServer> = (1..1_024)
         .map(|i| MediaServer::without_listener(&format!("s-{i:08x}"), i % 2, server.addr))
         .collect();
-    let config = Node::config(dns.addr, &many.iter().chain([&server]).collect::<Vec<_>>(), 256, 3_000_000);
+    let config =
+        Node::config(dns.addr, &other_servers.iter().chain([&server]).collect::<Vec<_>>(), 256, 3_000_000);
     let node = Node::start(&config.replace(r#""balancers":1"#, r#""balancers":1024"#));
     assert!(node.log.lock().expect("the log").contains("servers=1024"));
     assert!(node.wait_for_log("serial=2").contains("servers=351"));
--- a/crates/edge/tests/node_fixture/mod.rs
+++ b/crates/edge/tests/node_fixture/mod.rs
@@ -4,7 +4,7 @@
 use crate::fake_peers::{self, DnsServer, MediaServer, Node, ServerConnection, Viewer, set_up_message};
 use std::time::{Duration, Instant};
 
-/// Message kinds of the viewers' protocol: set-up, answer to it, end of a play.
+/// Message kinds of the viewers' protocol: set-up, answer to it, and the release by which a viewer or the node ends a play.
 pub const SET_UP: u8 = 1;
 pub const ANSWER: u8 = 9;
 pub const RELEASE: u8 = 12;
@@ -65,7 +65,8 @@
 pub const TITLE_AT_FIRST: (u8, &str) = (18, "home:0;copies:1;top:1;viewer:00000000b4d65521");
 
 impl NodeFixture {
-    /// Sets a session up at the first server.
+    /// Sets a session up at the first server, on a new connection of the node; returns that connection. Fails where the node uses
+    /// a connection that was accepted before.
     pub fn start_session(&self, viewer: &mut Viewer, session: u64) -> ServerConnection {
         viewer.send(&set_up_message(session, &[TITLE_AT_FIRST]));
         let mut connection = self.servers[0].accept();
--- a/crates/edge/tests/node_lifecycle.rs
+++ b/crates/edge/tests/node_lifecycle.rs
@@ -60,7 +60,7 @@
     let connection = fixture.start_session(&mut viewer, 33);
     fixture.dns.update_zone(|zone| zone.mode = DnsMode::Normal);
     fixture.node.wait_for_log("serial=2");
-    // An older list that arrives after a newer one.
+    // An older list that arrives after a newer one is ignored.
     let full_list = fixture.servers.iter().map(MediaServer::dns_record).collect();
     fixture.dns.update_zone(|zone| (zone.serial, zone.records) = (1, full_list));
     fixture.dns.wait_for_queries(3);
@@ -121,10 +121,10 @@
         fixture.node.wait_for_log("name service changed");
     }
     let before = fixture.dns.query_count();
-    // The node closes a connection on which nothing was sent after 2.4 s.
+    // The node closes a connection that has sent no message within 2.4 s.
     assert_eq!(fixture.node.connect_viewer().next_message(), None);
     let queries = fixture.dns.query_count() - before;
-    assert!((1..=24).contains(&queries), "{queries} questions in 2.4 s");
+    assert!((1..=24).contains(&queries), "{queries} queries in 2.4 s");
 }
 
 #[test]
@@ -164,7 +164,7 @@
     assert!(fixture.node.wait_for_exit().success());
 }
 
-/// Its viewer waits for longer than the settings allow the node to.
+/// The time limit of the viewer (60 s) is longer than the node may take by its settings.
 #[test]
 fn open_play_is_declined_before_exit() {
     let mut fixture = start_fixture();
@@ -225,13 +225,14 @@
     connection.end_play(&mut viewer, 40);
 }
 
-/// Its viewer has no other connection, and with little traffic it may not open one for a long time.
+/// The viewer has no other connection, and with little traffic it may not open one for a long time.
 #[test]
 fn connection_that_handed_over_a_session_is_not_closed_as_idle() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(41, &[(18, "home:0;copies:1;top:1;at:s-0000000a"), (6, "0")]));
     let mut connection = fixture.servers[0].accept();
+    // A connection that never sends a message is closed after 2.4 s. By then the viewer's has been idle for longer.
     let mut silent = fixture.node.connect_viewer();
     assert_eq!(silent.next_message(), None);
     connection.end_play(&mut viewer, 41);
--- a/crates/edge/tests/node_races.rs
+++ b/crates/edge/tests/node_races.rs
@@ -85,7 +85,7 @@
         if refused {
             connection.respond(&request, 453, "");
         } else {
-            // More than a third of the first-frame target.
+            // One attempt may take a third of the first-frame target (2 s), so its timer has expired by then.
             std::thread::sleep(Duration::from_millis(1_000));
         }
         open_viewer = depart(viewer, 103, departure);
@@ -226,7 +226,7 @@
         start_with_full_backlog(&[LONG_TIMEOUTS[0], (r#""aimUs":2000000"#, r#""aimUs":600000"#)]);
     let mut viewer = fixture.node.connect_viewer();
     viewer.send(&set_up_message(117, &[TITLE_AT_FIRST, LONG_TIME_LIMIT]));
-    // At least 0.6 s of the node's time; one attempt may take 0.2 s.
+    // At least 0.6 s; one attempt may take 0.2 s.
     fixture.dns.wait_for_queries(5);
     fixture.servers[0].drain_backlog();
     let (_first, _second) = (fixture.servers[0].accept(), fixture.servers[0].accept());
--- a/crates/edge/tests/node_races_sessions.rs
+++ b/crates/edge/tests/node_races_sessions.rs
@@ -1,5 +1,6 @@
 //! Races of the end of an established session with its hand-over, or with the close of the connection on which the viewer is notified.
-//! `docs/notes/crossings.md` has a row for each race.
+//! The end notice is the release that the node sends to the viewer of a session that has ended. `docs/notes/crossings.md` has a row
+//! for each race.
 
 mod fake_peers;
 mod node_fixture;
@@ -73,7 +74,7 @@
     let mut hand_over_and_release = set_up_message(123, &[HANDED_OVER_AT_FIRST, (6, "0")]);
     hand_over_and_release.extend(encode_message(RELEASE, 123, &[(45, &[19])]));
     viewer.send(&hand_over_and_release);
-    // The first attempt to connect has timed out by then.
+    // At least 0.6 s: the first attempt to connect has timed out by then, after 0.25 s.
     fixture.dns.wait_for_queries(5);
     fixture.servers[0].drain_backlog();
     let teardown = fixture.servers[0].accept().next_request().expect("a teardown");
@@ -93,7 +94,7 @@
     let mut viewer = node.connect_viewer();
     viewer.send(&set_up_message(124, &[HANDED_OVER_AT_FIRST, (6, "0")]));
     viewer.expect_no_message();
-    // More than two ticks of the server check.
+    // At least 1.05 s: more than two ticks of the server check, which are 0.5 s apart.
     dns.wait_for_queries(8);
     dns.update_zone(|zone| zone.mode = fake_peers::DnsMode::Normal);
     servers[0].accept().end_play(&mut viewer, 124);
@@ -101,7 +102,8 @@
 
 // ---- the end notice and the close of its connection ----
 
-/// A viewer with an established session, another viewer of the same address that has sent a request, and the session's connection.
+/// Connects two viewers of the same address, each with an established session: of this id and of the next one. Returns them and the
+/// connection to the server.
 fn two_viewers(fixture: &NodeFixture, session: u64) -> (Viewer, Viewer, ServerConnection) {
     let (mut first_viewer, mut other_viewer) = (fixture.node.connect_viewer(), fixture.node.connect_viewer());
     let mut connection = fixture.start_session(&mut first_viewer, session);
@@ -117,7 +119,7 @@
     let (first_viewer, mut other_viewer, mut connection) = two_viewers(&fixture, 130);
     connection.send_request("TEARDOWN", 130, "Reason: cause=41\r\n");
     first_viewer.stream.peek(&mut [0]).expect("the end notice arrives");
-    // Half a second of the node's time, after which the notice no longer races with the close.
+    // At least 0.3 s. Only a notice that was sent less than 50 ms before the viewer's close counts as possibly crossing it.
     fixture.dns.wait_for_queries(3);
     drop(first_viewer);
     assert_eq!(other_viewer.expect_message(RELEASE, 130).cause(), 41);
@@ -171,13 +173,13 @@
     connection.send_request("TEARDOWN", 134, "Reason: cause=41\r\n");
     first_viewer.stream.peek(&mut [0]).expect("the end notice arrives");
     fixture.dns.wait_for_queries(3);
-    let tests = encode_message(52, 136, &[(45, &[0])]).repeat(1_000);
-    while first_viewer.stream.write_all(&tests).is_ok() {}
+    let health_checks = encode_message(52, 136, &[(45, &[0])]).repeat(1_000);
+    while first_viewer.stream.write_all(&health_checks).is_ok() {}
     assert_eq!(other_viewer.expect_message(RELEASE, 134).cause(), 41);
     drop(first_viewer);
 }
 
-/// The end and the close arrive together, in either order.
+/// The session's end and the close of the viewer's connection arrive together, in either order.
 #[test_case(true; "the end first")]
 #[test_case(false; "the close first")]
 fn end_notice_simultaneous_with_the_viewers_close_is_resent(end_first: bool) {
@@ -185,6 +187,7 @@
     let (first_viewer, mut other_viewer, mut connection) = two_viewers(&fixture, 137);
     let mut first_viewer = Some(first_viewer);
     fixture.node.while_paused(|| {
+        // Taking the viewer closes its connection.
         first_viewer.take_if(|_| !end_first);
         connection.send_request("TEARDOWN", 137, "Reason: cause=41\r\n");
         first_viewer.take();
--- a/crates/edge/tests/node_races_shutdown.rs
+++ b/crates/edge/tests/node_races_shutdown.rs
@@ -89,13 +89,14 @@
 
 // ---- reload of the configuration ----
 
-/// All descriptors are in use when the signal arrives, and no second signal follows.
+/// The reload needs a descriptor and all are in use. Without a second signal it is retried: at once if the node can close the connection
+/// of an idle viewer for it, otherwise repeatedly until the limit is raised.
 #[test_case(false; "used by the node")]
 #[test_case(true; "used by idle viewers")]
-fn config_reload_is_retried_when_out_of_descriptors(idle: bool) {
+fn config_reload_is_retried_when_out_of_descriptors(with_idle_viewers: bool) {
     let fixture = start_fixture();
     fixture.node.wait_for_log("serial=1");
-    let idle_viewers: Vec<fake_peers::Viewer> = (0..if idle { 8 } else { 0 })
+    let idle_viewers: Vec<fake_peers::Viewer> = (0..if with_idle_viewers { 8 } else { 0 })
         .map(|_| {
             let mut viewer = fixture.node.connect_viewer();
             viewer.expect_no_message();
@@ -107,7 +108,7 @@
     fixture.node.rewrite_config(&Node::config(new_dns.addr, &[], 256, 3_000_000));
     fixture.node.block_new_descriptors();
     fixture.node.send_signal("HUP");
-    if !idle {
+    if !with_idle_viewers {
         fixture.node.wait_for_log("until there is a descriptor");
         fixture.node.set_descriptor_limit(256);
     }
@@ -144,7 +145,7 @@
     fixture.node.wait_for_log("settings: they have changed");
     fixture.node.wait_for_log("serial=2");
     let mut viewer = fixture.node.connect_viewer();
-    let _wire = fixture.start_session(&mut viewer, 205);
+    let _connection = fixture.start_session(&mut viewer, 205);
     viewer.send(&set_up_message(206, &[TITLE_AT_FIRST, (3, "dear")]));
     assert_eq!(viewer.expect_message(node_fixture::RELEASE, 206).cause(), 100);
 }
@@ -191,7 +192,8 @@
     viewer.expect_message(ANSWER, 220);
 }
 
-/// The listener's time ends while a connection in its backlog lacks a descriptor. The kernel has accepted it, so it is answered.
+/// The listener is due to close 0.9 s after the signal, while a connection in its backlog can't be accepted for lack of a descriptor. The
+/// kernel has accepted that connection, so the listener stays open until the node can accept it too.
 #[test]
 fn listener_closes_only_after_its_backlog_is_accepted() {
     let mut fixture = start_with_replacements(256, &[(r#""aimUs":2000000"#, r#""aimUs":90000000"#)]);
@@ -203,7 +205,7 @@
     newcomer.send(&set_up_message(224, &[TITLE_AT_FIRST]));
     fixture.node.send_signal("TERM");
     fixture.node.wait_for_log("stopping");
-    // At least 1.2 s of the node's time.
+    // At least 1.05 s, which is longer than the 0.9 s after which the listener is due to close.
     fixture.dns.wait_for_queries(8);
     fixture.node.set_descriptor_limit(256);
     fixture.servers[0].accept().serve_set_up(&mut newcomer, 224);
--- a/crates/edge/tests/node_slow_peers.rs
+++ b/crates/edge/tests/node_slow_peers.rs
@@ -54,7 +54,7 @@
 fn viewer_sending_byte_by_byte_delays_no_other_viewer() {
     let fixture = start_fixture();
     let mut viewer = fixture.node.connect_viewer();
-    // It has an established session: only connections that never sent a message are closed for being slow.
+    // The viewer has an established session: only connections that never sent a message are closed for being slow.
     let mut connection = fixture.start_session(&mut viewer, 302);
     let mut other_viewer = fixture.node.connect_viewer();
     let bytes = set_up_message(303, &[TITLE_AT_FIRST]);
@@ -146,7 +146,7 @@
     let mut fixture = start_fixture();
     let mut old_viewer = fixture.node.connect_viewer();
     let connection = fixture.start_session(&mut old_viewer, 310);
-    let idle: Vec<_> = (0..20).map(|_| fixture.node.connect_viewer()).collect();
+    let idle_viewers: Vec<_> = (0..20).map(|_| fixture.node.connect_viewer()).collect();
     fixture.node.send_signal(signal);
     assert_eq!(fixture.node.wait_for_exit().success(), signal == "TERM");
     let node = restart_node(&fixture);
@@ -158,7 +158,7 @@
     viewer.send(&set_up_message(311, &[TITLE_AT_FIRST]));
     new_connection.serve_set_up(&mut viewer, 311);
     assert_eq!(old_viewer.next_message(), None);
-    drop((connection, idle));
+    drop((connection, idle_viewers));
 }
 
 /// Half of a set-up was sent to the previous node. The other half reaches no node, and a new connection starts from scratch.
