--- a/crates/dispatcher/src/actions.rs
+++ b/crates/dispatcher/src/actions.rs
@@ -15,10 +15,10 @@
     /// Asks the server for its load. The host passes an answer to [`crate::Dispatcher::on_load_report`]; if there is none, it
     /// calls nothing.
     fn probe(&mut self, server_id: u32);
-    /// Gives the final answer that the play is not placed and no allocation of it ran. The viewer should retry no earlier
-    /// than after `retry_after` ms.
+    /// Gives the final answer that the play is not placed and the viewer may safely repeat the request: no allocation of it
+    /// ran, or a repeat does no harm. A retry should come after `retry_after` ms at the earliest.
     fn decline(&mut self, play_id: u64, retry_after: f64);
-    /// Gives the final answer that the play is not placed and an allocation of it may have run.
+    /// Gives the final answer that the play is not placed, an allocation of it may have run, and a repeat may do harm.
     fn fail(&mut self, play_id: u64);
     /// Has [`crate::Dispatcher::on_timer`] called with this `timer` once `delay` ms have passed. Timers are never
     /// cancelled: outdated ones do no harm.
--- a/crates/edge/src/http.rs
+++ b/crates/edge/src/http.rs
@@ -126,7 +126,8 @@
 ) {
     let connection = if keep_alive { "keep-alive" } else { "close" };
     let _ = write!(out, "HTTP/1.1 {status} {}\r\nConnection: {connection}\r\n", reason_phrase(status));
-    // These have no body, and a `Content-Length` would be that of another response (RFC 9110, section 8.6).
+    // Responses 204 and 304 have no body, so `length` is not written: `Content-Length` is forbidden in a 204, and in a 304
+    // it would state the length of the corresponding 200 response (RFC 9110, section 8.6).
     if status != 304 && status != 204 {
         let _ = write!(out, "Content-Length: {length}\r\n");
     }
--- a/crates/edge/src/players.rs
+++ b/crates/edge/src/players.rs
@@ -239,9 +239,10 @@
             return Some(text_answer(404, "that title is listed no more"));
         }
         let deadline = now + config.products[product].time_limit_ms;
-        // A session of a product with such an effect is served only by its home front; others are redirected there.
-        let has_effect = config.products[product].effect != Effect::ReadLike;
-        if has_effect && !is_known && state.home_addresses.len() == config.fronts {
+        // A second set-up of a play may do harm unless the product's effect is read-like. Such a session is set up only by
+        // its home front; other fronts redirect the player there.
+        let needs_home_front = config.products[product].effect != Effect::ReadLike;
+        if needs_home_front && !is_known && state.home_addresses.len() == config.fronts {
             let home = home_front(&entry.jti, config.fronts);
             if home != config.rank {
                 let location = format!(
--- a/crates/edge/src/server_requests.rs
+++ b/crates/edge/src/server_requests.rs
@@ -139,9 +139,10 @@
         }
     }
 
-    /// The request got no response, an invalid one, or only a part of one. A segment's read may be retried on a new
-    /// connection; any other request is repeated only if the server probably closed the connection before it arrived
-    /// (`is_stale`: a connection that was used before breaks without a response).
+    /// Closes a pooled connection that failed. If it carried a request, that request got no complete, valid response: a
+    /// segment's read may be retried on a new connection; any other request is repeated only if `is_stale`, which means that
+    /// the connection had been used before and broke without a response head, so that the server had probably closed it
+    /// before the request arrived.
     pub(crate) fn on_request_failed(&mut self, connection_id: ConnectionId, error: read_retries::ReadError) {
         let Some(Role::ServerPool { server, request, is_fresh }) = self.connections.close(connection_id)
         else {
--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -106,7 +106,8 @@
         self.report_ends();
     }
 
-    /// Records that an attempt ended without a playing session, and reports it to the dispatcher.
+    /// Records the end of an attempt, or the withdrawal that was queued as an [`AttemptEnd`], and reports it
+    /// to the dispatcher. The server's `playing_sessions` is not changed here.
     pub(crate) fn on_attempt_ended(
         &mut self,
         play: u64,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -202,7 +202,9 @@
         }
     }
 
-    /// Forgets servers that are gone and have no sessions, in the dispatcher too.
+    /// Forgets the servers that a list has named, that are gone, and that no session or pending attempt uses,
+    /// in the dispatcher too, and closes the connections to them. A server to which the dispatcher still refers
+    /// is kept for now.
     pub(crate) fn forget_gone_servers(&mut self) {
         let servers_in_use: HashSet<u32> =
             self.state.sessions.values().filter_map(|s| s.server_number).collect();
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -181,7 +181,7 @@
 }
 
 impl Server {
-    /// Whether the list says that the server is gone.
+    /// Whether the server is listed as gone, is missing from the list, or was never listed.
     pub(crate) fn is_gone(&self) -> bool {
         self.listing.standing == Standing::Gone
     }
--- a/crates/node/src/to_servers.rs
+++ b/crates/node/src/to_servers.rs
@@ -15,7 +15,8 @@
         self.servers.get(&server_number).map_or("?", |s| s.id.as_str())
     }
 
-    /// The number of a server with this id. An unknown id gets a new number.
+    /// The number of the server with this id. An unknown id gets a new number and an entry in `servers`,
+    /// without an address and with standing `Gone` until a list names it.
     pub(crate) fn server_number(&mut self, id: &str) -> u32 {
         if let Some(server_number) = self.server_numbers.get(id) {
             return *server_number;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -13,7 +13,8 @@
     settings_from_json(&json)
 }
 
-/// The same for settings that are already parsed, as part of a larger document.
+/// Checks the platform's settings and returns them flat, as [`parse_settings`] does, where they are already parsed as part of
+/// a larger document.
 pub fn settings_from_json(json: &Json) -> Result<Settings, String> {
     if !json.is_object() {
         return Err("the settings are not a JSON object".into());
--- a/crates/sim-adapter/src/frame.rs
+++ b/crates/sim-adapter/src/frame.rs
@@ -77,13 +77,15 @@
         let start = position;
         position = body.len();
         let Some((header, after)) = rest.split_at_checked(5) else {
-            return Some(Err(format!("a record at byte {start} of the batch ends within its header")));
+            return Some(Err(format!(
+                "a record at byte {start} after the batch's timestamp ends within its header"
+            )));
         };
         let size = u32::from_le_bytes([header[1], header[2], header[3], header[4]]) as usize;
         let Some(fields) = after.get(..size) else {
             let left = after.len();
             return Some(Err(format!(
-                "a record at byte {start} of the batch claims {size} bytes, {left} are left"
+                "a record at byte {start} after the batch's timestamp claims {size} bytes, {left} are left"
             )));
         };
         position = start + 5 + size;
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Handles one event of this instance.
+    /// Handles one event of this instance. Fields that the dispatcher has no use for are read and discarded, to get to those
+    /// after them.
     fn handle_event(
         &mut self,
         now: f64,
@@ -289,7 +290,8 @@
     }
 }
 
-/// Writes the actions that an instance's dispatcher requests as records of the reply.
+/// Writes the actions that an instance's dispatcher requests as records of the reply. Their codes are numbered apart from
+/// those of events ([`EVENT_NAMES`]): record 18 asks for a probe, event 18 is KNOCK.
 struct ReplyActions<'a> {
     instance_id: u32,
     reply: &'a mut Reply,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,6 +9,7 @@
 use std::collections::BTreeMap;
 
 /// Source text of the placement logic that this program was built with, from which callers compute a digest.
+/// `settings_view` is left out, since it decides nothing.
 pub const POLICY: [&str; 6] = [
     include_str!("logic/mod.rs"),
     include_str!("logic/placing.rs"),
@@ -119,9 +120,10 @@
     Wait { probe: Vec<usize> },
     /// The play runs, and continues on this rung.
     Keep { rung: usize },
-    /// Final: the play is not placed, and no allocation of it ran. The viewer may retry, preferably after `retry_after` ms.
+    /// Final: the play is not placed, and the viewer may safely repeat the request: no allocation of it ran, or a repeat does
+    /// no harm. A retry should come after `retry_after` ms at the earliest.
     Declined { retry_after: f64 },
-    /// Final: the play is not placed, and an allocation of it may have run.
+    /// Final: the play is not placed, an allocation of it may have run, and a repeat may do harm.
     Failed,
 }
 
@@ -165,7 +167,7 @@
     Delivered(f64),
     /// Demand on the server's link over the link's capacity.
     Link(f64),
-    /// The same, but capped at 1.
+    /// Demand on the server's link over the link's capacity, capped at 1.
     LinkCapped(f64),
     /// Demand on the rack's uplink over the uplink's capacity.
     Uplink(f64),
--- a/src/logic/facts.rs
+++ b/src/logic/facts.rs
@@ -47,7 +47,8 @@
     }
 
     /// Takes what other fronts let this one know of a server. What is left of the time to the server's next play is scaled
-    /// to the new pace.
+    /// to the new pace. If other fronts have just begun to doubt the server, this front's first trial is also put off by a part
+    /// of the gap that grows with its rank, so that the fronts do not try it together.
     pub fn apply_hint(&mut self, now: f64, hint: &ServerHint) {
         self.ensure_server(hint.server);
         let old_gap = self.play_gap(now, hint.server);
@@ -106,8 +107,8 @@
             }
             LoadMetric::Delivered(_) => {
                 // An overloaded uplink affects all servers of the rack: a server that delivers too little on an uplink
-                // with room is itself overloaded. Guards against the notes of a silent server stepping down
-                // the plays of its whole rack.
+                // with room is itself overloaded. Guards against notes about plays on one failing server
+                // stepping down the plays of its whole rack.
                 let by_uplink = self.uplinks[rack].utilization() > link_utilization.max(0.9);
                 let link =
                     if by_uplink { &mut self.uplinks[rack] } else { &mut self.servers[server_index].link };
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -20,7 +20,7 @@
 
 /// How long a play keeps its rung at least before it may step up.
 const QUIET_MS: f64 = 5_000.0;
-/// Upper bound of the random addition to that.
+/// Upper bound of the random addition to QUIET_MS.
 const QUIET_JITTER_MS: f64 = 5_000.0;
 
 /// Time constant of the count of plays that could have been sent to a server.
--- a/src/logic/pace.rs
+++ b/src/logic/pace.rs
@@ -20,8 +20,9 @@
 pub(super) const FLOOD_MEMORY_MS: f64 = 1_500.0;
 
 impl Policy {
-    /// The earliest time at which this play may be sent to the server: `now` if the server is neither cold nor doubted. Cold
-    /// and doubted servers get plays at this front's share of the warm-up's pace, and plays that have waited longer go first.
+    /// The earliest time at which this play may be sent to the server. If the server is neither cold nor doubted, that is
+    /// `now`, or for a further allocation the end of the server's `further_gap` if that is later. Cold and doubted servers get
+    /// plays at this front's share of the warm-up's pace, and plays that have waited longer go first.
     /// The fronts' first sends are spread by rank, so that they do not coincide. Protects a server that has just restarted,
     /// even if the list does not show it yet, and lets a failing or silent server return after a few trial plays. The cost: a
     /// play waits if all its holders are in this state, and is refused at once if it cannot be sent before its deadline.
@@ -33,7 +34,7 @@
         is_further: bool,
     ) -> f64 {
         let server = &self.servers[server_index];
-        // Further allocations have a budget of the whole fleet, where fronts share one.
+        // Other fronts' hints may set a minimum distance between further allocations to a server (`further_gap`), cold or not.
         let now = if is_further { server.next_further_at.max(now) } else { now };
         let is_cold = now < server.cold_since + self.number_setting("rules.cold", 0.0);
         if !is_cold && !server.is_doubted() {
--- a/src/logic/placing.rs
+++ b/src/logic/placing.rs
@@ -86,6 +86,7 @@
         }
         // Metrics grow old where this front seldom has plays: as far as the price allows, holders are probed, and those
         // that do not answer are avoided. Guards against guessed room and silent servers, at the price of a short wait.
+        // Holders measured lately count towards the number that the price allows.
         let affordable =
             (MAX_PROBE_COST / self.number_setting("costs.probe", MAX_PROBE_COST).max(1e-6)) as usize;
         let mut to_probe = eligible.clone();
@@ -159,6 +160,8 @@
         if play.allocations > 0 && self.settings.contains_key("rules.budget_share") {
             self.further_allocations.push_back(now);
         }
+        // The time left is divided among the allocations that are still allowed, three at most. It is the time to the
+        // first-frame target, but to the deadline for the last allocation or with less than 100 ms left to the target.
         let target_at = play.arrived_at + self.products[product].first_frame_target;
         let tries = (self.number_setting("ceilings.attempts_cap", 4.0) as usize)
             .saturating_sub(play.allocations)
--- a/src/logic/room.rs
+++ b/src/logic/room.rs
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Adds a change by this front. Changes before `settled_at` are merged into one, since no measurement still to come
-    /// is older.
+    /// Adds a change by this front. Changes up to `settled_at` are merged into one: every measurement still to come describes
+    /// that time or a later one, so they need not be told apart.
     pub(super) fn record_own_change(&mut self, now: f64, kb: f64, settled_at: f64) {
         while self.own_changes.len() > 1 && self.own_changes[1].0 <= settled_at {
             let oldest_kb = self.own_changes.pop_front().map_or(0.0, |c| c.1);
@@ -76,7 +76,7 @@
         self.utilization().min(self.previous_kb / self.capacity_kb)
     }
 
-    /// The smaller of that and the present utilization less the estimated reduction by other fronts.
+    /// The smaller of [`Link::confirmed_utilization`] and the present utilization less the estimated reduction by other fronts.
     pub(super) fn adjusted_utilization(&self) -> f64 {
         self.confirmed_utilization().min(self.utilization() - self.others_cut.1 / self.capacity_kb)
     }
@@ -166,9 +166,10 @@
 }
 
 impl Policy {
-    /// Room left on a server: what both its link and its rack's uplink can still carry, less the reserve. All decisions
-    /// use this one value. Where this front sets up many plays in a row, all fronts are assumed to do the same: guards
-    /// against floods that no metric shows yet.
+    /// Room left on a server: what both its link and its rack's uplink can still carry, less the reserve. Every decision
+    /// that asks for room uses this value; overload is judged by `confirmed_utilization` and `adjusted_utilization`. Where
+    /// this front sets up many plays in a row, all fronts are assumed to do the same: guards against floods that no metric
+    /// shows yet.
     pub(super) fn room_kb(&self, plays: &[Play], server_index: usize) -> f64 {
         let middle_kb = self.ladder_kb[self.ladder_kb.len() / 2];
         let free_kb = |link: &Link, demand_kb: f64| {
--- a/src/logic/rungs.rs
+++ b/src/logic/rungs.rs
@@ -75,8 +75,8 @@
     }
 
     /// The rung at set-up, and the plays stepped down for it. Where the new play would start low while plays of this front
-    /// run on rungs of less worth per kB, those step down: rung values grow more slowly than rates, so the plays that came
-    /// first must not take all the room.
+    /// run on rungs of less worth per kB, those step down. A rung's value grows more slowly than its rate, so room is worth
+    /// most on low rungs; without this, the plays that came first would keep all of it.
     pub(super) fn choose_rung(
         &mut self,
         now: f64,
--- a/tests/load_and_rungs.rs
+++ b/tests/load_and_rungs.rs
@@ -82,7 +82,8 @@
         host.policy.on_load_metric(host.now, &mut host.plays, 2 * (i % 2), None, LoadMetric::Uplink(1.2));
     }
     let stepped = rungs_before - plays.iter().map(|p| host.plays[*p].rung).sum::<usize>();
-    // A sixth of the front's own 4000 kB is in excess, a step frees 200, and no report shows the steps yet.
+    // Of the front's own 4000 kB, 4000 * (1 - OVERLOAD_UTILIZATION / 1.2), about 530, are in excess. A step frees 200, so two
+    // or three are made. No report shows the steps yet.
     assert!((1..=4).contains(&stepped), "{stepped} of {rungs_before}");
 }
 
