--- a/examples/bad-day.jsonnet
+++ b/examples/bad-day.jsonnet
@@ -1,5 +1,5 @@
-// A bad day in about a minute: three fronts, fifteen servers in two zones and five racks, and troubles that
-// overlap. Play it with `pulleystair-lab day examples/bad-day.jsonnet`.
+// Test scenario of about a minute: three fronts, fifteen servers in two zones and five racks, and faults that overlap.
+// Run it with `pulleystair-lab day examples/bad-day.jsonnet`.
 local ladder(low, steps) = [
   { rate_kb: low * std.pow(1.5, i), earns: 0.25 + 0.75 * i / (steps - 1) }
   for i in std.range(0, steps - 1)
--- a/examples/dash-day.jsonnet
+++ b/examples/dash-day.jsonnet
@@ -1,6 +1,6 @@
-// The whole DASH path on a bad day: players, fronts and servers speak TLS, token keys and certificates are replaced six
-// times, every kind of trouble that the stand-in servers know comes, most of them over another, and players retry.
-// Play it with `pulleystair-lab day examples/dash-day.jsonnet`.
+// Test scenario of the whole DASH path: players, fronts and servers use TLS, token keys and certificates are replaced six
+// times, every kind of fault of the fake servers is injected, most of them overlapping others, and players retry.
+// Run it with `pulleystair-lab day examples/dash-day.jsonnet`.
 local bad = import 'bad-day.jsonnet';
 local trouble(kind, at, length, part=0, size=1) =
   { kind: kind, at_s: at, length_s: length, part: part, size: size };
--- a/examples/front/front.jsonnet
+++ b/examples/front/front.jsonnet
@@ -1,5 +1,6 @@
-// A front's rundown, all but its defaults. `pulleystair-edge check front.jsonnet` says what is wrong with one,
-// `show` fills the defaults in. Times are ms, rates kB a second.
+// Example configuration of a front; settings that are left out have their defaults. `pulleystair-edge check front.jsonnet`
+// prints the first error in it, `pulleystair-edge show front.jsonnet` prints it with the defaults filled in. Times are in
+// ms, rates in kB/s.
 {
   listen: '127.0.0.1:8080',
   zone: 'north',
--- a/examples/sharing-day.jsonnet
+++ b/examples/sharing-day.jsonnet
@@ -1,5 +1,6 @@
-// The bad day with fronts that share what they know, over an exchange that is bad as well: lossy, split, deaf on one side.
-// Play it with `pulleystair-lab day examples/sharing-day.jsonnet`, and ask a front while it runs with
+// `bad-day.jsonnet` with fronts that share state, and with faults in the exchange between them too: messages are lost, the
+// fleet is split, and one front receives no messages.
+// Run it with `pulleystair-lab day examples/sharing-day.jsonnet`, and query a front while it runs with
 // `pulleystair-edge drift found/day/front-0.json`.
 local day = import 'bad-day.jsonnet';
 local trouble(kind, at, length, part=0, size=1) =
--- a/examples/storm.jsonnet
+++ b/examples/storm.jsonnet
@@ -1,8 +1,8 @@
-// A storm: for eight seconds four times as many plays are asked for as the fleet can set up (200 a second), and whoever
-// is not served comes again. What is looked at is whether service comes back once the cause is gone.
+// Overload scenario: for eight seconds four times as many plays are requested as the fleet can set up (200 a second), and
+// most players that are not served request again. It shows whether service recovers after the overload ends.
 //
-// `times` is the surge over what the fleet can set up, `usual` what is asked for before and after; without the adaptive
-// limit: `admission: { least: 1e6, most: 1e6, work_ms: 1e9 }`.
+// `times` is the rate of requests during the surge over the rate that the fleet can set up, `usual` the rate of requests
+// before and after it, per second. To run without the adaptive limit: `admission: { least: 1e6, most: 1e6, work_ms: 1e9 }`.
 local bad = import 'bad-day.jsonnet';
 local times = 4;
 local usual = 110;
@@ -10,7 +10,7 @@
   seconds: 30,
   fronts: 2,
   fleet+: {
-    // Six servers of two cores and 60 ms of work carry 200 set-ups a second.
+    // Six servers of two cores and 60 ms of work a set-up can do 200 set-ups a second.
     servers: 6,
     racks: 2,
     cores: 2,
